--- a/sidecar/lookup_test.go
+++ b/sidecar/lookup_test.go
@@ -1,7 +1,9 @@
 package sidecar
 
 import (
+	"context"
 	"testing"
+	"time"
 
 	. "github.com/onsi/gomega"
 	"github.com/prometheus/client_golang/prometheus"
@@ -13,28 +15,56 @@
 	"github.com/pearyard/pearyard/types"
 )
 
+// gatedEngine gives its only token when it is told to.
+type gatedEngine struct {
+	stuckEngine
+	release, ended chan struct{}
+}
+
+func (e gatedEngine) Generate(ctx context.Context, r engine.Request, emit func(types.Token) error) (engine.Result, error) {
+	defer close(e.ended)
+	<-e.release
+	return e.stuckEngine.Generate(ctx, r, emit)
+}
+
 // An engine and the router before it die together; the sidecar lives and still
 // has every token. The caller comes back through another router, which asks
 // all sidecars who holds the generation. It was told "lost": the sidecar named
 // itself only for generations that run or have finished.
 func TestLookupNamesHolderOfLostGeneration(t *testing.T) {
-	g := NewWithT(t)
-	const address = "127.0.0.1:9"
-	s := New(Options{
-		Peer:   peer.New(peer.Options{Self: peer.Identity{ID: "s", Incarnation: 1, Address: address}, Revision: func() types.Revision { return 1 }}),
-		Engine: stuckEngine{}, Revision: func() types.Revision { return 1 },
-		Dial: func() Dial { return Dial{} }, Recorder: event.Discard(), Registerer: prometheus.NewRegistry(),
-	})
-	id := types.NewGenerationID(7)
-	r, refused := s.start(request(id, 5))
-	g.Expect(refused).To(BeNil())
-	defer r.cancel()
-	holder := func() string {
-		resp, err := service{s}.Lookup(t.Context(), &streampb.LookupRequest{Generation: id.String()})
-		g.Expect(err).NotTo(HaveOccurred())
-		return resp.GetRunner()
+	for name, lostBeforeFirstToken := range map[string]bool{"lost after the first token": false, "lost before the first token": true} {
+		t.Run(name, func(t *testing.T) {
+			g := NewWithT(t)
+			const address = "127.0.0.1:9"
+			e := gatedEngine{release: make(chan struct{}), ended: make(chan struct{})}
+			s := New(Options{
+				Peer:   peer.New(peer.Options{Self: peer.Identity{ID: "s", Incarnation: 1, Address: address}, Revision: func() types.Revision { return 1 }}),
+				Engine: e, Revision: func() types.Revision { return 1 },
+				Dial:     func() Dial { return Dial{RouterGrace: time.Second, Retain: time.Minute, DrainLong: time.Second} },
+				Recorder: event.Discard(), Registerer: prometheus.NewRegistry(),
+			})
+			id := types.NewGenerationID(7)
+			r, refused := s.start(request(id, 5))
+			g.Expect(refused).To(BeNil())
+			defer r.cancel()
+			holder := func() string {
+				resp, err := service{s}.Lookup(t.Context(), &streampb.LookupRequest{Generation: id.String()})
+				g.Expect(err).NotTo(HaveOccurred())
+				return resp.GetRunner()
+			}
+			g.Expect(holder()).To(Equal(address))
+			if lostBeforeFirstToken {
+				g.Expect(r.log.Lose(engine.ErrDied)).To(BeTrue())
+				close(e.release)
+				g.Eventually(e.ended).Should(BeClosed())
+				// The attempt's end is handled after the engine returns.
+				g.Consistently(holder, 50*time.Millisecond).Should(Equal(address))
+				return
+			}
+			close(e.release)
+			g.Eventually(func() int { return r.log.Look(0).Count }).Should(Equal(1))
+			g.Expect(r.log.Lose(engine.ErrDied)).To(BeTrue())
+			g.Expect(holder()).To(Equal(address))
+		})
 	}
-	g.Expect(holder()).To(Equal(address))
-	g.Expect(r.log.Lose(engine.ErrDied)).To(BeTrue())
-	g.Expect(holder()).To(Equal(address))
 }
