--- a/fleet/budgets.go
+++ b/fleet/budgets.go
@@ -11,145 +11,148 @@
 )
 
 const (
-	// budgetLife is how long another VM's word of its tries counts; it covers a
-	// lost datagram. Later its whole part is taken as spent.
-	budgetLife = 2500 * time.Millisecond
-	// unknownFor is how long a retry may be unknown to the others: the pace of
-	// telling, the way there, and a slow receiver.
-	unknownFor = 200 * time.Millisecond
+	// budgetReportTTL is how long the counts that another VM has reported are used; it
+	// covers a lost datagram. After that the whole part of that VM is treated as spent.
+	budgetReportTTL = 2500 * time.Millisecond
+	// maxPropagation bounds the time until the other VMs know of a retry: the shortest
+	// interval between two reports, the network delay and a slow receiver.
+	maxPropagation = 200 * time.Millisecond
 )
 
-// Budgets lets entry VMs share the retry budget. A fixed part for each would hold
-// without a datagram from anybody, but losses hit VMs unevenly.
+// Budgets lets entry VMs share the retry budget. Losses hit VMs unevenly, so a fixed part
+// for each VM would be too small for some and unused at others. It would, however, hold
+// without any communication.
 //
-// Invariant: the VMs that hear each other stay within their common bound. What
-// is free by the newest words is divided by the number of VMs, and none takes
-// more than its share of it before its taking is known to the others, also of
-// what would be its own part. The parts of VMs that are not heard are left to
-// them. One that is heard but hears nobody may have its part used twice; that
-// is within the margin that is kept back of the whole.
+// Invariant: VMs that receive each other's reports stay within their common bound. The
+// budget that is free according to the newest reports is divided by the number of VMs. A
+// VM takes no more than its share of it until the others know of what it took, and this
+// includes retries that would fit into its own part. The parts of VMs from which no
+// reports arrive are left to them. If a VM is heard but receives nothing itself, its part
+// may be used twice; that stays within the margin that package entry keeps back of the
+// whole budget.
 type Budgets struct {
-	opts BudgetsOptions
-	news chan struct{}
+	opts    BudgetsOptions
+	changed chan struct{}
 
 	mu      sync.Mutex
 	own     map[string]*ownBudget
-	others  map[string]*otherBudget // by sender
-	retries float64                 // bound: retries per first try
-	extra   float64                 // and this many more, for all VMs
+	peers   map[string]*peerBudget // by sender
+	ratio   float64                // retries allowed per first try
+	extra   float64                // fixed retries allowed on top, for all VMs together
 	started time.Time
 }
 
-// BudgetsOptions of a Budgets.
+// BudgetsOptions configures a Budgets.
 type BudgetsOptions struct {
 	Socket *Socket
-	Near   func() []string // the VMs that share
-	Size   func() int      // all VMs, this one included
+	Near   func() []string // addresses of the VMs that share the budget
+	Size   func() int      // number of all VMs, including this one
 	Ratio  float64
 	Extra  float64
-	Window time.Duration // in any span of which the bound holds; 0: Extra is there at once
+	Window time.Duration // sliding window over which the bound holds; 0: Extra is available from the start
 }
 
 type ownBudget struct {
-	window *retry.Window
-	taken  []time.Time // retries that others may not know of yet
+	window        *retry.Window
+	recentRetries []time.Time // retries that other VMs may not know of yet
 }
 
-type otherBudget struct {
-	head  head
-	at    time.Time
-	spent map[uint32]spent
+type peerBudget struct {
+	header header
+	at     time.Time
+	counts map[uint32]tryCounts
 
-	// fixed retries that it took before its restarts, and when the newest was
-	// noticed; by service.
-	former   map[uint32]float64
-	formerAt time.Time
+	// Fixed retries that the VM took before its restarts, by service, and when the newest
+	// restart was detected.
+	retriesBeforeRestart map[uint32]float64
+	restartedAt          time.Time
 }
 
-// forgotten returns the fixed retries that the VM took before its restart, as
-// long as they may be in the window: it has forgotten them, and the backend
-// servers have not.
-func (o *otherBudget) forgotten(service uint32, window time.Duration, now time.Time) float64 {
-	if now.Sub(o.formerAt) >= window {
+// forgottenRetries returns the fixed retries that the VM took before its restart, as long
+// as they may fall into the window. The restarted VM no longer counts them, but the
+// backend servers have received them.
+func (o *peerBudget) forgottenRetries(service uint32, window time.Duration, now time.Time) float64 {
+	if now.Sub(o.restartedAt) >= window {
 		return 0
 	}
-	return o.former[service]
+	return o.retriesBeforeRestart[service]
 }
 
-// restarted notes that the VM has started again and counts anew.
-func (o *otherBudget) restarted(ratio float64, window time.Duration, now time.Time) {
-	if now.Sub(o.formerAt) >= window {
-		o.former = map[uint32]float64{}
+// recordRestart records that the VM has restarted and counts from zero.
+func (o *peerBudget) recordRestart(ratio float64, window time.Duration, now time.Time) {
+	if now.Sub(o.restartedAt) >= window {
+		o.retriesBeforeRestart = map[uint32]float64{}
 	}
-	o.formerAt = now
-	for service, s := range o.spent {
-		o.former[service] += max(0, float64(s.again)-ratio*float64(s.first))
+	o.restartedAt = now
+	for service, s := range o.counts {
+		o.retriesBeforeRestart[service] += max(0, float64(s.retries)-ratio*float64(s.firstTries))
 	}
 }
 
-// NewBudgets returns a Budgets that speaks through a socket.
+// NewBudgets returns a Budgets that communicates through opts.Socket.
 func NewBudgets(opts BudgetsOptions) *Budgets {
 	b := &Budgets{
-		opts: opts, news: make(chan struct{}, 1), own: map[string]*ownBudget{}, others: map[string]*otherBudget{},
-		retries: opts.Ratio, extra: opts.Extra, started: time.Now(),
+		opts: opts, changed: make(chan struct{}, 1), own: map[string]*ownBudget{}, peers: map[string]*peerBudget{},
+		ratio: opts.Ratio, extra: opts.Extra, started: time.Now(),
 	}
-	opts.Socket.handle(kindBudget, b.take)
+	opts.Socket.handle(kindBudget, b.receive)
 	return b
 }
 
-// youngShare is the part of the fixed retries that a process may use before it
-// is as old as the window: half of the 15% of the whole that package entry keeps
-// back, so that two restarts within a window stay within the bound. Without any,
-// a site with little traffic cut each stream whose server died in that time.
-const youngShare = 0.08
+// startupShare is the part of the fixed retries that a process may use until it is as old
+// as the window. It is half of the 15% of the whole budget that package entry keeps back,
+// so that two restarts within a window stay within the bound. Without any fixed retries, a
+// site with little traffic cut every stream whose server failed during that time.
+const startupShare = 0.08
 
-// FixedShare returns the part of the fixed retries that a process may use: all
-// of them once it is as old as the window, youngShare before.
+// FixedShare returns the part of the fixed retries that a process may use: all of them
+// once it is as old as the window, startupShare before that.
 //
-// What a process sent again before it was killed still counts at the servers, so it
-// must be as old as the window before it uses its whole fixed part. The share of first
-// tries needs no such wait: it begins anew with what was forgotten.
+// The retries that a process sent before it was killed still count at the servers, so the
+// process must be as old as the window before it uses its whole fixed part. The retries
+// allowed per first try need no such wait: the count of first tries starts from zero as
+// well.
 func FixedShare(started time.Time, window time.Duration) float64 {
 	if time.Since(started) < window {
-		return youngShare
+		return startupShare
 	}
 	return 1
 }
 
-// Run tells what this VM has counted until ctx ends.
+// Run reports the counts of this VM to the others until ctx ends.
 func (b *Budgets) Run(ctx context.Context) error {
-	again := time.NewTicker(tellAgain)
-	defer again.Stop()
+	ticker := time.NewTicker(resendInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-again.C:
-		case <-b.news:
+		case <-ticker.C:
+		case <-b.changed:
 		}
-		if list := b.counted(); len(list) > 0 {
+		if list := b.ownCounts(); len(list) > 0 {
 			b.opts.Socket.SendTo(encodeBudget(list), b.opts.Near())
 		}
-		if err := retry.Wait(ctx, tellEvery); err != nil {
+		if err := retry.Wait(ctx, minSendInterval); err != nil {
 			return err
 		}
 	}
 }
 
-func (b *Budgets) counted() []spent {
+func (b *Budgets) ownCounts() []tryCounts {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var list []spent
+	var list []tryCounts
 	for service, own := range b.own {
-		first, again := own.window.Counts()
-		if first+again > 0 {
-			list = append(list, spent{directory.Hash(service), clamp(first), clamp(again)})
+		firstTries, retries := own.window.Counts()
+		if firstTries+retries > 0 {
+			list = append(list, tryCounts{directory.Hash(service), toUint16(firstTries), toUint16(retries)})
 		}
 	}
 	return list
 }
 
-func clamp(n float64) uint16 { return uint16(min(n, math.MaxUint16)) }
+func toUint16(n float64) uint16 { return uint16(min(n, math.MaxUint16)) }
 
 // First implements exchange.Lender.
 func (b *Budgets) First(service string, w *retry.Window) {
@@ -163,24 +166,24 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
-	free, vms := b.freeLocked(service, w, now)
+	free, vms := b.availableLocked(service, w, now)
 	if vms < 2 {
 		return w.Allow()
 	}
-	unknown := float64(len(b.ownLocked(service, w).recent(now)))
+	unknown := float64(len(b.ownLocked(service, w).dropKnownRetries(now)))
 	if unknown+1 > (free+unknown)/vms {
 		return false
 	}
 	w.Take()
-	b.noteLocked(service, w, now)
+	b.recordRetryLocked(service, w, now)
 	return true
 }
 
-func (b *Budgets) noteLocked(service string, w *retry.Window, now time.Time) {
+func (b *Budgets) recordRetryLocked(service string, w *retry.Window, now time.Time) {
 	own := b.ownLocked(service, w)
-	own.taken = append(own.recent(now), now)
+	own.recentRetries = append(own.dropKnownRetries(now), now)
 	select {
-	case b.news <- struct{}{}:
+	case b.changed <- struct{}{}:
 	default:
 	}
 }
@@ -194,60 +197,61 @@
 	return own
 }
 
-// recent drops the retries that the others know of by now.
-func (o *ownBudget) recent(now time.Time) []time.Time {
-	for len(o.taken) > 0 && now.Sub(o.taken[0]) > unknownFor {
-		o.taken = o.taken[1:]
+// dropKnownRetries drops the retries that the other VMs know of by now and returns the
+// rest.
+func (o *ownBudget) dropKnownRetries(now time.Time) []time.Time {
+	for len(o.recentRetries) > 0 && now.Sub(o.recentRetries[0]) > maxPropagation {
+		o.recentRetries = o.recentRetries[1:]
 	}
-	return o.taken
+	return o.recentRetries
 }
 
-// freeLocked returns what is left of the bound by the newest words, and the
-// number of VMs that may take of it.
-func (b *Budgets) freeLocked(service string, w *retry.Window, now time.Time) (free, vms float64) {
-	first, again := w.Counts()
+// availableLocked returns what is left of the bound according to the newest reports, and
+// the number of VMs that may take from it.
+func (b *Budgets) availableLocked(service string, w *retry.Window, now time.Time) (free, vms float64) {
+	firstTries, retries := w.Counts()
 	heard := 1.0
-	for _, o := range b.others {
-		again += o.forgotten(directory.Hash(service), b.opts.Window, now)
-		if now.Sub(o.at) > budgetLife {
+	for _, o := range b.peers {
+		retries += o.forgottenRetries(directory.Hash(service), b.opts.Window, now)
+		if now.Sub(o.at) > budgetReportTTL {
 			continue
 		}
 		heard++
-		s := o.spent[directory.Hash(service)]
-		first += float64(s.first)
-		again += float64(s.again)
+		s := o.counts[directory.Hash(service)]
+		firstTries += float64(s.firstTries)
+		retries += float64(s.retries)
 	}
-	// Only the parts of VMs that are heard are shared; the others' are theirs.
+	// Only the parts of VMs that are heard are shared; the other VMs keep theirs.
 	share := b.extra * FixedShare(b.started, b.opts.Window) * heard / float64(max(b.opts.Size(), int(heard)))
-	return b.retries*first + share - again, heard
+	return b.ratio*firstTries + share - retries, heard
 }
 
-// take takes in what another VM has counted.
-func (b *Budgets) take(from string, h head, raw []byte, now time.Time) bool {
+// receive handles the counts reported by another VM.
+func (b *Budgets) receive(from string, h header, raw []byte, now time.Time) bool {
 	list, ok := decodeBudget(raw)
 	if !ok {
 		return false
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	o := b.others[from]
+	o := b.peers[from]
 	if o == nil {
-		o = &otherBudget{}
-		b.others[from] = o
+		o = &peerBudget{}
+		b.peers[from] = o
 	}
-	if !h.after(o.head) {
+	if !h.newerThan(o.header) {
 		return true
 	}
-	if h.life > o.head.life && o.spent != nil {
-		o.restarted(b.retries, b.opts.Window, now)
+	if h.incarnation > o.header.incarnation && o.counts != nil {
+		o.recordRestart(b.ratio, b.opts.Window, now)
 	}
-	o.head, o.at, o.spent = h, now, make(map[uint32]spent, len(list))
+	o.header, o.at, o.counts = h, now, make(map[uint32]tryCounts, len(list))
 	for _, s := range list {
-		o.spent[s.service] = s
+		o.counts[s.service] = s
 	}
-	for sender, other := range b.others {
-		if now.Sub(other.at) > forgetSender {
-			delete(b.others, sender)
+	for sender, other := range b.peers {
+		if now.Sub(other.at) > senderTTL {
+			delete(b.peers, sender)
 		}
 	}
 	return true
--- a/fleet/budgets_test.go
+++ b/fleet/budgets_test.go
@@ -16,7 +16,7 @@
 	budgetVMs   = 28
 )
 
-// budgetVM is one VM's part; the test carries words between them.
+// budgetVM is the Budgets of one VM. The test carries the counts between VMs.
 type budgetVM struct {
 	*Budgets
 	window *retry.Window
@@ -30,8 +30,8 @@
 	})}
 }
 
-// again asks for a retry as package exchange does.
-func (v *budgetVM) again() bool {
+// retry asks for a retry as package exchange does.
+func (v *budgetVM) retry() bool {
 	v.window.Bound(budgetRatio, budgetExtra/budgetVMs)
 	return v.Allow("s", v.window)
 }
@@ -41,19 +41,19 @@
 	v.First("s", v.window)
 }
 
-func tellAll(vms []*budgetVM) {
+func exchangeCounts(vms []*budgetVM) {
 	for i, from := range vms {
 		from.seq++
-		raw := encodeBudget(from.counted()).raw
+		raw := encodeBudget(from.ownCounts()).raw
 		for j, to := range vms {
 			if i != j {
-				to.take(string(rune('a'+i)), head{life: 1, seq: from.seq}, raw, time.Now())
+				to.receive(string(rune('a'+i)), header{incarnation: 1, seq: from.seq}, raw, time.Now())
 			}
 		}
 	}
 }
 
-func site28() []*budgetVM {
+func newBudgetVMs() []*budgetVM {
 	vms := make([]*budgetVM, budgetVMs)
 	for i := range vms {
 		vms[i] = newBudgetVM()
@@ -64,61 +64,61 @@
 	return vms
 }
 
-// A zone's loss hits three of 28 VMs with 18 streams each, more than their own
-// parts allow; the others' are free, and the streams go on within half a second.
+// A zone's loss hits three of 28 VMs with 18 streams each, more than their own parts
+// allow. The other VMs' parts are free, and all streams continue within half a second.
 func TestBudgetIsSharedInAMassLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		vms := site28()
-		tellAll(vms)
+		vms := newBudgetVMs()
+		exchangeCounts(vms)
 		for round := range 6 {
 			for _, v := range vms[:3] {
 				for range 3 {
-					g.Expect(v.again()).To(gomega.BeTrue(), "round %d", round)
+					g.Expect(v.retry()).To(gomega.BeTrue(), "round %d", round)
 				}
 			}
 			time.Sleep(60 * time.Millisecond)
-			tellAll(vms)
+			exchangeCounts(vms)
 		}
 	})
 }
 
-// Some VMs take all that they can get for a while, then all do, each time before
-// any of them hears of the others'. Together they stay within the bound.
-func TestBudgetHoldsHoweverManyAskAtOnce(t *testing.T) {
+// For a while some VMs take all that they can get, then all VMs do, each time before any
+// of them hears of the others' retries. Together they stay within the bound.
+func TestBudgetHoldsWithConcurrentRetries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		vms := site28()
+		vms := newBudgetVMs()
 		for round := range 10 {
-			tellAll(vms)
+			exchangeCounts(vms)
 			asking := vms
 			if round < 5 {
 				asking = vms[:3]
 			}
 			for _, v := range asking {
-				for v.again() {
+				for v.retry() {
 				}
 			}
 			total := 0.0
 			for _, v := range vms {
-				_, again := v.window.Counts()
-				total += again
+				_, retries := v.window.Counts()
+				total += retries
 			}
 			g.Expect(total).To(gomega.BeNumerically("<=", budgetRatio*10*budgetVMs+budgetExtra))
-			time.Sleep(unknownFor + time.Millisecond)
+			time.Sleep(maxPropagation + time.Millisecond)
 		}
 	})
 }
 
-// A VM that hears nobody has its own part and no more.
-func TestBudgetOfAVMThatIsCutOff(t *testing.T) {
+// A VM that receives no reports has its own part and no more.
+func TestIsolatedVMUsesOnlyItsOwnBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		vms := site28()
-		tellAll(vms)
-		time.Sleep(budgetLife + time.Second)
+		vms := newBudgetVMs()
+		exchangeCounts(vms)
+		time.Sleep(budgetReportTTL + time.Second)
 		n := 0
-		for vms[0].again() {
+		for vms[0].retry() {
 			n++
 		}
 		g.Expect(n).To(gomega.BeNumerically("<=", budgetRatio*10+budgetExtra/budgetVMs))
@@ -126,24 +126,25 @@
 }
 
 func FuzzDecodeBudget(f *testing.F) {
-	f.Add(encodeBudget([]spent{{1, 2, 3}}).raw)
+	f.Add(encodeBudget([]tryCounts{{1, 2, 3}}).raw)
 	f.Add([]byte{1})
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		if list, ok := decodeBudget(raw); ok && len(raw) < maxDatagram-headBytes && string(encodeBudget(list).raw) != string(raw) {
+		if list, ok := decodeBudget(raw); ok && len(raw) < maxDatagram-headerBytes && string(encodeBudget(list).raw) != string(raw) {
 			t.Fatalf("%x", raw)
 		}
 	})
 }
 
-// All VMs are killed twice in the middle of a mass loss, after they have sent
-// again what is allowed beside the share of first tries. Those that start again
-// know nothing of it, and what came back to them with their age was used beside
-// it: backend servers got 653 repeats in ten seconds where 639 were allowed. The
-// fixed retries are there again when the window is all the process's own.
-func TestFixedRetriesAreNotUsedTwiceOverARestart(t *testing.T) {
+// Guards against fixed retries that are used twice across a restart. All VMs are killed
+// twice during a mass loss, after they have used all retries beyond those allowed per
+// first try. The restarted VMs know nothing of these, and used the fixed retries that
+// return with their age in addition: backend servers got 653 retries in ten seconds where
+// 639 were allowed. The fixed retries may return only when the whole window lies after the
+// start of the process.
+func TestFixedRetriesAreNotReusedAfterRestart(t *testing.T) {
 	const (
 		window     = 10 * time.Second
-		entryShare = 0.85 // of the whole; the rest is kept back
+		entryShare = 0.85 // of the whole budget; the rest is kept back
 	)
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
@@ -165,7 +166,7 @@
 			for vm.Allow("s", vm.window) {
 				taken = append(taken, time.Now())
 			}
-			time.Sleep(unknownFor + 50*time.Millisecond)
+			time.Sleep(maxPropagation + 50*time.Millisecond)
 		}
 		most := 0
 		for i, at := range taken {
@@ -176,31 +177,30 @@
 			most = max(most, n-i)
 		}
 		g.Expect(most).To(gomega.BeNumerically("<=", budgetExtra))
-		g.Expect(len(taken)).To(gomega.BeNumerically(">", budgetExtra), "they come back")
+		g.Expect(len(taken)).To(gomega.BeNumerically(">", budgetExtra), "the fixed retries return")
 	})
 }
 
-// The fixed retries come back when a window has passed since the start. Until
-// then there are a few: a stream or two whose server dies must go on also where
-// hardly any first tries pay for it.
-func TestFixedRetriesComeBackByAge(t *testing.T) {
+// The fixed retries return once a window has passed since the start. Until then there are
+// a few: a stream or two whose server fails must continue even if hardly any first tries
+// allow retries.
+func TestFixedRetriesReturnAfterOneWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		started := time.Now()
-		g.Expect(FixedShare(started, 10*time.Second)).To(gomega.Equal(youngShare))
+		g.Expect(FixedShare(started, 10*time.Second)).To(gomega.Equal(startupShare))
 		time.Sleep(9900 * time.Millisecond)
-		g.Expect(FixedShare(started, 10*time.Second)).To(gomega.Equal(youngShare))
+		g.Expect(FixedShare(started, 10*time.Second)).To(gomega.Equal(startupShare))
 		time.Sleep(100 * time.Millisecond)
 		g.Expect(FixedShare(started, 10*time.Second)).To(gomega.BeEquivalentTo(1))
 		g.Expect(FixedShare(time.Now(), 0)).To(gomega.BeEquivalentTo(1))
 	})
 }
 
-// In a mass loss all VMs have used their fixed retries. Half of them are killed
-// and start again; they have forgotten what they sent again, and say so by their
-// counts. Those that were not killed took the killed ones' retries as free, in
-// the same window: the fixed retries were used again, not by the young processes
-// but by the old ones.
+// Guards against fixed retries that other VMs use after the VM that took them has
+// restarted. In a mass loss all VMs have used their fixed retries. Half of them are killed
+// and restart; their counts no longer include the retries that they sent before. The VMs
+// that were not killed took these retries as free within the same window.
 func TestForgottenRetriesAreNotUsedByOthers(t *testing.T) {
 	const (
 		window     = 10 * time.Second
@@ -229,40 +229,40 @@
 		}
 		request()
 		life := uint64(1)
-		tell := func() {
+		exchangeCounts := func() {
 			for i, from := range vms {
 				from.seq++
-				raw := encodeBudget(from.counted()).raw
+				raw := encodeBudget(from.ownCounts()).raw
 				for j, to := range vms {
 					if i != j {
-						to.take(string(rune('a'+i)), head{life: life, seq: from.seq}, raw, time.Now())
+						to.receive(string(rune('a'+i)), header{incarnation: life, seq: from.seq}, raw, time.Now())
 					}
 				}
 			}
 		}
-		use := func() {
+		useRetries := func() {
 			for range 6 {
-				tell()
+				exchangeCounts()
 				for _, v := range vms {
 					v.window.Bound(entryShare*budgetRatio, entryShare*budgetExtra*FixedShare(v.started, window)/size)
 					for v.Allow("s", v.window) {
 						total++
 					}
 				}
-				time.Sleep(unknownFor + time.Millisecond)
+				time.Sleep(maxPropagation + time.Millisecond)
 			}
 		}
-		use()
+		useRetries()
 		before := total
 		for i := range size / 2 {
-			vms[i] = start() // killed and started again within a second
+			vms[i] = start() // killed and restarted within a second
 		}
 		life++
 		time.Sleep(600 * time.Millisecond)
 		request()
-		use()
+		useRetries()
 		allowed := budgetRatio*float64(firsts) + budgetExtra
-		t.Logf("first tries %d, allowed %.0f, repeats before the kill %d, after %d, all within %v", firsts, allowed, before, total, window)
+		t.Logf("first tries %d, allowed %.0f, retries before the kill %d, after %d, all within %v", firsts, allowed, before, total, window)
 		g.Expect(float64(total)).To(gomega.BeNumerically("<=", allowed))
 	})
 }
--- a/fleet/delegation.go
+++ b/fleet/delegation.go
@@ -2,25 +2,28 @@
 
 import "time"
 
-// span is the part of the store's history in which what is in force at a process is
-// the newest. Positions are of the whole store: two processes that read the same
+// span is the range of store positions at which the data in force in a process is the
+// newest. Positions count changes of the whole store, so two processes that read the same
 // list at different moments know it by different positions.
 type span struct{ from, to uint64 }
 
-// sameAs tells whether two processes with these spans have the same in force: there
-// is a moment at which both were the newest.
-func (s span) sameAs(other span) bool { return s.from <= other.to && other.from <= s.to }
+// overlaps reports whether two processes with these spans have the same data in force:
+// there is a position at which both were the newest.
+func (s span) overlaps(other span) bool { return s.from <= other.to && other.from <= s.to }
 
-// confirmation is what a watcher has said of a span here. It counts for memberTimeout,
-// so that one that was wrong does not keep this process from asking for good.
+// confirmation is the span that a watcher has confirmed for the data in force here. It
+// expires after memberTimeout, so that a wrong one does not keep this process from asking
+// for changes forever.
 type confirmation struct {
 	span
 	at time.Time
 }
 
-// span returns that of what is in force here, as the store and watchers confirmed it.
+// span returns the span of the data in force here, as confirmed by the store and by
+// watchers.
 func (e *Election) span(s Subject) span {
-	// Read in this order: a change in between must not seem to be in force already.
+	// Reached is read before Position: a change in between must not appear to be in force
+	// already.
 	to := uint64(0)
 	if e.opts.Reached != nil {
 		to = e.opts.Reached(s)
@@ -35,10 +38,10 @@
 	return span{from, to}
 }
 
-// Delegated returns for how long nothing has to be read: a watcher has just
-// announced that what is in force here is the newest.
+// Delegated returns for how long this process need not read the subject, because a watcher
+// has just announced that the data in force here is the newest.
 func (e *Election) Delegated(s Subject) time.Duration {
-	if e.Watches() {
+	if e.IsWatcher() {
 		return 0
 	}
 	e.mu.Lock()
@@ -46,29 +49,33 @@
 	return max(0, time.Until(e.delegated[s]))
 }
 
-func (e *Election) receiveSubject(from string, s Subject, read bool, theirs span, now time.Time) {
+// handlePosition handles the span of a subject that a peer has announced; read tells that
+// the store has just confirmed it.
+func (e *Election) handlePosition(from string, s Subject, read bool, theirs span, now time.Time) {
 	own := e.span(s)
 	switch {
 	case theirs.from > own.to:
 		e.fetch(from, s, read, theirs, now)
-	case read && theirs.sameAs(own):
-		e.confirm(s, span{own.from, theirs.to}, now)
+	case read && theirs.overlaps(own):
+		e.recordConfirmation(s, span{own.from, theirs.to}, now)
 		e.delegate(s, now)
 	}
 }
 
-// confirm notes up to which place a watcher has found nothing newer.
-func (e *Election) confirm(s Subject, newest span, now time.Time) {
+// recordConfirmation records up to which position a watcher has found nothing newer.
+func (e *Election) recordConfirmation(s Subject, newest span, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.confirmed[s] = confirmation{newest, now}
 }
 
+// delegate stops this process from reading the subject until leaseTime after at.
 func (e *Election) delegate(s Subject, at time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !time.Now().Before(e.delegated[s]) {
-		// A loop that waits for the store's return need not ask it any more.
+		// Wakes a loop that waits for the store to become available; it need not ask the
+		// store any more.
 		signal(e.updates[s])
 	}
 	if until := at.Add(leaseTime); until.After(e.delegated[s]) {
@@ -76,15 +83,15 @@
 	}
 }
 
-// notify has the subject read from the store here.
-func (e *Election) notify(s Subject) {
+// requestRead makes this process read the subject from the store.
+func (e *Election) requestRead(s Subject) {
 	e.mu.Lock()
 	e.delegated[s] = time.Time{}
 	e.mu.Unlock()
 	signal(e.updates[s])
 }
 
-// signal puts a token into a channel that holds one.
+// signal puts a token into a channel with a buffer of one unless it already holds one.
 func signal(c chan<- struct{}) {
 	select {
 	case c <- struct{}{}:
--- a/fleet/delta.go
+++ b/fleet/delta.go
@@ -8,42 +8,43 @@
 )
 
 const (
-	// maxDelta bounds a delta that is handed on, in bytes: some hundred VMs ask a
-	// watcher for it at once, whose link is its callers' as well.
-	maxDelta = 4 << 10
-	// maxText bounds what a delta may become, in bytes.
-	maxText = 16 << 20
-	// deltaDictionary is the number by which a delta names the text that it is for.
-	deltaDictionary = 1
+	// maxDeltaBytes bounds a delta that is sent to a peer. Hundreds of VMs ask a watcher
+	// for it at the same time, over the link that also carries the traffic of its callers.
+	maxDeltaBytes = 4 << 10
+	// maxTextBytes bounds the text that a delta may expand to.
+	maxTextBytes = 16 << 20
+	// deltaDictionaryID is the zstd dictionary ID under which a delta refers to the text
+	// that it was made from.
+	deltaDictionaryID = 1
 )
 
-// deltaOf returns what turns one text into another.
-func deltaOf(old, text []byte) ([]byte, error) {
-	w, err := zstd.NewWriter(nil, zstd.WithEncoderDictRaw(deltaDictionary, old), zstd.WithWindowSize(windowFor(old, text)),
+// makeDelta returns the delta that turns old into text.
+func makeDelta(old, text []byte) ([]byte, error) {
+	w, err := zstd.NewWriter(nil, zstd.WithEncoderDictRaw(deltaDictionaryID, old), zstd.WithWindowSize(windowSize(old, text)),
 		zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true), zstd.WithEncoderCRC(true))
 	if err != nil {
-		return nil, errors.Wrap(err, "fleet: delta")
+		return nil, errors.Wrap(err, "fleet: create delta encoder")
 	}
 	defer w.Close()
 	return w.EncodeAll(text, nil), nil
 }
 
-// windowFor returns the bytes that a writer looks back over: both texts, as each part
-// of the new one may be anywhere in the old one.
-func windowFor(old, text []byte) int {
+// windowSize returns how many bytes the encoder looks back. It covers both texts, as any
+// part of the new one may be anywhere in the old one.
+func windowSize(old, text []byte) int {
 	both := len(old) + len(text)
-	return min(max(1<<bits.Len(uint(both)), zstd.MinWindowSize), maxText)
+	return min(max(1<<bits.Len(uint(both)), zstd.MinWindowSize), maxTextBytes)
 }
 
-// applyDelta returns what a delta turns a text into. The delta's checksum shows if
-// it was made for another text.
+// applyDelta returns the text that a delta turns old into. The checksum in the delta
+// detects that it was made for another text.
 func applyDelta(old, delta []byte) ([]byte, error) {
-	r, err := zstd.NewReader(nil, zstd.WithDecoderDictRaw(deltaDictionary, old), zstd.WithDecoderConcurrency(1),
-		zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(maxText))
+	r, err := zstd.NewReader(nil, zstd.WithDecoderDictRaw(deltaDictionaryID, old), zstd.WithDecoderConcurrency(1),
+		zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(maxTextBytes))
 	if err != nil {
-		return nil, errors.Wrap(err, "fleet: delta")
+		return nil, errors.Wrap(err, "fleet: create delta decoder")
 	}
 	defer r.Close()
 	text, err := r.DecodeAll(delta, nil)
-	return text, errors.Wrap(err, "fleet: delta")
+	return text, errors.Wrap(err, "fleet: apply delta")
 }
--- a/fleet/delta_bench_test.go
+++ b/fleet/delta_bench_test.go
@@ -3,16 +3,16 @@
 import "testing"
 
 func BenchmarkDelta(b *testing.B) {
-	old, text := routesText(100, -1), routesText(100, 40)
+	old, text := configText(100, -1), configText(100, 40)
 	b.Run("make", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			if _, err := deltaOf(old, text); err != nil {
+			if _, err := makeDelta(old, text); err != nil {
 				b.Fatal(err)
 			}
 		}
 	})
-	delta, _ := deltaOf(old, text)
+	delta, _ := makeDelta(old, text)
 	b.Run("apply", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
--- a/fleet/delta_test.go
+++ b/fleet/delta_test.go
@@ -11,7 +11,7 @@
 	fleetpb "github.com/pearyard/pearyard/rpc/fleet"
 )
 
-// randomText returns a text that can't be made shorter than by half.
+// randomText returns a text that compresses to no less than half.
 func randomText(length int) []byte {
 	r := rand.New(rand.NewPCG(1, 2))
 	text := make([]byte, length)
@@ -21,8 +21,9 @@
 	return text
 }
 
-// routesText is a configuration of some hundred routes, one of them changed.
-func routesText(routes, changed int) []byte {
+// configText returns a configuration with many routes, one of which differs by its
+// timeout.
+func configText(routes, changed int) []byte {
 	var out bytes.Buffer
 	for i := range routes {
 		timeout := 25000
@@ -36,45 +37,45 @@
 
 func TestDeltaOfALargeTextIsSmall(t *testing.T) {
 	g := gomega.NewWithT(t)
-	old, text := routesText(2000, -1), routesText(2000, 1200)
+	old, text := configText(2000, -1), configText(2000, 1200)
 	g.Expect(len(old)).To(gomega.BeNumerically(">", 200_000))
-	delta, err := deltaOf(old, text)
+	delta, err := makeDelta(old, text)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(len(delta)).To(gomega.BeNumerically("<", maxDelta))
+	g.Expect(len(delta)).To(gomega.BeNumerically("<", maxDeltaBytes))
 	got, err := applyDelta(old, delta)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(bytes.Equal(got, text)).To(gomega.BeTrue())
 }
 
-// Guards against a change that is applied to another text than it was made for.
+// Guards against a delta that is applied to another text than the one it was made for.
 func TestDeltaForAnotherTextIsRefused(t *testing.T) {
 	g := gomega.NewWithT(t)
-	delta, err := deltaOf(routesText(100, -1), routesText(100, 40))
+	delta, err := makeDelta(configText(100, -1), configText(100, 40))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	_, err = applyDelta(routesText(100, 7), delta)
+	_, err = applyDelta(configText(100, 7), delta)
 	g.Expect(err).To(gomega.HaveOccurred())
-	_, err = applyDelta(routesText(100, -1), delta[:len(delta)-1])
+	_, err = applyDelta(configText(100, -1), delta[:len(delta)-1])
 	g.Expect(err).To(gomega.HaveOccurred())
 	ahead, behind := newVM(t, "ahead"), newVM(t, "behind")
 	for _, v := range []*vm{ahead, behind} {
-		text, _ := decode1(5, routesText(100, map[*vm]int{ahead: -1, behind: 7}[v]))
+		text, _ := decodeConfig(5, configText(100, map[*vm]int{ahead: -1, behind: 7}[v]))
 		v.holder.Offer(text)
 		v.Applied(text)
 	}
-	text, _ := decode1(6, routesText(100, 40))
+	text, _ := decodeConfig(6, configText(100, 40))
 	ahead.holder.Offer(text)
 	ahead.Applied(text)
 	behind.AskChanges(t.Context(), ahead.opts.Address, 0)
 	g.Expect(behind.holder.Position()).To(gomega.BeNumerically("==", 5))
 }
 
-// Guards against VMs that read each of several changes in a row from the store: one
-// that is a few versions behind gets them as one change.
-func TestChangesInARowAreHandedOnAsOne(t *testing.T) {
+// Guards against VMs that read each of several successive changes from the store: one that
+// is a few versions behind gets them as one delta.
+func TestSuccessiveChangesAreSentAsOneDelta(t *testing.T) {
 	g := gomega.NewWithT(t)
 	ahead, behind := newVM(t, "ahead"), newVM(t, "behind")
-	for i := range formerTexts + 2 {
-		text, _ := decode1(uint64(5+i), routesText(100, i))
+	for i := range maxOldVersions + 2 {
+		text, _ := decodeConfig(uint64(5+i), configText(100, i))
 		ahead.holder.Offer(text)
 		ahead.Applied(text)
 	}
@@ -83,11 +84,11 @@
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		return answer
 	}
-	g.Expect(ask(5).GetConfig()).To(gomega.BeEmpty(), "that is no longer known")
-	g.Expect(ask(5+formerTexts+1).GetConfig()).To(gomega.BeEmpty(), "it has the newest")
-	old, _ := decode1(6, routesText(100, 1))
+	g.Expect(ask(5).GetConfig()).To(gomega.BeEmpty(), "this version is no longer kept")
+	g.Expect(ask(5+maxOldVersions+1).GetConfig()).To(gomega.BeEmpty(), "the peer has the newest version")
+	old, _ := decodeConfig(6, configText(100, 1))
 	behind.holder.Offer(old)
 	behind.AskChanges(t.Context(), ahead.opts.Address, 0)
-	g.Expect(behind.holder.Position()).To(gomega.BeNumerically("==", 5+formerTexts+1))
+	g.Expect(behind.holder.Position()).To(gomega.BeNumerically("==", 5+maxOldVersions+1))
 	g.Expect(behind.holder.Current().Raw).To(gomega.Equal(ahead.holder.Current().Raw))
 }
--- a/fleet/election_test.go
+++ b/fleet/election_test.go
@@ -16,18 +16,18 @@
 	fleetpb "github.com/pearyard/pearyard/rpc/fleet"
 )
 
-// electionBed is a Election whose peers are played by the test.
-type electionBed struct {
+// testElection is an Election whose peers are played by the test.
+type testElection struct {
 	*Election
 	position [subjects]atomic.Uint64
 	fetched  atomic.Int32
 	onFetch  func()
 	seq      uint32
-	size     int // of the site
+	size     int // number of VMs of the site
 }
 
-func newElectionBed() *electionBed {
-	b := &electionBed{}
+func newTestElection() *testElection {
+	b := &testElection{}
 	b.Election = NewElection(ElectionOptions{
 		Address: "self", Socket: NewSocket("", func() []string { return nil }, nil), Recorder: event.Discard(),
 		Position: func(s Subject) uint64 { return b.position[s].Load() },
@@ -40,115 +40,115 @@
 		},
 	})
 	b.elected.Store(true)
-	// Two peers of lower rank read for all.
+	// The peers get rank 1, so they are the watchers.
 	b.rank = 1 << 63
 	return b
 }
 
-// hear plays a word of a peer that ranks before this process.
-func (b *electionBed) hear(from string, w announcement) {
+// receiveFrom delivers an announcement of a peer that ranks before this process.
+func (b *testElection) receiveFrom(from string, w announcement) {
 	b.seq++
-	b.receive(from, head{life: 1, seq: b.seq}, encodeAnnouncement(w).raw, time.Now())
+	b.receive(from, header{incarnation: 1, seq: b.seq}, encodeAnnouncement(w).raw, time.Now())
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.members[from].rank = 1
 }
 
-// at is the span of what was read at one place.
-func at(place uint64) span { return span{place, place} }
+// at returns the span of data that was read at one position.
+func at(position uint64) span { return span{position, position} }
 
 func healthy(list uint64) announcement {
 	return announcement{healthy: true, listReadNow: true, list: at(list)}
 }
 
-// Two entry VMs read the store for all. The others look themselves only when
-// neither has said anything for a while: both may have been lost at once.
-func TestReadersStandForTheOthers(t *testing.T) {
+// Two entry VMs read the store for all. The others read it themselves only if neither has
+// announced anything for a while, as both may have been lost at once.
+func TestWatchersReadForAllOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newElectionBed()
+		b := newTestElection()
 		g.Expect(b.Delegated(List)).To(gomega.BeZero(), "alone")
-		b.hear("p", healthy(0))
-		g.Expect(b.Delegated(List)).To(gomega.BeZero(), "one reader is too few")
-		b.hear("q", healthy(0))
+		b.receiveFrom("p", healthy(0))
+		g.Expect(b.Delegated(List)).To(gomega.BeZero(), "one watcher is too few")
+		b.receiveFrom("q", healthy(0))
 		g.Expect(b.Delegated(List)).To(gomega.BeNumerically("~", leaseTime, 10*time.Millisecond))
-		g.Expect(b.Delegated(Config)).To(gomega.BeZero(), "nothing was said of it")
+		g.Expect(b.Delegated(Config)).To(gomega.BeZero(), "no announcement covered it")
 		time.Sleep(leaseTime + time.Millisecond)
 		g.Expect(b.Delegated(List)).To(gomega.BeZero())
-		b.hear("p", healthy(0))
+		b.receiveFrom("p", healthy(0))
 		time.Sleep(memberTimeout + time.Millisecond)
-		g.Expect(b.Watches()).To(gomega.BeTrue(), "nobody else is there")
+		g.Expect(b.IsWatcher()).To(gomega.BeTrue(), "no other VM is known")
 	})
 }
 
-// A reader that the store turns away says so; another one takes its place.
-func TestReaderThatTheStoreTurnsAway(t *testing.T) {
+// A watcher that the store does not answer announces this, and another VM takes its place.
+func TestWatcherWithoutStoreIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newElectionBed()
-		b.hear("p", healthy(0))
-		b.hear("q", healthy(0))
-		g.Expect(b.Watches()).To(gomega.BeFalse())
-		b.hear("q", announcement{})
-		g.Expect(b.Watches()).To(gomega.BeTrue())
+		b := newTestElection()
+		b.receiveFrom("p", healthy(0))
+		b.receiveFrom("q", healthy(0))
+		g.Expect(b.IsWatcher()).To(gomega.BeFalse())
+		b.receiveFrom("q", announcement{})
+		g.Expect(b.IsWatcher()).To(gomega.BeTrue())
 	})
 }
 
-// A word that a reader has read more than this process knows is followed by a
-// question; only its answer makes the word stand.
-func TestWordOfSomethingNewer(t *testing.T) {
+// If a watcher announces a newer position, this process queries it; only if the answer
+// brings it up to date does the announcement count.
+func TestNewerPositionIsFetched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newElectionBed()
-		b.hear("p", healthy(7))
+		b := newTestElection()
+		b.receiveFrom("p", healthy(7))
 		synctest.Wait()
-		b.hear("q", healthy(7))
+		b.receiveFrom("q", healthy(7))
 		synctest.Wait()
 		g.Expect(b.fetched.Load()).To(gomega.BeNumerically("==", 2))
 		g.Expect(b.Delegated(List)).To(gomega.BeZero(), "the peers did not answer")
-		g.Expect(b.updates[List]).To(gomega.Receive(), "then the store is asked")
+		g.Expect(b.updates[List]).To(gomega.Receive(), "then the store is read")
 		b.onFetch = func() { b.position[List].Store(7) }
-		b.hear("p", healthy(7))
+		b.receiveFrom("p", healthy(7))
 		synctest.Wait()
 		g.Expect(b.Delegated(List)).To(gomega.BeNumerically(">", 0))
-		b.hear("q", healthy(5))
-		g.Expect(b.fetched.Load()).To(gomega.BeNumerically("==", 3), "older news is none")
+		b.receiveFrom("q", healthy(5))
+		g.Expect(b.fetched.Load()).To(gomega.BeNumerically("==", 3), "an older position is ignored")
 	})
 }
 
-// Guards against an announcement that names a wrong place and keeps a VM from asking
-// for changes for good.
-func TestWrongConfirmationIsForgotten(t *testing.T) {
+// Guards against an announcement of a wrong position that keeps a VM from ever asking for
+// changes.
+func TestWrongConfirmationExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newElectionBed()
+		b := newTestElection()
 		wrong := healthy(0)
 		wrong.list.to = 1 << 60
-		b.hear("p", wrong)
-		b.hear("p", healthy(7))
+		b.receiveFrom("p", wrong)
+		b.receiveFrom("p", healthy(7))
 		synctest.Wait()
-		g.Expect(b.fetched.Load()).To(gomega.BeZero(), "for the moment it is taken for the newest")
+		g.Expect(b.fetched.Load()).To(gomega.BeZero(), "the wrong position is believed at first")
 		time.Sleep(memberTimeout)
-		b.hear("p", healthy(7))
+		b.receiveFrom("p", healthy(7))
 		synctest.Wait()
 		g.Expect(b.fetched.Load()).To(gomega.BeNumerically("==", 1))
 	})
 }
 
-// Guards against watchers that hand a whole configuration to all others: one on a
-// slow link has no room left for its streams. What is no small change is read
-// from the store by each VM itself.
+// Guards against watchers that send the whole configuration to all other VMs, which would
+// leave no bandwidth for streams on a slow link. Unless the change is small, each VM reads
+// the configuration from the store.
 func TestConfigurationIsReadFromTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newElectionBed()
-		b.hear("p", announcement{healthy: true, configReadNow: true})
-		b.hear("q", announcement{healthy: true, configReadNow: true})
+		b := newTestElection()
+		b.receiveFrom("p", announcement{healthy: true, configReadNow: true})
+		b.receiveFrom("q", announcement{healthy: true, configReadNow: true})
 		g.Expect(b.Delegated(Config)).To(gomega.BeNumerically(">", 0))
-		b.hear("q", announcement{healthy: true, configReadNow: true, config: at(9)})
+		b.receiveFrom("q", announcement{healthy: true, configReadNow: true, config: at(9)})
 		synctest.Wait()
 		g.Expect(b.fetched.Load()).To(gomega.BeNumerically("==", 1))
-		g.Expect(b.Delegated(Config)).To(gomega.BeZero(), "the peer told no change")
+		g.Expect(b.Delegated(Config)).To(gomega.BeZero(), "the peer sent no change")
 		g.Expect(b.updates[Config]).To(gomega.Receive())
 
 		v := newVM(t, "reader")
@@ -158,20 +158,21 @@
 			return answer.GetConfig()
 		}
 		put := func(position uint64, raw []byte) {
-			text, _ := decode1(position, raw)
+			text, _ := decodeConfig(position, raw)
 			v.holder.Offer(text)
 			v.Applied(text)
 		}
 		put(9, []byte("text"))
 		g.Expect(handedOn(0)).To(gomega.BeEmpty())
-		put(10, randomText(20*maxDelta))
-		g.Expect(handedOn(9)).To(gomega.BeEmpty(), "it is another text altogether")
+		put(10, randomText(20*maxDeltaBytes))
+		g.Expect(handedOn(9)).To(gomega.BeEmpty(), "the texts have nothing in common")
 		v.server.Close()
 	})
 }
 
-// said returns a bed whose words go to a peer on loopback, and what that hears.
-func said(t *testing.T) (*electionBed, func() announcement) {
+// newSendingElection returns an election that sends to a peer on loopback, and a function
+// that returns the next announcement received there.
+func newSendingElection(t *testing.T) (*testElection, func() announcement) {
 	t.Helper()
 	open := func() *net.UDPConn {
 		conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -182,7 +183,7 @@
 		return conn
 	}
 	own, peer := open(), open()
-	b := newElectionBed()
+	b := newTestElection()
 	b.opts.Socket.conn.Store(own)
 	b.opts.Socket.peers = func() []string { return []string{peer.LocalAddr().String()} }
 	return b, func() announcement {
@@ -193,7 +194,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		k, _, rest, ok := decodeHead(raw[:n])
+		k, _, rest, ok := decodeHeader(raw[:n])
 		w, okWord := decodeAnnouncement(rest)
 		if !ok || !okWord || k != kindAnnouncement {
 			t.Fatalf("not an announcement: %x", raw[:n])
@@ -202,46 +203,47 @@
 	}
 }
 
-// A reader is suspended while the store's answer is on its way, and wakes with
-// it; or a whole list is long on a squeezed link. What the answer says is old: it
-// must not stand for the present, or the other VMs don't look themselves and
-// serve by a configuration that was replaced. That the store answers is said.
-func TestAnswerThatTookTooLongIsNotSaid(t *testing.T) {
+// Guards against the announcement of an outdated answer. A watcher may be suspended while
+// the answer of the store is on its way, or a whole list may take long on a slow link. If
+// such an answer were announced as current, the other VMs would not read the store and
+// would serve by a configuration that has been replaced. The announcement still tells that
+// the store answers.
+func TestSlowAnswerIsNotAnnounced(t *testing.T) {
 	g := gomega.NewWithT(t)
-	b, hear := said(t)
-	b.Read(List, maxAge+time.Millisecond)
-	g.Expect(hear()).To(gomega.Equal(announcement{watches: true}))
-	b.Read(Config, maxAge+time.Millisecond)
-	g.Expect(hear()).To(gomega.Equal(announcement{healthy: true, watches: true}))
-	b.Read(List, maxAge)
-	g.Expect(hear()).To(gomega.Equal(announcement{healthy: true, watches: true, listReadNow: true}))
+	b, nextAnnouncement := newSendingElection(t)
+	b.Read(List, maxAnnouncedAge+time.Millisecond)
+	g.Expect(nextAnnouncement()).To(gomega.Equal(announcement{isWatcher: true}))
+	b.Read(Config, maxAnnouncedAge+time.Millisecond)
+	g.Expect(nextAnnouncement()).To(gomega.Equal(announcement{healthy: true, isWatcher: true}))
+	b.Read(List, maxAnnouncedAge)
+	g.Expect(nextAnnouncement()).To(gomega.Equal(announcement{healthy: true, isWatcher: true, listReadNow: true}))
 	b.Read(Config, 0)
-	g.Expect(hear()).To(gomega.Equal(announcement{healthy: true, watches: true, configReadNow: true}))
+	g.Expect(nextAnnouncement()).To(gomega.Equal(announcement{healthy: true, isWatcher: true, configReadNow: true}))
 }
 
-// A VM that stops is counted as stopping by what it says, and beyond the first
-// few VMs this is the only word that it says at all.
-func TestStopIsSaid(t *testing.T) {
+// Other VMs count a VM as stopping by its announcement, which is the only one that a VM
+// beyond the candidates ever sends.
+func TestStopIsAnnounced(t *testing.T) {
 	g := gomega.NewWithT(t)
-	b, hear := said(t)
+	b, nextAnnouncement := newSendingElection(t)
 	b.Stopping()
-	g.Expect(hear()).To(gomega.Equal(announcement{watches: true, stopping: true}))
+	g.Expect(nextAnnouncement()).To(gomega.Equal(announcement{isWatcher: true, stopping: true}))
 	b.Read(List, 0)
-	g.Expect(hear()).To(gomega.Equal(announcement{watches: true, stopping: true, listReadNow: true}), "each announcement after it says so too")
+	g.Expect(nextAnnouncement()).To(gomega.Equal(announcement{isWatcher: true, stopping: true, listReadNow: true}), "all later announcements carry the flag")
 }
 
-// What one entry VM finds at a lost server's address is told to the others;
-// words that are doubled, cut or of unknown servers change nothing.
-func TestRestartsAreTold(t *testing.T) {
+// A restart found by one entry VM at the address of a lost server is applied by the
+// others. Duplicated and truncated datagrams and those of unknown servers have no effect.
+func TestRestartsAreAnnounced(t *testing.T) {
 	g := gomega.NewWithT(t)
 	d := directory.New()
 	d.Apply(1, []directory.Listing{{ID: "i1", Service: "s", Address: "x:1", Zone: "z"}}, false, time.Now())
 	r := NewRestarts(NewSocket("", nil, nil), d)
 	raw := encodeRestart(directory.Hash("i1"), directory.Start{ID: "i2"}).raw
-	r.take("p", head{}, raw, time.Now())
-	r.take("p", head{}, raw, time.Now())
-	r.take("p", head{}, raw[:4], time.Now())
-	r.take("p", head{}, encodeRestart(directory.Hash("other"), directory.Start{ID: "i3"}).raw, time.Now())
+	r.receive("p", header{}, raw, time.Now())
+	r.receive("p", header{}, raw, time.Now())
+	r.receive("p", header{}, raw[:4], time.Now())
+	r.receive("p", header{}, encodeRestart(directory.Hash("other"), directory.Start{ID: "i3"}).raw, time.Now())
 	g.Expect(d.View().Len()).To(gomega.Equal(2))
 	s := d.Pick(directory.Query{Service: "s"}, time.Now())
 	g.Expect(s.ID).To(gomega.Equal("i2"))
@@ -258,26 +260,26 @@
 	})
 }
 
-// All three entry VMs are stopped within a second. One sends its callers on to
-// the others until both have said that they stop, and says so itself; a VM that
-// has been started again, and one whose word is old, count as serving.
+// All three entry VMs are stopped within a second. Each redirects its callers to the
+// others until both have announced that they stop, and announces its own stop. A VM that
+// has restarted, or whose announcement has expired, counts as serving.
 func TestAllStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newElectionBed()
+		b := newTestElection()
 		b.size = 3
-		g.Expect(b.AllStop()).To(gomega.BeFalse(), "nobody is heard")
-		b.hear("p", announcement{healthy: true, stopping: true})
-		g.Expect(b.AllStop()).To(gomega.BeFalse(), "one is silent")
-		b.hear("q", announcement{healthy: true})
+		g.Expect(b.AllStop()).To(gomega.BeFalse(), "no announcement received")
+		b.receiveFrom("p", announcement{healthy: true, stopping: true})
+		g.Expect(b.AllStop()).To(gomega.BeFalse(), "one VM is silent")
+		b.receiveFrom("q", announcement{healthy: true})
 		g.Expect(b.AllStop()).To(gomega.BeFalse())
-		b.hear("q", announcement{healthy: true, stopping: true})
+		b.receiveFrom("q", announcement{healthy: true, stopping: true})
 		g.Expect(b.AllStop()).To(gomega.BeTrue())
-		b.hear("p", announcement{})
-		g.Expect(b.AllStop()).To(gomega.BeFalse(), "started again")
-		b.hear("p", announcement{stopping: true})
+		b.receiveFrom("p", announcement{})
+		g.Expect(b.AllStop()).To(gomega.BeFalse(), "restarted")
+		b.receiveFrom("p", announcement{stopping: true})
 		time.Sleep(stopTimeout)
-		g.Expect(b.AllStop()).To(gomega.BeFalse(), "their words are old")
+		g.Expect(b.AllStop()).To(gomega.BeFalse(), "the announcements have expired")
 		b.Stopping()
 		w, ok := decodeAnnouncement(encodeAnnouncement(announcement{stopping: b.stopping.Load()}).raw)
 		g.Expect(ok).To(gomega.BeTrue())
@@ -285,47 +287,47 @@
 	})
 }
 
-// VMs are stopped one after the other. The one that began first is back first,
-// whenever its newest word came; one that serves again doesn't count any more.
+// VMs are stopped one after the other. The one that stopped first will be back first, no
+// matter when its last announcement arrived. A VM that serves again no longer counts.
 func TestFirstStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newElectionBed()
+		b := newTestElection()
 		g.Expect(b.FirstStop()).To(gomega.BeZero())
-		b.hear("p", announcement{healthy: true, stopping: true})
+		b.receiveFrom("p", announcement{healthy: true, stopping: true})
 		first := time.Now()
 		time.Sleep(2 * time.Second)
-		b.hear("q", announcement{stopping: true})
+		b.receiveFrom("q", announcement{stopping: true})
 		second := time.Now()
-		b.hear("p", announcement{stopping: true})
+		b.receiveFrom("p", announcement{stopping: true})
 		g.Expect(b.FirstStop()).To(gomega.Equal(first))
-		b.hear("p", announcement{healthy: true})
-		g.Expect(b.FirstStop()).To(gomega.Equal(second), "started again")
-		b.hear("p", announcement{stopping: true})
-		g.Expect(b.FirstStop()).To(gomega.Equal(second), "stopped once more")
+		b.receiveFrom("p", announcement{healthy: true})
+		g.Expect(b.FirstStop()).To(gomega.Equal(second), "restarted")
+		b.receiveFrom("p", announcement{stopping: true})
+		g.Expect(b.FirstStop()).To(gomega.Equal(second), "stopped again")
 		time.Sleep(stopTimeout)
-		g.Expect(b.FirstStop()).To(gomega.BeZero(), "their words are old")
+		g.Expect(b.FirstStop()).To(gomega.BeZero(), "the announcements have expired")
 	})
 }
 
-// Twelve entry VMs, of which the eight that come first by their hash say each
-// second that they are there; the other four are silent as long as they stand
-// behind eight. The eight are stopped. Each told callers of streams to wait until
-// it is back, seconds later, although four VMs served all the while: none of
-// them is heard, and "every VM that is heard" stopped.
-func TestAllStopIsNotSaidWhileSilentVMsServe(t *testing.T) {
+// Guards against callers that are told to wait although VMs serve. Of twelve entry VMs,
+// the eight candidates announce themselves every second; the other four are silent. When
+// the eight stopped, each told the callers of its streams to wait until it is back,
+// seconds later: all VMs that had been heard were stopping, and the four serving VMs had
+// never been heard.
+func TestAllStopIsFalseWhileSilentVMsServe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newElectionBed()
+		b := newTestElection()
 		b.size = 12
-		silent := newElectionBed() // one of the four, to show that it says nothing
-		for i := range candidates {
-			silent.hear(fmt.Sprint("c", i), announcement{healthy: true, stopping: true})
+		silent := newTestElection() // one of the four, to show that it announces nothing
+		for i := range candidateCount {
+			silent.receiveFrom(fmt.Sprint("c", i), announcement{healthy: true, stopping: true})
 		}
-		g.Expect(silent.before()).To(gomega.BeNumerically(">=", candidates), "it stands behind the candidates, so Run says nothing")
+		g.Expect(silent.healthyBefore()).To(gomega.BeNumerically(">=", candidateCount), "it ranks behind the candidates, so Run announces nothing")
 		g.Expect(silent.stopping.Load()).To(gomega.BeFalse(), "and it serves")
-		for i := range candidates - 1 {
-			b.hear(fmt.Sprint("c", i), announcement{healthy: true, stopping: true})
+		for i := range candidateCount - 1 {
+			b.receiveFrom(fmt.Sprint("c", i), announcement{healthy: true, stopping: true})
 		}
 		b.Stopping()
 		g.Expect(b.AllStop()).To(gomega.BeFalse(), "four of twelve VMs serve; they are silent by design")
--- a/fleet/events.go
+++ b/fleet/events.go
@@ -2,23 +2,25 @@
 
 import "github.com/pearyard/pearyard/event"
 
-// EventHelped is emitted when a peer knew more than this process.
+// EventHelped is emitted when a peer sent a newer configuration than the one of this
+// process.
 var EventHelped = event.Define(2740, "fleet_helped", event.Info,
-	"a peer told this process a newer configuration or list than the store did", "look why this process does not reach the store")
+	"a peer sent this process a newer configuration than it had read from the store", "find out why this process does not reach the store")
 
-// EventPeerSilent is emitted when a peer that was asked for help did not answer.
+// EventPeerSilent is emitted when a peer did not answer a query.
 var EventPeerSilent = event.Define(2741, "fleet_peer_silent", event.Info,
-	"a peer that was asked for what the store does not tell gave no answer", "nothing, unless no peer answers")
+	"a peer that was asked for a newer configuration or list did not answer", "nothing, unless no peer answers")
 
-// EventNoPeer is emitted when rows of the table of entry VMs name none.
+// EventNoPeer is emitted when rows of the registry of entry VMs hold no valid address.
 var EventNoPeer = event.Define(2742, "fleet_no_peer", event.Warn,
-	"rows of the table of entry VMs hold no ip:port; the VMs of all other rows are known", "find out who writes the rows that the line names")
+	"rows of the table of entry VMs hold no ip:port and are ignored; all other rows are used", "find out which program writes the rows named in the line")
 
-// EventDeltaUnusable is emitted when a peer's change of the configuration does not
-// fit the text that is in force here.
+// EventDeltaUnusable is emitted when the delta sent by a peer can't be applied to the
+// configuration in force.
 var EventDeltaUnusable = event.Define(2744, "fleet_delta_unusable", event.Info,
-	"a peer's change of the configuration does not fit the one in force here; the store is asked", "nothing, unless it goes on")
+	"a change of the configuration sent by a peer does not apply to the one in force; it is read from the store instead", "nothing, unless it keeps happening")
 
-// EventDatagramUnreadable is emitted at most once a second.
+// EventDatagramUnreadable is emitted for a datagram of an unknown kind or format, at most
+// once per unreadableInterval.
 var EventDatagramUnreadable = event.Define(2743, "fleet_datagram_unreadable", event.Warn,
-	"a datagram to the port of entry VMs can't be read; others is how many more there were since the last line", "look what sends from the address in the line, unless VMs run different versions")
+	"a datagram to the port of entry VMs can't be decoded; others is the number of further ones since the last line", "find out what sends from the address in the line, unless VMs run different versions")
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,8 +1,8 @@
-// Package fleet lets entry VMs help each other when the store turns one of them
-// away: who reaches the store hands on the configuration and the list of
-// backend servers. Entry VMs find each other by rows in the store and by the
-// seeds of their settings. Nothing is agreed on here: every position comes from
-// the store, and a receiver only ever moves forward.
+// Package fleet lets entry VMs exchange state with each other. A VM that the store does
+// not answer gets the configuration and the list of backend servers from peers that reach
+// the store. Entry VMs find each other through rows in the store and through the seed
+// addresses in their settings. There is no consensus protocol: every position comes from
+// the store, and a receiver only moves to a newer position.
 package fleet
 
 import (
@@ -26,7 +26,7 @@
 	"github.com/pearyard/pearyard/site"
 )
 
-// Registry holds a row for each entry VM.
+// Registry is a table with a row for each entry VM.
 type Registry interface {
 	Put(ctx context.Context, table, key string, value []byte) error
 	Rows(ctx context.Context, table string) (map[string][]byte, error)
@@ -34,60 +34,61 @@
 
 const (
 	registryTable = "entry_vms"
-	// lookEvery is how often the watchers read the registry: VMs are added seldom.
-	lookEvery       = 5 * time.Second
-	registryTimeout = 2 * time.Second
-	retryPause      = 200 * time.Millisecond
-	maxPause        = time.Second
-	// helpers is how many peers are asked at once: more than one, as a peer may
-	// be turned away as well.
-	helpers = 2
-	// helpTimeout bounds one question; it is many round trips.
-	helpTimeout = 400 * time.Millisecond
+	// registryPollInterval is how often the watchers read the registry. VMs are added
+	// rarely.
+	registryPollInterval = 5 * time.Second
+	registryTimeout      = 2 * time.Second
+	retryPause           = 200 * time.Millisecond
+	maxPause             = time.Second
+	// peersPerQuery is how many peers are asked at once: more than one, as the store may
+	// not answer a peer either.
+	peersPerQuery = 2
+	// queryTimeout bounds one query; it allows for many round trips.
+	queryTimeout = 400 * time.Millisecond
 )
 
-// Options of a Fleet.
+// Options configures a Fleet.
 type Options struct {
 	Name      string
-	Address   string   // of this process, for others
-	Seeds     []string // addresses that may be stale
+	Address   string   // of this process, as other VMs reach it
+	Seeds     []string // initial peer addresses, possibly stale
 	Registry  Registry
 	Holder    *site.Holder
 	Directory *directory.Directory
-	// Decode reads a configuration as the store holds it.
+	// Decode decodes a configuration as the store holds it.
 	Decode func(position uint64, raw []byte) (*site.Versioned, error)
-	// OfferConfig and OfferList put in force what a peer told.
+	// OfferConfig and OfferList apply a configuration and a list that a peer sent.
 	OfferConfig func(v *site.Versioned, from string)
 	OfferList   func(position uint64, list []directory.Listing, settled bool, from string)
-	// OfferChanges is OfferList for what changed since the list here.
+	// OfferChanges applies the changes since the list of this process.
 	OfferChanges func(position uint64, changed []directory.Listing, gone []string, settled bool, from string)
-	// Settled tells whether the list here was read from a store that had not been away.
+	// Settled reports whether the list of this process was read from a store that had not
+	// been unavailable, so that a server missing from it is gone.
 	Settled  func() bool
 	Client   *http.Client
 	Recorder *event.Recorder
 }
 
-// Fleet knows the other entry VMs.
+// Fleet tracks the other entry VMs, queries them and answers their queries.
 type Fleet struct {
-	opts  Options
-	peers atomic.Pointer[[]string]
-	near  atomic.Pointer[[]string]
-	size  atomic.Int64 // 0 until the registry has been read
-	pace  pace
+	opts        Options
+	peers       atomic.Pointer[[]string]
+	cellPeers   atomic.Pointer[[]string]
+	size        atomic.Int64 // 0 until the registry has been read
+	sendLimiter rateLimiter
 
-	election *Election // nil: each process reads the registry
+	election *Election // nil: this process reads the registry itself
 
-	texts      texts
-	unreadable atomic.Uint64 // position of the newest configuration of a peer that can't be read
+	configHistory      configHistory
+	unreadablePosition atomic.Uint64 // position of the newest configuration from a peer that could not be decoded
 
-	invalidRows []string // rows that name no VM, as last told; used by Run alone
+	invalidRows []string // invalid rows in the last log line; only Run's goroutine uses it
 }
 
-// unknownSize stands for the number of entry VMs until it is known: more than
-// there are anywhere.
+// unknownSize is used as the number of entry VMs until it is known: larger than any site.
 const unknownSize = 1 << 20
 
-// New returns a Fleet that knows its seeds.
+// New returns a Fleet whose only peers are the seeds.
 func New(opts Options) *Fleet {
 	f := &Fleet{opts: opts}
 	f.setPeers(opts.Seeds)
@@ -112,22 +113,22 @@
 	if cells > 1 {
 		near = slices.DeleteFunc(slices.Clone(peers), func(p string) bool { return directory.CellOf(p, cells) != own })
 	}
-	f.near.Store(&near)
-	place, _ := slices.BinarySearch(near, f.opts.Address)
-	f.opts.Directory.SetHashRange(place, len(near)+1)
+	f.cellPeers.Store(&near)
+	index, _ := slices.BinarySearch(near, f.opts.Address)
+	f.opts.Directory.SetHashRange(index, len(near)+1)
 }
 
-// Peers returns the addresses of the others.
+// Peers returns the addresses of the other entry VMs.
 func (f *Fleet) Peers() []string { return *f.peers.Load() }
 
-// Near returns the addresses of those that share this process's cell.
-func (f *Fleet) Near() []string { return *f.near.Load() }
+// Near returns the addresses of the other entry VMs in the cell of this process.
+func (f *Fleet) Near() []string { return *f.cellPeers.Load() }
 
-// Size returns how many entry VMs there are, this one included; very many until
-// that is known.
+// Size returns the number of entry VMs, including this one; unknownSize until the registry
+// has been read.
 //
-// Until then the seeds alone are known, far fewer than there are; what all may do
-// together is divided by their number.
+// Until then only the seeds are known, far fewer than there are VMs. Limits that all VMs
+// share are divided by this number, so it must not be too small.
 func (f *Fleet) Size() int {
 	if size := f.size.Load(); size > 0 {
 		return int(size)
@@ -135,60 +136,61 @@
 	return unknownSize
 }
 
-// Run announces this process and follows the others until ctx ends.
+// Run registers this process and keeps the addresses of the other VMs up to date until ctx
+// ends.
 func (f *Fleet) Run(ctx context.Context) error {
 	announced := false
 	failures := 0
 	for ctx.Err() == nil {
-		err := f.exchangeRows(ctx, &announced)
+		err := f.syncRegistry(ctx, &announced)
 		if err == nil {
 			failures = 0
-			f.rest(ctx)
+			f.waitForNextRead(ctx)
 			continue
 		}
 		failures++
-		f.pause(ctx, failures)
+		f.waitAfterFailure(ctx, failures)
 	}
 	return ctx.Err()
 }
 
-// pause waits after the registry could not be read. Once the others are known there
-// is no hurry: VMs are added seldom.
-func (f *Fleet) pause(ctx context.Context, failures int) {
+// waitAfterFailure waits after the registry could not be read. Once the other VMs are
+// known there is no hurry, as VMs are added rarely.
+func (f *Fleet) waitAfterFailure(ctx context.Context, failures int) {
 	if f.size.Load() > 0 {
-		_ = retry.Wait(ctx, lookEvery)
+		_ = retry.Wait(ctx, registryPollInterval)
 		return
 	}
 	_ = retry.Wait(ctx, retry.BackoffBetween(retryPause, maxPause, failures))
 }
 
-// UseElection sets who picks the entry VMs that read the registry; it is called
-// before Run. Without one each reads it.
+// UseElection sets the election that decides which entry VMs read the registry; it must be
+// called before Run. Without an election each VM reads it.
 func (f *Fleet) UseElection(e *Election) { f.election = e }
 
-// rest waits until the registry is to be read again.
-func (f *Fleet) rest(ctx context.Context) {
+// waitForNextRead waits until the registry has to be read again.
+func (f *Fleet) waitForNextRead(ctx context.Context) {
 	if f.election == nil {
-		_ = retry.Wait(ctx, lookEvery)
+		_ = retry.Wait(ctx, registryPollInterval)
 		return
 	}
-	look := time.NewTicker(lookEvery)
-	defer look.Stop()
+	ticker := time.NewTicker(registryPollInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-f.election.NewMembers():
 			return
-		case <-look.C:
+		case <-ticker.C:
 		}
-		if f.election.watchesNow() || !f.election.MembersDelegated() {
+		if f.election.isHealthyWatcher() || !f.election.MembersDelegated() {
 			return
 		}
 	}
 }
 
-func (f *Fleet) exchangeRows(ctx context.Context, announced *bool) error {
+func (f *Fleet) syncRegistry(ctx context.Context, announced *bool) error {
 	ctx, cancel := context.WithTimeout(ctx, registryTimeout)
 	defer cancel()
 	if !*announced {
@@ -201,7 +203,8 @@
 	if err != nil {
 		return err
 	}
-	// Its own row may have been written over: then the others don't know it.
+	// Another program may have overwritten the row of this process, which hides it from
+	// the others.
 	*announced = directory.ValidAddress(string(rows[f.opts.Name]))
 	f.setPeers(f.addresses(rows))
 	f.size.Store(int64(len(f.Peers())) + 1)
@@ -211,16 +214,16 @@
 	return nil
 }
 
-// digest returns a hash of all entry VMs, this one included.
+// digest returns a hash of the addresses of all entry VMs, including this one.
 func (f *Fleet) digest() uint64 {
 	all := append(slices.Clone(f.Peers()), f.opts.Address)
 	slices.Sort(all)
 	return xxhash.Sum64String(strings.Join(all, " "))
 }
 
-// addresses returns those that rows name. Any program may write a row; one that
-// is no ip:port would be looked up as a name for each datagram, and count as a VM
-// that shares the retry budget.
+// addresses returns the valid addresses in rows and logs the other rows. Any program may
+// write a row. A value that is no ip:port would cause a DNS lookup for each datagram, and
+// would count as a VM that shares the retry budget.
 func (f *Fleet) addresses(rows map[string][]byte) []string {
 	addresses := make([]string, 0, len(rows))
 	var invalid []string
@@ -235,10 +238,10 @@
 	return addresses
 }
 
-// loggedRows is how many rows that name no VM a log line shows.
-const loggedRows = 8
+// maxLoggedRows is how many invalid rows a log line shows.
+const maxLoggedRows = 8
 
-// logInvalidRows tells of rows that name no VM, once as long as they stay the same.
+// logInvalidRows logs the invalid rows whenever they have changed.
 func (f *Fleet) logInvalidRows(rows []string) {
 	slices.Sort(rows)
 	if slices.Equal(rows, f.invalidRows) {
@@ -246,33 +249,33 @@
 	}
 	f.invalidRows = rows
 	if len(rows) > 0 {
-		f.opts.Recorder.Emit(EventNoPeer, "rows", strings.Join(rows[:min(len(rows), loggedRows)], "; "), "count", len(rows))
+		f.opts.Recorder.Emit(EventNoPeer, "rows", strings.Join(rows[:min(len(rows), maxLoggedRows)], "; "), "count", len(rows))
 	}
 }
 
-// Ask asks a few peers for what is newer than what is known here.
+// Ask asks a few peers for newer data than that of this process.
 func (f *Fleet) Ask(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, helpTimeout)
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	peers := f.Peers()
 	var group errgroup.Group
-	for _, i := range rand.Perm(len(peers))[:min(helpers, len(peers))] {
+	for _, i := range rand.Perm(len(peers))[:min(peersPerQuery, len(peers))] {
 		group.Go(func() error {
-			f.ask(ctx, peers[i], f.opts.Directory.View().Position, false)
+			f.query(ctx, peers[i], f.opts.Directory.View().Position, false)
 			return nil
 		})
 	}
 	_ = group.Wait()
 }
 
-// AskChanges asks one peer for what has changed in the configuration, and in the
-// list since a position. It gets nothing whole: a watcher that handed a large text
-// to all others would have no room left on its link.
+// AskChanges asks one peer for the changes of the configuration, and of the list since a
+// position. The answer never holds a full configuration or list: a watcher that sent a
+// large text to all others would saturate its link.
 func (f *Fleet) AskChanges(ctx context.Context, peer string, since uint64) {
-	f.ask(ctx, peer, since, true)
+	f.query(ctx, peer, since, true)
 }
 
-func (f *Fleet) ask(ctx context.Context, peer string, since uint64, changesOnly bool) {
+func (f *Fleet) query(ctx context.Context, peer string, since uint64, changesOnly bool) {
 	client := fleetpb.NewFleetProtobufClient("http://"+peer, f.opts.Client)
 	answer, err := client.Newest(ctx, &fleetpb.NewestRequest{
 		Sender: f.opts.Address, ConfigPosition: f.opts.Holder.Position(), ListPosition: since,
@@ -282,24 +285,24 @@
 		f.opts.Recorder.Emit(EventPeerSilent, "peer", peer, "err", err)
 		return
 	}
-	f.take(peer, answer)
+	f.applyAnswer(peer, answer)
 }
 
-func (f *Fleet) take(peer string, answer *fleetpb.NewestResponse) {
-	f.takeConfig(peer, answer)
+func (f *Fleet) applyAnswer(peer string, answer *fleetpb.NewestResponse) {
+	f.applyConfig(peer, answer)
 	if answer.GetListPosition() <= f.opts.Directory.View().Position {
 		return
 	}
 	if answer.GetDelta() {
-		f.opts.OfferChanges(answer.GetListPosition(), listings(answer.GetServers()), answer.GetGone(), answer.GetSettled(), peer)
+		f.opts.OfferChanges(answer.GetListPosition(), listingsFromProto(answer.GetServers()), answer.GetGone(), answer.GetSettled(), peer)
 	} else {
-		f.opts.OfferList(answer.GetListPosition(), listings(answer.GetServers()), answer.GetSettled(), peer)
+		f.opts.OfferList(answer.GetListPosition(), listingsFromProto(answer.GetServers()), answer.GetSettled(), peer)
 	}
 }
 
-// takeConfig takes a newer configuration. One that can't be read is told once; the
-// list of servers beside it is none the worse for it.
-func (f *Fleet) takeConfig(peer string, answer *fleetpb.NewestResponse) {
+// applyConfig applies a newer configuration. One that can't be decoded is logged once and
+// does not keep the list of servers in the same answer from being applied.
+func (f *Fleet) applyConfig(peer string, answer *fleetpb.NewestResponse) {
 	if answer.GetConfigPosition() <= f.opts.Holder.Position() {
 		return
 	}
@@ -310,7 +313,7 @@
 	}
 	v, err := f.opts.Decode(answer.GetConfigPosition(), raw)
 	if err != nil {
-		if f.unreadable.Swap(answer.GetConfigPosition()) != answer.GetConfigPosition() {
+		if f.unreadablePosition.Swap(answer.GetConfigPosition()) != answer.GetConfigPosition() {
 			f.opts.Recorder.Emit(site.EventUnreadable, "from", peer, "position", answer.GetConfigPosition(), "err", err)
 		}
 		return
@@ -322,25 +325,25 @@
 	f.opts.Recorder.Emit(EventHelped, "peer", peer, "config_position", v.Position)
 }
 
-// configText returns the text of a peer's configuration.
+// configText returns the full text of the configuration in a peer's answer.
 func (f *Fleet) configText(answer *fleetpb.NewestResponse) ([]byte, error) {
 	if !answer.GetConfigIsDelta() {
 		return answer.GetConfig(), nil
 	}
 	own := f.opts.Holder.Current()
 	if own == nil {
-		return nil, errNoText
+		return nil, errNoBaseConfig
 	}
 	return applyDelta(own.Raw, answer.GetConfig())
 }
 
-// errNoText: a delta came to a process that has no configuration.
-var errNoText = errors.New("fleet: a delta for no text")
+// errNoBaseConfig: a delta was received but this process has no configuration.
+var errNoBaseConfig = errors.New("fleet: received a configuration delta without a configuration to apply it to")
 
-// Applied notes that a configuration is in force here, for others that ask.
-func (f *Fleet) Applied(v *site.Versioned) { f.texts.add(v) }
+// Applied records a configuration that has come into force, for answers to peers.
+func (f *Fleet) Applied(v *site.Versioned) { f.configHistory.add(v) }
 
-// Handler serves peers.
+// Handler serves the queries of peers.
 func (f *Fleet) Handler() http.Handler { return fleetpb.NewFleetServer(f) }
 
 // Newest implements fleetpb.Fleet.
@@ -349,28 +352,29 @@
 	view := f.opts.Directory.View()
 	behind := view.Position > r.GetListPosition()
 	if behind {
-		behind = !f.changes(answer, r.GetListPosition())
+		behind = !f.addListChanges(answer, r.GetListPosition())
 	}
-	if delta, newest := f.texts.since(r.GetConfigPosition()); delta != nil {
+	if delta, newest := f.configHistory.deltaSince(r.GetConfigPosition()); delta != nil {
 		answer.ConfigPosition, answer.Config, answer.ConfigIsDelta = newest.Position, delta, true
 	}
 	if !r.GetChangesOnly() {
-		f.whole(answer, f.configAfter(r.GetConfigPosition()), view, behind)
+		f.addFull(answer, f.configAfter(r.GetConfigPosition()), view, behind)
 	}
 	return answer, nil
 }
 
-// changes answers with what changed in the list since a position; false if that
-// is no longer known. At 3,000 servers a list is 300 KB, a change some hundred bytes.
-func (f *Fleet) changes(answer *fleetpb.NewestResponse, since uint64) bool {
+// addListChanges adds the changes of the list since a position to the answer. It reports
+// false if those changes are no longer known. At 3,000 servers a list is 300 KB, a change
+// a few hundred bytes.
+func (f *Fleet) addListChanges(answer *fleetpb.NewestResponse, since uint64) bool {
 	position, changed, gone, ok := f.opts.Directory.Since(since)
 	if ok {
-		answer.ListPosition, answer.Servers, answer.Gone, answer.Delta = position, wire(changed), gone, true
+		answer.ListPosition, answer.Servers, answer.Gone, answer.Delta = position, toProto(changed), gone, true
 	}
 	return ok
 }
 
-// configAfter returns the configuration in force if it is newer than a position.
+// configAfter returns the configuration in force if it is newer than a position, else nil.
 func (f *Fleet) configAfter(position uint64) *site.Versioned {
 	if v := f.opts.Holder.Current(); v != nil && v.Position > position {
 		return v
@@ -378,9 +382,9 @@
 	return nil
 }
 
-// whole answers with a whole configuration, a whole list or both, if this
-// process may hand on that much now.
-func (f *Fleet) whole(answer *fleetpb.NewestResponse, config *site.Versioned, view *directory.View, list bool) {
+// addFull adds a full configuration, a full list or both to the answer, if the send rate
+// allows it.
+func (f *Fleet) addFull(answer *fleetpb.NewestResponse, config *site.Versioned, view *directory.View, list bool) {
 	if answer.ConfigIsDelta {
 		config = nil
 	}
@@ -389,20 +393,20 @@
 		bytes += len(config.Raw)
 	}
 	if list {
-		bytes += serverBytes * len(view.Listings)
+		bytes += serverEntryBytes * len(view.Listings)
 	}
-	if bytes == 0 || !f.pace.allow(bytes, time.Now()) {
+	if bytes == 0 || !f.sendLimiter.allow(bytes, time.Now()) {
 		return
 	}
 	if config != nil {
 		answer.ConfigPosition, answer.Config = config.Position, config.Raw
 	}
 	if list {
-		answer.ListPosition, answer.Servers = view.Position, wire(view.Listings)
+		answer.ListPosition, answer.Servers = view.Position, toProto(view.Listings)
 	}
 }
 
-func wire(list []directory.Listing) []*fleetpb.Server {
+func toProto(list []directory.Listing) []*fleetpb.Server {
 	out := make([]*fleetpb.Server, len(list))
 	for i, l := range list {
 		out[i] = &fleetpb.Server{
@@ -413,17 +417,17 @@
 	return out
 }
 
-func listings(servers []*fleetpb.Server) []directory.Listing {
+func listingsFromProto(servers []*fleetpb.Server) []directory.Listing {
 	out := make([]directory.Listing, len(servers))
 	for i, s := range servers {
-		out[i] = listing(s)
+		out[i] = listingFromProto(s)
 	}
 	return out
 }
 
-// listing reads one entry of a peer's list. One that names no server at the peer
-// comes as its id alone, and names none here.
-func listing(s *fleetpb.Server) directory.Listing {
+// listingFromProto converts one entry of a peer's list. An entry that the peer considers
+// invalid arrives as an ID alone, and is invalid here too.
+func listingFromProto(s *fleetpb.Server) directory.Listing {
 	return directory.Listing{
 		ID: s.GetId(), Service: s.GetService(), Address: s.GetAddress(), Zone: s.GetZone(), Slots: int(s.GetSlots()),
 		Draining: s.GetDraining(), Cold: time.Duration(s.GetColdNano()), Born: s.GetBorn(),
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -19,7 +19,7 @@
 	"github.com/pearyard/pearyard/site"
 )
 
-// fakeRegistry is a table that can be away.
+// fakeRegistry is a registry that can be unavailable.
 type fakeRegistry struct {
 	rows map[string][]byte
 	err  error
@@ -41,7 +41,7 @@
 	server *httptest.Server
 }
 
-func decode1(position uint64, raw []byte) (*site.Versioned, error) {
+func decodeConfig(position uint64, raw []byte) (*site.Versioned, error) {
 	if string(raw) == "bad" {
 		return nil, errors.New("bad")
 	}
@@ -57,20 +57,20 @@
 	t.Cleanup(v.server.Close)
 	v.Fleet = New(Options{
 		Name: name, Address: strings.TrimPrefix(v.server.URL, "http://"), Seeds: seeds, Registry: &fakeRegistry{rows: map[string][]byte{}},
-		Holder: v.holder, Directory: v.dir, Decode: decode1, OfferConfig: config.Offer, OfferList: servers.Take, OfferChanges: servers.TakeChanges, Settled: func() bool { return true },
+		Holder: v.holder, Directory: v.dir, Decode: decodeConfig, OfferConfig: config.Offer, OfferList: servers.Take, OfferChanges: servers.TakeChanges, Settled: func() bool { return true },
 		Client: &http.Client{Timeout: time.Second}, Recorder: event.Discard(),
 	})
 	mux.Handle("/", v.Handler())
 	return v
 }
 
-// The store turns one entry VM away while a key is revoked and a server leaves.
-// It learns of both from a peer that the store answers.
-func TestPeerTellsWhatTheStoreDoesNot(t *testing.T) {
+// The store does not answer one entry VM while an API key is revoked and a server leaves.
+// The VM gets both changes from a peer.
+func TestPeerSendsConfigurationAndList(t *testing.T) {
 	g := gomega.NewWithT(t)
 	well := newVM(t, "well")
 	cut := newVM(t, "cut", well.opts.Address)
-	v, _ := decode1(9, []byte("text"))
+	v, _ := decodeConfig(9, []byte("text"))
 	well.holder.Offer(v)
 	well.dir.Apply(8, []directory.Listing{{ID: "i1", Service: "s", Address: "1.2.3.4:5", Zone: "z", Slots: 4, Draining: true, Cold: time.Second}}, false, time.Now())
 	cut.Ask(t.Context())
@@ -79,9 +79,9 @@
 	g.Expect(cut.dir.View().Listings).To(gomega.Equal(well.dir.View().Listings))
 }
 
-// A peer that is behind by a change gets the change, not three thousand servers
-// once more; one that is behind by more than is remembered gets all.
-func TestPeerThatIsBehindGetsWhatChanged(t *testing.T) {
+// A peer that is behind by a known change gets that change rather than three thousand
+// servers; one that is further behind gets the whole list.
+func TestPeerThatIsBehindGetsChangesOnly(t *testing.T) {
 	g := gomega.NewWithT(t)
 	ahead := newVM(t, "ahead")
 	behind := newVM(t, "behind", ahead.opts.Address)
@@ -107,10 +107,10 @@
 	g.Expect(answer.GetServers()).To(gomega.HaveLen(3))
 }
 
-// All entry VMs were restarted and ask each other for everything, or are behind
-// by a position with a list that was read a moment later. Peers used to hand
-// thousands of servers to each of them at once, too many for their links.
-func TestWholeListsAreHandedOnAtAPace(t *testing.T) {
+// Guards against peers that send thousands of servers to all VMs at once, too much for
+// their links. This happened when all entry VMs had restarted and queried each other for
+// everything, or were behind by a position with a list that was read a moment later.
+func TestFullListsAreRateLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		f := New(Options{Directory: directory.New(), Holder: site.NewHolder(), Settled: func() bool { return true }})
@@ -124,97 +124,97 @@
 			g.Expect(err).NotTo(gomega.HaveOccurred())
 			return len(answer.GetServers())
 		}
-		g.Expect(servers(&fleetpb.NewestRequest{ListPosition: 9, ChangesOnly: true})).To(gomega.BeZero(), "the first list is no change")
+		g.Expect(servers(&fleetpb.NewestRequest{ListPosition: 9, ChangesOnly: true})).To(gomega.BeZero(), "there are no changes before the first list")
 		g.Expect(servers(&fleetpb.NewestRequest{})).To(gomega.Equal(3000))
 		g.Expect(servers(&fleetpb.NewestRequest{})).To(gomega.BeZero())
 		f.opts.Directory.Apply(11, list[1:], false, time.Now())
 		answer, err := f.Newest(t.Context(), &fleetpb.NewestRequest{ListPosition: 10})
 		g.Expect(err).NotTo(gomega.HaveOccurred())
-		g.Expect(answer.GetGone()).To(gomega.HaveLen(1), "changes are small and never held back")
+		g.Expect(answer.GetGone()).To(gomega.HaveLen(1), "changes are small and not rate limited")
 		time.Sleep(time.Second)
 		g.Expect(servers(&fleetpb.NewestRequest{})).To(gomega.Equal(2999))
 	})
 }
 
-// All entry VMs were killed and start again. Until one has read who the others
-// are, it must not take itself for one of the few that its settings name: what
-// all may do together is divided by their number.
-func TestSizeIsNotThatOfTheSeeds(t *testing.T) {
+// Guards against a restarted VM that counts only the seeds as entry VMs. Limits that all
+// VMs share are divided by their number, so it must not be underestimated until the
+// registry has been read.
+func TestSizeIsUnknownBeforeRegistryIsRead(t *testing.T) {
 	g := gomega.NewWithT(t)
 	registry := &fakeRegistry{rows: map[string][]byte{"a": []byte("1.1.1.1:1"), "b": []byte("2.2.2.2:2"), "c": []byte("3.3.3.3:3"), "d": []byte("4.4.4.4:4")}}
 	f := New(Options{Name: "a", Address: "1.1.1.1:1", Seeds: []string{"2.2.2.2:2"}, Registry: registry, Directory: directory.New(), Holder: site.NewHolder()})
 	g.Expect(f.Size()).To(gomega.Equal(unknownSize))
 	announced := false
-	g.Expect(f.exchangeRows(t.Context(), &announced)).To(gomega.Succeed())
+	g.Expect(f.syncRegistry(t.Context(), &announced)).To(gomega.Succeed())
 	g.Expect(f.Size()).To(gomega.Equal(4))
 }
 
-// A peer that lags, or tells what can't be read, changes nothing.
+// A peer that is behind, or sends a configuration that can't be decoded, has no effect.
 func TestPeerThatLagsChangesNothing(t *testing.T) {
 	g := gomega.NewWithT(t)
 	behind := newVM(t, "behind")
 	ahead := newVM(t, "ahead", behind.opts.Address)
-	old, _ := decode1(3, []byte("old"))
+	old, _ := decodeConfig(3, []byte("old"))
 	behind.holder.Offer(old)
 	behind.dir.Apply(3, []directory.Listing{{ID: "gone"}}, false, time.Now())
-	current, _ := decode1(7, []byte("new"))
+	current, _ := decodeConfig(7, []byte("new"))
 	ahead.holder.Offer(current)
 	ahead.dir.Apply(7, nil, false, time.Now())
 	ahead.Ask(t.Context())
 	g.Expect(ahead.holder.Position()).To(gomega.BeNumerically("==", 7))
 	g.Expect(ahead.dir.View().Len()).To(gomega.BeZero())
 
-	lying, _ := decode1(99, []byte("x"))
+	lying, _ := decodeConfig(99, []byte("x"))
 	lying.Raw = []byte("bad")
 	behind.holder.Offer(lying)
 	ahead.Ask(t.Context())
 	g.Expect(ahead.holder.Position()).To(gomega.BeNumerically("==", 7))
 }
 
-// Entry VMs find each other by their rows; one whose row can't be written yet
-// still knows its seeds.
+// Entry VMs find each other by their rows; a VM that can't write its row yet knows its
+// seeds.
 func TestVMsFindEachOther(t *testing.T) {
 	g := gomega.NewWithT(t)
 	v := newVM(t, "a", "1.1.1.1:1")
 	registry := v.opts.Registry.(*fakeRegistry)
-	registry.err = errors.New("away")
+	registry.err = errors.New("store unavailable")
 	announced := false
-	g.Expect(v.exchangeRows(t.Context(), &announced)).NotTo(gomega.Succeed())
+	g.Expect(v.syncRegistry(t.Context(), &announced)).NotTo(gomega.Succeed())
 	g.Expect(v.Peers()).To(gomega.Equal([]string{"1.1.1.1:1"}))
 	registry.err = nil
 	registry.rows["b"] = []byte("2.2.2.2:2")
-	g.Expect(v.exchangeRows(t.Context(), &announced)).To(gomega.Succeed())
+	g.Expect(v.syncRegistry(t.Context(), &announced)).To(gomega.Succeed())
 	g.Expect(v.Peers()).To(gomega.Equal([]string{"2.2.2.2:2"}))
 	g.Expect(v.Size()).To(gomega.Equal(2))
 	g.Expect(registry.rows).To(gomega.HaveKey("a"))
 }
 
-func hear(l *Loads, from string, life uint64, seq uint32, loads []directory.Load, lost []uint32) {
-	l.take(from, head{life: life, seq: seq}, encodeLoads(loads, lost).raw, time.Now())
+func receiveLoads(l *Loads, from string, life uint64, seq uint32, loads []directory.Load, lost []uint32) {
+	l.receive(from, header{incarnation: life, seq: seq}, encodeLoads(loads, lost).raw, time.Now())
 }
 
-// Tellings that are doubled, late or of an earlier start of their sender change
-// nothing; a sender that has fallen silent leaves no load behind.
-func TestTellingsOutOfOrder(t *testing.T) {
+// Reports that are duplicated, late or from an earlier start of their sender have no
+// effect, and a sender that has fallen silent leaves no load behind.
+func TestLoadsOutOfOrder(t *testing.T) {
 	g := gomega.NewWithT(t)
 	d := directory.New()
 	d.Apply(1, []directory.Listing{{ID: "i1", Service: "s"}, {ID: "i2", Service: "s"}}, false, time.Now())
 	l := NewLoads(LoadsOptions{Directory: d, Socket: NewSocket("", nil, nil)})
 	busy := []directory.Load{{Server: directory.Hash("i1"), Streams: 3, Copies: 1, Prefill: 6400}}
-	hear(l, "p", 5, 2, busy, nil)
+	receiveLoads(l, "p", 5, 2, busy, nil)
 	pick := func() string {
-		time.Sleep(15 * time.Millisecond) // what is told is summed up each 10 ms
+		time.Sleep(15 * time.Millisecond) // the reports are summed up every 10 ms
 		return d.Pick(directory.Query{Service: "s", Prompt: 1}, time.Now()).ID
 	}
 	g.Expect(pick()).To(gomega.Equal("i2"))
-	hear(l, "p", 5, 1, nil, nil)
-	hear(l, "p", 4, 9, nil, nil)
+	receiveLoads(l, "p", 5, 1, nil, nil)
+	receiveLoads(l, "p", 4, 9, nil, nil)
 	g.Expect(pick()).To(gomega.Equal("i2"))
 	busyElsewhere := []directory.Load{{Server: directory.Hash("i2"), Streams: 3, Prefill: 6400}}
-	hear(l, "p", 6, 1, busyElsewhere, nil)
+	receiveLoads(l, "p", 6, 1, busyElsewhere, nil)
 	g.Expect(pick()).To(gomega.Equal("i1"))
-	l.expire(time.Now().Add(loadLife))
-	hear(l, "q", 1, 1, busy, []uint32{directory.Hash("i1")})
+	l.expire(time.Now().Add(loadTTL))
+	receiveLoads(l, "q", 1, 1, busy, []uint32{directory.Hash("i1")})
 	for range 10 {
 		g.Expect(pick()).To(gomega.Equal("i2"))
 	}
@@ -228,9 +228,9 @@
 		if !ok {
 			return
 		}
-		again := encodeLoads(loads, lost).raw
-		if len(raw) <= maxDatagram-headBytes && string(again) != string(raw) {
-			t.Fatalf("%x became %x", raw, again)
+		encoded := encodeLoads(loads, lost).raw
+		if len(raw) <= maxDatagram-headerBytes && string(encoded) != string(raw) {
+			t.Fatalf("%x became %x", raw, encoded)
 		}
 	})
 }
--- a/fleet/fuzz_test.go
+++ b/fleet/fuzz_test.go
@@ -23,22 +23,22 @@
 			return
 		}
 		if !directory.ValidID(start.ID) {
-			t.Fatalf("%q is no id", start.ID)
+			t.Fatalf("invalid ID %q", start.ID)
 		}
 		if string(encodeRestart(server, start).raw) != string(raw) {
-			t.Fatalf("%x is read as another", raw)
+			t.Fatalf("%x is decoded differently after encoding", raw)
 		}
 	})
 }
 
-// A whole datagram, to all who take some.
+// FuzzDatagram dispatches a whole datagram to all handlers.
 func FuzzDatagram(f *testing.F) {
-	h := head{life: 3, seq: 4}
+	h := header{incarnation: 3, seq: 4}
 	for _, b := range []body{
 		encodeLoads([]directory.Load{{Server: directory.Hash("a1"), Streams: 2, Prefill: 64}}, []uint32{directory.Hash("a1")}),
-		encodeAnnouncement(announcement{healthy: true, config: at(1 << 63)}), encodeRestart(directory.Hash("a1"), directory.Start{ID: "a2"}), encodeBudget([]spent{{1, 2, 3}}), encodeReadTimes([]directory.ReadTime{{Server: directory.Hash("a1"), Token: time.Millisecond}}),
+		encodeAnnouncement(announcement{healthy: true, config: at(1 << 63)}), encodeRestart(directory.Hash("a1"), directory.Start{ID: "a2"}), encodeBudget([]tryCounts{{1, 2, 3}}), encodeReadTimes([]directory.ReadTime{{Server: directory.Hash("a1"), Token: time.Millisecond}}),
 	} {
-		f.Add(append(encodeHead(b.kind, h), b.raw...))
+		f.Add(append(encodeHeader(b.kind, h), b.raw...))
 	}
 	f.Add([]byte{0, 1})
 	f.Fuzz(func(t *testing.T, raw []byte) {
@@ -53,21 +53,22 @@
 			Address: "self", Socket: s, Recorder: event.Discard(), Fetch: func(context.Context, string, uint64) {},
 			Position: func(Subject) uint64 { return 1 },
 		})
-		s.take("p", raw, time.Now())
-		s.take("p", raw, time.Now())
+		s.dispatch("p", raw, time.Now())
+		s.dispatch("p", raw, time.Now())
 		loads.expire(time.Now())
 		d.Pick(directory.Query{Service: "s", Prompt: 1}, time.Now())
 		for _, server := range d.View().Service("s") {
 			if !directory.ValidID(server.ID) {
-				t.Fatalf("%q is no id", server.ID)
+				t.Fatalf("invalid server ID %q", server.ID)
 			}
 		}
 	})
 }
 
-// A peer's answer with any bytes as one of its servers, beside a good one.
+// FuzzPeersServer applies a peer's answer with arbitrary bytes as one server beside a
+// valid one.
 func FuzzPeersServer(f *testing.F) {
-	for _, s := range []*fleetpb.Server{goodServer("b1"), {Id: "bad"}, {Id: "x\r\ny", Service: "s", Address: "1.2.3.4:5"}, {Id: "c", Service: "s", Address: "0.0.0.0:1", Slots: -4, ColdNano: -1}} {
+	for _, s := range []*fleetpb.Server{validServer("b1"), {Id: "bad"}, {Id: "x\r\ny", Service: "s", Address: "1.2.3.4:5"}, {Id: "c", Service: "s", Address: "0.0.0.0:1", Slots: -4, ColdNano: -1}} {
 		raw, err := proto.Marshal(s)
 		if err != nil {
 			f.Fatal(err)
@@ -76,44 +77,44 @@
 		f.Add(raw, false)
 	}
 	f.Fuzz(func(t *testing.T, raw []byte, delta bool) {
-		var odd fleetpb.Server
-		if proto.Unmarshal(raw, &odd) != nil || odd.GetId() == "good" {
+		var fuzzed fleetpb.Server
+		if proto.Unmarshal(raw, &fuzzed) != nil || fuzzed.GetId() == "good" {
 			return
 		}
 		d := directory.New()
 		follower := &directory.Follower{Directory: d, Recorder: event.Discard()}
 		fleet := New(Options{Directory: d, Holder: site.NewHolder(), Recorder: event.Discard(), OfferList: follower.Take, OfferChanges: follower.TakeChanges})
-		fleet.take("p", &fleetpb.NewestResponse{ListPosition: 5, Delta: delta, Servers: []*fleetpb.Server{&odd, goodServer("good")}})
+		fleet.applyAnswer("p", &fleetpb.NewestResponse{ListPosition: 5, Delta: delta, Servers: []*fleetpb.Server{&fuzzed, validServer("good")}})
 		kept := false
 		for _, l := range d.View().Listings {
 			kept = kept || (l.ID == "good" && l.Invalid == "")
 			if l.Invalid == "" && (!directory.ValidID(l.ID) || !directory.ValidAddress(l.Address) || l.Service == "") {
-				t.Fatalf("taken as a server: %+v", l)
+				t.Fatalf("invalid server accepted: %+v", l)
 			}
 		}
 		if !kept {
-			t.Fatal("the good server is not kept")
+			t.Fatal("the valid server was dropped")
 		}
 	})
 }
 
-// The value of a row of the table of entry VMs.
+// FuzzPeersRow reads a registry row with an arbitrary value beside a valid one.
 func FuzzPeersRow(f *testing.F) {
 	for _, value := range []string{"2.2.2.2:2", "host:3", "", "[fe80::1%x]:5", "0.0.0.0:1", "\xff"} {
 		f.Add([]byte(value))
 	}
 	f.Fuzz(func(t *testing.T, value []byte) {
 		fleet := New(Options{Address: "9.9.9.9:9", Directory: directory.New(), Holder: site.NewHolder(), Recorder: event.Discard()})
-		found := fleet.addresses(map[string][]byte{"a": []byte("1.1.1.1:1"), "odd": value})
+		found := fleet.addresses(map[string][]byte{"a": []byte("1.1.1.1:1"), "fuzzed": value})
 		kept := false
 		for _, address := range found {
 			kept = kept || address == "1.1.1.1:1"
 			if !directory.ValidAddress(address) {
-				t.Fatalf("%q is taken as a peer", address)
+				t.Fatalf("%q was accepted as a peer address", address)
 			}
 		}
 		if !kept {
-			t.Fatal("the good row is not kept")
+			t.Fatal("the valid row was dropped")
 		}
 	})
 }
--- a/fleet/portions_test.go
+++ b/fleet/hashrange_test.go
@@ -10,10 +10,10 @@
 	"github.com/pearyard/pearyard/directory"
 )
 
-// 103 VMs place what a lost server ran in the same moment, among 360 idle servers. Guards
-// against portions of servers that the VMs of their cell don't choose from: many VMs sent
-// theirs to the same server.
-func TestVMsThatPlaceAgainChooseApart(t *testing.T) {
+// 103 VMs place the streams of a lost server at the same moment, among 360 idle servers.
+// Guards against hash ranges computed for other servers than those that the VMs of the
+// cell choose from: many VMs then sent their streams to the same server.
+func TestVMsThatPlaceAgainChooseDifferentServers(t *testing.T) {
 	const vms = 103
 	g := gomega.NewWithT(t)
 	var list []directory.Listing
--- a/fleet/loads.go
+++ b/fleet/loads.go
@@ -10,61 +10,63 @@
 )
 
 const (
-	// tellEvery is the shortest time between two tellings: a burst of streams
+	// minSendInterval is the shortest time between two reports, so that a burst of streams
 	// goes into one.
-	tellEvery = 20 * time.Millisecond
-	// tellAgain is how often an unchanged load is told; a telling may be lost.
-	tellAgain = time.Second
-	// loadLife is how long a telling counts. It covers two that were lost; an
-	// entry VM that is gone leaves no load for longer.
-	loadLife = 2500 * time.Millisecond
-	// lossLife is how long a server found lost is told of.
-	lossLife = time.Second
+	minSendInterval = 20 * time.Millisecond
+	// resendInterval is how often an unchanged report is repeated, as a datagram may be
+	// lost.
+	resendInterval = time.Second
+	// loadTTL is how long a report is valid. It covers two lost datagrams, and bounds how
+	// long the load of an entry VM that is gone still counts.
+	loadTTL = 2500 * time.Millisecond
+	// lossTTL is how long the loss of a server is reported.
+	lossTTL = time.Second
 )
 
-// LoadsOptions of a Loads.
+// LoadsOptions configures a Loads.
 type LoadsOptions struct {
 	Socket    *Socket
-	Near      func() []string // who is told
+	Near      func() []string // addresses of the receivers
 	Directory *directory.Directory
 }
 
-// Loads tells the other entry VMs what this one has put on which backend
-// server, and takes in what they tell. Without it each sees only its own
-// streams, and after a loss they all choose the same idle servers: a prompt
-// that takes a second to be read then takes four.
+// Loads reports the load that this entry VM has placed on each backend server to the other
+// entry VMs, and receives their reports. Without it each VM sees only its own streams, and
+// after the loss of a server all VMs choose the same idle servers: reading a prompt that
+// takes one second then takes four.
 //
-// A telling replaces the sender's former one. One that is lost, late or
-// doubled makes a choice worse for a moment and nothing else.
+// A report replaces the previous one of the same sender. One that is lost, late or
+// duplicated only makes choices worse for a moment.
 type Loads struct {
 	opts LoadsOptions
 
-	mu   sync.Mutex
-	from map[string]*told // by sender
+	mu      sync.Mutex
+	senders map[string]*loadSender // by sender
 }
 
-type told struct {
-	head head
-	at   time.Time
+// loadSender is the state kept for one sender of reports.
+type loadSender struct {
+	header header
+	at     time.Time
 }
 
-// NewLoads returns a Loads that speaks through a socket.
+// NewLoads returns a Loads that communicates through opts.Socket.
 func NewLoads(opts LoadsOptions) *Loads {
-	l := &Loads{opts: opts, from: map[string]*told{}}
-	opts.Socket.handle(kindLoads, l.take)
+	l := &Loads{opts: opts, senders: map[string]*loadSender{}}
+	opts.Socket.handle(kindLoads, l.receive)
 	return l
 }
 
-// Run tells until ctx ends.
+// Run sends reports until ctx ends.
 func (l *Loads) Run(ctx context.Context) error {
-	again := time.NewTicker(tellAgain)
-	defer again.Stop()
+	ticker := time.NewTicker(resendInterval)
+	defer ticker.Stop()
 	idle := false
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-again.C:
+		case <-ticker.C:
 			l.expire(time.Now())
 			if idle {
 				continue
@@ -73,52 +75,52 @@
 		}
 		own := l.opts.Directory.Own()
 		idle = len(own) == 0
-		l.opts.Socket.SendTo(encodeLoads(own, l.opts.Directory.LostHere(time.Now(), lossLife)), l.opts.Near())
-		if err := retry.Wait(ctx, tellEvery); err != nil {
+		l.opts.Socket.SendTo(encodeLoads(own, l.opts.Directory.LostHere(time.Now(), lossTTL)), l.opts.Near())
+		if err := retry.Wait(ctx, minSendInterval); err != nil {
 			return err
 		}
 	}
 }
 
-// take takes in one telling; what can't be read or is older than what is known
-// is dropped.
-func (l *Loads) take(from string, h head, raw []byte, now time.Time) bool {
+// receive handles a report. One that can't be decoded, or is older than what is known, is
+// dropped.
+func (l *Loads) receive(from string, h header, raw []byte, now time.Time) bool {
 	loads, lost, ok := decodeLoads(raw)
 	if !ok {
 		return false
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	t := l.from[from]
+	t := l.senders[from]
 	if t == nil {
-		t = &told{}
-		l.from[from] = t
+		t = &loadSender{}
+		l.senders[from] = t
 	}
-	if !h.after(t.head) {
+	if !h.newerThan(t.header) {
 		return true
 	}
 	l.opts.Directory.Others(from, loads)
-	*t = told{head: h, at: now}
+	*t = loadSender{header: h, at: now}
 	for _, server := range lost {
 		l.opts.Directory.LostElsewhere(server, now)
 	}
 	return true
 }
 
-// expire drops the load of entry VMs that have fallen silent.
+// expire drops the load of entry VMs that have been silent for loadTTL.
 func (l *Loads) expire(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for from, t := range l.from {
-		if now.Sub(t.at) < loadLife {
+	for from, t := range l.senders {
+		if now.Sub(t.at) < loadTTL {
 			continue
 		}
 		l.opts.Directory.Others(from, nil)
-		if now.Sub(t.at) > forgetSender {
-			delete(l.from, from)
+		if now.Sub(t.at) > senderTTL {
+			delete(l.senders, from)
 		}
 	}
 }
 
-// forgetSender is when a silent sender's numbers are forgotten.
-const forgetSender = time.Minute
+// senderTTL is how long the state of a silent sender, with its sequence number, is kept.
+const senderTTL = time.Minute
--- a/fleet/members.go
+++ b/fleet/members.go
@@ -2,32 +2,33 @@
 
 import "time"
 
-// MembersRead notes what the registry of entry VMs says, by a digest, and tells the
-// others if this VM is a watcher.
+// MembersRead records the digest of the entry VMs just read from the registry; a watcher
+// announces it.
 func (e *Election) MembersRead(digest uint64) {
-	e.digest.Store(digest)
+	e.membersDigest.Store(digest)
 	e.delegateMembers(time.Now())
-	if e.Watches() {
+	if e.IsWatcher() {
 		e.announce(announcement{membersReadNow: true})
 	}
 }
 
-// MembersDelegated tells whether a watcher has lately read the registry and found
-// what is known here.
+// MembersDelegated reports whether a watcher has recently read the registry and found the
+// same entry VMs as are known here.
 func (e *Election) MembersDelegated() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return time.Now().Before(e.membersUntil)
+	return time.Now().Before(e.membersDelegatedUntil)
 }
 
-// NewMembers holds a token when a watcher has found other entry VMs than are known here.
+// NewMembers returns a channel that holds a token when a watcher has found other entry VMs
+// than are known here.
 func (e *Election) NewMembers() <-chan struct{} { return e.newMembers }
 
-// receiveMembers takes in what a watcher has read of the registry.
+// receiveMembers handles the digest that a watcher has read from the registry.
 func (e *Election) receiveMembers(digest uint64, now time.Time) {
-	own := e.digest.Load()
+	own := e.membersDigest.Load()
 	if own == 0 {
-		return // it is being read
+		return // this process has not read the registry yet
 	}
 	if digest != own {
 		signal(e.newMembers)
@@ -39,5 +40,5 @@
 func (e *Election) delegateMembers(at time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.membersUntil = at.Add(membersLeaseTime)
+	e.membersDelegatedUntil = at.Add(membersLeaseTime)
 }
--- a/fleet/race_test.go
+++ b/fleet/race_test.go
@@ -2,6 +2,6 @@
 
 package fleet
 
-// raceDetector tells whether the race detector is on. Its runtime ends a process that
-// has made as many goroutines as 400 VMs need.
+// raceDetector reports whether the race detector is on. Its runtime aborts a process that
+// has created as many goroutines as 400 VMs need.
 const raceDetector = true
--- /dev/null
+++ b/fleet/ratelimiter.go
@@ -0,0 +1,36 @@
+package fleet
+
+import (
+	"sync"
+	"time"
+)
+
+const (
+	// maxSendRate bounds the full configurations and lists sent to peers, in bytes per
+	// second: half of the slowest link of an entry VM, 10 Mbit/s. The other half is for
+	// its callers.
+	maxSendRate = 625_000
+	// serverEntryBytes is the approximate encoded size of a server's entry in a list.
+	serverEntryBytes = 100
+)
+
+// rateLimiter limits the rate of large answers to peers.
+//
+// After an outage or a mass restart all VMs send queries at once. Links full of lists that
+// arrive too late would leave no bandwidth for callers. A VM that gets no answer asks
+// another peer.
+type rateLimiter struct {
+	mu   sync.Mutex
+	next time.Time // when the next answer may start
+}
+
+// allow reports whether an answer of that size may start now, and reserves its time if so.
+func (p *rateLimiter) allow(bytes int, now time.Time) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if now.Before(p.next) {
+		return false
+	}
+	p.next = now.Add(time.Duration(bytes) * time.Second / maxSendRate)
+	return true
+}
--- a/fleet/readtimes.go
+++ b/fleet/readtimes.go
@@ -8,40 +8,40 @@
 	"github.com/pearyard/pearyard/retry"
 )
 
-// tellReadTimes is how often new measures are told: a server's speed changes less often,
-// and each process measures some servers a second.
-const tellReadTimes = 200 * time.Millisecond
+// readTimesInterval is how often new measurements are sent. The speed of a server changes
+// less often, and each process measures a few servers per second.
+const readTimesInterval = 200 * time.Millisecond
 
-// ReadTimes tells the other entry VMs how fast backend servers read prompts, and takes in
-// what they tell: each VM alone meets a server too rarely to know.
+// ReadTimes sends the measured prompt reading speed of backend servers to the other entry
+// VMs and receives theirs. A single VM uses each server too rarely to know its speed.
 //
-// Each measure is told once. One that is lost leaves the others with older ones.
+// Each measurement is sent once. If it is lost, the other VMs keep the older ones.
 type ReadTimes struct {
 	socket    *Socket
-	near      func() []string // who is told
+	cellPeers func() []string // addresses of the receivers
 	directory *directory.Directory
 }
 
-// NewReadTimes returns a ReadTimes that speaks through a socket.
+// NewReadTimes returns a ReadTimes that communicates through a socket.
 func NewReadTimes(socket *Socket, near func() []string, d *directory.Directory) *ReadTimes {
-	r := &ReadTimes{socket: socket, near: near, directory: d}
-	socket.handle(kindReadTimes, r.take)
+	r := &ReadTimes{socket: socket, cellPeers: near, directory: d}
+	socket.handle(kindReadTimes, r.receive)
 	return r
 }
 
-// Run tells until ctx ends.
+// Run sends new measurements until ctx ends.
 func (r *ReadTimes) Run(ctx context.Context) error {
 	for {
-		if err := retry.Wait(ctx, tellReadTimes); err != nil {
+		if err := retry.Wait(ctx, readTimesInterval); err != nil {
 			return err
 		}
 		if times := r.directory.UntoldReadTimes(); len(times) > 0 {
-			r.socket.SendTo(encodeReadTimes(times), r.near())
+			r.socket.SendTo(encodeReadTimes(times), r.cellPeers())
 		}
 	}
 }
 
-func (r *ReadTimes) take(_ string, _ head, raw []byte, now time.Time) bool {
+func (r *ReadTimes) receive(_ string, _ header, raw []byte, now time.Time) bool {
 	times, ok := decodeReadTimes(raw)
 	for _, t := range times {
 		r.directory.MeasuredElsewhere(t, now)
--- a/fleet/readtimes_test.go
+++ b/fleet/readtimes_test.go
@@ -11,25 +11,25 @@
 	"github.com/pearyard/pearyard/directory"
 )
 
-func threeServers() *directory.Directory {
+func newThreeServers() *directory.Directory {
 	d := directory.New()
 	d.Apply(1, []directory.Listing{{ID: "i1", Service: "s", Address: "i1"}, {ID: "i2", Service: "s", Address: "i2"}, {ID: "i3", Service: "s", Address: "i3"}}, false, time.Now())
 	return d
 }
 
-// Guards against a VM that takes a slow server for an ordinary one until it has sent it
-// a prompt itself.
-func TestMeasuresReachTheOthers(t *testing.T) {
+// Guards against a VM that takes a slow server for a normal one until it has sent it a
+// prompt itself.
+func TestReadTimesReachOtherVMs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		here, there := threeServers(), threeServers()
+		here, there := newThreeServers(), newThreeServers()
 		receiver := NewSocket("there", func() []string { return nil }, nil)
 		NewReadTimes(receiver, func() []string { return nil }, there)
 		sender := NewSocket("here", func() []string { return nil }, nil)
 		sent := 0
 		sender.write = func(raw []byte, _ string) bool {
 			sent++
-			receiver.take("here", raw, time.Now())
+			receiver.dispatch("here", raw, time.Now())
 			return true
 		}
 		ctx, cancel := context.WithCancel(t.Context())
@@ -45,7 +45,7 @@
 		there.Pick(directory.Query{Service: "s", Prompt: 8000}, time.Now())
 		g.Expect(there.View().Service("s")[2].Slowness()).To(gomega.BeNumerically("~", 1.5, 0.01))
 		time.Sleep(time.Minute)
-		g.Expect(sent).To(gomega.Equal(3), "each measure is told once")
+		g.Expect(sent).To(gomega.Equal(3), "each measurement is sent once")
 	})
 }
 
@@ -57,9 +57,9 @@
 		if !ok {
 			return
 		}
-		again := encodeReadTimes(times).raw
-		if len(raw) <= maxDatagram-headBytes && string(again) != string(raw) {
-			t.Fatalf("%x became %x", raw, again)
+		encoded := encodeReadTimes(times).raw
+		if len(raw) <= maxDatagram-headerBytes && string(encoded) != string(raw) {
+			t.Fatalf("%x became %x", raw, encoded)
 		}
 	})
 }
--- a/fleet/restarts.go
+++ b/fleet/restarts.go
@@ -6,30 +6,30 @@
 	"github.com/pearyard/pearyard/directory"
 )
 
-// Restarts tells the other entry VMs of backend servers that were started again
-// while the store is away, and takes in what they tell.
+// Restarts tells the other entry VMs of backend servers that were restarted while the
+// store is unavailable, and receives what they tell.
 type Restarts struct {
 	socket    *Socket
 	directory *directory.Directory
 }
 
-// NewRestarts returns a Restarts that speaks through a socket.
+// NewRestarts returns a Restarts that communicates through a socket.
 func NewRestarts(socket *Socket, d *directory.Directory) *Restarts {
 	r := &Restarts{socket: socket, directory: d}
-	socket.handle(kindRestart, r.take)
+	socket.handle(kindRestart, r.receive)
 	return r
 }
 
-// Found notes a restart here and tells the others.
+// Found records a restart that this process has detected, and tells the other VMs.
 func (r *Restarts) Found(old *directory.Server, start directory.Start) {
 	if r.directory.Adopt(old, start, time.Now()) {
 		r.socket.Send(encodeRestart(old.Hash(), start))
 	}
 }
 
-// take takes in a restart. Doubled ones are no news, and one of a start before
-// the known one is dropped.
-func (r *Restarts) take(_ string, _ head, raw []byte, now time.Time) bool {
+// receive handles the restart of a server. Duplicates have no effect, and a start that is
+// older than the known one is dropped.
+func (r *Restarts) receive(_ string, _ header, raw []byte, now time.Time) bool {
 	server, start, ok := decodeRestart(raw)
 	if ok {
 		r.directory.AdoptAs(server, start, now)
--- a/fleet/share.go
+++ b/fleet/share.go
@@ -2,34 +2,36 @@
 
 import "time"
 
-// share is an Election for one subject.
-type share struct {
+// subjectShare is the part of an Election for one subject.
+type subjectShare struct {
 	election *Election
 	subject  Subject
 }
 
-// For returns the election's part for one subject, as followers know it.
-func (e *Election) For(s Subject) *share { return &share{election: e, subject: s} }
+// For returns the part of the election for one subject, as a follow.Share.
+func (e *Election) For(s Subject) *subjectShare { return &subjectShare{election: e, subject: s} }
 
 // Delegated implements follow.Share.
-func (s *share) Delegated() time.Duration { return s.election.Delegated(s.subject) }
+func (s *subjectShare) Delegated() time.Duration { return s.election.Delegated(s.subject) }
 
 // Wait implements follow.Share.
-func (s *share) Wait(alone time.Duration) time.Duration {
-	if s.election.Alone() {
+func (s *subjectShare) Wait(alone time.Duration) time.Duration {
+	if s.election.AllWatch() {
 		return alone
 	}
 	return pollTimeout
 }
 
 // Pause implements follow.Share.
-func (s *share) Pause(d time.Duration, others bool) time.Duration { return s.election.Pause(d, others) }
+func (s *subjectShare) Pause(d time.Duration, others bool) time.Duration {
+	return s.election.Pause(d, others)
+}
 
 // Read implements follow.Share.
-func (s *share) Read(age time.Duration) { s.election.Read(s.subject, age) }
+func (s *subjectShare) Read(age time.Duration) { s.election.Read(s.subject, age) }
 
 // Failed implements follow.Share.
-func (s *share) Failed() { s.election.Failed(s.subject) }
+func (s *subjectShare) Failed() { s.election.Failed(s.subject) }
 
 // Updates implements follow.Share.
-func (s *share) Updates() <-chan struct{} { return s.election.updates[s.subject] }
+func (s *subjectShare) Updates() <-chan struct{} { return s.election.updates[s.subject] }
--- a/fleet/socket.go
+++ b/fleet/socket.go
@@ -14,60 +14,61 @@
 	"github.com/pearyard/pearyard/event"
 )
 
-// Socket sends datagrams to all other entry VMs and hands on what they send.
+// Socket sends datagrams to the other entry VMs and dispatches those that it receives by
+// their kind.
 type Socket struct {
-	address  string
-	peers    func() []string
-	life     uint64
-	order    sync.Mutex // held while a datagram is sent: a receiver drops one that a later one overtook
-	seq      atomic.Uint32
-	conn     atomic.Pointer[net.UDPConn]
-	write    func(raw []byte, peer string) bool // writeUDP, or a test's own network
-	handlers map[kind]handler
-	recorder *event.Recorder // may be nil
-	sent     prometheus.Counter
-	got      prometheus.Counter
-	bad      prometheus.Counter
-
-	// Of datagrams that can't be read; only Run's goroutine uses these.
-	toldBad  time.Time
-	untoldOf int
+	address     string
+	peers       func() []string
+	incarnation uint64
+	sendMu      sync.Mutex // held while a datagram is sent: a receiver drops one that arrives after a later one
+	seq         atomic.Uint32
+	conn        atomic.Pointer[net.UDPConn]
+	write       func(raw []byte, peer string) bool // writeUDP, or the simulated network of a test
+	handlers    map[kind]handler
+	recorder    *event.Recorder // may be nil
+	sent        prometheus.Counter
+	received    prometheus.Counter
+	unreadable  prometheus.Counter
+
+	// Log state of unreadable datagrams; only Run's goroutine uses it.
+	lastReported time.Time
+	unreported   int
 }
 
-// handler takes a datagram without its head. It reports whether it could be read.
-type handler func(from string, h head, raw []byte, now time.Time) bool
+// handler handles the body of a datagram. It reports whether the body could be decoded.
+type handler func(from string, h header, raw []byte, now time.Time) bool
 
-// badEvery is the shortest time between two lines on datagrams that can't be
-// read: anything may send to the port, as fast as it likes.
-const badEvery = time.Second
+// unreadableInterval is the shortest time between two log lines on unreadable datagrams.
+// Any program may send to the port at any rate.
+const unreadableInterval = time.Second
 
-// NewSocket returns a socket for address (UDP, ip:port).
+// NewSocket returns a socket that listens at a UDP address (ip:port) and sends to peers.
 func NewSocket(address string, peers func() []string, metrics prometheus.Registerer) *Socket {
 	s := &Socket{
-		address: address, peers: peers, life: uint64(time.Now().UnixNano()),
-		handlers: map[kind]handler{},
-		sent:     prometheus.NewCounter(prometheus.CounterOpts{Name: "pearyard_fleet_datagrams_sent_total", Help: "Datagrams sent to other entry VMs."}),
-		got:      prometheus.NewCounter(prometheus.CounterOpts{Name: "pearyard_fleet_datagrams_received_total", Help: "Datagrams from other entry VMs."}),
-		bad:      prometheus.NewCounter(prometheus.CounterOpts{Name: "pearyard_fleet_datagrams_unreadable_total", Help: "Datagrams that can't be read or are of no known kind."}),
+		address: address, peers: peers, incarnation: uint64(time.Now().UnixNano()),
+		handlers:   map[kind]handler{},
+		sent:       prometheus.NewCounter(prometheus.CounterOpts{Name: "pearyard_fleet_datagrams_sent_total", Help: "Datagrams sent to other entry VMs."}),
+		received:   prometheus.NewCounter(prometheus.CounterOpts{Name: "pearyard_fleet_datagrams_received_total", Help: "Datagrams from other entry VMs."}),
+		unreadable: prometheus.NewCounter(prometheus.CounterOpts{Name: "pearyard_fleet_datagrams_unreadable_total", Help: "Datagrams that can't be read or are of no known kind."}),
 	}
 	s.write = s.writeUDP
 	if metrics != nil {
-		metrics.MustRegister(s.sent, s.got, s.bad)
+		metrics.MustRegister(s.sent, s.received, s.unreadable)
 	}
 	return s
 }
 
-// handle sets who takes datagrams of a kind; it is called before Run.
+// handle sets the handler for a kind of datagrams; it must be called before Run.
 func (s *Socket) handle(k kind, f handler) { s.handlers[k] = f }
 
-// Report has datagrams that can't be read told; it is called before Run.
+// Report sets the recorder for unreadable datagrams; it must be called before Run.
 func (s *Socket) Report(r *event.Recorder) { s.recorder = r }
 
-// Run listens until ctx ends.
+// Run receives datagrams until ctx ends.
 func (s *Socket) Run(ctx context.Context) error {
 	addr, err := net.ResolveUDPAddr("udp4", s.address)
 	if err != nil {
-		return errors.Wrap(err, "fleet: address for datagrams")
+		return errors.Wrap(err, "fleet: resolve address for datagrams")
 	}
 	conn, err := net.ListenUDP("udp4", addr)
 	if err != nil {
@@ -83,42 +84,43 @@
 			return ctx.Err()
 		}
 		if err != nil {
-			// A peer's port that nobody listens on is told as an error here.
+			// For example an ICMP error: nothing listens on the port of a peer.
 			continue
 		}
-		s.take(from.String(), buf[:n], time.Now())
+		s.dispatch(from.String(), buf[:n], time.Now())
 	}
 }
 
-func (s *Socket) take(from string, raw []byte, now time.Time) {
-	k, h, rest, ok := decodeHead(raw)
+func (s *Socket) dispatch(from string, raw []byte, now time.Time) {
+	k, h, rest, ok := decodeHeader(raw)
 	if handle := s.handlers[k]; ok && handle != nil && handle(from, h, rest, now) {
-		s.got.Inc()
+		s.received.Inc()
 		return
 	}
-	s.bad.Inc()
-	s.tellBad(from, raw, now)
+	s.unreadable.Inc()
+	s.reportUnreadable(from, raw, now)
 }
 
-// tellBad tells of a datagram that can't be read, and how many were not told of.
-func (s *Socket) tellBad(from string, raw []byte, now time.Time) {
-	if s.recorder == nil || now.Sub(s.toldBad) < badEvery {
-		s.untoldOf++
+// reportUnreadable logs an unreadable datagram, with the number of those that were not
+// logged since the last line.
+func (s *Socket) reportUnreadable(from string, raw []byte, now time.Time) {
+	if s.recorder == nil || now.Sub(s.lastReported) < unreadableInterval {
+		s.unreported++
 		return
 	}
-	s.recorder.Emit(EventDatagramUnreadable, "from", from, "bytes", len(raw), "begins", fmt.Sprintf("%x", raw[:min(len(raw), headBytes)]), "others", s.untoldOf)
-	s.toldBad, s.untoldOf = now, 0
+	s.recorder.Emit(EventDatagramUnreadable, "from", from, "bytes", len(raw), "begins", fmt.Sprintf("%x", raw[:min(len(raw), headerBytes)]), "others", s.unreported)
+	s.lastReported, s.unreported = now, 0
 }
 
-// Send sends a datagram to all peers. One that can't be told knows less for a
-// moment; the next datagram follows within a second.
+// Send sends a datagram to all peers. Errors are ignored: a peer that misses a datagram
+// gets the next one within a second.
 func (s *Socket) Send(b body) { s.SendTo(b, s.peers()) }
 
-// SendTo sends a datagram to some peers.
+// SendTo sends a datagram to some peers; see Send.
 func (s *Socket) SendTo(b body, peers []string) {
-	s.order.Lock()
-	defer s.order.Unlock()
-	raw := append(encodeHead(b.kind, head{life: s.life, seq: s.seq.Add(1)}), b.raw...)
+	s.sendMu.Lock()
+	defer s.sendMu.Unlock()
+	raw := append(encodeHeader(b.kind, header{incarnation: s.incarnation, seq: s.seq.Add(1)}), b.raw...)
 	for _, peer := range peers {
 		if s.write(raw, peer) {
 			s.sent.Inc()
--- a/fleet/stops.go
+++ b/fleet/stops.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// Stopping notes that a planned stop of this VM has begun, and announces it.
+// Stopping records that a planned stop of this VM has begun, and announces it.
 func (e *Election) Stopping() {
 	e.stopping.Store(true)
 	e.announce(announcement{})
 }
 
-// AllStop tells whether all other VMs have announced that they stop. Those that are
-// silent serve: beyond the candidates VMs announce nothing while they do, and
-// datagrams may be lost. A VM that stops announces it once at least.
+// AllStop reports whether all other VMs have announced that they stop. A silent VM counts
+// as serving: a VM beyond the candidates announces nothing while it serves, and datagrams
+// may be lost. Each stopping VM announces it at least once.
 func (e *Election) AllStop() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -24,8 +24,8 @@
 	return stopping > 0 && stopping+1 >= e.opts.Size()
 }
 
-// FirstStop returns when the first of the other VMs that stop announced it; zero if
-// none does. It is the one that is back first.
+// FirstStop returns when the first of the other stopping VMs announced its stop; zero if
+// none has. That VM will be the first to be back.
 func (e *Election) FirstStop() (first time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/fleet/wire.go
+++ b/fleet/wire.go
@@ -8,80 +8,89 @@
 	"github.com/pearyard/pearyard/directory"
 )
 
-// Datagrams between entry VMs, all numbers big endian. The head: kind (1 byte),
-// life of the sender (8, grows with each start), sequence number (4). Loads:
-// number of loads (2), number of lost servers (2), for each load server (4),
-// streams (1), copies (1), prompt tokens in units (2), for each lost server 4
-// bytes. Announcements: flags (1), spans of configuration and list (first and
-// last place, 8 each), digest of the entry VMs (8). Restarts: server (4),
-// when its new start was born (8), the id of that. Budgets: for each service its name's hash (4), first tries and
-// retries (2 each). Read times: for each server its hash (4), nanoseconds a prompt token (4).
-// JSON would be three times as long.
+// Datagrams between entry VMs, all numbers big endian. JSON would be three times as long.
+//
+// Header: kind (1 byte), incarnation of the sender (8, grows with each start), sequence
+// number (4).
+//
+// Loads: number of loads (2), number of lost servers (2), for each load its server (4),
+// streams (1), copies (1), prompt tokens in units of prefillUnit (2), for each lost server
+// its hash (4).
+//
+// Announcement: flags (1), spans of configuration and list (first and last position, 8
+// each), digest of the entry VMs (8).
+//
+// Restart: server (4), birth time of its new start (8), ID of its new start.
+//
+// Budget: for each service the hash of its name (4), first tries and retries (2 each).
+//
+// Read times: for each server its hash (4), nanoseconds per prompt token (4).
 const (
 	kindLoads  kind = 1
 	kindBudget kind = 4
-	// kindRestart is not 3, which names the new start by its id alone: an entry
-	// VM of an older release would take the time of birth for part of the id.
+	// kindRestart is not 3, the former kind that names the new start by its ID alone: an
+	// entry VM of an older release would read the birth time as part of the ID.
 	kindRestart kind = 5
-	// kindAnnouncement is not 2, which has single places in place of spans.
+	// kindAnnouncement is not 2, the former kind that has single positions in place of
+	// spans.
 	kindAnnouncement kind = 6
 	kindReadTimes    kind = 7
 
-	headBytes         = 13
+	headerBytes       = 13
 	countBytes        = 4
 	loadBytes         = 8
-	lostBytes         = 4
+	serverHashBytes   = 4
 	announcementBytes = 41
 	readTimeBytes     = 8
-	// restartBytes is what stands before the id.
-	restartBytes = lostBytes + 8
+	// restartBytes is the length of the fields before the ID.
+	restartBytes = serverHashBytes + 8
 
-	// maxDatagram is under the size at which a datagram is split.
+	// maxDatagram is below the size at which a datagram is fragmented.
 	maxDatagram = 1400
-	// prefillUnit is the grain of prompt tokens.
+	// prefillUnit is the granularity of prompt token counts.
 	prefillUnit = 64
 )
 
 type kind uint8
 
-// head orders the datagrams of one sender.
-type head struct {
-	life uint64
-	seq  uint32
+// header identifies a datagram and orders those of one sender.
+type header struct {
+	incarnation uint64
+	seq         uint32
 }
 
-// after tells whether a datagram is newer than another of the same sender. One
-// that is doubled or late must not undo what a newer one said.
-func (h head) after(old head) bool {
-	return h.life > old.life || (h.life == old.life && h.seq > old.seq)
+// newerThan reports whether a datagram is newer than another of the same sender. A
+// duplicate or late one must not undo what a newer one said.
+func (h header) newerThan(old header) bool {
+	return h.incarnation > old.incarnation || (h.incarnation == old.incarnation && h.seq > old.seq)
 }
 
-func encodeHead(k kind, h head) []byte {
+func encodeHeader(k kind, h header) []byte {
 	out := make([]byte, 0, maxDatagram)
 	out = append(out, byte(k))
-	out = binary.BigEndian.AppendUint64(out, h.life)
+	out = binary.BigEndian.AppendUint64(out, h.incarnation)
 	return binary.BigEndian.AppendUint32(out, h.seq)
 }
 
-func decodeHead(raw []byte) (kind, head, []byte, bool) {
-	if len(raw) < headBytes {
-		return 0, head{}, nil, false
+func decodeHeader(raw []byte) (kind, header, []byte, bool) {
+	if len(raw) < headerBytes {
+		return 0, header{}, nil, false
 	}
-	h := head{life: binary.BigEndian.Uint64(raw[1:]), seq: binary.BigEndian.Uint32(raw[9:])}
-	return kind(raw[0]), h, raw[headBytes:], true
+	h := header{incarnation: binary.BigEndian.Uint64(raw[1:]), seq: binary.BigEndian.Uint32(raw[9:])}
+	return kind(raw[0]), h, raw[headerBytes:], true
 }
 
-// body is a datagram without its head.
+// body is a datagram without its header.
 type body struct {
 	kind kind
 	raw  []byte
 }
 
 func encodeLoads(loads []directory.Load, lost []uint32) body {
-	const room = maxDatagram - headBytes - countBytes
+	const room = maxDatagram - headerBytes - countBytes
 	loads = loads[:min(len(loads), room/loadBytes)]
-	lost = lost[:min(len(lost), (room-len(loads)*loadBytes)/lostBytes)]
-	out := make([]byte, 0, countBytes+len(loads)*loadBytes+len(lost)*lostBytes)
+	lost = lost[:min(len(lost), (room-len(loads)*loadBytes)/serverHashBytes)]
+	out := make([]byte, 0, countBytes+len(loads)*loadBytes+len(lost)*serverHashBytes)
 	out = binary.BigEndian.AppendUint16(out, uint16(len(loads)))
 	out = binary.BigEndian.AppendUint16(out, uint16(len(lost)))
 	for _, load := range loads {
@@ -101,7 +110,7 @@
 	}
 	nLoads, nLost := int(binary.BigEndian.Uint16(raw)), int(binary.BigEndian.Uint16(raw[2:]))
 	raw = raw[countBytes:]
-	if len(raw) != nLoads*loadBytes+nLost*lostBytes {
+	if len(raw) != nLoads*loadBytes+nLost*serverHashBytes {
 		return nil, nil, false
 	}
 	loads = make([]directory.Load, nLoads)
@@ -117,22 +126,22 @@
 	raw = raw[nLoads*loadBytes:]
 	lost = make([]uint32, nLost)
 	for i := range lost {
-		lost[i] = binary.BigEndian.Uint32(raw[i*lostBytes:])
+		lost[i] = binary.BigEndian.Uint32(raw[i*serverHashBytes:])
 	}
 	return loads, lost, true
 }
 
-// announcement is what a VM tells of itself and of the store.
+// announcement is the state that a VM reports of itself and of the store.
 type announcement struct {
-	healthy        bool // the store answers it
-	watches        bool // it is one of the watchers
-	configReadNow  bool // the store has just confirmed the configuration
-	listReadNow    bool // and the list
-	membersReadNow bool // the store has just told who the entry VMs are
-	stopping       bool // a planned stop has begun: it takes little that is new
-	// Where in the store's history the sender's configuration and list are the newest.
-	config, list span
-	members      uint64 // digest of the entry VMs that the sender knows; 0: none read yet
+	healthy        bool // the store answers the sender
+	isWatcher      bool // the sender is one of the watchers
+	configReadNow  bool // the store has just confirmed the sender's configuration
+	listReadNow    bool // the store has just confirmed the sender's list
+	membersReadNow bool // the sender has just read the registry of entry VMs
+	stopping       bool // a planned stop has begun: the sender accepts little new work
+	// Store positions at which the sender's configuration and list are the newest.
+	config, list  span
+	membersDigest uint64 // hash of the entry VMs that the sender knows; 0: not read yet
 }
 
 const (
@@ -149,15 +158,15 @@
 	for _, f := range []struct {
 		set  bool
 		flag byte
-	}{{w.healthy, flagHealthy}, {w.configReadNow, flagConfig}, {w.listReadNow, flagList}, {w.stopping, flagStopping}, {w.membersReadNow, flagMembers}, {w.watches, flagWatches}} {
+	}{{w.healthy, flagHealthy}, {w.configReadNow, flagConfig}, {w.listReadNow, flagList}, {w.stopping, flagStopping}, {w.membersReadNow, flagMembers}, {w.isWatcher, flagWatches}} {
 		if f.set {
 			flags |= f.flag
 		}
 	}
 	out := make([]byte, 0, announcementBytes)
 	out = append(out, flags)
-	for _, place := range []uint64{w.config.from, w.config.to, w.list.from, w.list.to, w.members} {
-		out = binary.BigEndian.AppendUint64(out, place)
+	for _, number := range []uint64{w.config.from, w.config.to, w.list.from, w.list.to, w.membersDigest} {
+		out = binary.BigEndian.AppendUint64(out, number)
 	}
 	return body{kindAnnouncement, out}
 }
@@ -169,15 +178,15 @@
 	flags := raw[0]
 	number := func(i int) uint64 { return binary.BigEndian.Uint64(raw[1+8*i:]) }
 	w := announcement{
-		healthy: flags&flagHealthy != 0, watches: flags&flagWatches != 0, configReadNow: flags&flagConfig != 0, listReadNow: flags&flagList != 0,
+		healthy: flags&flagHealthy != 0, isWatcher: flags&flagWatches != 0, configReadNow: flags&flagConfig != 0, listReadNow: flags&flagList != 0,
 		membersReadNow: flags&flagMembers != 0, stopping: flags&flagStopping != 0,
-		config: span{number(0), number(1)}, list: span{number(2), number(3)}, members: number(4),
+		config: span{number(0), number(1)}, list: span{number(2), number(3)}, membersDigest: number(4),
 	}
 	return w, w.config.from <= w.config.to && w.list.from <= w.list.to
 }
 
 func encodeReadTimes(times []directory.ReadTime) body {
-	times = times[:min(len(times), (maxDatagram-headBytes)/readTimeBytes)]
+	times = times[:min(len(times), (maxDatagram-headerBytes)/readTimeBytes)]
 	out := make([]byte, 0, len(times)*readTimeBytes)
 	for _, t := range times {
 		out = binary.BigEndian.AppendUint32(out, t.Server)
@@ -211,37 +220,37 @@
 	if len(raw) < restartBytes || !directory.ValidID(string(raw[restartBytes:])) {
 		return 0, directory.Start{}, false
 	}
-	start = directory.Start{ID: string(raw[restartBytes:]), Born: int64(binary.BigEndian.Uint64(raw[lostBytes:]))}
+	start = directory.Start{ID: string(raw[restartBytes:]), Born: int64(binary.BigEndian.Uint64(raw[serverHashBytes:]))}
 	return binary.BigEndian.Uint32(raw), start, true
 }
 
-// spent is what one process has counted of a service's tries.
-type spent struct {
-	service      uint32
-	first, again uint16
+// tryCounts is what one process has counted of a service's tries.
+type tryCounts struct {
+	service             uint32
+	firstTries, retries uint16
 }
 
-const spentBytes = 8
+const tryCountsBytes = 8
 
-func encodeBudget(list []spent) body {
-	list = list[:min(len(list), (maxDatagram-headBytes)/spentBytes)]
-	out := make([]byte, 0, len(list)*spentBytes)
+func encodeBudget(list []tryCounts) body {
+	list = list[:min(len(list), (maxDatagram-headerBytes)/tryCountsBytes)]
+	out := make([]byte, 0, len(list)*tryCountsBytes)
 	for _, s := range list {
 		out = binary.BigEndian.AppendUint32(out, s.service)
-		out = binary.BigEndian.AppendUint16(out, s.first)
-		out = binary.BigEndian.AppendUint16(out, s.again)
+		out = binary.BigEndian.AppendUint16(out, s.firstTries)
+		out = binary.BigEndian.AppendUint16(out, s.retries)
 	}
 	return body{kindBudget, out}
 }
 
-func decodeBudget(raw []byte) ([]spent, bool) {
-	if len(raw)%spentBytes != 0 {
+func decodeBudget(raw []byte) ([]tryCounts, bool) {
+	if len(raw)%tryCountsBytes != 0 {
 		return nil, false
 	}
-	list := make([]spent, len(raw)/spentBytes)
+	list := make([]tryCounts, len(raw)/tryCountsBytes)
 	for i := range list {
-		at := raw[i*spentBytes:]
-		list[i] = spent{binary.BigEndian.Uint32(at), binary.BigEndian.Uint16(at[4:]), binary.BigEndian.Uint16(at[6:])}
+		at := raw[i*tryCountsBytes:]
+		list[i] = tryCounts{binary.BigEndian.Uint32(at), binary.BigEndian.Uint16(at[4:]), binary.BigEndian.Uint16(at[6:])}
 	}
 	return list, true
 }
