--- a/event/event.go
+++ b/event/event.go
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-// Level is the weight of an event.
+// Level is the severity of an event.
 type Level string
 
 // Levels of events.
@@ -16,9 +16,9 @@
 	Error Level = "error"
 )
 
-// Kind is one numbered event of the catalogue.
+// Kind is the definition of a numbered event in the catalogue.
 type Kind struct {
-	Number int    // unique; ranges by concern are listed in docs/EVENTS.md
+	Number int    // unique; docs/EVENTS.md lists the range of each concern
 	Name   string // snake_case, stable
 	Level  Level
 	Means  string // what happened
@@ -33,20 +33,20 @@
 	catalogue   = map[int]Kind{}
 )
 
-// Define adds a kind to the catalogue. It panics on a number used twice: that
-// is a mistake in the program, found by any test that loads the package.
+// Define adds a kind to the catalogue. It panics if the number is in use: that is a
+// programming error, which any test that loads both packages finds.
 func Define(number int, name string, lvl Level, means, do string) Kind {
 	catalogueMu.Lock()
 	defer catalogueMu.Unlock()
 	if old, ok := catalogue[number]; ok {
-		panic(fmt.Sprintf("event PY%04d is %s and %s", number, old.Name, name))
+		panic(fmt.Sprintf("event PY%04d is defined as both %s and %s", number, old.Name, name))
 	}
 	kind := Kind{Number: number, Name: name, Level: lvl, Means: means, Do: do}
 	catalogue[number] = kind
 	return kind
 }
 
-// Catalogue returns every defined kind by number.
+// Catalogue returns all defined kinds, sorted by number.
 func Catalogue() []Kind {
 	catalogueMu.Lock()
 	defer catalogueMu.Unlock()
--- a/event/event_test.go
+++ b/event/event_test.go
@@ -33,7 +33,7 @@
 	g.Expect(logged.String()).To(gomega.ContainSubstring("level=warn event=PY1999 name=event_test request=req-1 step=e"))
 }
 
-func TestEmittersSideBySideLoseNothing(t *testing.T) {
+func TestConcurrentEmitLosesNothing(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const emitters, each = 8, 200
 	r := event.NewRecorder(log.NewNopLogger(), emitters*each)
@@ -85,7 +85,7 @@
 	g.Expect(page.String()).To(gomega.ContainSubstring("| PY2001 | `n` | info | a \\| b | nothing |"))
 }
 
-// BenchmarkEmit measures an event on the path of requests, emitted side by side.
+// BenchmarkEmit measures concurrent calls of Emit, as on the request path.
 func BenchmarkEmit(b *testing.B) {
 	r := event.NewRecorder(log.NewNopLogger(), event.DefaultRingSize)
 	b.ReportAllocs()
--- a/event/page.go
+++ b/event/page.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Range is the block of event numbers that one concern defines its events in.
+// Range is the block of event numbers reserved for one concern.
 type Range struct {
 	First   int
 	Last    int
@@ -28,14 +28,14 @@
 	{2600, 2699, "Routing and retries"},
 	{2700, 2719, "Entry VMs: configuration and backend servers"},
 	{2720, 2739, "Entry VMs: requests"},
-	{2740, 2749, "Entry VMs among each other"},
+	{2740, 2749, "Communication between entry VMs"},
 	{2750, 2769, "Entry program"},
 	{3000, 3099, "Sidecar and stops"},
 	{3100, 3199, "Leases and orders"},
 	{4000, 4099, "Administration"},
 }
 
-// Find returns the kind with an operators' id (PY2101, 2101) or a name.
+// Find returns the kind with an ID as operators write it (PY2101 or 2101) or with a name.
 func Find(id string) (Kind, bool) {
 	number := strings.TrimPrefix(strings.ToUpper(id), "PY")
 	for _, kind := range Catalogue() {
@@ -46,7 +46,7 @@
 	return Kind{}, false
 }
 
-// WriteMarkdown writes the catalogue page that is kept as docs/EVENTS.md.
+// WriteMarkdown writes the catalogue as the page docs/EVENTS.md.
 func WriteMarkdown(w io.Writer, kinds []Kind) error {
 	var page strings.Builder
 	page.WriteString("# Events\n\n")
@@ -69,11 +69,11 @@
 		}
 		page.WriteString(header)
 		header = ""
-		fmt.Fprintf(page, "| %s | `%s` | %s | %s | %s |\n", kind.ID(), kind.Name, kind.Level, cell(kind.Means), cell(kind.Do))
+		fmt.Fprintf(page, "| %s | `%s` | %s | %s | %s |\n", kind.ID(), kind.Name, kind.Level, escapeCell(kind.Means), escapeCell(kind.Do))
 	}
 }
 
-// cell keeps a text inside one cell of a table.
-func cell(text string) string {
+// escapeCell escapes a text for a cell of a Markdown table.
+func escapeCell(text string) string {
 	return strings.NewReplacer("|", `\|`, "\n", " ").Replace(text)
 }
--- a/event/queue.go
+++ b/event/queue.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// DefaultQueueLines is how many log lines wait at most for the output. At
-	// 300 bytes a line that is 600 KB.
+	// DefaultQueueLines is the maximum number of log lines that wait for the output. At
+	// 300 bytes per line that is 600 KB.
 	DefaultQueueLines = 2048
-	// Shares of the queue up to which lines of a level are taken: ordinary ones
-	// are dropped first, those of failures last.
-	infoShare, warnShare = 0.5, 0.8
-	// batchBytes is how much is written at once.
+	// Fill levels of the queue up to which lines of a level are accepted: info lines are
+	// dropped first, then warnings, and errors last.
+	infoFill, warnFill = 0.5, 0.8
+	// batchBytes is the size from which on a batch of lines is written.
 	batchBytes = 32 << 10
-	// flushTimeout bounds the wait for the output at the end of a process.
+	// flushTimeout bounds the wait for the output when the process ends.
 	flushTimeout = 200 * time.Millisecond
 )
 
-// Queue is a logger that never waits for its output. An output that nobody
-// reads would otherwise stop the process at its next line. When the queue is
-// full, lines are dropped and the next line that is taken tells how many.
+// Queue is a logger that never waits for its output. Otherwise an output that nobody reads
+// would block the process at its next log line. While the queue is full, lines are
+// dropped, and the next accepted line carries the number of dropped lines.
 type Queue struct {
 	lines   chan []byte
 	out     io.Writer
@@ -37,7 +37,8 @@
 	once    sync.Once
 }
 
-// NewQueue returns a logger in logfmt that writes to out from a goroutine of its own.
+// NewQueue returns a logger that formats lines as logfmt, queues up to that many of them
+// and writes them to out in its own goroutine.
 func NewQueue(out io.Writer, lines int) *Queue {
 	q := &Queue{lines: make(chan []byte, lines), out: out, closing: make(chan struct{}), done: make(chan struct{})}
 	go q.run()
@@ -46,9 +47,9 @@
 
 // Log implements log.Logger. It never blocks and never fails.
 func (q *Queue) Log(keyvals ...any) error {
-	rank := rankOf(keyvals)
-	if q.full(rank) {
-		q.dropped[rank].Add(1)
+	severity := severityOf(keyvals)
+	if q.isFull(severity) {
+		q.dropped[severity].Add(1)
 		q.total.Add(1)
 		return nil
 	}
@@ -57,7 +58,7 @@
 	select {
 	case q.lines <- line.Bytes():
 	default:
-		q.dropped[rank].Add(1)
+		q.dropped[severity].Add(1)
 		q.total.Add(1)
 	}
 	return nil
@@ -66,32 +67,33 @@
 // Dropped returns how many lines have been dropped so far.
 func (q *Queue) Dropped() int64 { return q.total.Load() }
 
-func (q *Queue) full(rank int) bool {
-	have := float64(len(q.lines))
+func (q *Queue) isFull(severity int) bool {
+	queued := float64(len(q.lines))
 	size := float64(cap(q.lines))
-	switch rank {
+	switch severity {
 	case 0:
-		return have >= infoShare*size
+		return queued >= infoFill*size
 	case 1:
-		return have >= warnShare*size
+		return queued >= warnFill*size
 	default:
-		return have >= size
+		return queued >= size
 	}
 }
 
-// takeDropped returns the fields that tell of lines dropped since the last line.
+// takeDropped returns the log fields with the numbers of lines dropped since the last
+// line, and resets the numbers.
 func (q *Queue) takeDropped() []any {
 	var fields []any
-	for rank, name := range [...]string{"dropped_info", "dropped_warn", "dropped_error"} {
-		if q.dropped[rank].Load() == 0 {
+	for severity, name := range [...]string{"dropped_info", "dropped_warn", "dropped_error"} {
+		if q.dropped[severity].Load() == 0 {
 			continue
 		}
-		fields = append(fields, name, q.dropped[rank].Swap(0))
+		fields = append(fields, name, q.dropped[severity].Swap(0))
 	}
 	return fields
 }
 
-func rankOf(keyvals []any) int {
+func severityOf(keyvals []any) int {
 	for i := 0; i+1 < len(keyvals); i += 2 {
 		if keyvals[i] != level.Key() {
 			continue
@@ -114,7 +116,7 @@
 		case line := <-q.lines:
 			batch.Write(line)
 		case <-q.closing:
-			q.rest(&batch)
+			q.drain(&batch)
 			return
 		}
 		for len(q.lines) > 0 && batch.Len() < batchBytes {
@@ -124,20 +126,20 @@
 	}
 }
 
-func (q *Queue) rest(batch *bytes.Buffer) {
+func (q *Queue) drain(batch *bytes.Buffer) {
 	for len(q.lines) > 0 {
 		batch.Write(<-q.lines)
 	}
 	q.write(batch)
 }
 
-// write has nobody to tell of a failing output: the log is what would tell.
+// write ignores errors of the output, as there is no other place to log them.
 func (q *Queue) write(batch *bytes.Buffer) {
 	_, _ = q.out.Write(batch.Bytes())
 	batch.Reset()
 }
 
-// Close writes what waits, for a bounded time.
+// Close writes the queued lines, waiting at most flushTimeout for the output.
 func (q *Queue) Close() {
 	q.once.Do(func() { close(q.closing) })
 	select {
--- a/event/queue_test.go
+++ b/event/queue_test.go
@@ -13,38 +13,38 @@
 	"github.com/onsi/gomega"
 )
 
-// stuckWriter blocks until it is opened.
-type stuckWriter struct {
-	open   chan struct{}
-	called atomic.Int64 // writes begun
-	mu     sync.Mutex
-	got    bytes.Buffer
+// blockingWriter blocks until unblock is closed.
+type blockingWriter struct {
+	unblock chan struct{}
+	called  atomic.Int64 // number of calls of Write
+	mu      sync.Mutex
+	got     bytes.Buffer
 }
 
-func (w *stuckWriter) Write(p []byte) (int, error) {
+func (w *blockingWriter) Write(p []byte) (int, error) {
 	w.called.Add(1)
-	<-w.open
+	<-w.unblock
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.got.Write(p)
 }
 
-func (w *stuckWriter) text() string {
+func (w *blockingWriter) text() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.got.String()
 }
 
-// Nobody reads the log. Requests must go on at full speed, memory must not
-// grow, ordinary lines go first and those of failures last; once somebody reads
-// again, the log says how many lines are missing.
+// Guards against a process that blocks or grows without bound because nobody reads its
+// log. Requests go on at full speed, info lines are dropped before errors, and when the
+// log is read again it tells how many lines are missing.
 func TestQueueNeverWaitsForItsReader(t *testing.T) {
 	g := gomega.NewWithT(t)
-	out := &stuckWriter{open: make(chan struct{})}
+	out := &blockingWriter{unblock: make(chan struct{})}
 	const size = 100
 	q := NewQueue(out, size)
-	// The queue's own goroutine takes its first batch whenever it is scheduled.
-	// What waits is counted once it hangs in the output and takes no other.
+	// The goroutine of the queue takes its first batch whenever it is scheduled. The queue
+	// length is checked only when that goroutine blocks in Write and takes no more lines.
 	_ = level.Info(q).Log("info", "first")
 	g.Eventually(out.called.Load).Should(gomega.BeEquivalentTo(1))
 	began := time.Now()
@@ -57,21 +57,21 @@
 	g.Expect(time.Since(began)).To(gomega.BeNumerically("<", time.Second))
 	g.Expect(len(q.lines)).To(gomega.Equal(size))
 	g.Expect(q.Dropped()).To(gomega.BeEquivalentTo(2000 - size))
-	close(out.open)
+	close(out.unblock)
 	g.Eventually(func() int { return len(q.lines) }).Should(gomega.BeZero())
 	_ = level.Info(q).Log("info", "after")
 	q.Close()
 	text := out.text()
 	g.Expect(strings.Count(text, "failure=")).To(gomega.Equal(size / 2))
-	g.Expect(text).To(gomega.MatchRegexp(`failure=0 dropped_info=950`), "the next line that is taken tells")
+	g.Expect(text).To(gomega.MatchRegexp(`failure=0 dropped_info=950`), "the next accepted line carries the number")
 	g.Expect(text).To(gomega.MatchRegexp(`info=after dropped_error=950`))
 }
 
-// A line that was taken is written, in order.
+// Accepted lines are written in order.
 func TestQueueKeepsTheOrder(t *testing.T) {
 	g := gomega.NewWithT(t)
-	out := &stuckWriter{open: make(chan struct{})}
-	close(out.open)
+	out := &blockingWriter{unblock: make(chan struct{})}
+	close(out.unblock)
 	q := NewQueue(out, 1000)
 	var want strings.Builder
 	for i := range 300 {
--- a/event/recorder.go
+++ b/event/recorder.go
@@ -11,7 +11,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Entry is one event that happened, kept in a process's ring.
+// Entry is one recorded event.
 type Entry struct {
 	At     time.Time         `json:"at"`
 	ID     string            `json:"id"`
@@ -20,15 +20,16 @@
 	Fields map[string]string `json:"fields,omitempty"`
 }
 
-// FieldRequest is the field name under which an event carries the request it
-// belongs to; `pearyard explain` collects events by it.
+// FieldRequest is the name of the field that holds the ID of the request an event belongs
+// to; `pearyard explain` collects events by it.
 const FieldRequest = "request"
 
-// FieldRequests is that of an event about several: `ID@SERVER,ID@SERVER`.
+// FieldRequests is the name of the field of an event about several requests, in the form
+// `ID@SERVER,ID@SERVER`.
 const FieldRequests = "requests"
 
-// FieldEndedBy is the field of a request's last line that names the side that
-// ended it; the values are package exchange's.
+// FieldEndedBy is the name of the field of a request's last event that tells which side
+// ended the request; package exchange defines the values.
 const FieldEndedBy = "ended_by"
 
 // Separators within FieldRequests.
@@ -37,15 +38,15 @@
 	BetweenRequests = ","
 )
 
-// DefaultRingSize is how many events a process keeps in memory.
+// DefaultRingSize is how many events a process keeps in memory by default.
 const DefaultRingSize = 4096
 
-// discardRingSize is the ring of a recorder that logs nowhere.
+// discardRingSize is the ring size of a recorder returned by Discard.
 const discardRingSize = 256
 
-// Recorder logs events, counts them by kind and keeps the newest ones in a ring
-// of fixed size. Requests emit events side by side, so it takes no lock: each
-// event claims a slot of the ring by an atomic counter.
+// Recorder logs events, counts them by kind and keeps the newest ones in a ring buffer of
+// fixed size. Requests emit events concurrently, so the ring uses no lock: each event
+// claims a slot through an atomic counter.
 type Recorder struct {
 	logger log.Logger
 	now    func() time.Time
@@ -55,13 +56,13 @@
 	next atomic.Uint64 // sequence number of the next event
 }
 
-// slot is a kept event with its sequence number, by which readers restore the order.
+// slot is a recorded event with its sequence number, by which Entries restores the order.
 type slot struct {
 	sequence uint64
 	entry    Entry
 }
 
-// NewRecorder returns a recorder that writes to logger and keeps size events.
+// NewRecorder returns a recorder that logs to logger and keeps the newest size events.
 func NewRecorder(logger log.Logger, size int) *Recorder {
 	counts := prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "pearyard_events_total",
@@ -70,11 +71,11 @@
 	return &Recorder{logger: logger, now: time.Now, counts: counts, ring: make([]atomic.Pointer[slot], max(size, 1))}
 }
 
-// Discard returns a recorder that logs nowhere but still keeps its ring.
+// Discard returns a recorder that logs nothing but keeps its events.
 func Discard() *Recorder { return NewRecorder(log.NewNopLogger(), discardRingSize) }
 
-// Register exports the counters on reg. Every kind of the catalogue starts at
-// 0, so that a rate over the first event of a kind is not lost.
+// Register registers the counters with reg. The counter of every kind in the catalogue
+// starts at 0, so that a rate includes the first event of a kind.
 func (r *Recorder) Register(reg prometheus.Registerer) error {
 	for _, kind := range Catalogue() {
 		r.counts.WithLabelValues(kind.ID())
@@ -82,28 +83,28 @@
 	return reg.Register(r.counts)
 }
 
-// Emit records one event with alternating field names and values.
+// Emit records an event with alternating field names and values.
 func (r *Recorder) Emit(kind Kind, keyvals ...any) {
 	entry := Entry{At: r.now(), ID: kind.ID(), Name: kind.Name, Level: kind.Level, Fields: fields(keyvals)}
-	r.keep(entry)
+	r.store(entry)
 	r.counts.WithLabelValues(entry.ID).Inc()
 	line := append([]any{"event", entry.ID, "name", kind.Name}, keyvals...)
-	_ = leveled(r.logger, kind.Level).Log(line...)
+	_ = withLevel(r.logger, kind.Level).Log(line...)
 }
 
-func (r *Recorder) keep(entry Entry) {
+func (r *Recorder) store(entry Entry) {
 	sequence := r.next.Add(1) - 1
 	r.ring[sequence%uint64(len(r.ring))].Store(&slot{sequence: sequence, entry: entry})
 }
 
-// Overwritten returns how many events the ring has lost to newer ones.
+// Overwritten returns how many events have been overwritten by newer ones.
 func (r *Recorder) Overwritten() uint64 {
 	emitted := r.next.Load()
 	return emitted - min(emitted, uint64(len(r.ring)))
 }
 
-// Entries returns the kept events, oldest first; request filters by
-// FieldRequest unless it is empty.
+// Entries returns the recorded events, oldest first. Unless request is empty, it returns
+// only those whose FieldRequest equals it.
 func (r *Recorder) Entries(request string) []Entry {
 	kept := make([]*slot, 0, len(r.ring))
 	for i := range r.ring {
@@ -120,7 +121,7 @@
 	return out
 }
 
-// fields pairs names with values; a name left without a value gets an empty one.
+// fields pairs names with values; a name without a value gets an empty one.
 func fields(keyvals []any) map[string]string {
 	out := make(map[string]string, (len(keyvals)+1)/2)
 	for i := 0; i < len(keyvals); i += 2 {
@@ -133,7 +134,7 @@
 	return out
 }
 
-func leveled(logger log.Logger, lvl Level) log.Logger {
+func withLevel(logger log.Logger, lvl Level) log.Logger {
 	switch lvl {
 	case Error:
 		return level.Error(logger)
