--- a/inspect/doc.go
+++ b/inspect/doc.go
@@ -1,7 +1,7 @@
-// Package inspect is the part of every process that explains it to others: a
-// dump of its state, its ring of events, its metrics and its version, over HTTP
-// on the peer listener. What it answers is bounded in size and in time, so that
-// a process in trouble can always be asked.
+// Package inspect serves the diagnostics of a process over HTTP on the peer
+// listener: a dump of its state, its recorded events, its metrics, its goroutines
+// and its version. Answers are bounded in size and time, so that a process in
+// trouble can still be inspected.
 //
 // May import of pearyard: event, types.
 package inspect
--- a/inspect/handler.go
+++ b/inspect/handler.go
@@ -15,7 +15,7 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// Paths of the handler.
+// Paths served by the handler.
 const (
 	PathState      = "/debug/state"
 	PathEvents     = "/debug/events"
@@ -31,16 +31,16 @@
 	ParamLimit   = "limit"
 )
 
-// Events is the answer to PathEvents, oldest entry first.
+// Events is the response to PathEvents, oldest entry first.
 type Events struct {
 	Identity
-	Now         time.Time     `json:"now"` // by the process's clock
+	Now         time.Time     `json:"now"` // clock of the process
 	Overwritten uint64        `json:"overwritten"`
-	Truncated   bool          `json:"truncated"` // older entries were left out of this answer
+	Truncated   bool          `json:"truncated"` // older entries were left out
 	Entries     []event.Entry `json:"entries"`
 }
 
-// Version is the answer to PathVersion.
+// Version is the response to PathVersion.
 type Version struct {
 	Identity
 	Revision types.Revision `json:"revision"` // of the configuration in force
@@ -49,8 +49,8 @@
 	Commit   string         `json:"commit,omitempty"`
 }
 
-// Handler serves the paths above; mount it on the peer listener at /debug/ and
-// /metrics.
+// Handler returns the handler of the paths above; mount it on the peer listener at /debug/
+// and /metrics.
 func (r *Registry) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+PathState, r.serveState)
@@ -64,7 +64,7 @@
 	return mux
 }
 
-// metricsInFlight bounds the scrapes that run at once.
+// metricsInFlight is the maximum number of concurrent scrapes.
 const metricsInFlight = 4
 
 func (r *Registry) serveState(w http.ResponseWriter, req *http.Request) {
@@ -80,10 +80,11 @@
 	writeJSON(w, r.Events(query.Get(ParamRequest), limit))
 }
 
-// Events returns the newest kept events, of one request unless it is empty.
+// Events returns the newest recorded events, at most limit of them. Unless request is
+// empty, it returns only the events of that request.
 func (r *Registry) Events(request string, limit int) Events {
 	entries := r.opts.Recorder.Entries(request)
-	newest := newestWithin(entries, limit, MaxEventBytes)
+	newest := newestEntries(entries, limit, MaxEventBytes)
 	return Events{
 		Identity:    r.opts.Identity,
 		Now:         r.opts.Now(),
@@ -93,8 +94,8 @@
 	}
 }
 
-// newestWithin returns the tail of entries that keeps both bounds.
-func newestWithin(entries []event.Entry, limit, maxBytes int) []event.Entry {
+// newestEntries returns the longest tail of entries that is within both limits.
+func newestEntries(entries []event.Entry, limit, maxBytes int) []event.Entry {
 	first, size := len(entries), 0
 	for first > 0 && len(entries)-first < limit {
 		size += entrySize(entries[first-1])
@@ -106,7 +107,7 @@
 	return entries[first:]
 }
 
-// entryOverhead is about what an entry's JSON takes besides its texts.
+// entryOverhead is the approximate size of an entry's JSON without its name and fields.
 const entryOverhead = 100
 
 func entrySize(entry event.Entry) int {
@@ -124,7 +125,7 @@
 	writeJSON(w, version)
 }
 
-// BuildVersion says which build this program is.
+// BuildVersion returns the build information of this program.
 func BuildVersion() Version {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -139,30 +140,31 @@
 	return version
 }
 
-// serveGoroutines writes the goroutines grouped by stack, cut at its bound: the
-// stacks that most goroutines share come first.
+// serveGoroutines writes the goroutines grouped by stack, the most frequent stacks first,
+// up to MaxGoroutinesBytes.
 func serveGoroutines(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-	_ = pprof.Lookup("goroutine").WriteTo(&limitedWriter{w: w, left: MaxGoroutinesBytes}, 1)
+	_ = pprof.Lookup("goroutine").WriteTo(&limitedWriter{w: w, remaining: MaxGoroutinesBytes}, 1)
 }
 
-// limitedWriter passes on its first bytes and says that it cut the rest.
+// limitedWriter passes on the first bytes written to it, then a note that the rest was
+// truncated.
 type limitedWriter struct {
-	w    io.Writer
-	left int
+	w         io.Writer
+	remaining int
 }
 
-// Write implements io.Writer; it never fails for the bound.
+// Write implements io.Writer. Exceeding the limit is no error.
 func (l *limitedWriter) Write(p []byte) (int, error) {
-	if l.left <= 0 {
+	if l.remaining <= 0 {
 		return len(p), nil
 	}
-	if len(p) <= l.left {
-		l.left -= len(p)
+	if len(p) <= l.remaining {
+		l.remaining -= len(p)
 		return l.w.Write(p)
 	}
-	kept := p[:l.left]
-	l.left = 0
+	kept := p[:l.remaining]
+	l.remaining = 0
 	if _, err := l.w.Write(kept); err != nil {
 		return 0, err
 	}
@@ -173,7 +175,8 @@
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(v); err != nil {
-		// The status is sent; a cut body is all that the reader can be shown.
+		// The status has been sent; aborting the connection is the only way left to signal
+		// the error.
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/inspect/inspect.go
+++ b/inspect/inspect.go
@@ -11,18 +11,18 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// Bounds of one answer.
+// Limits of one response.
 const (
 	MaxSectionBytes    = 256 << 10       // of one section of a dump
 	MaxStateBytes      = 2 << 20         // of all sections of a dump
-	MaxEvents          = 4096            // entries of one answer
-	MaxEventBytes      = 1 << 20         // of one answer
-	MaxMetricsBytes    = 4 << 20         // read by one that gathers
+	MaxEvents          = 4096            // entries in one response
+	MaxEventBytes      = 1 << 20         // of all entries in one response
+	MaxMetricsBytes    = 4 << 20         // accepted by a client that collects metrics
 	MaxGoroutinesBytes = 1 << 20         // of the goroutine profile
-	sectionTimeout     = 1 * time.Second // for one section to answer
+	sectionTimeout     = 1 * time.Second // for all sections of a dump to return
 )
 
-// Identity says which process answers.
+// Identity identifies the process that responds.
 type Identity struct {
 	Process     types.ProcessID   `json:"process"`
 	Role        types.Role        `json:"role"`
@@ -30,17 +30,17 @@
 	Incarnation types.Incarnation `json:"incarnation"`
 }
 
-// Options of New.
+// Options configures a Registry.
 type Options struct {
 	Identity   Identity
-	Revision   func() types.Revision // in force here; nil: none
+	Revision   func() types.Revision // of the configuration in force; nil: always 0
 	Recorder   *event.Recorder
 	Gatherer   prometheus.Gatherer   // source of /metrics
-	Registerer prometheus.Registerer // nil: the event counters aren't exported
+	Registerer prometheus.Registerer // for the event counters; nil: they aren't exported
 	Now        func() time.Time      // nil: time.Now
 }
 
-// Registry holds the named sections of a process's state.
+// Registry holds the named sections of a process's state dump.
 type Registry struct {
 	opts Options
 
@@ -48,7 +48,7 @@
 	sections map[string]*section
 }
 
-// New returns a registry without sections. It exports the recorder's counters.
+// New returns a registry without sections. It registers the counters of the recorder.
 func New(opts Options) (*Registry, error) {
 	if opts.Now == nil {
 		opts.Now = time.Now
@@ -70,17 +70,18 @@
 	return &Registry{opts: opts, sections: map[string]*section{}}, nil
 }
 
-// Add registers a section of the dump. The function returns a snapshot that
-// encodes as JSON and that nothing changes afterwards; it may be called from
-// any goroutine. A later section of the same name replaces the earlier one.
+// Add registers a section of the dump. The function returns a snapshot that can be encoded
+// as JSON and is not modified afterwards; it may be called from any goroutine. A later
+// section replaces an earlier one of the same name.
 func (r *Registry) Add(name string, snapshot func() any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.sections[name] = &section{name: name, snapshot: snapshot}
 }
 
-// sorted returns the sections by name; only names the one of that name, if set.
-func (r *Registry) sorted(only string) []*section {
+// sectionsByName returns the sections sorted by name; unless only is empty, only the
+// section of that name.
+func (r *Registry) sectionsByName(only string) []*section {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := make([]*section, 0, len(r.sections))
--- a/inspect/inspect_test.go
+++ b/inspect/inspect_test.go
@@ -41,9 +41,9 @@
 	return w
 }
 
-// A process deadlocks: the membership's lock is never released. An operator
-// dumps it to see why. She gets all other sections, the name of the one that
-// hangs, and as often as she asks again no more than one goroutine waits.
+// A process deadlocks: a lock of the membership is never released. A dump returns all
+// other sections and names the one that hangs, and repeated dumps leave no more than one
+// goroutine waiting.
 func TestDumpOfADeadlockedProcess(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
