--- a/httpanswer/doc.go
+++ b/httpanswer/doc.go
@@ -1,5 +1,6 @@
-// Package httpanswer has what servers of callers share: an answer that knows
-// whether it has begun, and refusals of requests whose bodies nobody reads.
+// Package httpanswer holds what HTTP servers for callers share: a response writer
+// that tracks whether the header has been written, and the draining of request
+// bodies after a refusal.
 //
 // May import of pearyard: none.
 package httpanswer
--- a/httpanswer/writer.go
+++ b/httpanswer/writer.go
@@ -5,7 +5,7 @@
 	"net/http"
 )
 
-// Writer is a caller's answer that knows whether its head has been written.
+// Writer is a response writer that tracks whether the header has been written.
 type Writer struct {
 	http.ResponseWriter
 	Begun bool
@@ -17,16 +17,17 @@
 	w.Begun = true
 }
 
-// Write implements http.ResponseWriter. The first one writes the head.
+// Write implements http.ResponseWriter. The first call writes the header.
 func (w *Writer) Write(p []byte) (int, error) {
 	w.Begun = true
 	return w.ResponseWriter.Write(p)
 }
 
-// Unwrap is for http.ResponseController.
+// Unwrap supports http.ResponseController.
 func (w *Writer) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// ReadFrom implements io.ReaderFrom by the server's own, which reuses buffers.
+// ReadFrom implements io.ReaderFrom with the implementation of the wrapped writer, which
+// reuses buffers.
 func (w *Writer) ReadFrom(from io.Reader) (int64, error) {
 	w.Begun = true
 	return io.Copy(w.ResponseWriter, from)
