--- a/entry/drain.go
+++ b/entry/drain.go
@@ -110,7 +110,7 @@
 	began := time.Now()
 	end := began.Add(e.settings.Grace - graceMargin)
 	e.stop.begin(end)
-	e.election.Stopping()
+	e.election.AnnounceStop()
 	e.directory.Hasten()
 	e.recorder.Emit(EventDraining, "running", e.running.Load(), "grace", e.settings.Grace)
 	ctx, cancel := context.WithDeadline(context.Background(), end)
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -139,14 +139,14 @@
 // who of them reads the store for all.
 func (e *Entry) newLoads() {
 	e.socket = fleet.NewSocket(e.settings.Peers, e.fleet.Peers, e.registry)
-	e.socket.Report(e.recorder)
-	e.loads = fleet.NewLoads(fleet.LoadsOptions{Socket: e.socket, Near: e.fleet.Near, Directory: e.directory})
-	e.readTimes = fleet.NewReadTimes(e.socket, e.fleet.Near, e.directory)
+	e.socket.SetRecorder(e.recorder)
+	e.loads = fleet.NewLoads(fleet.LoadsOptions{Socket: e.socket, CellPeers: e.fleet.CellPeers, Directory: e.directory})
+	e.readTimes = fleet.NewReadTimes(e.socket, e.fleet.CellPeers, e.directory)
 	e.election = fleet.NewElection(fleet.ElectionOptions{
-		Address: e.settings.Peers, Socket: e.socket, Position: e.position, Reached: e.reached, Size: e.fleet.Size, Fetch: e.fleet.AskChanges, Recorder: e.recorder,
+		Address: e.settings.Peers, Socket: e.socket, Position: e.position, Reached: e.reached, Size: e.fleet.Size, Fetch: e.fleet.FetchChanges, Recorder: e.recorder,
 	})
 	e.budgets = fleet.NewBudgets(fleet.BudgetsOptions{
-		Socket: e.socket, Near: e.fleet.Near, Size: e.fleet.Size,
+		Socket: e.socket, CellPeers: e.fleet.CellPeers, Size: e.fleet.Size,
 		Ratio: retryShare * e.settings.RetryRatio, Extra: retryShare * e.settings.RetryExtra, Window: e.settings.RetryWindow,
 	})
 	e.fleet.UseElection(e.election)
@@ -203,7 +203,7 @@
 func (e *Entry) restarts(backend *platform.Backend) *exchange.Restarts {
 	found := fleet.NewRestarts(e.socket, e.directory)
 	return &exchange.Restarts{
-		Reuse: e.settings.AddressReuse, Away: e.servers.Failing, Found: found.Found,
+		Reuse: e.settings.AddressReuse, Away: e.servers.Failing, Found: found.Announce,
 		Identify: func(ctx context.Context, s *directory.Server) (directory.Start, error) {
 			service, ok := e.service(s.Service)
 			if !ok || service.HealthPath == "" {
@@ -236,7 +236,7 @@
 }
 
 // askPeers is called when the store doesn't answer.
-func (e *Entry) askPeers(ctx context.Context) { e.fleet.Ask(ctx) }
+func (e *Entry) askPeers(ctx context.Context) { e.fleet.FetchNewest(ctx) }
 
 // Run serves until ctx ends, then drains and returns.
 func (e *Entry) Run(ctx context.Context) error {
--- a/entry/handler.go
+++ b/entry/handler.go
@@ -51,17 +51,17 @@
 	config := h.holder.Config()
 	call, err := platform.ReadCall(r)
 	if err != nil {
-		defer httpanswer.ReadOff(w, r)()
+		defer httpanswer.DrainBody(w, r)()
 		h.turnAway(w, r, nil, err, config)
 		return
 	}
 	if config == nil {
-		defer httpanswer.ReadOff(w, r)()
+		defer httpanswer.DrainBody(w, r)()
 		h.notYet(w, call, "configuration", comeBack(call.Wait))
 		return
 	}
 	if err := call.ReadBody(w.ResponseWriter, r, config.Limits.BodyBytes); err != nil {
-		defer httpanswer.ReadOff(w, r)()
+		defer httpanswer.DrainBody(w, r)()
 		h.turnAway(w, r, call, err, config)
 		return
 	}
--- a/entry/panics.go
+++ b/entry/panics.go
@@ -37,8 +37,8 @@
 	if fault, ok := why.(*exchange.Fault); ok {
 		stack = fault.Stack
 	}
-	h.recorder.Emit(EventPanicked, event.FieldRequest, id, "panic", fmt.Sprint(why), "answered", !w.Begun, "stack", string(stack[:min(len(stack), maxStack)]))
-	if w.Begun {
+	h.recorder.Emit(EventPanicked, event.FieldRequest, id, "panic", fmt.Sprint(why), "answered", !w.HeaderWritten, "stack", string(stack[:min(len(stack), maxStack)]))
+	if w.HeaderWritten {
 		cut(r)
 	}
 	// What has been set belongs to an answer that isn't given.
--- a/entry/wired_test.go
+++ b/entry/wired_test.go
@@ -69,7 +69,7 @@
 func TestCallersAreToldWhenAllAreBack(t *testing.T) {
 	g := gomega.NewWithT(t)
 	w, other := besideAnother(t)
-	other.Stopping()
+	other.AnnounceStop()
 	w.stop()
 	g.Eventually(w.logs.text).Should(gomega.ContainSubstring("event=PY2754"))
 	answer := w.send(ask{id: "r1", path: "/stream/1"}).head()
--- a/event/recorder.go
+++ b/event/recorder.go
@@ -34,8 +34,8 @@
 
 // Separators within FieldRequests.
 const (
-	AtServer        = "@"
-	BetweenRequests = ","
+	ServerSeparator  = "@"
+	RequestSeparator = ","
 )
 
 // DefaultRingSize is how many events a process keeps in memory by default.
--- a/exchange/running.go
+++ b/exchange/running.go
@@ -63,7 +63,7 @@
 			continue
 		}
 		s.named = true
-		names = append(names, s.id+event.AtServer+idOf(s.server.Load()))
+		names = append(names, s.id+event.ServerSeparator+idOf(s.server.Load()))
 	}
 	slices.Sort(names)
 	return names
@@ -73,7 +73,7 @@
 func (e *Exchange) TellRunning(ctx context.Context) error {
 	for retry.Wait(ctx, tellRunning) == nil {
 		for names := range slices.Chunk(e.running.unnamed(time.Now()), runningInLine) {
-			e.opts.Recorder.Emit(EventRunning, event.FieldRequests, strings.Join(names, event.BetweenRequests))
+			e.opts.Recorder.Emit(EventRunning, event.FieldRequests, strings.Join(names, event.RequestSeparator))
 		}
 	}
 	return ctx.Err()
--- a/exchange/running_test.go
+++ b/exchange/running_test.go
@@ -53,9 +53,9 @@
 		lines, all := 0, ""
 		for _, e := range b.recorder.Entries("") {
 			lines++
-			all += e.Fields[event.FieldRequests] + event.BetweenRequests
+			all += e.Fields[event.FieldRequests] + event.RequestSeparator
 		}
 		g.Expect(lines).To(gomega.Equal(4))
-		g.Expect(strings.Count(all, event.AtServer)).To(gomega.Equal(3*runningInLine + 1))
+		g.Expect(strings.Count(all, event.ServerSeparator)).To(gomega.Equal(3*runningInLine + 1))
 	})
 }
--- a/explain/line.go
+++ b/explain/line.go
@@ -108,8 +108,8 @@
 	if list == "" {
 		return "", false
 	}
-	for _, item := range strings.Split(list, event.BetweenRequests) {
-		id, server, _ := strings.Cut(item, event.AtServer)
+	for _, item := range strings.Split(list, event.RequestSeparator) {
+		id, server, _ := strings.Cut(item, event.ServerSeparator)
 		if id == request {
 			return server, true
 		}
--- a/explain/period.go
+++ b/explain/period.go
@@ -304,8 +304,8 @@
 
 // onTheirWay notes streams by the line that names each once.
 func (p *Period) onTheirWay(rec *record, process int32) {
-	for _, item := range strings.Split(rec.text(fieldRequests), event.BetweenRequests) {
-		id, _, _ := strings.Cut(item, event.AtServer)
+	for _, item := range strings.Split(rec.text(fieldRequests), event.RequestSeparator) {
+		id, _, _ := strings.Cut(item, event.ServerSeparator)
 		t := p.troubleOf(id, process)
 		t.running, t.at = true, rec.at.Unix()
 	}
--- a/fleet/budgets.go
+++ b/fleet/budgets.go
@@ -44,12 +44,12 @@
 
 // BudgetsOptions configures a Budgets.
 type BudgetsOptions struct {
-	Socket *Socket
-	Near   func() []string // addresses of the VMs that share the budget
-	Size   func() int      // number of all VMs, including this one
-	Ratio  float64
-	Extra  float64
-	Window time.Duration // sliding window over which the bound holds; 0: Extra is available from the start
+	Socket    *Socket
+	CellPeers func() []string // addresses of the VMs that share the budget
+	Size      func() int      // number of all VMs, including this one
+	Ratio     float64
+	Extra     float64
+	Window    time.Duration // sliding window over which the bound holds; 0: Extra is available from the start
 }
 
 type ownBudget struct {
@@ -131,7 +131,7 @@
 		case <-b.changed:
 		}
 		if list := b.ownCounts(); len(list) > 0 {
-			b.opts.Socket.SendTo(encodeBudget(list), b.opts.Near())
+			b.opts.Socket.SendTo(encodeBudget(list), b.opts.CellPeers())
 		}
 		if err := retry.Wait(ctx, minSendInterval); err != nil {
 			return err
--- a/fleet/budgets_test.go
+++ b/fleet/budgets_test.go
@@ -25,7 +25,7 @@
 
 func newBudgetVM() *budgetVM {
 	return &budgetVM{window: retry.NewWindow(10*time.Second, nil), Budgets: NewBudgets(BudgetsOptions{
-		Socket: NewSocket("", nil, nil), Near: func() []string { return nil }, Size: func() int { return budgetVMs },
+		Socket: NewSocket("", nil, nil), CellPeers: func() []string { return nil }, Size: func() int { return budgetVMs },
 		Ratio: budgetRatio, Extra: budgetExtra,
 	})}
 }
@@ -151,7 +151,7 @@
 		start := func() *budgetVM {
 			w := retry.NewWindow(window, nil)
 			return &budgetVM{window: w, Budgets: NewBudgets(BudgetsOptions{
-				Socket: NewSocket("", nil, nil), Near: func() []string { return nil }, Size: func() int { return 1 },
+				Socket: NewSocket("", nil, nil), CellPeers: func() []string { return nil }, Size: func() int { return 1 },
 				Ratio: budgetRatio, Extra: budgetExtra, Window: window,
 			})}
 		}
@@ -211,7 +211,7 @@
 		g := gomega.NewWithT(t)
 		start := func() *budgetVM {
 			return &budgetVM{window: retry.NewWindow(window, nil), Budgets: NewBudgets(BudgetsOptions{
-				Socket: NewSocket("", nil, nil), Near: func() []string { return nil }, Size: func() int { return size },
+				Socket: NewSocket("", nil, nil), CellPeers: func() []string { return nil }, Size: func() int { return size },
 				Ratio: entryShare * budgetRatio, Extra: entryShare * budgetExtra, Window: window,
 			})}
 		}
--- a/fleet/delta_test.go
+++ b/fleet/delta_test.go
@@ -65,7 +65,7 @@
 	text, _ := decodeConfig(6, configText(100, 40))
 	ahead.holder.Offer(text)
 	ahead.Applied(text)
-	behind.AskChanges(t.Context(), ahead.opts.Address, 0)
+	behind.FetchChanges(t.Context(), ahead.opts.Address, 0)
 	g.Expect(behind.holder.Position()).To(gomega.BeNumerically("==", 5))
 }
 
@@ -88,7 +88,7 @@
 	g.Expect(ask(5+maxOldVersions+1).GetConfig()).To(gomega.BeEmpty(), "the peer has the newest version")
 	old, _ := decodeConfig(6, configText(100, 1))
 	behind.holder.Offer(old)
-	behind.AskChanges(t.Context(), ahead.opts.Address, 0)
+	behind.FetchChanges(t.Context(), ahead.opts.Address, 0)
 	g.Expect(behind.holder.Position()).To(gomega.BeNumerically("==", 5+maxOldVersions+1))
 	g.Expect(behind.holder.Current().Raw).To(gomega.Equal(ahead.holder.Current().Raw))
 }
--- a/fleet/election_test.go
+++ b/fleet/election_test.go
@@ -226,7 +226,7 @@
 func TestStopIsAnnounced(t *testing.T) {
 	g := gomega.NewWithT(t)
 	b, nextAnnouncement := newSendingElection(t)
-	b.Stopping()
+	b.AnnounceStop()
 	g.Expect(nextAnnouncement()).To(gomega.Equal(announcement{isWatcher: true, stopping: true}))
 	b.Read(List, 0)
 	g.Expect(nextAnnouncement()).To(gomega.Equal(announcement{isWatcher: true, stopping: true, listReadNow: true}), "all later announcements carry the flag")
@@ -280,7 +280,7 @@
 		b.receiveFrom("p", announcement{stopping: true})
 		time.Sleep(stopTimeout)
 		g.Expect(b.AllStop()).To(gomega.BeFalse(), "the announcements have expired")
-		b.Stopping()
+		b.AnnounceStop()
 		w, ok := decodeAnnouncement(encodeAnnouncement(announcement{stopping: b.stopping.Load()}).raw)
 		g.Expect(ok).To(gomega.BeTrue())
 		g.Expect(w.stopping).To(gomega.BeTrue())
@@ -329,7 +329,7 @@
 		for i := range candidateCount - 1 {
 			b.receiveFrom(fmt.Sprint("c", i), announcement{healthy: true, stopping: true})
 		}
-		b.Stopping()
+		b.AnnounceStop()
 		g.Expect(b.AllStop()).To(gomega.BeFalse(), "four of twelve VMs serve; they are silent by design")
 	})
 }
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -121,8 +121,8 @@
 // Peers returns the addresses of the other entry VMs.
 func (f *Fleet) Peers() []string { return *f.peers.Load() }
 
-// Near returns the addresses of the other entry VMs in the cell of this process.
-func (f *Fleet) Near() []string { return *f.cellPeers.Load() }
+// CellPeers returns the addresses of the other entry VMs in the cell of this process.
+func (f *Fleet) CellPeers() []string { return *f.cellPeers.Load() }
 
 // Size returns the number of entry VMs, including this one; unknownSize until the registry
 // has been read.
@@ -253,8 +253,8 @@
 	}
 }
 
-// Ask asks a few peers for newer data than that of this process.
-func (f *Fleet) Ask(ctx context.Context) {
+// FetchNewest asks a few peers for newer data than that of this process.
+func (f *Fleet) FetchNewest(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	peers := f.Peers()
@@ -268,10 +268,10 @@
 	_ = group.Wait()
 }
 
-// AskChanges asks one peer for the changes of the configuration, and of the list since a
+// FetchChanges asks one peer for the changes of the configuration, and of the list since a
 // position. The answer never holds a full configuration or list: a watcher that sent a
 // large text to all others would saturate its link.
-func (f *Fleet) AskChanges(ctx context.Context, peer string, since uint64) {
+func (f *Fleet) FetchChanges(ctx context.Context, peer string, since uint64) {
 	f.query(ctx, peer, since, true)
 }
 
--- a/fleet/fuzz_test.go
+++ b/fleet/fuzz_test.go
@@ -48,7 +48,7 @@
 		loads := NewLoads(LoadsOptions{Directory: d, Socket: s})
 		NewRestarts(s, d)
 		NewReadTimes(s, func() []string { return nil }, d)
-		NewBudgets(BudgetsOptions{Socket: s, Near: func() []string { return nil }, Size: func() int { return 2 }, Ratio: 1, Extra: 1})
+		NewBudgets(BudgetsOptions{Socket: s, CellPeers: func() []string { return nil }, Size: func() int { return 2 }, Ratio: 1, Extra: 1})
 		NewElection(ElectionOptions{
 			Address: "self", Socket: s, Recorder: event.Discard(), Fetch: func(context.Context, string, uint64) {},
 			Position: func(Subject) uint64 { return 1 },
--- a/fleet/invalid_input_test.go
+++ b/fleet/invalid_input_test.go
@@ -50,7 +50,7 @@
 				if bad.GetId() == "bad" || !delta {
 					g.Expect(serverIDs(v.dir)).To(gomega.ConsistOf("a1", "b1"))
 				} else {
-					g.Expect(serverIDs(v.dir)).To(gomega.ConsistOf("a1", "b1", "bad"), "a change without an ID has no effect")
+					g.Expect(serverIDs(v.dir)).To(gomega.ConsistOf("a1", "b1", "bad"), "a change without a valid ID has no effect")
 				}
 			})
 		}
@@ -130,7 +130,7 @@
 	g := gomega.NewWithT(t)
 	s := NewSocket("", nil, prometheus.NewRegistry())
 	recorder := event.Discard()
-	s.Report(recorder)
+	s.SetRecorder(recorder)
 	NewLoads(LoadsOptions{Directory: directory.New(), Socket: s})
 	now := time.Now()
 	for _, raw := range [][]byte{nil, []byte("x"), make([]byte, headerBytes), append(encodeHeader(kindLoads, header{incarnation: 1, seq: 1}), 0, 9), append(encodeHeader(9, header{incarnation: 1, seq: 1}), 0)} {
--- a/fleet/loads.go
+++ b/fleet/loads.go
@@ -26,7 +26,7 @@
 // LoadsOptions configures a Loads.
 type LoadsOptions struct {
 	Socket    *Socket
-	Near      func() []string // addresses of the receivers
+	CellPeers func() []string // addresses of the receivers
 	Directory *directory.Directory
 }
 
@@ -75,7 +75,7 @@
 		}
 		own := l.opts.Directory.Own()
 		idle = len(own) == 0
-		l.opts.Socket.SendTo(encodeLoads(own, l.opts.Directory.LostHere(time.Now(), lossTTL)), l.opts.Near())
+		l.opts.Socket.SendTo(encodeLoads(own, l.opts.Directory.LostHere(time.Now(), lossTTL)), l.opts.CellPeers())
 		if err := retry.Wait(ctx, minSendInterval); err != nil {
 			return err
 		}
--- a/fleet/restarts.go
+++ b/fleet/restarts.go
@@ -20,8 +20,8 @@
 	return r
 }
 
-// Found records a restart that this process has detected, and tells the other VMs.
-func (r *Restarts) Found(old *directory.Server, start directory.Start) {
+// Announce records a restart that this process has detected, and tells the other VMs.
+func (r *Restarts) Announce(old *directory.Server, start directory.Start) {
 	if r.directory.Adopt(old, start, time.Now()) {
 		r.socket.Send(encodeRestart(old.Hash(), start))
 	}
--- a/fleet/restarts_test.go
+++ b/fleet/restarts_test.go
@@ -74,13 +74,13 @@
 	well := newVM(t, "well")
 	cut := newVM(t, "cut", well.opts.Address)
 	well.dir.Apply(3, []directory.Listing{listingBornAt("i1", 100)}, false, time.Now())
-	cut.Ask(t.Context())
+	cut.FetchNewest(t.Context())
 	g.Expect(cut.dir.View().Listings).To(gomega.Equal(well.dir.View().Listings))
 	cut.dir.Adopt(cut.dir.View().Service("s")[0], directory.Start{ID: "i1", Born: 200}, time.Now())
 	moved := listingBornAt("i1", 100)
 	moved.Slots = 9
 	well.dir.Apply(4, []directory.Listing{moved}, false, time.Now())
-	cut.AskChanges(t.Context(), well.opts.Address, cut.dir.View().Position)
+	cut.FetchChanges(t.Context(), well.opts.Address, cut.dir.View().Position)
 	g.Expect(cut.dir.View().Position).To(gomega.BeNumerically("==", 4))
 	g.Expect(cut.dir.View().Service("s")[0].Start).To(gomega.Equal(directory.Start{ID: "i1", Born: 200}))
 }
--- a/fleet/socket.go
+++ b/fleet/socket.go
@@ -61,8 +61,8 @@
 // handle sets the handler for a kind of datagrams; it must be called before Run.
 func (s *Socket) handle(k kind, f handler) { s.handlers[k] = f }
 
-// Report sets the recorder for unreadable datagrams; it must be called before Run.
-func (s *Socket) Report(r *event.Recorder) { s.recorder = r }
+// SetRecorder sets the recorder for unreadable datagrams; it must be called before Run.
+func (s *Socket) SetRecorder(r *event.Recorder) { s.recorder = r }
 
 // Run receives datagrams until ctx ends.
 func (s *Socket) Run(ctx context.Context) error {
--- a/fleet/stops.go
+++ b/fleet/stops.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Stopping records that a planned stop of this VM has begun, and announces it.
-func (e *Election) Stopping() {
+// AnnounceStop records that a planned stop of this VM has begun, and announces it.
+func (e *Election) AnnounceStop() {
 	e.stopping.Store(true)
 	e.announce(announcement{})
 }
--- a/httpanswer/readoff.go
+++ b/httpanswer/drainbody.go
@@ -17,7 +17,7 @@
 	maxDrainTime = 2 * time.Second
 )
 
-// ReadOff allows a request to be refused before its body has been read. Call it before the
+// DrainBody allows a request to be refused before its body has been read. Call it before the
 // refusal is written, and the function it returns afterwards.
 //
 // It guards against callers that lose the response: many write the whole body before they
@@ -25,7 +25,7 @@
 // connection half a second later. Closing a connection with unread bytes resets it, so the
 // caller's write failed before it had read the refusal. Here the refusal is sent at once,
 // and the body is read and discarded until its end or until a limit is reached.
-func ReadOff(w http.ResponseWriter, r *http.Request) func() {
+func DrainBody(w http.ResponseWriter, r *http.Request) func() {
 	short := r.ContentLength >= 0 && r.ContentLength <= serverDrainBytes
 	// A caller that waits for 100 Continue sends no body after a refusal.
 	if short || r.Header.Get("Expect") != "" {
--- a/router/call.go
+++ b/router/call.go
@@ -30,7 +30,7 @@
 func (r *Router) serveCall(w http.ResponseWriter, req *http.Request, in *admitted) {
 	_, _, refusal := plainCall(req, in)
 	if refusal != nil {
-		defer httpanswer.ReadOff(w, req)()
+		defer httpanswer.DrainBody(w, req)()
 		r.refuse(w, in.id, refusal)
 		return
 	}
--- a/router/panics.go
+++ b/router/panics.go
@@ -29,8 +29,8 @@
 		panic(why)
 	}
 	stack := debug.Stack()
-	r.opts.Recorder.Emit(eventPanicked, event.FieldRequest, id, "panic", fmt.Sprint(why), "answered", !w.Begun, "stack", string(stack[:min(len(stack), maxStack)]))
-	if w.Begun {
+	r.opts.Recorder.Emit(eventPanicked, event.FieldRequest, id, "panic", fmt.Sprint(why), "answered", !w.HeaderWritten, "stack", string(stack[:min(len(stack), maxStack)]))
+	if w.HeaderWritten {
 		panic(http.ErrAbortHandler)
 	}
 	// What has been set belongs to an answer that isn't given.
--- a/router/serve.go
+++ b/router/serve.go
@@ -55,7 +55,7 @@
 		defer r.answerPanic(w, in.id)
 		w.Header().Set(HeaderRequestID, string(in.id))
 		if !r.enter() {
-			defer httpanswer.ReadOff(w, req)()
+			defer httpanswer.DrainBody(w, req)()
 			leaving := types.NotRun(types.CodeLeaving, drainRetryAfter, "this router is being stopped; another one serves")
 			r.refuse(w, in.id, r.truthful(req, leaving))
 			return
@@ -64,7 +64,7 @@
 		r.begun.Store(in, nil)
 		defer r.begun.Delete(in)
 		if refusal := r.admitCaller(req, in); refusal != nil {
-			defer httpanswer.ReadOff(w, req)()
+			defer httpanswer.DrainBody(w, req)()
 			r.refuse(w, in.id, r.truthful(req, refusal))
 			return
 		}
@@ -128,7 +128,7 @@
 func (r *Router) readAdmitted(w http.ResponseWriter, req *http.Request, in *admitted) ([]byte, bool) {
 	body, refusal := readBody(w, req, in.text.Limits.MaxBodyBytes)
 	if refusal != nil {
-		defer httpanswer.ReadOff(w, req)()
+		defer httpanswer.DrainBody(w, req)()
 		r.refuse(w, in.id, refusal)
 		return nil, false
 	}
@@ -217,7 +217,7 @@
 }
 
 func (r *Router) serveUnknown(w http.ResponseWriter, req *http.Request) {
-	defer httpanswer.ReadOff(w, req)()
+	defer httpanswer.DrainBody(w, req)()
 	id := types.NewRequestID()
 	w.Header().Set(HeaderRequestID, string(id))
 	r.refuse(w, id, types.Invalid(http.StatusNotFound, types.CodeBadRequest, "nothing is served at %s %s", req.Method, req.URL.Path))
