--- a/retry/backoff.go
+++ b/retry/backoff.go
@@ -6,35 +6,36 @@
 	"time"
 )
 
-// Bounds of the wait between two tries by a router.
+// Bounds of the delay before a router retries a request.
 const (
 	BackoffBase = 20 * time.Millisecond
 	BackoffMax  = 500 * time.Millisecond
 )
 
-// Backoff returns the wait before retry number n (from 1): any time up to a
-// bound that doubles with n (full jitter).
+// Backoff returns the delay before retry n, counted from 1: exponential backoff
+// with full jitter, so a random time between 0 and a bound that doubles with n.
 func Backoff(n int) time.Duration {
-	return jitter(growing(BackoffBase, BackoffMax, n-1))
+	return jitter(exponential(BackoffBase, BackoffMax, n-1))
 }
 
-// Bounds of RetryAfter.
+// Bounds of the value that RetryAfter returns.
 const (
 	RetryAfterMin = time.Second
 	RetryAfterMax = 30 * time.Second
 )
 
-// RetryAfter tells a shed caller when to come back. load is the demand in parts
-// of the capacity, 1 and more when callers are shed. The callers shed in a
-// moment come back spread over a window that grows with load, not together:
-// together they would be the next overload, in step, as often as they come.
+// RetryAfter returns the Retry-After delay for a caller whose request was shed.
+// load is the ratio of demand to capacity, at least 1 when requests are shed.
+// Callers shed at the same moment are spread over a window that grows with load.
+// If they all retried together, they would cause the next overload.
 func RetryAfter(load float64) time.Duration {
-	return RetryAfterMin + jitter(retryWindow(load))
+	return RetryAfterMin + jitter(retryAfterWindow(load))
 }
 
-// retryWindow is one second at load 1 and grows with the square of load: both
-// the number of shed callers and the time that the queue needs grow with it.
-func retryWindow(load float64) time.Duration {
+// retryAfterWindow returns the length of the window over which shed callers are
+// spread. It is one second at load 1 and grows with the square of load, because
+// both the number of shed callers and the time to drain the queue grow with it.
+func retryAfterWindow(load float64) time.Duration {
 	if math.IsNaN(load) || load < 1 {
 		load = 1
 	}
@@ -43,12 +44,13 @@
 	return time.Duration(min(window, float64(limit)))
 }
 
+// jitter returns a random duration between 0 and limit, inclusive.
 func jitter(limit time.Duration) time.Duration {
 	return time.Duration(rand.Int64N(int64(limit) + 1))
 }
 
-// growing returns base doubled n times, limit at the most.
-func growing(base, limit time.Duration, n int) time.Duration {
+// exponential returns base doubled n times, but at most limit.
+func exponential(base, limit time.Duration, n int) time.Duration {
 	for range n {
 		base *= 2
 		if base >= limit {
@@ -58,8 +60,8 @@
 	return min(base, limit)
 }
 
-// BackoffBetween is Backoff with bounds of the caller's choice and at least
-// base, for calls to an outside system that charges for each of them.
-func BackoffBetween(base, longest time.Duration, n int) time.Duration {
-	return base + jitter(growing(base, longest, n-1))
+// BackoffBetween is like Backoff, with bounds given by the caller and a delay of
+// at least base. It is meant for external systems that charge for each call.
+func BackoffBetween(base, limit time.Duration, n int) time.Duration {
+	return base + jitter(exponential(base, limit, n-1))
 }
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -9,48 +9,51 @@
 	"github.com/pearyard/pearyard/event"
 )
 
-// Defaults of a budget. docs/design/retries.md has the figures behind them.
+// Defaults of BudgetOptions. docs/design/retries.md explains their values.
 const (
-	DefaultRatio     = 0.1 // retries per first try
-	DefaultPerSecond = 1.0 // fixed retries per second of the window
-	// DefaultWindow is the span in which the bound holds: with one a second it
-	// allows 20 at once, enough for the requests of one lost backend server.
+	DefaultRatio     = 0.1 // retries per request
+	DefaultPerSecond = 1.0 // retries per second allowed regardless of the number of requests
+	// DefaultWindow is the length of the sliding window. With DefaultPerSecond it
+	// allows a burst of 20 retries, enough for the requests of one lost backend server.
 	DefaultWindow = 20 * time.Second
 )
 
-// BudgetOptions configure a Budget; zero fields take their defaults.
+// BudgetOptions configures a Budget. Zero fields take their defaults.
 type BudgetOptions struct {
-	Service    string        // label of the metrics, field of the events
-	Ratio      float64       // retries that a first try of the window pays for
-	PerSecond  float64       // retries that each second of the window allows besides
-	Window     time.Duration // any span of this length keeps the bound
+	Service    string        // value of the service label in metrics and events
+	Ratio      float64       // retries allowed per request in the window
+	PerSecond  float64       // retries allowed per second in addition, independent of requests
+	Window     time.Duration // length of the sliding window over which the limit holds
 	Registerer prometheus.Registerer
 	Recorder   *event.Recorder
 	Now        func() time.Time
 }
 
-// Budget bounds the retries of one service to a share of its first tries, with
-// a small fixed number for services with few requests, by a Window; it counts
-// and tells what it refuses. It stops a storm of retries: when many backend
-// servers fail at once under full load, each failed try asks for another, and
-// without a bound the tries alone keep the rest down. It holds because nothing
-// is saved up: of a tenth of 36 modelled runners that died at 1.5 times the
-// steady rate, the others got 2.15 tries for each request unbounded and 1.08 so.
+// Budget limits the retries of one service to a fraction of its requests, plus a
+// small fixed number for services with few requests. It counts retries in a
+// Window and reports those that it refuses through metrics and events.
+//
+// It prevents retry storms: when many backend servers fail at once under full
+// load, every failed request is retried, and without a limit the retries alone
+// keep the remaining servers overloaded. Unused retries don't accumulate beyond
+// the window, otherwise a quiet period would pay for a storm. In a model of 36
+// runners at 1.5 times the steady rate, with a tenth of them dead, the others
+// received 2.15 attempts per request without a budget and 1.08 with it.
 type Budget struct {
-	window *Window
-	now    func() time.Time
-	spent  atomic.Int64 // second in which EventBudgetSpent was last emitted
+	window     *Window
+	now        func() time.Time
+	lastReport atomic.Int64 // Unix second in which EventBudgetSpent was last emitted
 
 	service  string
 	recorder *event.Recorder
 	metrics  budgetMetrics
 }
 
-// NewBudget returns a budget of which nothing has been used.
+// NewBudget returns an unused budget.
 func NewBudget(opts BudgetOptions) *Budget {
-	orDefault(&opts.Ratio, DefaultRatio)
-	orDefault(&opts.PerSecond, DefaultPerSecond)
-	orDefault(&opts.Window, DefaultWindow)
+	setDefault(&opts.Ratio, DefaultRatio)
+	setDefault(&opts.PerSecond, DefaultPerSecond)
+	setDefault(&opts.Window, DefaultWindow)
 	if opts.Now == nil {
 		opts.Now = time.Now
 	}
@@ -68,32 +71,33 @@
 	return b
 }
 
-// First counts a first try.
+// First records that a request was sent for the first time.
 func (b *Budget) First() {
-	b.metrics.first.Inc()
+	b.metrics.requests.Inc()
 	b.window.First()
 }
 
-// Allow takes one retry out of the budget, if there is one.
+// Allow reports whether the budget has room for one more retry, and takes it.
 func (b *Budget) Allow() bool {
 	if b.window.Allow() {
 		b.metrics.allowed.Inc()
 		return true
 	}
 	b.metrics.refused.Inc()
-	b.reportSpent()
+	b.reportExhausted()
 	return false
 }
 
-// reportSpent emits one event a second at the most.
-func (b *Budget) reportSpent() {
+// reportExhausted emits EventBudgetSpent at most once per second.
+func (b *Budget) reportExhausted() {
 	second := b.now().Unix()
-	if last := b.spent.Load(); last != second && b.spent.CompareAndSwap(last, second) {
+	if last := b.lastReport.Load(); last != second && b.lastReport.CompareAndSwap(last, second) {
 		b.recorder.Emit(EventBudgetSpent, "service", b.service)
 	}
 }
 
-func orDefault[T int | float64 | time.Duration](field *T, value T) {
+// setDefault sets a field that isn't positive to value.
+func setDefault[T int | float64 | time.Duration](field *T, value T) {
 	if *field <= 0 {
 		*field = value
 	}
--- a/retry/circuit.go
+++ b/retry/circuit.go
@@ -9,7 +9,7 @@
 	"github.com/pearyard/pearyard/event"
 )
 
-// Defaults of a circuit.
+// Defaults of CircuitOptions.
 const (
 	DefaultThreshold = 3
 	DefaultOpenFor   = 2 * time.Second
@@ -17,19 +17,19 @@
 	DefaultProbe     = 5 * time.Second
 )
 
-// CircuitOptions configure a Circuit; zero fields take their defaults.
+// CircuitOptions configures a Circuit. Zero fields take their defaults.
 type CircuitOptions struct {
 	BackendServer string
-	Threshold     int           // fails in a row that open the circuit
-	OpenFor       time.Duration // how long it stays open the first time; doubles with each failed probe
-	MaxOpen       time.Duration // bound of that
-	Probe         time.Duration // after this, a probe without a result no longer bars the next one
+	Threshold     int           // consecutive failures that open the circuit
+	OpenFor       time.Duration // how long the circuit first stays open; doubles with each failed probe
+	MaxOpen       time.Duration // upper bound for OpenFor after doubling
+	Probe         time.Duration // time after which a probe without a result is given up and another may start
 	Registerer    prometheus.Registerer
 	Recorder      *event.Recorder
 	Now           func() time.Time
 }
 
-// State of a circuit.
+// State is the state of a circuit.
 type State string
 
 // States of a circuit.
@@ -39,39 +39,41 @@
 	HalfOpen State = "half_open"
 )
 
-// Circuit keeps requests from a backend server that fails them. Open, it lets
-// one request through at a time, as a probe. Unlike in the common breakers,
-// a probe ends by itself: a probe caught on a frozen engine, or whose caller
-// went away, reports neither success nor failure, and would keep the circuit
-// half-open, and the backend server without work, for good.
+// Circuit is a circuit breaker for one backend server. After repeated failures
+// it opens and lets only one request at a time through, as a probe.
+//
+// Unlike in common circuit breakers, a probe times out: a probe that hangs on a
+// frozen engine, or whose caller disconnected, reports neither success nor
+// failure. It would otherwise keep the circuit half-open, and the backend server
+// without requests, forever.
 type Circuit struct {
-	opts    CircuitOptions
-	fails   atomic.Int64 // in a row
-	trips   atomic.Int64 // in a row: openings and failed probes
-	retryAt atomic.Int64 // Unix nanoseconds of the next probe; 0: closed
-	probing atomic.Bool
-	opened  prometheus.Counter
+	opts        CircuitOptions
+	failures    atomic.Int64 // consecutive failures
+	trips       atomic.Int64 // openings and failed probes since the last success
+	probeAt     atomic.Int64 // Unix nanoseconds from which a probe is allowed; 0: closed
+	probing     atomic.Bool
+	openedTotal prometheus.Counter
 }
 
 // NewCircuit returns a closed circuit.
 func NewCircuit(opts CircuitOptions) *Circuit {
-	orDefault(&opts.Threshold, DefaultThreshold)
-	orDefault(&opts.OpenFor, DefaultOpenFor)
-	orDefault(&opts.MaxOpen, DefaultMaxOpen)
-	orDefault(&opts.Probe, DefaultProbe)
+	setDefault(&opts.Threshold, DefaultThreshold)
+	setDefault(&opts.OpenFor, DefaultOpenFor)
+	setDefault(&opts.MaxOpen, DefaultMaxOpen)
+	setDefault(&opts.Probe, DefaultProbe)
 	if opts.Now == nil {
 		opts.Now = time.Now
 	}
 	if opts.Recorder == nil {
 		opts.Recorder = event.Discard()
 	}
-	return &Circuit{opts: opts, opened: newOpenedCounter(opts.Registerer)}
+	return &Circuit{opts: opts, openedTotal: newOpenedCounter(opts.Registerer)}
 }
 
-// Allow tells whether a request may be sent. If the circuit isn't closed, the
-// answer true makes the request the probe.
+// Allow reports whether a request may be sent. If the circuit isn't closed and
+// Allow returns true, the request is the probe.
 func (c *Circuit) Allow() bool {
-	at := c.retryAt.Load()
+	at := c.probeAt.Load()
 	if at == 0 {
 		return true
 	}
@@ -79,16 +81,16 @@
 	if now < at {
 		return false
 	}
-	if !c.retryAt.CompareAndSwap(at, now+int64(c.opts.Probe)) {
+	if !c.probeAt.CompareAndSwap(at, now+int64(c.opts.Probe)) {
 		return false
 	}
 	c.probing.Store(true)
 	return true
 }
 
-// State tells how the circuit stands, without taking a probe.
+// State returns the current state without starting a probe.
 func (c *Circuit) State() State {
-	at := c.retryAt.Load()
+	at := c.probeAt.Load()
 	switch {
 	case at == 0:
 		return Closed
@@ -99,40 +101,41 @@
 	}
 }
 
-// Success closes the circuit: the backend server has just answered.
+// Success records a successful request and closes the circuit.
 func (c *Circuit) Success() {
-	c.fails.Store(0)
+	c.failures.Store(0)
 	c.trips.Store(0)
-	if c.retryAt.Load() == 0 || c.retryAt.Swap(0) == 0 {
+	if c.probeAt.Load() == 0 || c.probeAt.Swap(0) == 0 {
 		return
 	}
 	c.probing.Store(false)
 	c.opts.Recorder.Emit(EventCircuitClosed, "backend_server", c.opts.BackendServer)
 }
 
-// Failure counts a request that failed by the backend server's fault; a
-// refusal for load or leaving is none.
+// Failure records a request that failed because of the backend server. Refusals
+// because the server is overloaded or shutting down aren't failures.
 func (c *Circuit) Failure() {
-	fails := c.fails.Add(1)
+	failures := c.failures.Add(1)
 	switch {
 	case c.probing.CompareAndSwap(true, false):
-		c.trip(c.retryAt.Load())
-	case fails >= int64(c.opts.Threshold):
+		c.trip(c.probeAt.Load())
+	case failures >= int64(c.opts.Threshold):
 		c.trip(0)
 	}
 }
 
-// trip opens the circuit for twice as long as the last time in this row,
-// unless its state is no longer the one that the caller has seen.
+// trip opens the circuit. The time that it stays open doubles with each trip
+// since the last success. It does nothing if probeAt no longer has the value seen,
+// on which the caller based its decision.
 func (c *Circuit) trip(seen int64) {
 	trips := c.trips.Load() + 1
-	wait := growing(c.opts.OpenFor, c.opts.MaxOpen, int(trips)-1)
-	if !c.retryAt.CompareAndSwap(seen, c.opts.Now().Add(wait).UnixNano()) {
+	wait := exponential(c.opts.OpenFor, c.opts.MaxOpen, int(trips)-1)
+	if !c.probeAt.CompareAndSwap(seen, c.opts.Now().Add(wait).UnixNano()) {
 		return
 	}
 	c.trips.Store(trips)
-	c.opened.Inc()
+	c.openedTotal.Inc()
 	if trips == 1 {
-		c.opts.Recorder.Emit(EventCircuitOpen, "backend_server", c.opts.BackendServer, "fails", c.fails.Load())
+		c.opts.Recorder.Emit(EventCircuitOpen, "backend_server", c.opts.BackendServer, "fails", c.failures.Load())
 	}
 }
--- a/retry/circuit_test.go
+++ b/retry/circuit_test.go
@@ -23,7 +23,7 @@
 		fail(c, DefaultThreshold-1)
 		c.Success()
 		fail(c, DefaultThreshold-1)
-		g.Expect(c.State()).To(Equal(Closed), "only fails in a row count")
+		g.Expect(c.State()).To(Equal(Closed), "only consecutive failures count")
 		fail(c, 1)
 		g.Expect(c.State()).To(Equal(Open))
 		g.Expect(c.Allow()).To(BeFalse())
@@ -33,7 +33,7 @@
 		g.Expect(allowedOf(c, 10)).To(Equal(1), "one probe")
 		c.Failure()
 		time.Sleep(DefaultOpenFor)
-		g.Expect(c.Allow()).To(BeFalse(), "a failed probe doubles the time")
+		g.Expect(c.Allow()).To(BeFalse(), "a failed probe doubles the open time")
 		time.Sleep(DefaultOpenFor)
 		g.Expect(c.Allow()).To(BeTrue())
 		c.Success()
@@ -42,16 +42,16 @@
 	})
 }
 
-// A backend server freezes while it runs the probe. It comes back, but no
-// caller gets it any more: the probe never reported, and a circuit that waits
-// for its report stays half-open for good.
+// Guards against a circuit that stays half-open forever: a backend server freezes
+// while it runs the probe and recovers later, but the probe never reports a
+// result. The test also checks that gobreaker still has this behaviour.
 func TestLostProbeDoesNotBarTheNext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		c := NewCircuit(CircuitOptions{})
 		fail(c, DefaultThreshold)
 		time.Sleep(DefaultOpenFor)
-		g.Expect(c.Allow()).To(BeTrue(), "the probe that gets lost")
+		g.Expect(c.Allow()).To(BeTrue(), "the probe that never reports a result")
 		time.Sleep(DefaultProbe)
 		g.Expect(allowedOf(c, 10)).To(Equal(1))
 
@@ -66,23 +66,23 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		time.Sleep(time.Hour)
 		_, err = common.Allow()
-		g.Expect(err).To(MatchError(gobreaker.ErrTooManyRequests), "the reason why gobreaker isn't used here; drop our own when this fails")
+		g.Expect(err).To(MatchError(gobreaker.ErrTooManyRequests), "gobreaker isn't used for this reason; if this fails, replace Circuit by gobreaker")
 	})
 }
 
-// Property: while the circuit isn't closed, the requests let through are at
-// most one for each OpenFor or Probe that has passed.
+// Property: while the circuit isn't closed, it allows at most one request per
+// elapsed OpenFor or Probe.
 func TestCircuitBoundsProbes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1_700_000_000, 0)
 		c := NewCircuit(CircuitOptions{Now: func() time.Time { return now }})
 		fail(c, DefaultThreshold)
-		began, let := now, 0
+		began, allowed := now, 0
 		for _, step := range rapid.SliceOf(rapid.IntRange(0, 2)).Draw(t, "steps") {
 			switch step {
 			case 0:
 				if c.Allow() {
-					let++
+					allowed++
 				}
 			case 1:
 				c.Failure()
@@ -90,8 +90,8 @@
 				now = now.Add(700 * time.Millisecond)
 			}
 		}
-		if limit := int(now.Sub(began) / DefaultOpenFor); let > limit {
-			t.Fatalf("%d probes in %s", let, now.Sub(began))
+		if limit := int(now.Sub(began) / DefaultOpenFor); allowed > limit {
+			t.Fatalf("%d probes in %s", allowed, now.Sub(began))
 		}
 	})
 }
@@ -102,13 +102,13 @@
 	c := NewCircuit(CircuitOptions{Now: func() time.Time { return time.Unix(0, now.Load()) }})
 	fail(c, DefaultThreshold)
 	now.Add(int64(DefaultOpenFor))
-	var let atomic.Int64
+	var allowed atomic.Int64
 	var wait sync.WaitGroup
 	for range 16 {
-		wait.Go(func() { let.Add(int64(allowedOf(c, 100))) })
+		wait.Go(func() { allowed.Add(int64(allowedOf(c, 100))) })
 	}
 	wait.Wait()
-	g.Expect(let.Load()).To(Equal(int64(1)))
+	g.Expect(allowed.Load()).To(Equal(int64(1)))
 }
 
 func fail(c *Circuit, n int) {
--- a/retry/decide.go
+++ b/retry/decide.go
@@ -7,10 +7,10 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// Elsewhere tells whether a refusal may be met by trying another backend
-// server. It must be proved that the request did not run; a refusal that would
-// be the same anywhere isn't worth a try. Everything else is final: after an
-// unknown outcome a second try could run the request twice.
+// Elsewhere reports whether a refused request may be retried at another backend
+// server. The request must provably not have run, and another server must be
+// able to decide differently. All other refusals are final: after an unknown
+// outcome, a retry could run the request twice.
 func Elsewhere(r *types.Refusal) bool {
 	if r == nil || r.Outcome != types.OutcomeNotRun {
 		return false
@@ -24,8 +24,9 @@
 	}
 }
 
-// FitsDeadline tells whether need still fits before ctx's deadline after
-// waiting for wait. A try that can't end in time only takes capacity.
+// FitsDeadline reports whether a request that takes need can complete before
+// ctx's deadline if it is sent after wait. A request that can't only wastes
+// capacity.
 func FitsDeadline(ctx context.Context, wait, need time.Duration) bool {
 	if ctx.Err() != nil {
 		return false
@@ -34,7 +35,7 @@
 	return !ok || time.Until(deadline) >= wait+need
 }
 
-// Wait sleeps for d unless ctx ends before; it returns ctx's error then.
+// Wait sleeps for d. If ctx ends first, it returns ctx's error.
 func Wait(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -46,8 +47,9 @@
 	}
 }
 
-// Next decides on retry number n (from 1) of a request that was refused with r.
-// It returns the time to wait for, and takes the retry out of the budget.
+// Next decides whether to send retry n, counted from 1, of a request that was
+// refused with r and takes need to complete. If so, it takes the retry out of
+// the budget and returns the delay before it.
 func (b *Budget) Next(ctx context.Context, r *types.Refusal, n int, need time.Duration) (time.Duration, bool) {
 	if !Elsewhere(r) {
 		return 0, false
--- a/retry/metrics.go
+++ b/retry/metrics.go
@@ -6,9 +6,9 @@
 )
 
 type budgetMetrics struct {
-	first   prometheus.Counter
-	allowed prometheus.Counter
-	refused prometheus.Counter
+	requests prometheus.Counter
+	allowed  prometheus.Counter
+	refused  prometheus.Counter
 }
 
 func newBudgetMetrics(reg prometheus.Registerer, service string) budgetMetrics {
@@ -18,12 +18,12 @@
 	}, []string{"service"}))
 	asked := register(reg, prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "pearyard_retry_asked_total",
-		Help: "Retries asked for, by whether the budget allowed them.",
+		Help: "Retries requested, by whether the budget allowed them.",
 	}, []string{"service", "allowed"}))
 	return budgetMetrics{
-		first:   first.WithLabelValues(service),
-		allowed: asked.WithLabelValues(service, "true"),
-		refused: asked.WithLabelValues(service, "false"),
+		requests: first.WithLabelValues(service),
+		allowed:  asked.WithLabelValues(service, "true"),
+		refused:  asked.WithLabelValues(service, "false"),
 	}
 }
 
@@ -34,7 +34,8 @@
 	}))
 }
 
-// register returns the collector, or the one registered before under its name.
+// register registers c and returns it, or returns the collector that is already
+// registered under its name.
 func register[T prometheus.Collector](reg prometheus.Registerer, c T) T {
 	if reg == nil {
 		return c
--- a/retry/span_test.go
+++ b/retry/span_test.go
@@ -8,22 +8,22 @@
 	. "github.com/onsi/gomega"
 )
 
-// A service is quiet over night. In the morning a tenth of its backend servers
-// fails, and each request asks for retries. The router sends the 20 that it has
-// saved up and one a second besides: in 20 seconds the rest, full already, gets
-// twice the fixed number that was allowed for them.
-func TestBudgetSavesNothingUpBeyondItsSpan(t *testing.T) {
+// Guards against retries that accumulate like tokens in a bucket: after an idle
+// night, a tenth of a service's backend servers fails. A token bucket would allow
+// the 20 accumulated retries and one more per second, so that the remaining
+// servers, already full, receive twice the allowed number within 20 seconds.
+func TestUnusedRetriesDoNotAccumulate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		b := NewBudget(BudgetOptions{})
 		time.Sleep(time.Hour)
-		sent := 0
+		retries := 0
 		for range 200 {
 			if b.Allow() {
-				sent++
+				retries++
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
-		g.Expect(sent).To(Equal(20), "in 20 seconds, one for each")
+		g.Expect(retries).To(Equal(20), "one per second in 20 seconds")
 	})
 }
--- a/retry/window.go
+++ b/retry/window.go
@@ -6,125 +6,131 @@
 	"time"
 )
 
-// windowSlots is in how many parts a Window is counted. One more than the
-// window's own length is kept, so that any span of that length is covered.
-const windowSlots = 20
-
-// Window bounds the retries of one service in any span of a given length: a
-// share of the first tries in it, plus a fixed number. Every process holds its
-// part of the fixed number, so that all together keep a bound without asking
-// one another on the path of a request. It saves nothing up beyond the span, but
-// lets a burst of first tries pay for a burst of retries.
+// windowBuckets is the number of buckets that make up a Window's length. One more
+// bucket is kept, so that the buckets cover any interval of that length.
+const windowBuckets = 20
+
+// Window limits the retries of one service over a sliding window: to a fraction
+// of the requests in the window, plus a fixed number. Each process has its part
+// of the fixed number, so that all processes together keep a limit without
+// communication on the request path. Unused retries don't accumulate beyond the
+// window, but a burst of requests allows a burst of retries.
 //
-// It takes no lock: all requests of a service count here. With a lock, a first
-// try and an asked retry took 519 to 525 ns, 12 threads on one window; so they
-// take 284 to 307 (BenchmarkWindow).
+// It is lock-free because all requests of a service are counted here. With 12
+// threads on one window, recording a request and a retry took 519 to 525 ns with
+// a mutex and takes 284 to 307 ns without (BenchmarkWindow).
 type Window struct {
-	slot  time.Duration
-	now   func() time.Time
-	zero  time.Time
-	ratio atomic.Uint64 // bits of a float64
-	extra atomic.Uint64 // bits of a float64
-	slots [windowSlots + 1]atomic.Uint64
+	bucketLength time.Duration
+	now          func() time.Time
+	start        time.Time
+	ratio        atomic.Uint64 // float64 bits
+	fixed        atomic.Uint64 // float64 bits
+	buckets      [windowBuckets + 1]atomic.Uint64
 }
 
-// NewWindow returns a window of the given length.
+// NewWindow returns a window of the given length that allows no retries until
+// SetLimits is called. If now is nil, time.Now is used.
 func NewWindow(length time.Duration, now func() time.Time) *Window {
 	if now == nil {
 		now = time.Now
 	}
-	return &Window{slot: length / windowSlots, now: now, zero: now()}
+	return &Window{bucketLength: length / windowBuckets, now: now, start: now()}
 }
 
-// Bound sets the share of first tries and the number that are always allowed.
-func (w *Window) Bound(ratio, extra float64) {
+// Bound sets the retries allowed per request and the number of retries that is
+// allowed in the window regardless of requests.
+func (w *Window) Bound(ratio, fixed float64) {
 	w.ratio.Store(math.Float64bits(ratio))
-	w.extra.Store(math.Float64bits(extra))
+	w.fixed.Store(math.Float64bits(fixed))
 }
 
-// First counts a first try.
-func (w *Window) First() { w.count(w.current(), 1, 0) }
+// First records that a request was sent for the first time.
+func (w *Window) First() { w.add(w.currentBucket(), 1, 0) }
 
-// Allow counts a retry if the bound leaves room for it.
+// Allow reports whether the limit has room for one more retry, and records it.
 //
-// It counts first and looks then, and takes the count back if there was no room.
-// Of all that are allowed, the one that counted last has seen all others, so the
-// bound holds however many ask at once. Several that ask for the last place may
-// all be refused.
+// It records the retry before it checks the limit, and takes it back if there is
+// no room. Of all concurrent retries that are allowed, the one recorded last has
+// seen all others, so the limit holds under any concurrency. In exchange, several
+// concurrent callers that compete for the last retry may all be refused.
 func (w *Window) Allow() bool {
-	slot := w.current()
-	w.count(slot, 0, 1)
-	first, again := w.sums(slot)
-	if again <= math.Float64frombits(w.ratio.Load())*first+math.Float64frombits(w.extra.Load()) {
+	n := w.currentBucket()
+	w.add(n, 0, 1)
+	requests, retries := w.totals(n)
+	if retries <= math.Float64frombits(w.ratio.Load())*requests+math.Float64frombits(w.fixed.Load()) {
 		return true
 	}
-	w.count(slot, 0, -1)
+	w.add(n, 0, -1)
 	return false
 }
 
-// Counts returns the first tries and retries in the window now.
-func (w *Window) Counts() (first, again float64) { return w.sums(w.current()) }
+// Counts returns the requests and retries currently in the window.
+func (w *Window) Counts() (requests, retries float64) { return w.totals(w.currentBucket()) }
 
-// Take counts a retry that was allowed by a bound for several processes.
-func (w *Window) Take() { w.count(w.current(), 0, 1) }
+// Take records a retry without checking the limit, for a retry that was allowed
+// by a limit that several processes share.
+func (w *Window) Take() { w.add(w.currentBucket(), 0, 1) }
 
-// current returns the number of the slot of this moment.
-func (w *Window) current() int64 { return int64(w.now().Sub(w.zero) / w.slot) }
+// currentBucket returns the number of the current bucket. Buckets are numbered from
+// the creation of the window.
+func (w *Window) currentBucket() int64 { return int64(w.now().Sub(w.start) / w.bucketLength) }
 
-// count adds to a slot; what it held of an earlier turn is dropped. What is taken
-// back too late finds the place in its next turn and leaves it as it is.
-func (w *Window) count(slot int64, first, again int) {
-	cell := &w.slots[slot%(windowSlots+1)]
+// add adds to the counts of bucket n, after clearing those of an earlier cycle.
+// If the place in the ring was already reused for a later bucket, a negative
+// count is dropped.
+func (w *Window) add(n int64, requests, retries int) {
+	cell := &w.buckets[n%(windowBuckets+1)]
 	for {
 		old := cell.Load()
-		held := unpack(old)
-		if held.turn < turnOf(slot) {
-			held = tally{turn: turnOf(slot)}
+		b := unpack(old)
+		if b.cycle < cycleOf(n) {
+			b = bucket{cycle: cycleOf(n)}
 		}
-		if again < 0 && held.turn > turnOf(slot) {
+		if retries < 0 && b.cycle > cycleOf(n) {
 			return
 		}
-		held.first = saturated(held.first + first)
-		held.again = saturated(held.again + again)
-		if cell.CompareAndSwap(old, held.pack()) {
+		b.requests = clampCount(b.requests + requests)
+		b.retries = clampCount(b.retries + retries)
+		if cell.CompareAndSwap(old, b.pack()) {
 			return
 		}
 	}
 }
 
-// sums adds up the slots of the window that ends with a slot.
-func (w *Window) sums(slot int64) (first, again float64) {
-	for number := max(0, slot-windowSlots); number <= slot; number++ {
-		held := unpack(w.slots[number%(windowSlots+1)].Load())
-		if held.turn >= turnOf(number) {
-			first += float64(held.first)
-			again += float64(held.again)
+// totals adds up the buckets of the window that ends with bucket last.
+func (w *Window) totals(last int64) (requests, retries float64) {
+	for n := max(0, last-windowBuckets); n <= last; n++ {
+		b := unpack(w.buckets[n%(windowBuckets+1)].Load())
+		if b.cycle >= cycleOf(n) {
+			requests += float64(b.requests)
+			retries += float64(b.retries)
 		}
 	}
-	return first, again
+	return requests, retries
 }
 
-// tally is what a slot holds: how often its place has been used before, and its
-// counts. Packed into one word it changes at once, so that no count of an
-// earlier turn is added to a later one.
-type tally struct{ turn, first, again int }
+// bucket holds the counts of one part of the window, and its cycle: how many times
+// its place in the ring was used before. It is packed into one word and updated
+// atomically, so that counts of an earlier cycle are never added to a later one.
+type bucket struct{ cycle, requests, retries int }
 
 const (
-	// countBits hold a million tries a slot, 200 times what a whole site sends in a second.
+	// countBits is the width of a count. It allows a million requests per bucket, 200
+	// times what a whole site sends in a second.
 	countBits = 20
 	maxCount  = 1<<countBits - 1
 )
 
-// turnOf returns how often a slot's place was used before it. 24 bits of turns of
-// ten seconds are five years.
-func turnOf(slot int64) int { return int(slot / (windowSlots + 1)) }
+// cycleOf returns the cycle of bucket n. The 24 bits left for it last five years
+// if the ring is reused every ten seconds.
+func cycleOf(n int64) int { return int(n / (windowBuckets + 1)) }
 
-func (t tally) pack() uint64 {
-	return uint64(t.turn)<<(2*countBits) | uint64(t.first)<<countBits | uint64(t.again)
+func (b bucket) pack() uint64 {
+	return uint64(b.cycle)<<(2*countBits) | uint64(b.requests)<<countBits | uint64(b.retries)
 }
 
-func unpack(word uint64) tally {
-	return tally{turn: int(word >> (2 * countBits)), first: int(word>>countBits) & maxCount, again: int(word) & maxCount}
+func unpack(word uint64) bucket {
+	return bucket{cycle: int(word >> (2 * countBits)), requests: int(word>>countBits) & maxCount, retries: int(word) & maxCount}
 }
 
-func saturated(n int) int { return min(max(n, 0), maxCount) }
+func clampCount(n int) int { return min(max(n, 0), maxCount) }
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -10,39 +10,39 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever the order of first tries and retries, no span of the window's length
-// holds more retries than the bound allows for the first tries in and shortly
-// before it.
-func TestWindowHoldsInEverySpan(t *testing.T) {
+// Property: any interval of the window's length holds no more retries than the
+// limit allows for the requests in it and up to one bucket before it.
+func TestWindowHoldsInEveryInterval(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const length = 10 * time.Second
 		ratio := rapid.Float64Range(0, 1).Draw(t, "ratio")
-		extra := rapid.Float64Range(0, 5).Draw(t, "extra")
+		fixed := rapid.Float64Range(0, 5).Draw(t, "fixed")
 		now := time.Unix(0, 0)
 		w := NewWindow(length, func() time.Time { return now })
-		w.Bound(ratio, extra)
-		var first, again []time.Time
+		w.Bound(ratio, fixed)
+		var requests, retries []time.Time
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 800).Draw(t, "pause")) * time.Millisecond)
-			if rapid.Bool().Draw(t, "first") {
+			if rapid.Bool().Draw(t, "request") {
 				w.First()
-				first = append(first, now)
+				requests = append(requests, now)
 				continue
 			}
 			if w.Allow() {
-				again = append(again, now)
+				retries = append(retries, now)
 			}
 		}
-		for _, end := range again {
+		for _, end := range retries {
 			from := end.Add(-length)
-			limit := ratio*float64(within(first, from.Add(-length/windowSlots), end)) + extra
-			if n := within(again, from, end); float64(n) > limit+1e-9 {
-				t.Fatalf("%d retries in the span to %v, %v allowed", n, end, limit)
+			limit := ratio*float64(within(requests, from.Add(-length/windowBuckets), end)) + fixed
+			if n := within(retries, from, end); float64(n) > limit+1e-9 {
+				t.Fatalf("%d retries in the window that ends at %v, %v allowed", n, end, limit)
 			}
 		}
 	})
 }
 
+// within counts the times in the half-open interval (from, to].
 func within(times []time.Time, from, to time.Time) int {
 	n := 0
 	for _, at := range times {
@@ -53,8 +53,9 @@
 	return n
 }
 
-// A burst of first tries pays for a burst of retries, and old ones are forgotten.
-func TestWindowForgets(t *testing.T) {
+// A burst of requests allows a burst of retries, until the requests are older
+// than the window.
+func TestWindowDropsOldRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Unix(0, 0)
 	w := NewWindow(10*time.Second, func() time.Time { return now })
@@ -83,20 +84,20 @@
 	})
 }
 
-// A zone fails and all requests of a service ask for a retry in the same moment.
-// However they meet, no more are allowed than the bound; what a crowd left over
-// is there for those that come after.
-func TestWindowHoldsHoweverManyAskAtOnce(t *testing.T) {
+// When a zone fails, all requests of a service are retried at the same moment.
+// Concurrent calls of Allow must not exceed the limit, and retries that were
+// refused only because of contention must be available to later callers.
+func TestWindowHoldsUnderConcurrency(t *testing.T) {
 	g := gomega.NewWithT(t)
-	const extra = 100
+	const fixed = 100
 	for range 20 {
 		now := time.Unix(0, 0)
 		w := NewWindow(10*time.Second, func() time.Time { return now })
-		w.Bound(0, extra)
+		w.Bound(0, fixed)
 		var allowed atomic.Int64
-		var crowd sync.WaitGroup
+		var callers sync.WaitGroup
 		for range 16 {
-			crowd.Go(func() {
+			callers.Go(func() {
 				for range 50 {
 					if w.Allow() {
 						allowed.Add(1)
@@ -104,27 +105,28 @@
 				}
 			})
 		}
-		crowd.Wait()
-		g.Expect(allowed.Load()).To(gomega.BeNumerically("<=", extra))
+		callers.Wait()
+		g.Expect(allowed.Load()).To(gomega.BeNumerically("<=", fixed))
 		for w.Allow() {
 			allowed.Add(1)
 		}
-		g.Expect(allowed.Load()).To(gomega.Equal(int64(extra)))
+		g.Expect(allowed.Load()).To(gomega.Equal(int64(fixed)))
 	}
 }
 
-// A request that was paused counts in a slot of which the place has been used
-// again since: its count belongs to the newer one, and empties nothing.
-func TestLateCountEmptiesNoSlot(t *testing.T) {
+// A request that was delayed updates a bucket whose place in the ring has been
+// reused since. It must not clear the newer bucket: a late addition is counted
+// there, a late removal is dropped.
+func TestLateUpdateKeepsNewerBucket(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Unix(0, 0)
 	w := NewWindow(10*time.Second, func() time.Time { return now })
 	now = now.Add(25 * time.Second)
 	w.First()
-	w.count(w.current()-windowSlots-1, 1, 0)
+	w.add(w.currentBucket()-windowBuckets-1, 1, 0)
 	w.Take()
-	w.count(w.current()-windowSlots-1, 0, -1)
-	first, again := w.Counts()
-	g.Expect(first).To(gomega.Equal(2.0))
-	g.Expect(again).To(gomega.Equal(1.0), "nothing is taken back of a later turn")
+	w.add(w.currentBucket()-windowBuckets-1, 0, -1)
+	requests, retries := w.Counts()
+	g.Expect(requests).To(gomega.Equal(2.0))
+	g.Expect(retries).To(gomega.Equal(1.0), "nothing is subtracted from a later cycle")
 }
