--- a/limit/doc.go
+++ b/limit/doc.go
@@ -1,8 +1,12 @@
-// Package limit decides, for each request, whether its organisation may have
-// one of the slots that this router may fill: rate, concurrency, a queue that
-// shares slots fairly under pressure, and an honest Retry-After for what it
-// sheds. Limits hold across routers by reports that they exchange, with no
-// shared store on the path of a request.
+// Package limit implements admission control per organisation: a rate limit, a
+// concurrency limit, a queue that shares this router's slots by weight when they
+// are all taken, and a Retry-After for shed requests that reflects the actual
+// wait. Routers enforce limits together by exchanging usage reports; no shared
+// store is on the request path.
+//
+// A slot is capacity at the backend servers that this router may fill. A permit
+// is one unit of an organisation's own concurrency limit. A running request holds
+// one of each.
 //
 // May import of pearyard: event, types.
 package limit
--- a/limit/dump.go
+++ b/limit/dump.go
@@ -6,18 +6,19 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// Dump is the limiter's state as an operator sees it.
+// Dump is the limiter's state for operators.
 type Dump struct {
 	Capacity      int                `json:"capacity"`
-	Used          map[string]int     `json:"used"` // by class
+	Used          map[string]int     `json:"used"` // slots by class
 	Waiting       int64              `json:"waiting"`
-	DrainRate     float64            `json:"drain_rate"` // slots that come free in a second
+	DrainRate     float64            `json:"drain_rate"` // slots released per second
 	Routers       int                `json:"routers"`
-	Reporting     int                `json:"reporting"` // other routers whose reports are fresh
+	Reporting     int                `json:"reporting"` // other routers with an unexpired report
 	Organisations []DumpOrganisation `json:"organisations"`
 }
 
-// DumpOrganisation is one organisation that was seen here, with this router's share.
+// DumpOrganisation is an organisation seen by this router, with the router's
+// share of its limits.
 type DumpOrganisation struct {
 	Name       types.Organisation `json:"name"`
 	Inflight   int                `json:"inflight"`
@@ -27,14 +28,14 @@
 	Queued     int                `json:"queued_here"`
 }
 
-// Dump returns the state; the organisations with most waiting and running come
-// first, most bounds their number, 0 is no bound.
-func (l *Limiter) Dump(most int) Dump {
+// Dump returns the state. It lists at most maxOrganisations organisations, those
+// with the most waiting and running requests first; 0 means all.
+func (l *Limiter) Dump(maxOrganisations int) Dump {
 	now := l.opts.Now()
 	used := l.slots.counts()
 	view := l.peers.Load()
 	out := Dump{
-		Capacity: l.opts.Capacity(), Waiting: l.pressure.Load(), Routers: l.opts.Routers(),
+		Capacity: l.opts.Capacity(), Waiting: l.slotWaiters.Load(), Routers: l.opts.Routers(),
 		Reporting: view.complete + view.partial, Used: map[string]int{},
 	}
 	for class := range classes {
@@ -56,8 +57,8 @@
 		}
 		return a.Name < b.Name
 	})
-	if most > 0 && len(out.Organisations) > most {
-		out.Organisations = out.Organisations[:most]
+	if maxOrganisations > 0 && len(out.Organisations) > maxOrganisations {
+		out.Organisations = out.Organisations[:maxOrganisations]
 	}
 	l.mu.Lock()
 	out.DrainRate = l.drain.rate
--- a/limit/events.go
+++ b/limit/events.go
@@ -2,18 +2,18 @@
 
 import "github.com/pearyard/pearyard/event"
 
-// Numbered events of this package; docs/operations/limits.md explains them.
+// Events emitted by this package. docs/operations/limits.md explains them.
 var (
 	eventApplied = event.Define(2500, "limits_applied", event.Info,
-		"the limits of all organisations were replaced by those of a new revision", "nothing")
+		"the limits of all organisations were replaced by those of a new configuration revision", "nothing")
 	eventRate = event.Define(2501, "organisation_rate_limited", event.Warn,
-		"an organisation began to be refused for its rate (told at most once in ten seconds for each)",
-		"raise requests_per_second in the text if the organisation should have more")
+		"requests of an organisation are refused because of its rate limit (reported at most every ten seconds per organisation)",
+		"raise requests_per_second in the configuration if the organisation should have more")
 	eventShed = event.Define(2502, "organisation_shed", event.Warn,
-		"an organisation's queue share was full or could not be served in time (told at most once in ten seconds for each)",
-		"add backend servers, or raise concurrent or queued in the text")
+		"requests of an organisation are shed because its queue is full or too long for their deadlines (reported at most every ten seconds per organisation)",
+		"add backend servers, or raise concurrent or queued in the configuration")
 	eventPressure = event.Define(2503, "slots_under_pressure", event.Info,
-		"requests began to wait for slots; organisations now share them by weight", "nothing; see the metrics for how long")
+		"all slots are taken and requests began to wait for one; organisations now share slots by weight", "nothing; the metrics show how long requests wait")
 	eventRelieved = event.Define(2504, "slots_relieved", event.Info,
-		"no request waits for a slot any more", "nothing")
+		"no requests wait for a slot any more", "nothing")
 )
--- a/limit/limiter.go
+++ b/limit/limiter.go
@@ -12,13 +12,13 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// Options of a Limiter. Capacity and Routers are called on the path of a
-// request, so they must be cheap; nil stands for no bound and for one router.
+// Options configures a Limiter. Capacity and Routers are called for every request
+// and must be cheap.
 type Options struct {
 	Self          types.ProcessID
-	Capacity      func() int // slots of the backend servers that this router may fill
-	Routers       func() int // live routers, this one included
-	UnnamedQueued int        // queue for organisations that the text doesn't name
+	Capacity      func() int // number of slots; nil: unlimited
+	Routers       func() int // number of live routers including this one; nil: 1
+	UnnamedQueued int        // queue length over all routers for organisations without limits of their own
 	Recorder      *event.Recorder
 	Registerer    prometheus.Registerer
 	Now           func() time.Time
@@ -26,38 +26,38 @@
 
 const (
 	unboundedCapacity = 1 << (countBits - 2)
-	// tickEvery is how often the drain rate is sampled and waiting requests are
-	// matched with capacity that grew by itself.
-	tickEvery = 100 * time.Millisecond
+	// tickInterval is how often the drain rate is sampled and added capacity is
+	// granted to waiting requests.
+	tickInterval = 100 * time.Millisecond
 )
 
-// Limiter admits requests. Without pressure an admission is a few atomic
-// operations; the lock is taken only while requests wait.
+// Limiter admits requests. While no request waits, an admission takes a few atomic
+// operations and no lock.
 type Limiter struct {
-	opts     Options
-	metrics  *metrics
-	admitted [classes]prometheus.Counter
-	table    atomic.Pointer[table]
-	peers    atomic.Pointer[peers]
-	epoch    atomic.Uint64
-	states   sync.Map // types.Organisation -> *state
-	slots    slots
-	pressure atomic.Int64 // requests that wait for a slot, not for their organisation's own bound
-	drained  atomic.Uint64
-
-	mu            sync.Mutex // guards the fields below and state.line
-	heaps         [classes]lineHeap
-	parked        map[*line]struct{}
-	waitingWeight float64
+	opts        Options
+	metrics     *metrics
+	admitted    [classes]prometheus.Counter
+	table       atomic.Pointer[table]
+	peers       atomic.Pointer[peerReports]
+	epoch       atomic.Uint64
+	states      sync.Map // types.Organisation -> *state
+	slots       slots
+	slotWaiters atomic.Int64  // requests that wait for a slot, not for a permit of their organisation
+	released    atomic.Uint64 // slots released so far
+
+	mu            sync.Mutex // guards the fields below and state.queue
+	heaps         [classes]queueHeap
+	parked        map[*orgQueue]struct{}
+	waitingWeight float64 // sum of the weights of organisations with waiting requests
 	drain         drainMeter
-	pressed       bool
+	underPressure bool // whether the last event said that requests wait for slots
 
-	peerMu   sync.Mutex // guards reports
-	reports  map[types.ProcessID]received
-	reported time.Time
+	peerMu    sync.Mutex // guards the fields below
+	reports   map[types.ProcessID]receivedReport
+	lastUsage time.Time // when Usage was last called
 }
 
-// New returns a limiter with no organisation named.
+// New returns a limiter without limits for any organisation.
 func New(opts Options) *Limiter {
 	if opts.Capacity == nil {
 		opts.Capacity = func() int { return unboundedCapacity }
@@ -74,9 +74,9 @@
 	if opts.Now == nil {
 		opts.Now = time.Now
 	}
-	l := &Limiter{opts: opts, parked: map[*line]struct{}{}, reports: map[types.ProcessID]received{}, reported: opts.Now()}
+	l := &Limiter{opts: opts, parked: map[*orgQueue]struct{}{}, reports: map[types.ProcessID]receivedReport{}, lastUsage: opts.Now()}
 	l.table.Store(&table{})
-	l.peers.Store(&peers{})
+	l.peers.Store(&peerReports{})
 	l.metrics = newMetrics(opts.Registerer, l)
 	for class := range classes {
 		l.heaps[class].class = class
@@ -85,9 +85,9 @@
 	return l
 }
 
-// Run samples the drain rate and lets waiting requests use capacity that grew.
+// Run calls Refresh periodically until ctx ends.
 func (l *Limiter) Run(ctx context.Context) error {
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -99,22 +99,23 @@
 	}
 }
 
-// Kick matches waiting requests with free slots, as Run does on its tick.
+// Refresh samples the drain rate and grants free slots to waiting requests.
 func (l *Limiter) Kick() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.drain.sample(l.opts.Now(), l.drained.Load())
-	// An organisation whose share grew has no release of its own to wake it.
-	for n := range l.parked {
-		l.requeue(n.st)
+	l.drain.sample(l.opts.Now(), l.released.Load())
+	// An organisation whose share has grown may have no running request whose
+	// release would unpark it.
+	for q := range l.parked {
+		l.updateHeaps(q.st)
 	}
 	l.dispatch()
 }
 
-// Admit takes a slot for a request of an organisation. It returns at once when
-// there is room; else it waits in the organisation's queue until a slot is
-// free or ctx ends, and refuses at once when the queue is full or the wait
-// can't end within ctx's deadline. The release function may be called twice.
+// Admit acquires a slot for a request of an organisation. If none is available,
+// it waits in the organisation's queue until it gets one or ctx ends. It refuses
+// the request immediately if the queue is full or too long for ctx's deadline.
+// The returned release function may be called more than once.
 func (l *Limiter) Admit(ctx context.Context, org types.Organisation, class Class) (func(), *types.Refusal) {
 	deadline, _ := ctx.Deadline()
 	t, refusal := l.Start(org, class, deadline)
@@ -130,21 +131,22 @@
 	case <-ctx.Done():
 		t.Release()
 		l.metrics.refused.WithLabelValues(reasonDeadline).Inc()
-		return nil, types.NotRun(types.CodeDeadline, l.comeBack(t.st), "no slot became free in time")
+		return nil, types.NotRun(types.CodeDeadline, l.retryAfterWait(t.st), "no slot became available before the deadline")
 	}
 }
 
-// Start is Admit for callers that wait by themselves. A zero deadline is none.
+// Reserve is like Admit, but returns without waiting. The caller waits for the
+// ticket to become ready. A zero deadline means none.
 func (l *Limiter) Start(org types.Organisation, class Class, deadline time.Time) (*Ticket, *types.Refusal) {
 	now := l.opts.Now()
 	st := l.state(org)
 	sh := l.shareOf(st, now)
-	st.wanted.Add(1)
+	st.requests.Add(1)
 	if refusal := l.checkRate(st, sh, now); refusal != nil {
 		return nil, refusal
 	}
 	t := &Ticket{limiter: l, st: st, class: class}
-	if l.pressure.Load() == 0 && st.waiting.Load() == 0 && l.takeBoth(st, sh, class) {
+	if l.slotWaiters.Load() == 0 && st.waiting.Load() == 0 && l.tryAdmit(st, sh, class) {
 		l.admitted[class].Inc()
 		return t, nil
 	}
@@ -154,21 +156,21 @@
 	return t, nil
 }
 
-// takeBoth takes one of the organisation's own places and one slot.
-func (l *Limiter) takeBoth(st *state, sh *share, class Class) bool {
-	if !st.enter(sh) {
-		st.pressed.Store(true)
+// tryAdmit acquires a permit of the organisation and a slot, or neither.
+func (l *Limiter) tryAdmit(st *state, sh *share, class Class) bool {
+	if !st.acquirePermit(sh) {
+		st.lackedPermit.Store(true)
 		return false
 	}
-	if l.slots.take(class, l.opts.Capacity()) {
+	if l.slots.acquire(class, l.opts.Capacity()) {
 		return true
 	}
 	st.inflight.Add(-1)
 	return false
 }
 
-// enter takes one of the places that the organisation has at this router.
-func (st *state) enter(sh *share) bool {
+// acquirePermit acquires one of the organisation's permits at this router.
+func (st *state) acquirePermit(sh *share) bool {
 	if sh.concurrent < 0 {
 		st.inflight.Add(1)
 		return true
@@ -179,13 +181,14 @@
 			return false
 		}
 		if st.inflight.CompareAndSwap(n, n+1) {
-			st.raisePeak(n + 1)
+			st.updatePeak(n + 1)
 			return true
 		}
 	}
 }
 
-func (st *state) raisePeak(n int32) {
+// updatePeak raises the recorded peak of running requests to at least n.
+func (st *state) updatePeak(n int32) {
 	for {
 		peak := st.peak.Load()
 		if n <= peak || st.peak.CompareAndSwap(peak, n) {
@@ -194,51 +197,52 @@
 	}
 }
 
-// Ticket is a slot taken, or a place in a queue.
+// Ticket is an acquired slot or a position in an organisation's queue.
 type Ticket struct {
-	limiter *Limiter
-	st      *state
-	class   Class
-	ready   chan struct{} // nil: granted from the start
-	queued  time.Time
-	spot    *spot // guarded by Limiter.mu; nil once granted or given up
-	done    atomic.Bool
+	limiter  *Limiter
+	st       *state
+	class    Class
+	ready    chan struct{} // closed when granted; nil: granted immediately
+	queued   time.Time
+	position *queuePosition // guarded by Limiter.mu; nil if not in a queue
+	done     atomic.Bool
 }
 
-// Ready is closed when the slot is granted.
+// Ready returns a channel that is closed when the slot is granted.
 func (t *Ticket) Ready() <-chan struct{} {
 	if t.ready == nil {
-		return closed
+		return closedChan
 	}
 	return t.ready
 }
 
-var closed = func() chan struct{} {
+var closedChan = func() chan struct{} {
 	c := make(chan struct{})
 	close(c)
 	return c
 }()
 
-// Release gives the slot, or the place in the queue, back. Only the first call counts.
+// Release releases the slot, or leaves the queue if it isn't granted yet. Further
+// calls have no effect.
 func (t *Ticket) Release() {
 	if !t.done.CompareAndSwap(false, true) {
 		return
 	}
 	l := t.limiter
-	if t.ready != nil && l.giveUp(t) {
+	if t.ready != nil && l.abandon(t) {
 		return
 	}
-	// The slot is put back before the pressure is read, while a request that
-	// comes to wait adds to the pressure before it looks for a slot: one of the
-	// two sees the other, so no request waits beside a free slot.
+	// The slot is released before slotWaiters is read, and a request that starts
+	// to wait increments slotWaiters before it looks for a slot. One of the two
+	// sees the other, so no request keeps waiting while a slot is free.
 	t.st.inflight.Add(-1)
-	l.slots.put(t.class)
-	l.drained.Add(1)
-	if l.pressure.Load() == 0 && t.st.waiting.Load() == 0 {
+	l.slots.release(t.class)
+	l.released.Add(1)
+	if l.slotWaiters.Load() == 0 && t.st.waiting.Load() == 0 {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.requeue(t.st)
+	l.updateHeaps(t.st)
 	l.dispatch()
 }
--- a/limit/limiter_test.go
+++ b/limit/limiter_test.go
@@ -20,14 +20,15 @@
 
 func fixed(n int) func() int { return func() int { return n } }
 
-// expectEmpty checks that nothing is held, waits or is remembered as waiting.
+// expectEmpty checks that no request holds a slot or permit and that no trace of
+// a waiting one is left.
 func expectEmpty(g gomega.Gomega, l *Limiter) {
 	g.Expect(l.slots.counts()).To(gomega.BeZero())
-	g.Expect(l.pressure.Load()).To(gomega.BeZero())
+	g.Expect(l.slotWaiters.Load()).To(gomega.BeZero())
 	g.Expect(l.parked).To(gomega.BeEmpty())
 	g.Expect(l.waitingWeight).To(gomega.BeNumerically("~", 0, 1e-6))
 	for class := range classes {
-		g.Expect(l.heaps[class].lines).To(gomega.BeEmpty())
+		g.Expect(l.heaps[class].queues).To(gomega.BeEmpty())
 	}
 	l.states.Range(func(_, value any) bool {
 		g.Expect(value.(*state).inflight.Load()).To(gomega.BeZero())
@@ -36,9 +37,9 @@
 	})
 }
 
-// Long generations fill all that they may. A short one and a plain call of
-// another organisation come and must start at once, not in minutes.
-func TestLongGenerationsDontHoldUpShortOnes(t *testing.T) {
+// When long generations take all slots open to them, a short generation and a
+// plain call of another organisation must start immediately, not minutes later.
+func TestLongGenerationsLeaveSlotsForOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		l := New(Options{Capacity: fixed(20)})
@@ -56,15 +57,15 @@
 			defer release()
 		}
 		g.Expect(time.Since(began)).To(gomega.BeZero())
-		// A long one of the small organisation is next, before the 45 that wait.
+		// A long generation of the small organisation precedes the 45 that wait.
 		next, _ := l.Start("small", Long, time.Time{})
 		held[0].Release()
 		<-next.Ready()
 	})
 }
 
-// A caller waits with two seconds left. No slot comes free: it must hear so at
-// its deadline at the latest, and at once when the queue can't be served in time.
+// A request that waits for a slot must be refused by its deadline at the latest,
+// and immediately if the queue is too long for its deadline.
 func TestWaitEndsAtTheDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
@@ -81,7 +82,7 @@
 		held.Release()
 		expectEmpty(g, l)
 
-		for range 20 { // one slot free each second
+		for range 20 { // measured drain rate: one slot per second
 			held, _ = l.Start("o", Plain, time.Time{})
 			time.Sleep(time.Second)
 			held.Release()
@@ -101,41 +102,42 @@
 		defer stop()
 		_, refusal = l.Admit(short, "o", Plain)
 		g.Expect(refusal).NotTo(gomega.BeNil())
-		g.Expect(time.Since(began)).To(gomega.BeZero(), "two wait already, one slot a second: no use in waiting one second")
+		g.Expect(time.Since(began)).To(gomega.BeZero(), "two requests are ahead at one slot per second, so a wait of one second is hopeless")
 	})
 }
 
-// A hundred callers are turned away in one instant, each with its own time. If
-// all returned together they would be turned away again; when each keeps its
-// time, nearly all are let in.
-func TestRetryAfterIsHonestAndSpreadsTheReturn(t *testing.T) {
+// Callers that are refused at the same instant get different Retry-After values,
+// because they would be refused again if they all retried together. When each
+// retries at its time, nearly all must be admitted.
+func TestRetryAfterIsAccurateAndSpreadsRetries(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Now()
 	l := New(Options{Now: func() time.Time { return now }})
 	l.Apply([]OrganisationLimits{{Name: "o", RequestsPerSecond: 10, Burst: 1}})
-	var back []time.Time
+	var retries []time.Time
 	for range 101 {
 		if _, refusal := l.Start("o", Short, time.Time{}); refusal != nil {
 			g.Expect(refusal.Status).To(gomega.Equal(429))
-			back = append(back, now.Add(refusal.RetryAfter))
+			retries = append(retries, now.Add(refusal.RetryAfter))
 		}
 	}
-	g.Expect(back).To(gomega.HaveLen(100))
-	slices.SortFunc(back, time.Time.Compare)
-	g.Expect(back[99].Sub(back[0])).To(gomega.BeNumerically(">", 8*time.Second))
-	let := 0
-	for _, now = range back {
+	g.Expect(retries).To(gomega.HaveLen(100))
+	slices.SortFunc(retries, time.Time.Compare)
+	g.Expect(retries[99].Sub(retries[0])).To(gomega.BeNumerically(">", 8*time.Second))
+	admitted := 0
+	for _, now = range retries {
 		if _, refusal := l.Start("o", Short, time.Time{}); refusal == nil {
-			let++
+			admitted++
 		}
 	}
-	t.Logf("let in on return: %d of 100", let)
-	g.Expect(let).To(gomega.BeNumerically(">=", 90))
+	t.Logf("retries admitted: %d of 100", admitted)
+	g.Expect(admitted).To(gomega.BeNumerically(">=", 90))
 }
 
-// The operators raise an organisation's bound while its requests wait for it.
-// What runs must still count, and one that waits must start without a release.
-func TestApplyKeepsWhatRunsAndWakesWhatWaits(t *testing.T) {
+// When an organisation's concurrency limit is raised while its requests wait for
+// it, running requests must still count, and a waiting one must start without a
+// release.
+func TestApplyKeepsRunningAndStartsWaiting(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l := New(Options{Capacity: fixed(100)})
 	l.Apply([]OrganisationLimits{{Name: "o", Concurrent: 2, Queued: 5}, {Name: "other"}})
@@ -144,7 +146,7 @@
 		ticket, _ := l.Start("o", Short, time.Time{})
 		tickets = append(tickets, ticket)
 	}
-	g.Expect(l.pressure.Load()).To(gomega.BeZero(), "waiting for its own bound is no pressure on others")
+	g.Expect(l.slotWaiters.Load()).To(gomega.BeZero(), "requests that wait for their organisation's limit don't compete for slots")
 	l.Apply([]OrganisationLimits{{Name: "o", Concurrent: 3, Queued: 5}, {Name: "other"}})
 	g.Expect(tickets[2].Ready()).To(gomega.BeClosed())
 	g.Expect(tickets[3].Ready()).NotTo(gomega.BeClosed())
@@ -156,11 +158,11 @@
 	expectEmpty(g, l)
 }
 
-// Whatever is started, released twice, given up or re-applied in any order: no
-// more is held than there are slots, none waits beside a slot that it may have,
-// and at the end all is given back.
-func TestReleaseAlwaysGivesBack(t *testing.T) {
-	orgs := []types.Organisation{"a", "b", "c", "made-up"}
+// Property: for any order of reservations, releases (also repeated ones),
+// abandoned waits and changes of limits, no request waits while a slot and a
+// permit are free for it, and everything is released at the end.
+func TestNoRequestWaitsBesideAFreeSlot(t *testing.T) {
+	orgs := []types.Organisation{"a", "b", "c", "unknown"}
 	rapid.Check(t, func(t *rapid.T) {
 		g := gomega.NewWithT(t)
 		now := time.Now()
@@ -195,10 +197,10 @@
 				l.Apply(limits())
 			}
 			for _, ticket := range tickets {
-				if !ticket.done.Load() && ticket.spot != nil {
+				if !ticket.done.Load() && ticket.position != nil {
 					sh := l.shareOf(ticket.st, now)
-					room := sh.concurrent < 0 || int(ticket.st.inflight.Load()) < sh.concurrent
-					g.Expect(room && l.slots.counts().fits(ticket.class, capacity)).To(gomega.BeFalse(), "waits beside a free slot")
+					permitted := sh.concurrent < 0 || int(ticket.st.inflight.Load()) < sh.concurrent
+					g.Expect(permitted && l.slots.counts().fits(ticket.class, capacity)).To(gomega.BeFalse(), "waits while a slot is free")
 				}
 			}
 		}
@@ -210,6 +212,8 @@
 	})
 }
 
+// first returns the usage of the first organisation, or an example if there is
+// none.
 func (r Report) first() Usage {
 	if len(r.Organisations) == 0 {
 		return Usage{Organisation: "a", Wanted: 3, Peak: 2, Pressed: true}
@@ -217,13 +221,14 @@
 	return r.Organisations[0]
 }
 
-// Many callers come, give up and go at once, through the fast path and the queue.
+// Many callers acquire, abandon and release concurrently, through the fast path
+// and the queue. At no time may more slots be held than the capacity.
 func TestConcurrentUse(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const capacity = 8
 	l := New(Options{Capacity: fixed(capacity)})
 	l.Apply([]OrganisationLimits{{Name: "a", Queued: 20, Concurrent: 3}, {Name: "b", Queued: 20}})
-	var held, most, served atomic.Int64
+	var held, peak, served atomic.Int64
 	var callers sync.WaitGroup
 	for i := range 32 {
 		callers.Go(func() {
@@ -232,7 +237,7 @@
 				ctx, cancel := context.WithTimeout(t.Context(), time.Duration(rand.IntN(4000))*time.Microsecond)
 				release, refusal := l.Admit(ctx, org, Class(rand.IntN(3)))
 				if refusal == nil {
-					most.Store(max(most.Load(), held.Add(1)))
+					peak.Store(max(peak.Load(), held.Add(1)))
 					runtime.Gosched()
 					held.Add(-1)
 					served.Add(1)
@@ -243,14 +248,14 @@
 		})
 	}
 	callers.Wait()
-	g.Expect(most.Load()).To(gomega.BeNumerically("<=", capacity))
+	g.Expect(peak.Load()).To(gomega.BeNumerically("<=", capacity))
 	g.Expect(served.Load()).To(gomega.BeNumerically(">", 0))
 	expectEmpty(g, l)
 }
 
 const manyOrganisations = 48000
 
-func many() []OrganisationLimits {
+func manyLimits() []OrganisationLimits {
 	out := make([]OrganisationLimits, manyOrganisations)
 	for i := range out {
 		out[i] = OrganisationLimits{
@@ -262,7 +267,7 @@
 
 func BenchmarkAdmit(b *testing.B) {
 	l := New(Options{Capacity: fixed(100000)})
-	limits := many()
+	limits := manyLimits()
 	l.Apply(limits)
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
@@ -285,7 +290,7 @@
 		return float64(m.HeapAlloc)
 	}
 	for b.Loop() {
-		limits := many()
+		limits := manyLimits()
 		before := heapNow()
 		l := New(Options{Capacity: fixed(100000)})
 		l.Apply(limits)
--- a/limit/limits.go
+++ b/limit/limits.go
@@ -9,30 +9,30 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// OrganisationLimits are what the operators' text grants one organisation over
-// all routers together. 0 means no limit, for Queued no queue; Weight 0 is 1.
+// OrganisationLimits are the configured limits of an organisation over all routers
+// together.
 type OrganisationLimits struct {
 	Name              types.Organisation
-	Weight            float64 // share of the slots under pressure
-	RequestsPerSecond float64
-	Burst             int // requests at once before the rate holds; 0: one second's worth
-	Concurrent        int
-	Queued            int
-	Priority          int // decides between organisations that are equally far from their share
+	Weight            float64 // relative share of the slots while requests wait for them; 0: 1
+	RequestsPerSecond float64 // 0: no limit
+	Burst             int     // token bucket size of the rate limit; 0: one second's worth
+	Concurrent        int     // requests that may run at once; 0: no limit
+	Queued            int     // requests that may wait; 0: no queue
+	Priority          int     // breaks ties between organisations that use equally much of their share
 }
 
-// minBurst is the burst that each router allows at the least, up to that of the
-// organisation. Cut finer, chance arrivals find single routers empty while
-// others have tokens left, and much of the limit is lost.
+// minBurst is the smallest burst of a router, unless the organisation's is
+// smaller. With finer parts, random arrivals find some routers' buckets empty
+// while others have tokens left, and much of the limit stays unused.
 const minBurst = 3
 
-// table is one revision of all limits; it is never changed once stored.
+// table holds all limits of one configuration revision. It is immutable.
 type table struct {
 	limits map[types.Organisation]OrganisationLimits
 }
 
-// Apply replaces the limits of all organisations. What an organisation has
-// running, waiting and left of its burst is kept.
+// Apply replaces the limits of all organisations. Running and waiting requests and
+// the remaining burst of each organisation are kept.
 func (l *Limiter) Apply(limits []OrganisationLimits) {
 	next := &table{limits: make(map[types.Organisation]OrganisationLimits, len(limits))}
 	for _, o := range limits {
@@ -47,28 +47,28 @@
 	l.Kick()
 }
 
-// unnamed holds all requests of organisations that the text doesn't name, so
-// that names made up by callers cost no memory.
-const unnamed types.Organisation = ""
+// unconfigured is the name under which all organisations without configured
+// limits share one state, so that invented names in requests cost no memory.
+const unconfigured types.Organisation = ""
 
-// state is what this router keeps of one organisation, made at its first request.
+// state is this router's state of an organisation, created by its first request.
 type state struct {
-	name     types.Organisation
-	share    atomic.Pointer[share]
-	rate     atomic.Pointer[rate.Limiter]
-	inflight atomic.Int32
-	waiting  atomic.Int32
-	peak     atomic.Int32  // most inflight since the last report
-	pressed  atomic.Bool   // since the last report, some had to wait for or were refused a place
-	wanted   atomic.Uint64 // requests seen since the last report
-	seenRate atomic.Uint64 // bits of the rate wanted in the last report
-	promised atomic.Int64  // until when those sent away were told to stay away
-	told     atomic.Int64  // when an event last told of this organisation
-	line     *line         // guarded by Limiter.mu; made at the first wait
+	name         types.Organisation
+	share        atomic.Pointer[share]
+	rate         atomic.Pointer[rate.Limiter]
+	inflight     atomic.Int32
+	waiting      atomic.Int32
+	peak         atomic.Int32  // highest inflight since the last usage report
+	lackedPermit atomic.Bool   // a request lacked a permit since the last usage report
+	requests     atomic.Uint64 // requests since the last usage report, refused ones included
+	demandRate   atomic.Uint64 // float64 bits of the request rate in the last usage report
+	lastRetryAt  atomic.Int64  // latest time that a refused caller was told to retry at, Unix nanoseconds
+	lastEvent    atomic.Int64  // when the last event about this organisation was emitted, Unix nanoseconds
+	queue        *orgQueue     // guarded by Limiter.mu; created by the first wait
 }
 
-// share is this router's part of an organisation's limits, worked out once for
-// each epoch (a revision or a round of reports).
+// share is this router's part of an organisation's limits. It is computed once
+// per epoch, which ends with each configuration revision or exchange of reports.
 type share struct {
 	epoch      uint64
 	weight     float64
@@ -78,34 +78,36 @@
 	queued     int
 }
 
+// state returns the state of an organisation and creates it if necessary.
 func (l *Limiter) state(org types.Organisation) *state {
-	if known, ok := l.states.Load(org); ok {
-		return known.(*state)
+	if st, ok := l.states.Load(org); ok {
+		return st.(*state)
 	}
-	if _, named := l.table.Load().limits[org]; !named && org != unnamed {
-		return l.state(unnamed)
+	if _, configured := l.table.Load().limits[org]; !configured && org != unconfigured {
+		return l.state(unconfigured)
 	}
-	made, _ := l.states.LoadOrStore(org, &state{name: org})
-	return made.(*state)
+	st, _ := l.states.LoadOrStore(org, &state{name: org})
+	return st.(*state)
 }
 
-// shareOf returns the state's share, worked out anew if the epoch changed.
+// shareOf returns the organisation's share, recomputed if the epoch changed.
 func (l *Limiter) shareOf(st *state, now time.Time) *share {
 	epoch := l.epoch.Load()
-	if have := st.share.Load(); have != nil && have.epoch == epoch {
-		return have
+	if current := st.share.Load(); current != nil && current.epoch == epoch {
+		return current
 	}
-	limits, named := l.table.Load().limits[st.name]
-	if !named {
+	limits, configured := l.table.Load().limits[st.name]
+	if !configured {
 		limits = OrganisationLimits{Name: st.name, Weight: 1, Queued: l.opts.UnnamedQueued}
 	}
-	next := l.divide(st, limits, now)
+	next := l.computeShare(st, limits, now)
 	next.epoch = epoch
 	l.setRate(st, limits, next, now)
 	st.share.Store(next)
 	return next
 }
 
+// setRate adjusts the organisation's token bucket to its share.
 func (l *Limiter) setRate(st *state, limits OrganisationLimits, s *share, now time.Time) {
 	if s.rate <= 0 {
 		st.rate.Store(nil)
@@ -116,11 +118,11 @@
 		full = limits.RequestsPerSecond
 	}
 	burst := max(min(minBurst, int(full)), int(full*s.rate/limits.RequestsPerSecond+0.5), 1)
-	have := st.rate.Load()
-	if have == nil {
+	limiter := st.rate.Load()
+	if limiter == nil {
 		st.rate.CompareAndSwap(nil, rate.NewLimiter(rate.Limit(s.rate), burst))
 		return
 	}
-	have.SetLimitAt(now, rate.Limit(s.rate))
-	have.SetBurstAt(now, burst)
+	limiter.SetLimitAt(now, rate.Limit(s.rate))
+	limiter.SetBurstAt(now, burst)
 }
--- a/limit/queue.go
+++ b/limit/queue.go
@@ -8,45 +8,47 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// line is the queue of one organisation, by class.
-type line struct {
-	st       *state
-	waiting  [classes]list.List
-	index    [classes]int // place in the heap of the class; -1: not in it
-	key      float64      // slots held for each unit of weight, as the heaps know it
-	priority int
-	weight   float64
-	parked   bool // held back by the organisation's own bound, not by want of slots
-	size     int
+// orgQueue is the queue of an organisation, by class.
+type orgQueue struct {
+	st        *state
+	waiting   [classes]list.List
+	heapIndex [classes]int // index in the heap of each class; -1: not in it
+	load      float64      // slots held per unit of weight, as of the last refresh
+	priority  int
+	weight    float64
+	parked    bool // waits for the organisation's own concurrency limit, not for slots
+	size      int
 }
 
-// spot is a ticket's place in its line.
-type spot struct{ element *list.Element }
+// queuePosition is a ticket's position in its organisation's queue.
+type queuePosition struct{ element *list.Element }
 
-func newLine(st *state) *line { return &line{st: st, index: [classes]int{-1, -1, -1}} }
+func newOrgQueue(st *state) *orgQueue { return &orgQueue{st: st, heapIndex: [classes]int{-1, -1, -1}} }
 
-func (n *line) refresh(sh *share) {
-	n.weight = sh.weight
-	n.priority = sh.priority
-	n.key = float64(n.st.inflight.Load()+1) / sh.weight
+// refresh updates the values that the heaps order the queue by.
+func (q *orgQueue) refresh(sh *share) {
+	q.weight = sh.weight
+	q.priority = sh.priority
+	q.load = float64(q.st.inflight.Load()+1) / sh.weight
 }
 
-func (n *line) head(class Class) *Ticket { return n.waiting[class].Front().Value.(*Ticket) }
+func (q *orgQueue) head(class Class) *Ticket { return q.waiting[class].Front().Value.(*Ticket) }
 
-// lineHeap orders the organisations that wait in one class: first the one that
-// holds the fewest slots for its weight. Slots held, not requests served, are
-// what is shared: one that sends long generations pays for their length.
-type lineHeap struct {
-	class Class
-	lines []*line
+// queueHeap orders the queues of the organisations that wait for a slot in one
+// class. The organisation that holds the fewest slots relative to its weight is
+// first. Fairness is measured in slots held, not requests served, so that long
+// generations count for as long as they run.
+type queueHeap struct {
+	class  Class
+	queues []*orgQueue
 }
 
-func (h *lineHeap) Len() int { return len(h.lines) }
+func (h *queueHeap) Len() int { return len(h.queues) }
 
-func (h *lineHeap) Less(i, j int) bool {
-	a, b := h.lines[i], h.lines[j]
-	if a.key != b.key {
-		return a.key < b.key
+func (h *queueHeap) Less(i, j int) bool {
+	a, b := h.queues[i], h.queues[j]
+	if a.load != b.load {
+		return a.load < b.load
 	}
 	if a.priority != b.priority {
 		return a.priority > b.priority
@@ -54,34 +56,36 @@
 	return a.head(h.class).queued.Before(b.head(h.class).queued)
 }
 
-func (h *lineHeap) Swap(i, j int) {
-	h.lines[i], h.lines[j] = h.lines[j], h.lines[i]
-	h.lines[i].index[h.class] = i
-	h.lines[j].index[h.class] = j
+func (h *queueHeap) Swap(i, j int) {
+	h.queues[i], h.queues[j] = h.queues[j], h.queues[i]
+	h.queues[i].heapIndex[h.class] = i
+	h.queues[j].heapIndex[h.class] = j
 }
 
 // Push implements heap.Interface.
-func (h *lineHeap) Push(x any) {
-	n := x.(*line)
-	n.index[h.class] = len(h.lines)
-	h.lines = append(h.lines, n)
+func (h *queueHeap) Push(x any) {
+	q := x.(*orgQueue)
+	q.heapIndex[h.class] = len(h.queues)
+	h.queues = append(h.queues, q)
 }
 
 // Pop implements heap.Interface.
-func (h *lineHeap) Pop() any {
-	last := len(h.lines) - 1
-	n := h.lines[last]
-	h.lines[last] = nil
-	h.lines = h.lines[:last]
-	n.index[h.class] = -1
-	return n
+func (h *queueHeap) Pop() any {
+	last := len(h.queues) - 1
+	q := h.queues[last]
+	h.queues[last] = nil
+	h.queues = h.queues[:last]
+	q.heapIndex[h.class] = -1
+	return q
 }
 
-// enqueue puts a ticket in its organisation's queue, or refuses it.
+// enqueue adds a ticket to its organisation's queue, or refuses it.
 func (l *Limiter) enqueue(t *Ticket, sh *share, now, deadline time.Time) *types.Refusal {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.requeue(t.st) // a fast path that failed may have hidden a free place
+	// A concurrent tryAdmit that failed may have held a permit for a moment and
+	// caused the queue to be parked.
+	l.updateHeaps(t.st)
 	if int(t.st.waiting.Load()) >= sh.queued {
 		return l.shed(t.st, sh, reasonQueue, now)
 	}
@@ -90,169 +94,176 @@
 	}
 	t.queued = now
 	t.ready = make(chan struct{})
-	l.push(t, sh)
+	l.addWaiter(t, sh)
 	l.dispatch()
 	l.metrics.queued.WithLabelValues(t.class.String()).Inc()
 	return nil
 }
 
-func (l *Limiter) push(t *Ticket, sh *share) {
-	n := t.st.line
-	if n == nil {
-		n = newLine(t.st)
-		t.st.line = n
+// addWaiter appends a ticket to its organisation's queue.
+func (l *Limiter) addWaiter(t *Ticket, sh *share) {
+	q := t.st.queue
+	if q == nil {
+		q = newOrgQueue(t.st)
+		t.st.queue = q
 	}
-	if n.size == 0 {
-		n.refresh(sh)
-		l.waitingWeight += n.weight
+	if q.size == 0 {
+		q.refresh(sh)
+		l.waitingWeight += q.weight
 	}
-	t.spot = &spot{element: n.waiting[t.class].PushBack(t)}
-	n.size++
+	t.position = &queuePosition{element: q.waiting[t.class].PushBack(t)}
+	q.size++
 	t.st.waiting.Add(1)
-	if n.parked {
+	if q.parked {
 		return
 	}
-	l.pressure.Add(1)
-	l.notePressure()
-	if n.index[t.class] < 0 {
-		heap.Push(&l.heaps[t.class], n)
+	l.slotWaiters.Add(1)
+	l.reportPressure()
+	if q.heapIndex[t.class] < 0 {
+		heap.Push(&l.heaps[t.class], q)
 	}
 }
 
-// drop takes a ticket out of its line.
-func (l *Limiter) drop(t *Ticket) {
-	n := t.st.line
-	n.waiting[t.class].Remove(t.spot.element)
-	t.spot = nil
-	n.size--
+// removeWaiter removes a ticket from its organisation's queue.
+func (l *Limiter) removeWaiter(t *Ticket) {
+	q := t.st.queue
+	q.waiting[t.class].Remove(t.position.element)
+	t.position = nil
+	q.size--
 	t.st.waiting.Add(-1)
-	if !n.parked {
-		l.pressure.Add(-1)
+	if !q.parked {
+		l.slotWaiters.Add(-1)
 	}
-	if n.index[t.class] >= 0 {
-		if n.waiting[t.class].Len() == 0 {
-			heap.Remove(&l.heaps[t.class], n.index[t.class])
+	if q.heapIndex[t.class] >= 0 {
+		if q.waiting[t.class].Len() == 0 {
+			heap.Remove(&l.heaps[t.class], q.heapIndex[t.class])
 		} else {
-			heap.Fix(&l.heaps[t.class], n.index[t.class])
+			heap.Fix(&l.heaps[t.class], q.heapIndex[t.class])
 		}
 	}
-	if n.size == 0 {
-		l.waitingWeight -= n.weight
-		n.parked = false
-		delete(l.parked, n)
+	if q.size == 0 {
+		l.waitingWeight -= q.weight
+		q.parked = false
+		delete(l.parked, q)
 	}
 }
 
-// giveUp takes a ticket that still waits out of its queue; false if it was granted.
-func (l *Limiter) giveUp(t *Ticket) bool {
+// abandon removes a waiting ticket from its queue. It returns false if the ticket
+// was already granted.
+func (l *Limiter) abandon(t *Ticket) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if t.spot == nil {
+	if t.position == nil {
 		return false
 	}
-	l.drop(t)
-	l.notePressure()
+	l.removeWaiter(t)
+	l.reportPressure()
 	return true
 }
 
-// park takes an organisation at its own bound out of the heaps: its requests
-// wait for its own, and are no reason for others to take the lock.
-func (l *Limiter) park(n *line) {
-	n.parked = true
-	n.st.pressed.Store(true)
-	l.parked[n] = struct{}{}
-	l.pressure.Add(-int64(n.size))
+// park removes the queue of an organisation that is at its own concurrency limit
+// from the heaps. Its requests wait for the organisation's own requests to end,
+// so they don't count as slot waiters and don't force others to take the lock.
+func (l *Limiter) park(q *orgQueue) {
+	q.parked = true
+	q.st.lackedPermit.Store(true)
+	l.parked[q] = struct{}{}
+	l.slotWaiters.Add(-int64(q.size))
 	for class := range classes {
-		if n.index[class] >= 0 {
-			heap.Remove(&l.heaps[class], n.index[class])
+		if q.heapIndex[class] >= 0 {
+			heap.Remove(&l.heaps[class], q.heapIndex[class])
 		}
 	}
 }
 
-// requeue brings an organisation's place in the heaps up to date.
-func (l *Limiter) requeue(st *state) {
-	n := st.line
-	if n == nil || n.size == 0 {
+// updateHeaps updates the position of an organisation's queue in the heaps, and
+// unparks it if the organisation is below its concurrency limit again.
+func (l *Limiter) updateHeaps(st *state) {
+	q := st.queue
+	if q == nil || q.size == 0 {
 		return
 	}
 	sh := l.shareOf(st, l.opts.Now())
-	l.waitingWeight -= n.weight
-	n.refresh(sh)
-	l.waitingWeight += n.weight
-	if n.parked && (sh.concurrent < 0 || int(st.inflight.Load()) < sh.concurrent) {
-		n.parked = false
-		delete(l.parked, n)
-		l.pressure.Add(int64(n.size))
+	l.waitingWeight -= q.weight
+	q.refresh(sh)
+	l.waitingWeight += q.weight
+	if q.parked && (sh.concurrent < 0 || int(st.inflight.Load()) < sh.concurrent) {
+		q.parked = false
+		delete(l.parked, q)
+		l.slotWaiters.Add(int64(q.size))
 	}
-	if n.parked {
+	if q.parked {
 		return
 	}
 	for class := range classes {
 		switch {
-		case n.waiting[class].Len() == 0:
-		case n.index[class] < 0:
-			heap.Push(&l.heaps[class], n)
+		case q.waiting[class].Len() == 0:
+		case q.heapIndex[class] < 0:
+			heap.Push(&l.heaps[class], q)
 		default:
-			heap.Fix(&l.heaps[class], n.index[class])
+			heap.Fix(&l.heaps[class], q.heapIndex[class])
 		}
 	}
 }
 
-// dispatch grants free slots to waiting requests until nothing fits.
+// dispatch grants free slots to waiting requests, as long as one fits.
 func (l *Limiter) dispatch() {
 	capacity := l.opts.Capacity()
 	for {
-		class, ok := l.next(capacity)
-		if !ok || !l.slots.take(class, capacity) {
+		class, ok := l.nextClass(capacity)
+		if !ok || !l.slots.acquire(class, capacity) {
 			break
 		}
-		n := l.heaps[class].lines[0]
-		if !n.st.enter(l.shareOf(n.st, l.opts.Now())) {
-			l.slots.put(class)
-			l.park(n)
+		q := l.heaps[class].queues[0]
+		if !q.st.acquirePermit(l.shareOf(q.st, l.opts.Now())) {
+			l.slots.release(class)
+			l.park(q)
 			continue
 		}
-		l.grant(n.head(class))
+		l.grant(q.head(class))
 	}
-	l.notePressure()
+	l.reportPressure()
 }
 
+// grant admits a waiting ticket, for which a slot and a permit were acquired.
 func (l *Limiter) grant(t *Ticket) {
-	l.drop(t)
-	l.requeue(t.st)
+	l.removeWaiter(t)
+	l.updateHeaps(t.st)
 	l.admitted[t.class].Inc()
 	l.metrics.wait.WithLabelValues(t.class.String()).Observe(l.opts.Now().Sub(t.queued).Seconds())
 	close(t.ready)
 }
 
-// next picks the class that the next free slot goes to. Plain calls go first:
-// they hold a slot for milliseconds. Between generations the organisation that
-// holds less decides, not the class: a flood of one organisation's short ones
-// must not keep another's long one waiting.
-func (l *Limiter) next(capacity int) (Class, bool) {
-	now := l.slots.counts()
-	may := func(class Class) bool { return l.heaps[class].Len() > 0 && now.fits(class, capacity) }
+// nextClass returns the class that receives the next free slot, and false if no
+// waiting request fits. Plain calls go first because they hold a slot for
+// milliseconds only. Between short and long generations, the organisation that
+// holds less decides, so that a flood of one organisation's short generations
+// doesn't delay another's long ones.
+func (l *Limiter) nextClass(capacity int) (Class, bool) {
+	used := l.slots.counts()
+	eligible := func(class Class) bool { return l.heaps[class].Len() > 0 && used.fits(class, capacity) }
 	switch {
-	case may(Plain):
+	case eligible(Plain):
 		return Plain, true
-	case may(Long) && (!may(Short) || now.of(Long) < part(capacity, longFloor) || l.key(Long) < l.key(Short)):
+	case eligible(Long) && (!eligible(Short) || used.of(Long) < fractionOf(capacity, longPriorityShare) || l.minLoad(Long) < l.minLoad(Short)):
 		return Long, true
 	default:
-		return Short, may(Short)
+		return Short, eligible(Short)
 	}
 }
 
-// key is how much the first organisation that waits in a class holds.
-func (l *Limiter) key(class Class) float64 { return l.heaps[class].lines[0].key }
+// minLoad returns the load of the first organisation that waits in a class.
+func (l *Limiter) minLoad(class Class) float64 { return l.heaps[class].queues[0].load }
 
-func (l *Limiter) notePressure() {
-	pressed := l.pressure.Load() > 0
-	if pressed == l.pressed {
+// reportPressure emits an event when requests start or stop waiting for slots.
+func (l *Limiter) reportPressure() {
+	underPressure := l.slotWaiters.Load() > 0
+	if underPressure == l.underPressure {
 		return
 	}
-	l.pressed = pressed
+	l.underPressure = underPressure
 	kind := eventRelieved
-	if pressed {
+	if underPressure {
 		kind = eventPressure
 	}
 	l.opts.Recorder.Emit(kind, "capacity", l.opts.Capacity(), "used", l.slots.counts().total())
--- a/limit/share.go
+++ b/limit/share.go
@@ -11,99 +11,104 @@
 )
 
 const (
-	// reportLife is how long another router's report is believed.
-	reportLife = 4 * time.Second
-	// growth is how far above what it wanted last a router may go beyond its
-	// plain part: demand that grows fourfold within one round of reports is met.
-	growth = 4
-	// rateFloor is the wanted rate below which an organisation isn't reported.
-	rateFloor = 0.01
+	// reportTTL is how long another router's report is used.
+	reportTTL = 4 * time.Second
+	// maxGrowth limits how much a router may take beyond its equal part, as a
+	// multiple of its own last demand. Demand that grows fourfold between two
+	// exchanges of reports is still met.
+	maxGrowth = 4
+	// minReportedRate is the request rate below which an organisation is left out
+	// of reports.
+	minReportedRate = 0.01
 )
 
-// Usage is what one router wants and uses of an organisation's limits.
+// Usage is a router's demand for, and use of, an organisation's limits.
 type Usage struct {
 	Organisation types.Organisation `json:"organisation"`
-	Wanted       float64            `json:"wanted"`   // requests a second, refused ones included
-	Inflight     int                `json:"inflight"` // places held
-	Peak         int                `json:"peak"`     // most held since the last report
-	Pressed      bool               `json:"pressed"`  // places were wanted in vain
+	Wanted       float64            `json:"wanted"`   // requests per second, refused ones included
+	Inflight     int                `json:"inflight"` // permits held
+	Peak         int                `json:"peak"`     // most permits held since the last report
+	Pressed      bool               `json:"pressed"`  // a request lacked a permit since the last report
 }
 
-// Report is the usage of one router. Complete says that organisations left out
-// use nothing there; else nothing may be borrowed on the strength of it.
+// Report is the usage of one router. If Complete is set, organisations that are
+// left out use nothing there. Otherwise nothing is known about them, and the
+// router's part of their limits can't be borrowed.
 type Report struct {
 	Router        types.ProcessID `json:"router"`
 	Complete      bool            `json:"complete"`
 	Organisations []Usage         `json:"organisations"`
 }
 
-type received struct {
+type receivedReport struct {
 	report Report
 	at     time.Time
 }
 
-// peers is the snapshot of what other routers reported.
-type peers struct {
-	complete int // fresh routers whose report is complete
-	partial  int // fresh routers whose report is not
-	usage    map[types.Organisation][]Usage
-	wholes   map[types.Organisation]int // of usage, how many from complete reports
+// peerReports is a snapshot of the unexpired reports of other routers.
+type peerReports struct {
+	complete    int // number of complete reports
+	partial     int // number of other reports
+	usage       map[types.Organisation][]Usage
+	completeFor map[types.Organisation]int // number of complete reports that list the organisation
 }
 
-// Usage reports on what was wanted since the last call, the most wanted first;
-// most bounds the length, 0 is no bound. Call it about once a second.
-func (l *Limiter) Usage(most int) Report {
+// Usage returns a report about the time since the last call. It lists at most
+// maxOrganisations organisations, those with the highest request rate first; 0
+// means all. It should be called about once a second.
+func (l *Limiter) Usage(maxOrganisations int) Report {
 	now := l.opts.Now()
 	l.peerMu.Lock()
-	passed := now.Sub(l.reported).Seconds()
-	l.reported = now
+	elapsed := now.Sub(l.lastUsage).Seconds()
+	l.lastUsage = now
 	l.peerMu.Unlock()
 	out := Report{Router: l.opts.Self, Complete: true}
 	l.states.Range(func(_, value any) bool {
 		st := value.(*state)
-		usage := st.usage(passed)
-		if usage.Wanted > rateFloor || usage.Peak > 0 || usage.Pressed {
+		usage := st.takeUsage(elapsed)
+		if usage.Wanted > minReportedRate || usage.Peak > 0 || usage.Pressed {
 			out.Organisations = append(out.Organisations, usage)
 		}
 		return true
 	})
 	sort.Slice(out.Organisations, func(i, j int) bool { return out.Organisations[i].Wanted > out.Organisations[j].Wanted })
-	if most > 0 && len(out.Organisations) > most {
-		out.Organisations = out.Organisations[:most]
+	if maxOrganisations > 0 && len(out.Organisations) > maxOrganisations {
+		out.Organisations = out.Organisations[:maxOrganisations]
 		out.Complete = false
 	}
 	l.epoch.Add(1)
 	return out
 }
 
-// usage closes the organisation's window of measurement.
-func (st *state) usage(passed float64) Usage {
-	wanted := float64(st.wanted.Swap(0))
-	if passed > 0 {
-		wanted /= passed
+// takeUsage returns the organisation's usage since the last call and resets the
+// counters.
+func (st *state) takeUsage(elapsed float64) Usage {
+	rate := float64(st.requests.Swap(0))
+	if elapsed > 0 {
+		rate /= elapsed
 	}
-	st.seenRate.Store(math.Float64bits(wanted))
+	st.demandRate.Store(math.Float64bits(rate))
 	held := st.inflight.Load()
 	return Usage{
-		Organisation: st.name, Wanted: wanted, Inflight: int(held),
+		Organisation: st.name, Wanted: rate, Inflight: int(held),
 		Peak:    int(max(held, st.peak.Swap(held))),
-		Pressed: st.pressed.Swap(st.waiting.Load() > 0),
+		Pressed: st.lackedPermit.Swap(st.waiting.Load() > 0),
 	}
 }
 
-// Peer takes in reports of other routers. Reports that aren't repeated within
-// reportLife lose force.
+// AddReports merges the reports of other routers. Reports that aren't renewed
+// within reportTTL expire.
 func (l *Limiter) Peer(reports []Report) {
 	now := l.opts.Now()
 	l.peerMu.Lock()
 	for _, r := range reports {
 		if r.Router != l.opts.Self {
-			l.reports[r.Router] = received{report: r, at: now}
+			l.reports[r.Router] = receivedReport{report: r, at: now}
 		}
 	}
-	next := &peers{usage: map[types.Organisation][]Usage{}, wholes: map[types.Organisation]int{}}
+	next := &peerReports{usage: map[types.Organisation][]Usage{}, completeFor: map[types.Organisation]int{}}
 	for router, r := range l.reports {
-		if now.Sub(r.at) > reportLife {
+		if now.Sub(r.at) > reportTTL {
 			delete(l.reports, router)
 			continue
 		}
@@ -115,7 +120,7 @@
 	l.Kick()
 }
 
-func (p *peers) add(r Report) {
+func (p *peerReports) add(r Report) {
 	if r.Complete {
 		p.complete++
 	} else {
@@ -124,43 +129,44 @@
 	for _, u := range r.Organisations {
 		p.usage[u.Organisation] = append(p.usage[u.Organisation], u)
 		if r.Complete {
-			p.wholes[u.Organisation]++
+			p.completeFor[u.Organisation]++
 		}
 	}
 }
 
-// divide works out this router's share of an organisation's limits.
-func (l *Limiter) divide(st *state, limits OrganisationLimits, now time.Time) *share {
+// computeShare computes this router's share of an organisation's limits.
+func (l *Limiter) computeShare(st *state, limits OrganisationLimits, now time.Time) *share {
 	routers := max(1, l.opts.Routers())
 	view := l.peers.Load()
 	usage := view.usage[st.name]
-	idle := view.complete - view.wholes[st.name]
+	idle := view.complete - view.completeFor[st.name]
 	unknown := max(0, routers-1-len(usage)-idle)
-	own := math.Float64frombits(st.seenRate.Load())
+	ownRate := math.Float64frombits(st.demandRate.Load())
 	out := &share{weight: limits.Weight, priority: limits.Priority, concurrent: -1}
 	out.queued = (limits.Queued + routers - 1) / routers
 	if limits.RequestsPerSecond > 0 {
-		out.rate = portion(limits.RequestsPerSecond, routers, unknown, own, demands(usage, Usage.rate))
+		out.rate = maxMinShare(limits.RequestsPerSecond, routers, unknown, ownRate, demands(usage, Usage.rate))
 	}
 	if limits.Concurrent > 0 {
-		holds := float64(max(st.peak.Load(), st.inflight.Load()) + st.waiting.Load())
-		x := portion(float64(limits.Concurrent), routers, unknown, holds, demands(usage, Usage.places))
-		out.concurrent = l.whole(x, limits, routers, unknown, usage)
+		ownPermits := float64(max(st.peak.Load(), st.inflight.Load()) + st.waiting.Load())
+		permits := maxMinShare(float64(limits.Concurrent), routers, unknown, ownPermits, demands(usage, Usage.permits))
+		out.concurrent = l.wholePermits(permits, limits, routers, unknown, usage)
 	}
 	return out
 }
 
 func (u Usage) rate() float64 { return u.Wanted }
 
-// places is how many places a router may want before its next report. One
-// where places were wanted in vain may want any number.
-func (u Usage) places() float64 {
+// permits returns how many permits a router may need before its next report. A
+// router that lacked permits may need any number.
+func (u Usage) permits() float64 {
 	if u.Pressed {
 		return math.Inf(1)
 	}
 	return float64(u.Peak)
 }
 
+// demands returns the demand in each usage, in ascending order.
 func demands(usage []Usage, of func(Usage) float64) []float64 {
 	out := make([]float64, len(usage))
 	for i, u := range usage {
@@ -170,14 +176,15 @@
 	return out
 }
 
-// portion is this router's part of a limit: its plain part (limit / routers) by
-// right, and beyond it what the others, by their reports, leave unused, level
-// by level (max-min). Routers that didn't report are taken to use their plain
-// part. Going beyond is bounded by growth over what was wanted here last, so
-// that routers which wake together don't each take all that is left.
-func portion(limit float64, routers, unknown int, own float64, others []float64) float64 {
-	plain := limit / float64(routers)
-	left := limit - float64(unknown)*plain
+// maxMinShare returns this router's part of a limit by max-min fairness. Every
+// router is entitled to an equal part (limit / routers) and may borrow what the
+// others leave unused according to their reports, whose demands are given in
+// ascending order. Routers without a report are assumed to use their equal part.
+// Borrowing is limited to maxGrowth times this router's own last demand, so that
+// routers whose demand rises at the same time don't each take all that is left.
+func maxMinShare(limit float64, routers, unknown int, own float64, others []float64) float64 {
+	equal := limit / float64(routers)
+	left := limit - float64(unknown)*equal
 	sharing := len(others) + 1
 	for _, demand := range others {
 		level := left / float64(sharing)
@@ -188,19 +195,20 @@
 		sharing--
 	}
 	level := left / float64(sharing)
-	return min(max(level, plain), max(plain, growth*own))
+	return min(max(level, equal), max(equal, maxGrowth*own))
 }
 
-// whole turns a part into places. The fraction becomes one place at as many
-// routers as makes the sum right on average, always the same ones. Where that
-// leaves none, one may be used while the reports leave one free.
-func (l *Limiter) whole(part float64, limits OrganisationLimits, routers, unknown int, usage []Usage) int {
-	places := int(part)
-	if part-float64(places) > l.draw(limits.Name) {
-		places++
+// wholePermits rounds a router's part of a concurrency limit to whole permits. The
+// fraction is rounded up at just enough routers, always the same ones, to make the
+// sum right on average. A router that is left without any permit may still use one
+// while the reports show that one is free.
+func (l *Limiter) wholePermits(part float64, limits OrganisationLimits, routers, unknown int, usage []Usage) int {
+	permits := int(part)
+	if part-float64(permits) > l.roundingThreshold(limits.Name) {
+		permits++
 	}
-	if places > 0 {
-		return places
+	if permits > 0 {
+		return permits
 	}
 	held := float64(unknown) * float64(limits.Concurrent) / float64(routers)
 	for _, u := range usage {
@@ -215,7 +223,8 @@
 	return 0
 }
 
-// draw is a number in [0,1) that differs between routers and between organisations.
-func (l *Limiter) draw(org types.Organisation) float64 {
+// roundingThreshold returns a hash of this router and an organisation as a number
+// in [0,1).
+func (l *Limiter) roundingThreshold(org types.Organisation) float64 {
 	return float64(xxhash.Sum64String(string(l.opts.Self)+"/"+string(org))>>11) / (1 << 53)
 }
--- a/limit/shed.go
+++ b/limit/shed.go
@@ -9,24 +9,25 @@
 )
 
 const (
-	// retryMin and retryMax bound what a refusal promises.
-	retryMin = 200 * time.Millisecond
-	retryMax = 60 * time.Second
-	// returnStep is how far apart two that were sent away are told to return, in
-	// the time that one place takes to come free: room is left for newcomers.
-	returnStep = 1.25
-	// retryJitter is the random part of that distance on top of it. A larger one
-	// would bunch the returning ones again.
+	// minRetryAfter and maxRetryAfter bound the Retry-After of a refusal.
+	minRetryAfter = 200 * time.Millisecond
+	maxRetryAfter = 60 * time.Second
+	// retrySpacing is the distance between the retry times of two refused callers,
+	// as a multiple of the time between two releases. It is larger than 1 to leave
+	// capacity for new requests.
+	retrySpacing = 1.25
+	// retryJitter is the maximum random addition, as a fraction of the distance. A
+	// larger value would make retries cluster again.
 	retryJitter = 0.25
-	// drainSample is the least time between two samples of the drain rate, and
-	// drainAlpha the weight of a new one.
-	drainSample = 500 * time.Millisecond
-	drainAlpha  = 0.3
-	// tellEvery bounds how often an event tells of one organisation.
-	tellEvery = 10 * time.Second
+	// drainInterval is the minimum time between two samples of the drain rate, and
+	// drainAlpha the weight of a new sample in the moving average.
+	drainInterval = 500 * time.Millisecond
+	drainAlpha    = 0.3
+	// eventInterval is the minimum time between two events about one organisation.
+	eventInterval = 10 * time.Second
 )
 
-// drainMeter measures how many slots come free in a second.
+// drainMeter measures the drain rate: how many slots are released per second.
 type drainMeter struct {
 	at    time.Time
 	count uint64
@@ -39,19 +40,19 @@
 		d.at, d.count = now, drained
 		return
 	}
-	passed := now.Sub(d.at)
-	if passed < drainSample {
+	elapsed := now.Sub(d.at)
+	if elapsed < drainInterval {
 		return
 	}
-	rate := float64(drained-d.count) / passed.Seconds()
+	rate := float64(drained-d.count) / elapsed.Seconds()
 	if d.known {
 		rate = drainAlpha*rate + (1-drainAlpha)*d.rate
 	}
 	d.at, d.count, d.rate, d.known = now, drained, rate, true
 }
 
-// drainFor is the rate at which slots come free for one organisation while all
-// that wait share them by weight.
+// drainFor returns the rate at which slots become available to an organisation
+// while all waiting organisations share them by weight.
 func (l *Limiter) drainFor(st *state, sh *share) float64 {
 	weights := l.waitingWeight
 	if st.waiting.Load() == 0 {
@@ -63,10 +64,11 @@
 	return l.drain.rate * sh.weight / weights
 }
 
-// expectedWait is how long the organisation's queue takes; 0 while the drain
-// rate isn't known, since turning one away on a guess would be untrue.
+// expectedWait estimates how long a new request would wait in the organisation's
+// queue. It is 0 while the drain rate is unknown, so that no request is refused
+// on a guess.
 func (l *Limiter) expectedWait(st *state, sh *share) time.Duration {
-	l.drain.sample(l.opts.Now(), l.drained.Load())
+	l.drain.sample(l.opts.Now(), l.released.Load())
 	drain := l.drainFor(st, sh)
 	if !l.drain.known || drain <= 0 {
 		return 0
@@ -74,24 +76,26 @@
 	return seconds(float64(st.waiting.Load()) / drain)
 }
 
-// shed refuses a request that can't wait. Called under the lock.
+// shed refuses a request that can't be queued. The caller holds l.mu.
 func (l *Limiter) shed(st *state, sh *share, reason string, now time.Time) *types.Refusal {
 	l.metrics.refused.WithLabelValues(reason).Inc()
-	l.drain.sample(now, l.drained.Load())
+	l.drain.sample(now, l.released.Load())
 	drain := l.drainFor(st, sh)
 	ahead := float64(st.waiting.Load())
 	if drain <= 0 {
 		drain, ahead = 1, 0
 	}
-	after := st.promise(now, seconds(ahead/drain), seconds(1/drain))
-	if st.mayTell(now) {
+	after := st.assignRetryAfter(now, seconds(ahead/drain), seconds(1/drain))
+	if st.allowEvent(now) {
 		l.opts.Recorder.Emit(eventShed, "organisation", string(st.name), "reason", reason,
 			"waiting", st.waiting.Load(), "running", st.inflight.Load(), "retry_after", after)
 	}
-	return types.NotRun(types.CodeOverloaded, after, "no slot for this organisation now (%s)", reason)
+	return types.NotRun(types.CodeOverloaded, after, "no slot available for this organisation (%s)", reason)
 }
 
-func (l *Limiter) comeBack(st *state) time.Duration {
+// retryAfterWait returns the Retry-After for a request whose wait ended without a
+// slot.
+func (l *Limiter) retryAfterWait(st *state) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.opts.Now()
@@ -100,9 +104,10 @@
 	if drain <= 0 {
 		drain = 1
 	}
-	return st.promise(now, seconds(float64(st.waiting.Load())/drain), seconds(1/drain))
+	return st.assignRetryAfter(now, seconds(float64(st.waiting.Load())/drain), seconds(1/drain))
 }
 
+// checkRate refuses a request that exceeds its organisation's rate limit.
 func (l *Limiter) checkRate(st *state, sh *share, now time.Time) *types.Refusal {
 	limiter := st.rate.Load()
 	if limiter == nil || limiter.AllowN(now, 1) {
@@ -110,40 +115,43 @@
 	}
 	l.metrics.refused.WithLabelValues(reasonRate).Inc()
 	first := seconds(max(0, 1-limiter.TokensAt(now)) / sh.rate)
-	after := st.promise(now, first, seconds(1/sh.rate))
-	if st.mayTell(now) {
+	after := st.assignRetryAfter(now, first, seconds(1/sh.rate))
+	if st.allowEvent(now) {
 		l.opts.Recorder.Emit(eventRate, "organisation", string(st.name), "rate_here", sh.rate, "retry_after", after)
 	}
-	return types.NotRun(types.CodeRateLimited, after, "the organisation's rate is used up")
+	return types.NotRun(types.CodeRateLimited, after, "the organisation's request rate limit is exceeded")
 }
 
-// promise gives each one sent away its own time to come back: not before
-// first, and a step after the one sent away before. A crowd that is turned
-// away together then doesn't return together.
-func (st *state) promise(now time.Time, first, step time.Duration) time.Duration {
-	latest := now.Add(retryMax).UnixNano()
-	step = time.Duration(returnStep * float64(step))
+// assignRetryAfter returns the Retry-After for a refused caller. The retry time is
+// at least first from now and a step after that of the previous refused caller, so
+// that callers that are refused together don't retry together. If that is later
+// than maxRetryAfter, it is a random time in the upper half of maxRetryAfter.
+func (st *state) assignRetryAfter(now time.Time, first, step time.Duration) time.Duration {
+	latest := now.Add(maxRetryAfter).UnixNano()
+	step = time.Duration(retrySpacing * float64(step))
 	for {
-		last := st.promised.Load()
+		last := st.lastRetryAt.Load()
 		next := max(now.Add(first).UnixNano(), last+int64(step))
 		kept := min(next, latest)
-		if !st.promised.CompareAndSwap(last, kept) {
+		if !st.lastRetryAt.CompareAndSwap(last, kept) {
 			continue
 		}
 		after := time.Duration(kept - now.UnixNano())
 		if next > latest {
-			after = retryMax/2 + time.Duration(rand.Float64()*float64(retryMax/2))
+			after = maxRetryAfter/2 + time.Duration(rand.Float64()*float64(maxRetryAfter/2))
 		}
 		after += time.Duration(rand.Float64() * retryJitter * float64(step))
-		return max(retryMin, after)
+		return max(minRetryAfter, after)
 	}
 }
 
-func (st *state) mayTell(now time.Time) bool {
-	last := st.told.Load()
-	return now.UnixNano()-last >= int64(tellEvery) && st.told.CompareAndSwap(last, now.UnixNano())
+// allowEvent reports whether an event about the organisation may be emitted now.
+func (st *state) allowEvent(now time.Time) bool {
+	last := st.lastEvent.Load()
+	return now.UnixNano()-last >= int64(eventInterval) && st.lastEvent.CompareAndSwap(last, now.UnixNano())
 }
 
+// seconds converts s to a duration, limited so that it can't overflow.
 func seconds(s float64) time.Duration {
-	return time.Duration(math.Min(s, retryMax.Seconds()*10) * float64(time.Second))
+	return time.Duration(math.Min(s, maxRetryAfter.Seconds()*10) * float64(time.Second))
 }
--- a/limit/slots.go
+++ b/limit/slots.go
@@ -2,44 +2,44 @@
 
 import "sync/atomic"
 
-// Class is the kind of a request by how long it holds a slot.
+// Class classifies requests by how long they hold a slot.
 type Class int
 
-// Classes of requests.
+// Values of Class.
 const (
-	Plain Class = iota // a call to a plain service
-	Short              // a generation of seconds
-	Long               // a generation of minutes
-	classes
+	Plain   Class = iota // a call to a plain service
+	Short                // a generation that takes seconds
+	Long                 // a generation that takes minutes
+	classes              // number of classes
 )
 
-// String returns the class as metrics label it.
+// String returns the class's value of the class label in metrics.
 func (c Class) String() string { return [...]string{"plain", "short", "long"}[c] }
 
 const (
-	// longShare is the part of all slots that long generations may fill, so
-	// that short ones find a slot while all long ones run on for minutes.
+	// longShare is the fraction of the slots that long generations may use, so that
+	// slots remain for short generations while long ones run for minutes.
 	longShare = 0.75
-	// modelShare is the part that generations of both kinds may fill; the rest
-	// is for plain calls alone.
-	modelShare = 0.95
-	// longFloor is the part below which long generations go before short ones,
-	// so that a flood of short ones can't starve them.
-	longFloor = 0.25
+	// generationShare is the fraction that short and long generations together may
+	// use. The rest is reserved for plain calls.
+	generationShare = 0.95
+	// longPriorityShare is the fraction below which long generations take
+	// precedence over short ones, so that a flood of short ones can't starve them.
+	longPriorityShare = 0.25
 
 	countBits = 21
 	countMask = 1<<countBits - 1
 )
 
-// counts are the slots taken by class, packed in one word so that taking a
-// slot is one compare-and-swap.
+// counts holds the number of used slots by class, packed into one word so that a
+// slot is acquired with one compare-and-swap.
 type counts uint64
 
 func (c counts) of(class Class) int   { return int(c >> (uint(class) * countBits) & countMask) }
 func (c counts) total() int           { return c.of(Plain) + c.of(Short) + c.of(Long) }
 func (c counts) plus(cl Class) counts { return c + 1<<(uint(cl)*countBits) }
 
-// fits reports whether one more of class may start on capacity slots.
+// fits reports whether one more request of class may start, given capacity slots.
 func (c counts) fits(class Class, capacity int) bool {
 	if c.total() >= capacity {
 		return false
@@ -47,22 +47,23 @@
 	generations := c.of(Short) + c.of(Long)
 	switch class {
 	case Long:
-		return c.of(Long) < part(capacity, longShare) && generations < part(capacity, modelShare)
+		return c.of(Long) < fractionOf(capacity, longShare) && generations < fractionOf(capacity, generationShare)
 	case Short:
-		return generations < part(capacity, modelShare)
+		return generations < fractionOf(capacity, generationShare)
 	default:
 		return true
 	}
 }
 
-// part is a share of capacity, at least one slot.
-func part(capacity int, share float64) int { return max(1, int(float64(capacity)*share)) }
+// fractionOf returns a fraction of capacity, but at least one slot.
+func fractionOf(capacity int, share float64) int { return max(1, int(float64(capacity)*share)) }
 
+// slots counts the used slots of a router.
 type slots struct{ word atomic.Uint64 }
 
 func (s *slots) counts() counts { return counts(s.word.Load()) }
 
-func (s *slots) take(class Class, capacity int) bool {
+func (s *slots) acquire(class Class, capacity int) bool {
 	for {
 		old := s.counts()
 		if !old.fits(class, capacity) {
@@ -74,4 +75,4 @@
 	}
 }
 
-func (s *slots) put(class Class) { s.word.Add(-(uint64(1) << (uint(class) * countBits))) }
+func (s *slots) release(class Class) { s.word.Add(-(uint64(1) << (uint(class) * countBits))) }
