--- a/suspect/dump.go
+++ b/suspect/dump.go
@@ -2,14 +2,14 @@
 
 import "sort"
 
-// Dump is the ledger's state as an operator sees it.
+// Dump is the ledger's state for operators.
 type Dump struct {
 	Entries []DumpEntry    `json:"entries"`
-	On      map[string]int `json:"suspects_on,omitempty"` // by backend server
-	Unsaved int            `json:"unsaved"`               // rows the table service doesn't have yet
+	On      map[string]int `json:"suspects_on,omitempty"` // running suspects by backend server
+	Unsaved int            `json:"unsaved"`               // rows not yet written to or deleted from the table service
 }
 
-// DumpEntry is one fingerprint with its verdict.
+// DumpEntry is the entry of a fingerprint and its verdict.
 type DumpEntry struct {
 	Entry
 	ID    string `json:"id"`
@@ -17,7 +17,7 @@
 	Open  int    `json:"open_deaths"`
 }
 
-// Dump returns the state, by fingerprint.
+// Dump returns the state, with the entries sorted by fingerprint.
 func (l *Ledger) Dump() Dump {
 	entries, _ := l.Deltas(0)
 	out := Dump{On: l.SuspectsOn(), Entries: make([]DumpEntry, 0, len(entries))}
@@ -27,7 +27,7 @@
 	}
 	sort.Slice(out.Entries, func(i, j int) bool { return out.Entries[i].Fingerprint < out.Entries[j].Fingerprint })
 	l.mu.Lock()
-	out.Unsaved = len(l.dirty) + len(l.gone)
+	out.Unsaved = len(l.dirty) + len(l.toDelete)
 	l.mu.Unlock()
 	return out
 }
--- a/suspect/entry.go
+++ b/suspect/entry.go
@@ -7,71 +7,72 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// Death is one engine death held against a fingerprint.
+// Death is an engine death that a fingerprint is suspected of.
 type Death struct {
 	ID      string    `json:"id"`
 	At      time.Time `json:"at"`
 	Cleared bool      `json:"cleared,omitempty"`
 }
 
-// Entry is all that is known of one fingerprint, as it travels between
-// processes and as it stands in the table service.
+// Entry is the state of one fingerprint, as exchanged between processes and as
+// stored in the table service.
 type Entry struct {
 	Fingerprint types.Fingerprint `json:"fingerprint"`
 	Deaths      []Death           `json:"deaths"`
 	Until       time.Time         `json:"until,omitzero"`
 }
 
-// record is the ledger's own form of an Entry. It is a join semilattice: the
-// set of deaths grows, a death's time only falls, cleared and until only rise.
+// record is the ledger's representation of an Entry. It is a join semilattice, so
+// records merge in any order: the set of deaths only grows, the time of a death
+// only decreases, and cleared and until only increase.
 type record struct {
 	deaths  map[string]Death
 	until   time.Time
 	changed time.Time
 	seq     uint64
-	own     bool // a death was told here first; this process tidies the row
+	local   bool // a change was recorded by this process, which writes and deletes the row
 }
 
-// rule turns deaths into a quarantine.
-type rule struct {
-	limit      int
-	quarantine time.Duration
-	window     time.Duration
+// quarantinePolicy determines when and for how long a fingerprint is quarantined.
+type quarantinePolicy struct {
+	limit      int           // open deaths that cause a quarantine
+	quarantine time.Duration // length of the first quarantine
+	window     time.Duration // longest quarantine
 }
 
-// news is how much was learned by a join.
-type news int
+// change is how important a change of a record is to other processes.
+type change int
 
 const (
-	nothing news = iota
-	later        // worth knowing, such as a clearing
-	urgent       // a death that counts, or a quarantine
+	noChange     change = iota
+	minorChange         // may be sent later, such as a cleared death
+	urgentChange        // a death that counts, or a quarantine
 )
 
-// join merges e into r and reports what r learned. Deaths older than the window
-// are dropped: a peer whose clock lags can't revive them.
-func (r *record) join(e Entry, oldest time.Time) news {
-	learned := nothing
+// merge merges e into r and returns the kind of change. Deaths before oldest are
+// dropped, so that a peer whose clock is slow can't revive them.
+func (r *record) merge(e Entry, oldest time.Time) change {
+	changed := noChange
 	for _, d := range e.Deaths {
 		if !d.At.Before(oldest) {
-			learned = max(learned, r.joinDeath(d))
+			changed = max(changed, r.mergeDeath(d))
 		}
 	}
 	if e.Until.After(r.until) {
 		r.until = e.Until
-		learned = urgent
+		changed = urgentChange
 	}
-	return learned
+	return changed
 }
 
-func (r *record) joinDeath(d Death) news {
+func (r *record) mergeDeath(d Death) change {
 	old, known := r.deaths[d.ID]
 	if !known {
 		r.deaths[d.ID] = d
 		if d.Cleared {
-			return later
+			return minorChange
 		}
-		return urgent
+		return urgentChange
 	}
 	merged := old
 	if d.At.Before(old.At) {
@@ -80,21 +81,22 @@
 	merged.Cleared = old.Cleared || d.Cleared
 	r.deaths[d.ID] = merged
 	if merged == old {
-		return nothing
+		return noChange
 	}
-	return later
+	return minorChange
 }
 
-// raise sets the quarantine that the open deaths call for. The end depends on
-// the deaths alone, never on the clock of the process that counts them, so all
-// ledgers reach the same end. Being kept as a value that only rises, it stands
-// when a clearing of one of its deaths arrives later.
-func (r *record) raise(by rule) bool {
-	open, last := r.open()
-	if open < by.limit {
+// extendQuarantine extends the quarantine as the policy requires for the open
+// deaths, and reports whether it did. The end of the quarantine depends only on the
+// deaths, not on the clock of this process, so that all ledgers compute the same
+// end. It is stored and never decreases, so that a quarantine stands even if one of
+// its deaths is cleared later.
+func (r *record) extendQuarantine(p quarantinePolicy) bool {
+	open, last := r.openDeaths()
+	if open < p.limit {
 		return false
 	}
-	until := last.Add(by.length(open))
+	until := last.Add(p.duration(open))
 	if !until.After(r.until) {
 		return false
 	}
@@ -102,17 +104,19 @@
 	return true
 }
 
-// length doubles with each death past the limit, up to the window.
-func (by rule) length(deaths int) time.Duration {
-	length := by.quarantine
-	for i := by.limit; i < deaths && length < by.window; i++ {
+// duration returns the length of the quarantine. It doubles with each death beyond
+// the limit, up to the window.
+func (p quarantinePolicy) duration(deaths int) time.Duration {
+	length := p.quarantine
+	for i := p.limit; i < deaths && length < p.window; i++ {
 		length *= 2
 	}
-	return min(length, max(by.window, by.quarantine))
+	return min(length, max(p.window, p.quarantine))
 }
 
-// open counts the deaths that aren't cleared and gives the time of the last.
-func (r *record) open() (int, time.Time) {
+// openDeaths returns the number of open deaths, which are those that aren't
+// cleared, and the time of the last one.
+func (r *record) openDeaths() (int, time.Time) {
 	count := 0
 	var last time.Time
 	for _, d := range r.deaths {
@@ -127,7 +131,8 @@
 	return count, last
 }
 
-// prune forgets deaths before oldest and reports whether nothing is left.
+// prune removes deaths before oldest and reports whether the record can be
+// removed.
 func (r *record) prune(oldest, now time.Time) bool {
 	for id, d := range r.deaths {
 		if d.At.Before(oldest) {
@@ -137,7 +142,7 @@
 	return len(r.deaths) == 0 && !r.until.After(now)
 }
 
-func (r *record) entry(fp types.Fingerprint) Entry {
+func (r *record) toEntry(fp types.Fingerprint) Entry {
 	e := Entry{Fingerprint: fp, Until: r.until, Deaths: make([]Death, 0, len(r.deaths))}
 	for _, d := range r.deaths {
 		e.Deaths = append(e.Deaths, d)
--- a/suspect/evidence.go
+++ b/suspect/evidence.go
@@ -6,37 +6,39 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// ProvenTokens is how many tokens a request must have produced on an engine for
-// that engine's death to be weak evidence against it. A request that crashes
-// engines does so when it is prefilled or soon after; one that has run well for
-// some time more likely stood beside the cause, or the engine was killed.
+// ProvenTokens is the number of tokens after which a request counts as proven on
+// an engine, so that the engine's death is only weak evidence against it. A
+// request that crashes engines does so during prefill or soon after. If it has run
+// for a while, more likely another request caused the crash or the engine was
+// killed.
 const ProvenTokens = 8
 
-// strongWeight is how many deaths in the ledger a death with strong evidence is
-// noted as; one with weak evidence is noted as one.
+// strongWeight is the number of deaths that the ledger counts for a death with
+// strong evidence. A death with weak evidence counts as one.
 const strongWeight = 2
 
-// Configure sets how many engines a request may crash and how long its first
-// quarantine lasts, for a ledger that is told of deaths by DeathOf. From then on
-// only suspects with strong evidence are held back: the many that merely ran
-// beside an engine's death would otherwise wait for each other to the end of
-// long generations. A quarantine that stands keeps its end.
+// Configure sets the number of engines that a request may crash and the length of
+// its first quarantine, for a ledger whose deaths are recorded by
+// RecordWeightedDeath. From then on, only suspects with strong evidence are held
+// back. Otherwise the many requests that merely ran beside the culprit would wait
+// for each other until the end of long generations. Existing quarantines keep
+// their end.
 func (l *Ledger) Configure(engines int, quarantine time.Duration) {
-	l.running.heldFrom.Store(strongWeight)
+	l.running.holdThreshold.Store(strongWeight)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.rule.limit = LedgerLimit(engines)
-	l.rule.quarantine = quarantine
+	l.policy.limit = LedgerLimit(engines)
+	l.policy.quarantine = quarantine
 }
 
-// LedgerLimit returns the Limit for a ledger that is told of deaths by DeathOf,
-// from the number of engines that a request may crash.
+// LedgerLimit returns Options.Limit for a ledger whose deaths are recorded by
+// RecordWeightedDeath, given the number of engines that a request may crash.
 func LedgerLimit(engines int) int { return engines * strongWeight }
 
-// DeathOf notes that an engine died while it ran a request. Strong evidence
-// (the request was not proven there) weighs twice as much as weak evidence, so
-// that a long generation whose engines are killed twice isn't quarantined,
-// while a request that crashes engines at once costs no more than the limit.
+// DeathOf records that an engine died while it ran a request. The evidence is
+// strong, and counts twice as much, if the request was not proven there. So a long
+// generation isn't quarantined when its engines are killed twice, while a request
+// that crashes engines immediately crashes no more than the limit.
 func (l *Ledger) DeathOf(death string, fp types.Fingerprint, proven bool) {
 	fps := []types.Fingerprint{fp}
 	l.Death(death, fps)
@@ -45,6 +47,7 @@
 	}
 }
 
-// Strong reports whether the request must be kept away from other suspects: at
-// least one engine died before the request had proven itself there.
+// Strong reports whether there is strong evidence against the request: at least
+// one engine died on which it was not proven. Such a request must be kept away
+// from other suspects.
 func (v Verdict) Strong() bool { return v.State == Suspect && v.Deaths >= strongWeight }
--- a/suspect/expiry.go
+++ b/suspect/expiry.go
@@ -7,39 +7,42 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// expire forgets what is past its window and its quarantine.
+// expire removes records whose deaths are outside the window and whose quarantine
+// has ended.
 func (l *Ledger) expire() {
 	now := l.opts.Now()
 	oldest := now.Add(-l.opts.Window)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	dropped := false
+	removed := false
 	for fp, r := range l.records {
 		if !r.prune(oldest, now) {
 			continue
 		}
-		l.dropLocked(fp, r)
-		dropped = true
+		l.removeLocked(fp, r)
+		removed = true
 	}
-	if dropped {
+	if removed {
 		l.publishLocked()
 	}
 }
 
-func (l *Ledger) dropLocked(fp types.Fingerprint, r *record) {
+// removeLocked removes a record, and schedules the deletion of its row if this
+// process is responsible for it.
+func (l *Ledger) removeLocked(fp types.Fingerprint, r *record) {
 	delete(l.records, fp)
 	delete(l.dirty, fp)
-	if r.own {
-		l.gone[fp] = struct{}{}
+	if r.local {
+		l.toDelete[fp] = struct{}{}
 	}
 }
 
-// evictLocked holds the bound: cleared entries go first, then suspects, then
-// quarantined ones, in each the one that changed longest ago. What is lost is
-// the count of that fingerprint: it may cost up to Limit further engines.
+// evictLocked removes records until at most Max are left: cleared ones first, then
+// suspects, then quarantined ones, and among equals the one that changed least
+// recently. An evicted fingerprint may crash up to Limit further engines.
 func (l *Ledger) evictLocked() {
 	for len(l.records) > l.opts.Max {
-		fp := l.lightestLocked()
+		fp := l.evictionCandidateLocked()
 		delete(l.records, fp)
 		delete(l.dirty, fp)
 		l.metrics.evicted.Inc()
@@ -47,24 +50,26 @@
 	}
 }
 
-func (l *Ledger) lightestLocked() types.Fingerprint {
+// evictionCandidateLocked returns the fingerprint whose record is evicted first.
+func (l *Ledger) evictionCandidateLocked() types.Fingerprint {
 	now := l.opts.Now()
-	var lightest types.Fingerprint
-	bestWeight, bestSeq := math.MaxInt, uint64(math.MaxUint64)
+	var candidate types.Fingerprint
+	lowestRank, lowestSeq := math.MaxInt, uint64(math.MaxUint64)
 	for fp, r := range l.records {
-		weight := r.weight(now)
-		if weight < bestWeight || weight == bestWeight && r.seq < bestSeq {
-			lightest, bestWeight, bestSeq = fp, weight, r.seq
+		rank := r.evictionRank(now)
+		if rank < lowestRank || rank == lowestRank && r.seq < lowestSeq {
+			candidate, lowestRank, lowestSeq = fp, rank, r.seq
 		}
 	}
-	return lightest
+	return candidate
 }
 
-func (r *record) weight(now time.Time) int {
+// evictionRank ranks records for eviction; those with the lowest rank go first.
+func (r *record) evictionRank(now time.Time) int {
 	if r.until.After(now) {
 		return 2
 	}
-	if open, _ := r.open(); open > 0 {
+	if open, _ := r.openDeaths(); open > 0 {
 		return 1
 	}
 	return 0
--- a/suspect/spread_test.go
+++ b/suspect/gossip_test.go
@@ -20,23 +20,26 @@
 
 var ignoreUnsaved cmp.Option = cmpopts.IgnoreFields(Dump{}, "Unsaved")
 
-// fleet is a set of ledgers that reach each other in memory after a delay.
+// fleet is a set of ledgers that are connected in memory.
 type fleet struct {
 	ledgers   map[string]*Ledger
-	spreaders map[string]*Spreader
+	gossipers map[string]*Spreader
 	names     []string
-	cut       sync.Map // names that no one reaches
+	cut       sync.Map // names of processes that are partitioned from all others
 }
 
+// call is a client that calls one process of the fleet from another.
 type call struct {
 	fleet    *fleet
 	from, to string
 }
 
-const hop = 2 * time.Millisecond
+// latency is the latency of a call.
+const latency = 2 * time.Millisecond
 
+// wait simulates the network: it takes hop and fails if either end is cut off.
 func (c call) wait() error {
-	time.Sleep(hop)
+	time.Sleep(latency)
 	_, to := c.fleet.cut.Load(c.to)
 	if _, from := c.fleet.cut.Load(c.from); from || to {
 		return errors.New("unreachable")
@@ -59,52 +62,55 @@
 }
 
 func newFleet(ctx context.Context, n int, opts Options) *fleet {
-	f := &fleet{ledgers: map[string]*Ledger{}, spreaders: map[string]*Spreader{}}
+	f := &fleet{ledgers: map[string]*Ledger{}, gossipers: map[string]*Spreader{}}
 	for i := range n {
 		f.names = append(f.names, fmt.Sprintf("10.0.0.%d:1", i))
 	}
 	for _, name := range f.names {
 		l := New(opts)
 		f.ledgers[name] = l
-		f.spreaders[name] = NewSpreader(l, SpreaderOptions{
+		f.gossipers[name] = NewSpreader(l, SpreaderOptions{
 			Self:  name,
 			Peers: func() []string { return f.names },
 			Dial:  func(to string) suspectpb.Suspects { return call{f, name, to} },
 		})
 	}
 	for _, name := range f.names {
-		go func() { _ = f.spreaders[name].Run(ctx) }()
+		go func() { _ = f.gossipers[name].Run(ctx) }()
 		go func() { _ = f.ledgers[name].Run(ctx) }()
 	}
 	return f
 }
 
-// A caller sends its poisoned request through two routers at once, under two
-// keys. Engine 1 dies; before engine 2 does, router 1 wants to resume its copy
-// and a third router is sent another. Without the home's grant a third engine
-// would get a copy while the second is dying.
-func TestPoisonThroughSeveralRoutersCostsTwoEngines(t *testing.T) {
+// A caller sends a poisoned request through two routers concurrently, under two
+// idempotency keys. Engine 1 dies. Before engine 2 dies, router 1 resumes its copy
+// and a third router receives another. Without the coordinator's grant, a third
+// engine would get a copy while the second is dying.
+func TestPoisonThroughSeveralRoutersCrashesTwoEngines(t *testing.T) {
 	plain := func(l *Ledger, death string) {
 		l.Death(death, []types.Fingerprint{poison, beside(death)})
 	}
-	weighed := func(l *Ledger, death string) { // as the daemons tell it
+	weighted := func(l *Ledger, death string) { // as the daemons record deaths
 		l.DeathOf(death, poison, false)
 		l.DeathOf(death, beside(death), true)
 	}
-	for _, home := range []string{"reachable", "cut"} {
-		t.Run(home, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { poisonThroughRouters(t, home == "cut", 0, plain) })
+	for _, coordinator := range []string{"reachable", "cut"} {
+		t.Run(coordinator, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) { poisonThroughRouters(t, coordinator == "cut", 0, plain) })
 		})
-		t.Run(home+" weighed", func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { poisonThroughRouters(t, home == "cut", 2, weighed) })
+		t.Run(coordinator+" weighted", func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) { poisonThroughRouters(t, coordinator == "cut", 2, weighted) })
 		})
 	}
 }
 
-// beside is the fingerprint of a neighbour that ran where this death was.
+// beside returns the fingerprint of a neighbour that ran on the engine that died.
 func beside(death string) types.Fingerprint { return types.FingerprintOf("neighbour", []byte(death)) }
 
-func poisonThroughRouters(t *testing.T, cutHome bool, engines int, tell func(*Ledger, string)) {
+// poisonThroughRouters runs copies of the poisoned request through three routers
+// and expects that they crash two engines. If engines isn't 0, it is passed to
+// Configure.
+func poisonThroughRouters(t *testing.T, cutCoordinator bool, engines int, record func(*Ledger, string)) {
 	g := gomega.NewWithT(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer func() {
@@ -112,22 +118,22 @@
 		time.Sleep(callTimeout)
 	}()
 	f := newFleet(ctx, 4, Options{})
-	order := f.spreaders[f.names[0]].order(poison)
+	order := f.gossipers[f.names[0]].rendezvousOrder(poison)
 	for _, l := range f.ledgers {
 		if engines > 0 {
 			l.Configure(engines, DefaultQuarantine)
 		}
 	}
-	if cutHome {
+	if cutCoordinator {
 		f.cut.Store(order[0], true)
 	}
 	routers := order[1:]
 	var mu sync.Mutex
 	crashed := map[string]bool{}
 	var callers sync.WaitGroup
-	// run is a router's loop for one copy: place, crash after 400 ms, resume.
+	// run is a router's loop for one copy: place it, crash after 400 ms, resume it.
 	run := func(router string, engine int) {
-		l, s := f.ledgers[router], f.spreaders[router]
+		l, s := f.ledgers[router], f.gossipers[router]
 		for ; ; engine += 10 {
 			backend := fmt.Sprint("engine-", engine)
 			verdict, err := s.Await(ctx, poison)
@@ -136,14 +142,14 @@
 			}
 			if !l.Enter(poison, backend) {
 				s.Release(poison)
-				time.Sleep(grantPoll)
+				time.Sleep(grantRetryInterval)
 				continue
 			}
 			time.Sleep(400 * time.Millisecond)
 			mu.Lock()
 			crashed[backend] = true
 			mu.Unlock()
-			tell(l, backend)
+			record(l, backend)
 			l.Leave(poison, backend)
 		}
 	}
@@ -159,9 +165,9 @@
 	}
 }
 
-// A router that runs the one granted copy dies. Its grant lapses, so that the
-// caller, who comes back through another router, isn't held back for ever.
-func TestGrantOfADeadRouterLapses(t *testing.T) {
+// A router dies while it holds the grant of a suspect. The grant must expire, so
+// that the caller isn't held back forever when it retries through another router.
+func TestGrantOfADeadRouterExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -170,27 +176,27 @@
 			time.Sleep(callTimeout)
 		}()
 		f := newFleet(ctx, 4, Options{})
-		order := f.spreaders[f.names[0]].order(poison)
+		order := f.gossipers[f.names[0]].rendezvousOrder(poison)
 		f.ledgers[order[1]].Death("x/1", []types.Fingerprint{poison})
 		time.Sleep(time.Second)
-		_, err := f.spreaders[order[1]].Await(ctx, poison)
+		_, err := f.gossipers[order[1]].Await(ctx, poison)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(f.ledgers[order[1]].Enter(poison, "a")).To(gomega.BeTrue())
 		f.cut.Store(order[1], true)
 		short, stop := context.WithTimeout(ctx, 5*time.Second)
 		defer stop()
-		_, err = f.spreaders[order[2]].Await(short, poison)
+		_, err = f.gossipers[order[2]].Await(short, poison)
 		g.Expect(err).To(gomega.MatchError(context.DeadlineExceeded))
 		began := time.Now()
-		_, err = f.spreaders[order[2]].Await(ctx, poison)
+		_, err = f.gossipers[order[2]].Await(ctx, poison)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
-		g.Expect(time.Since(began)).To(gomega.BeNumerically("<", 2*grantLife))
+		g.Expect(time.Since(began)).To(gomega.BeNumerically("<", 2*grantTTL))
 	})
 }
 
-// The table service is down from the start. News reaches all of 400 processes
-// all the same, within a fraction of a second.
-func TestNewsReachesAllWithTheTableDown(t *testing.T) {
+// With the table service down, a death must reach nearly all of 400 processes
+// before the coordinator grants a run, and all of them within seconds.
+func TestDeathReachesAllWithTheTableDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -201,7 +207,7 @@
 		f := newFleet(ctx, 400, Options{Table: &memoryTable{down: true}})
 		began := time.Now()
 		f.ledgers[f.names[7]].Death("x/1", []types.Fingerprint{poison})
-		knowing := func() int {
+		informed := func() int {
 			n := 0
 			for _, l := range f.ledgers {
 				if l.Verdict(poison).State == Suspect {
@@ -210,20 +216,20 @@
 			}
 			return n
 		}
-		most := time.Duration(0)
-		for knowing() < len(f.names) && time.Since(began) < 10*time.Second {
-			time.Sleep(hop)
-			if most == 0 && knowing() >= len(f.names)*95/100 {
-				most = time.Since(began)
+		p95 := time.Duration(0)
+		for informed() < len(f.names) && time.Since(began) < 10*time.Second {
+			time.Sleep(latency)
+			if p95 == 0 && informed() >= len(f.names)*95/100 {
+				p95 = time.Since(began)
 			}
 		}
-		t.Logf("95%% of %d knew after %v, all after %v (hop %v)", len(f.names), most, time.Since(began), hop)
-		g.Expect(most).To(gomega.BeNumerically("<", settle/2))
+		t.Logf("95%% of %d processes informed after %v, all after %v (latency %v)", len(f.names), p95, time.Since(began), latency)
+		g.Expect(p95).To(gomega.BeNumerically("<", settleDelay/2))
 		g.Expect(time.Since(began)).To(gomega.BeNumerically("<", 5*time.Second))
 	})
 }
 
-// memoryTable is a table service in memory that can be down.
+// memoryTable is an in-memory table service that can be made unavailable.
 type memoryTable struct {
 	mu   sync.Mutex
 	down bool
@@ -277,14 +283,15 @@
 	return nil
 }
 
-func (m *memoryTable) set(down bool) {
+// setDown makes the table unavailable or available.
+func (m *memoryTable) setDown(down bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.down = down
 }
 
-// Every process is restarted at once while a poison is quarantined. It comes
-// back from the table service; when all is over its row is gone.
+// All processes restart while a request is quarantined. The quarantine must be
+// loaded from the table service, and its row must be deleted after it expired.
 func TestQuarantineSurvivesARestartOfAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
@@ -303,9 +310,9 @@
 		first, stopFirst := start()
 		second, stopSecond := start()
 		first.Death("a/1", []types.Fingerprint{poison})
-		second.Death("b/1", []types.Fingerprint{poison}) // they never met
+		second.Death("b/1", []types.Fingerprint{poison}) // the two exchange nothing directly
 		time.Sleep(3 * time.Second)
-		table.set(false)
+		table.setDown(false)
 		time.Sleep(5 * time.Second)
 		stopFirst()
 		stopSecond()
--- a/suspect/ledger.go
+++ b/suspect/ledger.go
@@ -17,63 +17,65 @@
 	DefaultMax        = 4096
 )
 
-// view is what the path of a request reads of one fingerprint.
+// view is the immutable part of a record that Verdict reads.
 type view struct {
-	open  []time.Time
-	until time.Time
+	open  []time.Time // times of the open deaths
+	until time.Time   // end of the quarantine
 }
 
-// Ledger holds suspicions. Verdict reads an immutable snapshot; writers, which
-// run only when an engine dies or a suspect completes, share a lock.
+// Ledger holds suspicions. Verdict reads an immutable snapshot without locking.
+// Writers share a lock; they run only when an engine dies, a suspect completes or
+// entries are merged.
 type Ledger struct {
-	opts    Options
-	rule    rule
-	metrics *metrics
-	life    uint64
-	running running
-	home    home
-	views   atomic.Pointer[map[types.Fingerprint]view]
-	news    chan struct{}
-	// giveBack is set by a Spreader to return a granted run that ended.
-	giveBack atomic.Pointer[func(types.Fingerprint)]
-
-	mu      sync.Mutex // guards the fields below
-	records map[types.Fingerprint]*record
-	seq     uint64
-	dirty   map[types.Fingerprint]struct{} // to be written to the table
-	gone    map[types.Fingerprint]struct{} // rows to be deleted
+	opts        Options
+	policy      quarantinePolicy
+	metrics     *metrics
+	instance    uint64 // random; tells peers when a restart has reset the sequence numbers
+	running     runTracker
+	coordinator coordinator
+	views       atomic.Pointer[map[types.Fingerprint]view]
+	changed     chan struct{} // receives a value when there is something to push or renew
+	// releaseGrant is set by a Gossiper. It is called when the last run of a
+	// fingerprint in this process ends.
+	releaseGrant atomic.Pointer[func(types.Fingerprint)]
+
+	mu       sync.Mutex // guards the fields below
+	records  map[types.Fingerprint]*record
+	seq      uint64                         // number of changes so far
+	dirty    map[types.Fingerprint]struct{} // rows to write to the table service
+	toDelete map[types.Fingerprint]struct{} // rows to delete from it
 }
 
 // New returns an empty ledger.
 func New(opts Options) *Ledger {
 	opts = opts.withDefaults()
 	l := &Ledger{
-		opts:    opts,
-		rule:    rule{limit: opts.Limit, quarantine: opts.Quarantine, window: opts.Window},
-		life:    rand.Uint64(),
-		news:    make(chan struct{}, 1),
-		records: map[types.Fingerprint]*record{},
-		dirty:   map[types.Fingerprint]struct{}{},
-		gone:    map[types.Fingerprint]struct{}{},
+		opts:     opts,
+		policy:   quarantinePolicy{limit: opts.Limit, quarantine: opts.Quarantine, window: opts.Window},
+		instance: rand.Uint64(),
+		changed:  make(chan struct{}, 1),
+		records:  map[types.Fingerprint]*record{},
+		dirty:    map[types.Fingerprint]struct{}{},
+		toDelete: map[types.Fingerprint]struct{}{},
 	}
 	l.views.Store(&map[types.Fingerprint]view{})
-	l.home.holders = map[types.Fingerprint]*grant{}
+	l.coordinator.grants = map[types.Fingerprint]*grant{}
 	l.running.init()
 	l.metrics = newMetrics(opts.Registerer, l)
 	return l
 }
 
-// Verdict says what the ledger thinks of a fingerprint. It takes no lock.
+// Verdict returns the ledger's verdict on a fingerprint. It takes no lock.
 func (l *Ledger) Verdict(fp types.Fingerprint) Verdict {
 	views := *l.views.Load()
 	if len(views) == 0 {
 		return Verdict{State: Clear}
 	}
-	seen, ok := views[fp]
+	v, ok := views[fp]
 	if !ok {
 		return Verdict{State: Clear}
 	}
-	return seen.verdict(l.opts.Now(), l.opts.Window)
+	return v.verdict(l.opts.Now(), l.opts.Window)
 }
 
 func (v view) verdict(now time.Time, window time.Duration) Verdict {
@@ -93,9 +95,9 @@
 	}
 }
 
-// Death tells that an engine died while these fingerprints ran on it. The id
-// must be the same wherever the same death is told, such as the backend
-// server's address with the engine's incarnation.
+// Death records that an engine died while these fingerprints ran on it. All
+// processes must use the same id for the same death, such as the backend server's
+// address and the engine's incarnation.
 func (l *Ledger) Death(death string, fps []types.Fingerprint) {
 	if len(fps) == 0 {
 		return
@@ -107,12 +109,12 @@
 	}
 	l.metrics.deaths.Inc()
 	l.opts.Recorder.Emit(eventDeath, "death", death, "requests", len(fps))
-	l.learn(entries, true)
+	l.apply(entries, true)
 }
 
-// Completed tells that a request completed whole. The deaths known here by now
-// stop counting; one that is told later, or that only others know, still
-// counts. A quarantine stands: it is lifted by time alone.
+// Completed records that a request ran to completion and clears the deaths that
+// this ledger knows of. Deaths that are recorded later, or that only other ledgers
+// know of, still count. An existing quarantine isn't lifted before its end.
 func (l *Ledger) Completed(fp types.Fingerprint) {
 	if l.Verdict(fp).State != Suspect {
 		return
@@ -123,84 +125,91 @@
 		l.mu.Unlock()
 		return
 	}
-	cleared := r.entry(fp)
+	cleared := r.toEntry(fp)
 	l.mu.Unlock()
 	for i := range cleared.Deaths {
 		cleared.Deaths[i].Cleared = true
 	}
-	if l.learn([]Entry{cleared}, true) {
+	if l.apply([]Entry{cleared}, true) {
 		l.metrics.cleared.Inc()
 		l.opts.Recorder.Emit(eventCleared, "fingerprint", fp.String(), "deaths", len(cleared.Deaths))
 	}
 }
 
-// Merge takes in what another ledger knows and reports whether any was new.
-func (l *Ledger) Merge(entries []Entry) bool { return l.learn(entries, false) }
+// Merge merges entries of another ledger and reports whether any was new.
+func (l *Ledger) Merge(entries []Entry) bool { return l.apply(entries, false) }
 
-// Deltas returns what was learned after since, and the number to ask from next.
+// Deltas returns the entries that changed after sequence number since, and the
+// sequence number to pass to the next call.
 func (l *Ledger) Deltas(since uint64) ([]Entry, uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []Entry
 	for fp, r := range l.records {
 		if r.seq > since {
-			out = append(out, r.entry(fp))
+			out = append(out, r.toEntry(fp))
 		}
 	}
 	return out, l.seq
 }
 
-// learn joins entries, publishes the new snapshot and calls back outside the lock.
-func (l *Ledger) learn(entries []Entry, own bool) bool {
+// apply merges entries and publishes a new snapshot. It reports new quarantines
+// after releasing the lock. local is set if the entries come from this process. It
+// returns whether anything changed.
+func (l *Ledger) apply(entries []Entry, local bool) bool {
 	now := l.opts.Now()
 	l.mu.Lock()
 	var quarantined []types.Fingerprint
-	learned := nothing
+	changed := noChange
 	for _, e := range entries {
-		changed, raised := l.joinLocked(e, own, now)
-		learned = max(learned, changed)
-		if raised {
+		entryChanged, extended := l.applyLocked(e, local, now)
+		changed = max(changed, entryChanged)
+		if extended {
 			quarantined = append(quarantined, e.Fingerprint)
 		}
 	}
-	if learned > nothing {
+	if changed > noChange {
 		l.evictLocked()
 		l.publishLocked()
 	}
 	l.mu.Unlock()
-	if learned == urgent {
-		l.wake()
+	if changed == urgentChange {
+		l.notifyChanged()
 	}
 	for _, fp := range quarantined {
-		l.tellQuarantine(fp)
+		l.reportQuarantine(fp)
 	}
-	return learned > nothing
+	return changed > noChange
 }
 
-func (l *Ledger) joinLocked(e Entry, own bool, now time.Time) (changed news, raised bool) {
+// applyLocked merges one entry. It returns the kind of change and whether a
+// quarantine began or was extended.
+func (l *Ledger) applyLocked(e Entry, local bool, now time.Time) (changed change, extended bool) {
 	oldest := now.Add(-l.opts.Window)
 	r := l.records[e.Fingerprint]
 	if r == nil {
 		r = &record{deaths: map[string]Death{}}
 	}
 	before := r.until
-	changed = r.join(e, oldest)
-	if r.raise(l.rule) {
-		changed = urgent
+	changed = r.merge(e, oldest)
+	if r.extendQuarantine(l.policy) {
+		changed = urgentChange
 	}
-	if changed == nothing || r.prune(oldest, now) {
-		return nothing, false
+	if changed == noChange || r.prune(oldest, now) {
+		return noChange, false
 	}
 	l.seq++
 	r.seq = l.seq
 	r.changed = now
-	r.own = r.own || own
+	r.local = r.local || local
 	l.records[e.Fingerprint] = r
 	l.dirty[e.Fingerprint] = struct{}{}
 	return changed, r.until.After(now) && r.until.After(before)
 }
 
-func (l *Ledger) tellQuarantine(fp types.Fingerprint) {
+// reportQuarantine reports a new quarantine through metrics, events and
+// OnQuarantine.
+func (l *Ledger) reportQuarantine(fp types.Fingerprint) {
 	verdict := l.Verdict(fp)
 	if verdict.State != Quarantined {
 		return
@@ -212,9 +221,10 @@
 	}
 }
 
-func (l *Ledger) wake() {
+// notifyChanged makes the Gossiper push changes and renew grants soon.
+func (l *Ledger) notifyChanged() {
 	select {
-	case l.news <- struct{}{}:
+	case l.changed <- struct{}{}:
 	default:
 	}
 }
--- a/suspect/ledger_test.go
+++ b/suspect/ledger_test.go
@@ -17,9 +17,9 @@
 	neighbour = types.Fingerprint(2)
 )
 
-// A caller's request crashes engine a and, resumed, engine b. Seven neighbours
-// shared a's death and seven others b's. Only the poison may be refused; the
-// neighbours go on and, whole, are clear again.
+// A poisoned request crashes engine a and, when it is resumed, engine b. Each
+// engine runs seven neighbours when it dies. Only the poisoned request may be
+// quarantined; neighbours may run and are clear again once they complete.
 func TestPoisonIsQuarantinedAndNeighboursAreNot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
@@ -30,7 +30,7 @@
 				ran = append(ran, types.Fingerprint(100*(i+1)+n))
 			}
 			l.Death(engine, ran)
-			l.Death(engine, ran) // told by a second router as well
+			l.Death(engine, ran) // the same death is reported by a second router
 		}
 		g.Expect(l.Verdict(poison).State).To(gomega.Equal(Quarantined))
 		g.Expect(l.Verdict(poison).RetryAfter(time.Now())).To(gomega.Equal(DefaultQuarantine))
@@ -41,7 +41,7 @@
 		}
 		time.Sleep(DefaultQuarantine + time.Second)
 		g.Expect(l.Verdict(poison).State).To(gomega.Equal(Suspect))
-		l.Death("c/1", []types.Fingerprint{poison}) // one engine, not two, and twice as long
+		l.Death("c/1", []types.Fingerprint{poison}) // one more death suffices and doubles the quarantine
 		g.Expect(l.Verdict(poison).RetryAfter(time.Now())).To(gomega.Equal(2 * DefaultQuarantine))
 		time.Sleep(DefaultWindow + time.Minute)
 		l.expire()
@@ -49,15 +49,15 @@
 	})
 }
 
-// A copy of a suspect completes on router A while, unknown to A, a second
-// engine dies of it at router B. A's clearing reaches B late. The later death
-// must still count, and a quarantine that B has announced must stand.
-func TestClearingHidesNoLaterDeathAndLiftsNoQuarantine(t *testing.T) {
+// A copy of a suspect completes at router A while, unknown to A, another copy
+// crashes a second engine at router B. Clearing at A must not clear the death that
+// A doesn't know of, nor lift the quarantine at B.
+func TestClearingKeepsUnknownDeathsAndQuarantine(t *testing.T) {
 	g := gomega.NewWithT(t)
 	a, b := New(Options{}), New(Options{})
 	exchange := func(from, to *Ledger) {
-		news, _ := from.Deltas(0)
-		to.Merge(news)
+		entries, _ := from.Deltas(0)
+		to.Merge(entries)
 	}
 	a.Death("x/1", []types.Fingerprint{poison, neighbour})
 	exchange(a, b)
@@ -70,20 +70,21 @@
 		g.Expect(l.Verdict(poison).State).To(gomega.Equal(Quarantined))
 		g.Expect(l.Verdict(neighbour).State).To(gomega.Equal(Clear))
 	}
-	a.Completed(poison) // a copy that ran on for long ends whole
+	a.Completed(poison) // another copy completes after the quarantine began
 	g.Expect(a.Verdict(poison).State).To(gomega.Equal(Quarantined))
 	a.Death("z/1", []types.Fingerprint{neighbour})
 	g.Expect(a.Verdict(neighbour)).To(gomega.Equal(Verdict{State: Suspect, Deaths: 1}))
 }
 
-// Two suspects of one death would, placed together, die together and both be
-// quarantined; and a second copy of one would cost a third engine.
-func TestSuspectsAreKeptApartAndRunOnce(t *testing.T) {
+// Two suspects on one backend server would both be quarantined if it died, though
+// only one crashes engines. A second copy of one suspect could crash a third
+// engine. Both must be held back.
+func TestSuspectsRunOnceAndOnSeparateServers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l := New(Options{})
 	other := types.Fingerprint(9)
 	g.Expect(l.Enter(poison, "a")).To(gomega.BeTrue())
-	g.Expect(l.Enter(poison, "b")).To(gomega.BeTrue()) // clear: as many as come
+	g.Expect(l.Enter(poison, "b")).To(gomega.BeTrue()) // clear requests aren't restricted
 	l.Death("a/1", []types.Fingerprint{poison, neighbour})
 	l.Leave(poison, "a")
 	g.Expect(l.Enter(poison, "c")).To(gomega.BeFalse(), "the copy on b still runs")
@@ -95,9 +96,9 @@
 	g.Expect(l.Enter(poison, "b")).To(gomega.BeTrue())
 }
 
-// Engines are killed under a long generation that had run well on each, and
-// under a request that had produced nothing. Two deaths are proof against the
-// second; the first may be killed twice as often.
+// Engines die while they run a long generation that was proven on each, and a
+// request that had not produced a token. The latter is quarantined after two
+// deaths, the former after four.
 func TestWeakEvidenceWeighsHalf(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l := New(Options{})
@@ -105,7 +106,7 @@
 	for i, state := range []State{Suspect, Suspect, Suspect, Quarantined} {
 		death := fmt.Sprint("engine-", i)
 		l.DeathOf(death, neighbour, true)
-		l.DeathOf(death, neighbour, true) // told by the router and by the sidecar
+		l.DeathOf(death, neighbour, true) // reported by both the router and the sidecar
 		g.Expect(l.Verdict(neighbour).State).To(gomega.Equal(state))
 	}
 	l.DeathOf("x", poison, false)
@@ -114,7 +115,7 @@
 	g.Expect(l.Verdict(poison).State).To(gomega.Equal(Quarantined))
 }
 
-func TestFullLedgerKeepsWhatWeighsMost(t *testing.T) {
+func TestFullLedgerKeepsQuarantinedEntries(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l := New(Options{Max: 3})
 	l.Death("a", []types.Fingerprint{poison})
@@ -125,8 +126,9 @@
 	g.Expect(l.Verdict(13).State).To(gomega.Equal(Suspect))
 }
 
-// Deliveries in any order, repeated, split at will: joined records are equal,
-// and after all ledgers have exchanged everything so are their verdicts.
+// Property: merging is commutative and idempotent. Ledgers that receive the same
+// entries in any order, some of them twice, are equal after they exchanged all
+// entries, and merging a ledger's own entries changes nothing.
 func TestMergeLaws(t *testing.T) {
 	start := time.Now()
 	entry := rapid.Custom(func(t *rapid.T) Entry {
@@ -156,9 +158,9 @@
 		}
 		for range 2 {
 			for _, from := range ledgers {
-				news, _ := from.Deltas(0)
+				entries, _ := from.Deltas(0)
 				for _, to := range ledgers {
-					to.Merge(news)
+					to.Merge(entries)
 				}
 			}
 		}
@@ -166,8 +168,8 @@
 			g.Expect(l.Dump()).To(gomega.BeComparableTo(ledgers[0].Dump(), ignoreUnsaved))
 		}
 		before := ledgers[0].Dump()
-		news, _ := ledgers[0].Deltas(0)
-		g.Expect(ledgers[0].Merge(news)).To(gomega.BeFalse(), "idempotent")
+		own, _ := ledgers[0].Deltas(0)
+		g.Expect(ledgers[0].Merge(own)).To(gomega.BeFalse(), "merging is idempotent")
 		g.Expect(ledgers[0].Dump()).To(gomega.Equal(before))
 	})
 }
--- a/suspect/options.go
+++ b/suspect/options.go
@@ -10,20 +10,20 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// Options of a Ledger; only the zero values of Limit, Quarantine, Window, Max
-// and Now are replaced by defaults.
+// Options configures a Ledger. Zero values of Limit, Quarantine, Window, Max,
+// Recorder, Registerer and Now are replaced by defaults.
 type Options struct {
-	Self       types.ProcessID // who this is, as holder of a grant
-	Limit      int             // distinct deaths before quarantine
+	Self       types.ProcessID // id of this process; not used at present
+	Limit      int             // distinct deaths that cause a quarantine
 	Quarantine time.Duration   // length of the first quarantine
 	Window     time.Duration   // how long a death counts
 	// Probation is how long a suspect must run on an engine before another
-	// suspect may join it there; 0 means that none may while it runs.
+	// suspect may run there too. 0 means that none may until it ends.
 	Probation time.Duration
-	Max       int           // fingerprints kept
-	Table     backing.Table // nil: suspicions are not persisted
-	// OnQuarantine is told of each quarantine learned, so that a copy that
-	// still runs can be cancelled before it costs another engine.
+	Max       int           // maximum number of fingerprints
+	Table     backing.Table // nil: suspicions aren't persisted
+	// OnQuarantine is called for each new quarantine, so that a running copy can
+	// be cancelled before it crashes another engine.
 	OnQuarantine func(types.Fingerprint, Verdict)
 	Recorder     *event.Recorder
 	Registerer   prometheus.Registerer
--- a/suspect/running.go
+++ b/suspect/running.go
@@ -10,31 +10,31 @@
 
 const runningShards = 64
 
-// run is one place where a fingerprint runs now.
+// run counts the running copies of a fingerprint on one backend server.
 type run struct {
 	backend string
-	since   time.Time
+	since   time.Time // when the first copy started
 	count   int
 }
 
-// running knows which fingerprints run where, through this process. It is
-// sharded so that requests share no lock.
-type running struct {
-	suspects sync.Mutex   // taken only to admit a suspect: one at a time
-	heldFrom atomic.Int32 // deaths from which a suspect is held back; 0: any
-	shards   [runningShards]struct {
+// runTracker tracks which fingerprints run on which backend servers through this
+// process. It is sharded to avoid contention between requests.
+type runTracker struct {
+	admission     sync.Mutex   // serializes the admission of suspects
+	holdThreshold atomic.Int32 // number of deaths from which a suspect is held back
+	shards        [runningShards]struct {
 		mu   sync.Mutex
 		runs map[types.Fingerprint][]run
 	}
 }
 
-func (r *running) init() {
+func (r *runTracker) init() {
 	for i := range r.shards {
 		r.shards[i].runs = map[types.Fingerprint][]run{}
 	}
 }
 
-func (r *running) add(fp types.Fingerprint, backend string, now time.Time) {
+func (r *runTracker) add(fp types.Fingerprint, backend string, now time.Time) {
 	shard := &r.shards[uint64(fp)%runningShards]
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
@@ -48,8 +48,8 @@
 	shard.runs[fp] = append(runs, run{backend: backend, since: now, count: 1})
 }
 
-// remove takes one run away and reports whether the fingerprint still runs.
-func (r *running) remove(fp types.Fingerprint, backend string) bool {
+// remove removes one run and reports whether the fingerprint still runs anywhere.
+func (r *runTracker) remove(fp types.Fingerprint, backend string) bool {
 	shard := &r.shards[uint64(fp)%runningShards]
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
@@ -71,15 +71,15 @@
 	return true
 }
 
-func (r *running) has(fp types.Fingerprint) bool {
+func (r *runTracker) has(fp types.Fingerprint) bool {
 	shard := &r.shards[uint64(fp)%runningShards]
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
 	return len(shard.runs[fp]) > 0
 }
 
-// each calls visit for every run, one shard locked at a time.
-func (r *running) each(visit func(types.Fingerprint, run)) {
+// forEach calls visit for every run. It locks one shard at a time.
+func (r *runTracker) forEach(visit func(types.Fingerprint, run)) {
 	for i := range r.shards {
 		r.shards[i].mu.Lock()
 		for fp, runs := range r.shards[i].runs {
@@ -91,27 +91,28 @@
 	}
 }
 
-// held reports whether a request with this verdict is held back.
-func (l *Ledger) held(v Verdict) bool {
-	return v.State == Suspect && v.Deaths >= int(l.running.heldFrom.Load())
+// heldBack reports whether a request with this verdict is held back.
+func (l *Ledger) heldBack(v Verdict) bool {
+	return v.State == Suspect && v.Deaths >= int(l.running.holdThreshold.Load())
 }
 
-// Enter notes that a request is about to run on a backend server. A request
-// that is clear always may. A suspect may not while a copy of it runs through
-// this process, nor on a backend server that has another suspect: dying
-// together a second time would quarantine the innocent one with the guilty.
+// Enter records that a request is about to run on a backend server, and reports
+// whether it may. A quarantined request may not. A suspect may not while another
+// copy of it runs through this process, nor on a backend server that runs another
+// suspect: if that server died too, an innocent request would be quarantined with
+// the one that crashes engines. Other requests always may.
 func (l *Ledger) Enter(fp types.Fingerprint, backend string) bool {
 	now := l.opts.Now()
 	verdict := l.Verdict(fp)
 	if verdict.State == Quarantined {
 		return false
 	}
-	if !l.held(verdict) {
+	if !l.heldBack(verdict) {
 		l.running.add(fp, backend, now)
 		return true
 	}
-	l.running.suspects.Lock()
-	defer l.running.suspects.Unlock()
+	l.running.admission.Lock()
+	defer l.running.admission.Unlock()
 	if l.running.has(fp) || l.SuspectsOn()[backend] > 0 {
 		l.metrics.held.Inc()
 		l.opts.Recorder.Emit(eventHeld, "fingerprint", fp.String(), "backend", backend)
@@ -121,14 +122,15 @@
 	return true
 }
 
-// Leave notes that a run which Enter allowed is over. When its engine died, tell
-// the Death first: a copy elsewhere may start as soon as the run is given back.
+// Leave records the end of a run that BeginRun allowed. If the engine died, the
+// death must be recorded first, because another process may start a copy as soon
+// as the grant is released.
 func (l *Ledger) Leave(fp types.Fingerprint, backend string) {
 	if l.running.remove(fp, backend) {
 		return
 	}
-	if giveBack := l.giveBack.Load(); giveBack != nil {
-		(*giveBack)(fp)
+	if release := l.releaseGrant.Load(); release != nil {
+		(*release)(fp)
 	}
 }
 
@@ -138,22 +140,22 @@
 		return nil
 	}
 	var out []types.Fingerprint
-	l.running.each(func(fp types.Fingerprint, _ run) {
-		if l.held(l.Verdict(fp)) {
+	l.running.forEach(func(fp types.Fingerprint, _ run) {
+		if l.heldBack(l.Verdict(fp)) {
 			out = append(out, fp)
 		}
 	})
 	return out
 }
 
-// SuspectsOn counts the suspects that run on each backend server through this
-// process and are not past their probation. The router leaves these servers out
-// when it places another suspect.
+// SuspectsOn returns, by backend server, how many suspects and quarantined requests
+// run through this process and are not past their probation. The router excludes
+// these servers when it places another suspect.
 func (l *Ledger) SuspectsOn() map[string]int {
 	now := l.opts.Now()
 	out := map[string]int{}
-	l.running.each(func(fp types.Fingerprint, one run) {
-		if verdict := l.Verdict(fp); verdict.State != Quarantined && !l.held(verdict) {
+	l.running.forEach(func(fp types.Fingerprint, one run) {
+		if verdict := l.Verdict(fp); verdict.State != Quarantined && !l.heldBack(verdict) {
 			return
 		}
 		if l.opts.Probation > 0 && now.Sub(one.since) >= l.opts.Probation {
--- a/suspect/server.go
+++ b/suspect/server.go
@@ -11,13 +11,14 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// Handler serves the ledger to peers, under PathPrefix.
+// Handler returns the HTTP handler through which peers call the ledger. It must be
+// mounted under PathPrefix.
 func (l *Ledger) Handler() http.Handler { return suspectpb.NewSuspectsServer(server{l}) }
 
-// PathPrefix is where Handler must be mounted.
+// PathPrefix is the path prefix of Handler.
 const PathPrefix = suspectpb.SuspectsPathPrefix
 
-// Server returns the ledger as its peers call it, without HTTP between.
+// Server returns the service that Handler serves, for calls without HTTP.
 func (l *Ledger) Server() suspectpb.Suspects { return server{l} }
 
 type server struct{ ledger *Ledger }
@@ -25,18 +26,18 @@
 // Exchange implements suspectpb.Suspects.
 func (s server) Exchange(_ context.Context, in *suspectpb.ExchangeRequest) (*suspectpb.ExchangeResponse, error) {
 	if len(in.GetEntries()) > s.ledger.opts.Max {
-		return nil, twirp.InvalidArgumentError("entries", "more than the ledger holds")
+		return nil, twirp.InvalidArgumentError("entries", "more entries than the ledger may hold")
 	}
 	s.ledger.Merge(fromWire(in.GetEntries()))
 	if !in.GetPull() {
 		return &suspectpb.ExchangeResponse{}, nil
 	}
 	since := in.GetSince()
-	if in.GetLedger() != s.ledger.life {
-		since = 0 // this ledger began anew; its numbers mean something else
+	if in.GetLedger() != s.ledger.instance {
+		since = 0 // the sequence number is that of another ledger, from before a restart
 	}
 	entries, next := s.ledger.Deltas(since)
-	return &suspectpb.ExchangeResponse{Entries: toWire(entries), Next: next, Ledger: s.ledger.life}, nil
+	return &suspectpb.ExchangeResponse{Entries: toWire(entries), Next: next, Ledger: s.ledger.instance}, nil
 }
 
 // Grant implements suspectpb.Suspects.
@@ -44,7 +45,7 @@
 	if in.GetHolder() == "" {
 		return nil, twirp.RequiredArgumentError("holder")
 	}
-	granted, wait := s.ledger.home.decide(request{
+	granted, wait := s.ledger.coordinator.handle(grantRequest{
 		fp: types.Fingerprint(in.GetFingerprint()), holder: in.GetHolder(), running: in.GetRunning(), release: in.GetRelease(),
 	}, s.ledger.opts.Now())
 	return &suspectpb.GrantResponse{Granted: granted, RetryAfterNano: int64(wait)}, nil
--- a/suspect/store.go
+++ b/suspect/store.go
@@ -13,23 +13,23 @@
 
 const (
 	tablePrefix = "suspect/"
-	// flushEvery and flushMax bound what suspicion costs the table service:
-	// at most flushMax reads and one write a period from each process.
-	flushEvery = time.Second
-	flushMax   = 16
-	// tableTimeout bounds one call to the table service.
+	// flushInterval and maxFlushRows bound the load on the table service: at most
+	// maxFlushRows reads and one write per interval from each process.
+	flushInterval = time.Second
+	maxFlushRows  = 16
+	// tableTimeout bounds a load from, or a flush to, the table service.
 	tableTimeout = 2 * time.Second
-	// expireEvery is how often old entries are forgotten.
-	expireEvery = 10 * time.Second
+	// expireInterval is how often expired records are removed.
+	expireInterval = 10 * time.Second
 )
 
-// Run reads the rows kept in the table service, then writes what changes and
-// forgets what is old, until ctx ends. The table service being down delays
-// only the rows: verdicts and spreading go on.
+// Run loads the stored entries from the table service, then writes changes to it
+// and removes expired records until ctx ends. Verdicts and gossip continue while
+// the table service is unavailable.
 func (l *Ledger) Run(ctx context.Context) error {
-	flush := time.NewTicker(flushEvery)
+	flush := time.NewTicker(flushInterval)
 	defer flush.Stop()
-	expire := time.NewTicker(expireEvery)
+	expire := time.NewTicker(expireInterval)
 	defer expire.Stop()
 	table := tableState{}
 	loaded := l.opts.Table == nil || l.load(ctx, &table)
@@ -51,10 +51,12 @@
 	}
 }
 
-// tableState remembers whether the table answered, to tell of changes only.
+// tableState records whether the table service was unavailable at the last access.
 type tableState struct{ down bool }
 
-func (l *Ledger) noteTable(state *tableState, err error) bool {
+// reportTable emits an event when the table service becomes unavailable or
+// available again. It returns whether err is nil.
+func (l *Ledger) reportTable(state *tableState, err error) bool {
 	if err != nil {
 		if !state.down {
 			l.opts.Recorder.Emit(eventTable, "error", err)
@@ -69,11 +71,13 @@
 	return true
 }
 
+// load merges the entries stored in the table service. Rows of expired entries are
+// scheduled for deletion. It reports whether the entries could be read.
 func (l *Ledger) load(ctx context.Context, state *tableState) bool {
 	ctx, cancel := context.WithTimeout(ctx, tableTimeout)
 	defer cancel()
 	rows, err := l.opts.Table.List(ctx, tablePrefix, l.opts.Max)
-	if !l.noteTable(state, err) {
+	if !l.reportTable(state, err) {
 		return false
 	}
 	entries := make([]Entry, 0, len(rows))
@@ -86,60 +90,62 @@
 	l.mu.Lock()
 	for _, e := range entries {
 		if l.records[e.Fingerprint] == nil {
-			l.gone[e.Fingerprint] = struct{}{} // nobody tidied it: its writer is gone
+			l.toDelete[e.Fingerprint] = struct{}{} // expired, but its writer no longer exists to delete it
 		}
 	}
 	l.mu.Unlock()
 	return true
 }
 
-// flush writes a bounded number of changed rows, each merged with what is there.
+// flush writes a bounded number of changed rows, each merged with the stored row.
 func (l *Ledger) flush(ctx context.Context, state *tableState) {
 	ctx, cancel := context.WithTimeout(ctx, tableTimeout)
 	defer cancel()
-	txn, taken, err := l.prepare(ctx, l.take())
+	txn, b, err := l.buildTxn(ctx, l.takeBatch())
 	if err == nil && len(txn.Writes) > 0 {
 		err = l.opts.Table.Commit(ctx, txn)
 	}
 	var conflict *backing.ConflictError
 	if errors.As(err, &conflict) {
-		l.putBack(taken) // another process wrote the row: merge again next time
+		l.returnBatch(b) // another process wrote a row: merge again in the next flush
 		return
 	}
-	if !l.noteTable(state, err) {
-		l.putBack(taken) // an ambiguous write is repeated: merging twice is harmless
+	if !l.reportTable(state, err) {
+		l.returnBatch(b) // the write may have happened; merging is idempotent, so repeat it
 	}
 }
 
-// batch is a set of rows to write or to delete.
+// batch is a set of rows to write or delete.
 type batch struct {
-	dirty, gone []types.Fingerprint
+	dirty, toDelete []types.Fingerprint
 }
 
-func (l *Ledger) take() batch {
+// takeBatch removes a batch of at most maxFlushRows rows from the pending rows.
+func (l *Ledger) takeBatch() batch {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var b batch
 	for fp := range l.dirty {
-		if len(b.dirty) == flushMax {
+		if len(b.dirty) == maxFlushRows {
 			break
 		}
-		if l.records[fp].own {
+		if l.records[fp].local {
 			b.dirty = append(b.dirty, fp)
 		}
-		delete(l.dirty, fp) // what others told is theirs to write
+		delete(l.dirty, fp) // records of other processes are written by them
 	}
-	for fp := range l.gone {
-		if len(b.dirty)+len(b.gone) == flushMax {
+	for fp := range l.toDelete {
+		if len(b.dirty)+len(b.toDelete) == maxFlushRows {
 			break
 		}
-		b.gone = append(b.gone, fp)
-		delete(l.gone, fp)
+		b.toDelete = append(b.toDelete, fp)
+		delete(l.toDelete, fp)
 	}
 	return b
 }
 
-func (l *Ledger) putBack(b batch) {
+// returnBatch makes the rows of a batch pending again.
+func (l *Ledger) returnBatch(b batch) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, fp := range b.dirty {
@@ -147,30 +153,32 @@
 			l.dirty[fp] = struct{}{}
 		}
 	}
-	for _, fp := range b.gone {
+	for _, fp := range b.toDelete {
 		if l.records[fp] == nil {
-			l.gone[fp] = struct{}{}
+			l.toDelete[fp] = struct{}{}
 		}
 	}
 }
 
-func (l *Ledger) prepare(ctx context.Context, b batch) (backing.Txn, batch, error) {
+// buildTxn builds the transaction for a batch. It merges the stored rows into the
+// ledger first, and makes each write conditional on the version that it read.
+func (l *Ledger) buildTxn(ctx context.Context, b batch) (backing.Txn, batch, error) {
 	var txn backing.Txn
 	for _, fp := range b.dirty {
 		row, err := l.opts.Table.Get(ctx, tablePrefix+fp.String())
 		if err != nil && !errors.Is(err, backing.ErrNotFound) {
 			return txn, b, err
 		}
-		if there, err := decodeRow(row.Value); err == nil {
-			l.Merge([]Entry{there})
+		if stored, err := decodeRow(row.Value); err == nil {
+			l.Merge([]Entry{stored})
 		}
 		value, ok := l.encodeRow(fp)
 		if !ok {
 			continue
 		}
-		add(&txn, fp, row.Version, backing.Write{Value: value})
+		addWrite(&txn, fp, row.Version, backing.Write{Value: value})
 	}
-	for _, fp := range b.gone {
+	for _, fp := range b.toDelete {
 		row, err := l.opts.Table.Get(ctx, tablePrefix+fp.String())
 		if errors.Is(err, backing.ErrNotFound) {
 			continue
@@ -178,12 +186,13 @@
 		if err != nil {
 			return txn, b, err
 		}
-		add(&txn, fp, row.Version, backing.Write{Delete: true})
+		addWrite(&txn, fp, row.Version, backing.Write{Delete: true})
 	}
 	return txn, b, nil
 }
 
-func add(txn *backing.Txn, fp types.Fingerprint, version uint64, w backing.Write) {
+// addWrite adds a write to txn, conditional on the row's version.
+func addWrite(txn *backing.Txn, fp types.Fingerprint, version uint64, w backing.Write) {
 	w.Key = tablePrefix + fp.String()
 	txn.If = append(txn.If, backing.Condition{Key: w.Key, Version: version})
 	txn.Writes = append(txn.Writes, w)
@@ -196,12 +205,12 @@
 	if r == nil {
 		return nil, false
 	}
-	value, err := json.Marshal(r.entry(fp))
+	value, err := json.Marshal(r.toEntry(fp))
 	return value, err == nil
 }
 
 func decodeRow(value []byte) (Entry, error) {
 	var e Entry
 	err := json.Unmarshal(value, &e)
-	return e, errors.Wrap(err, "suspect row")
+	return e, errors.Wrap(err, "suspect: decode table row")
 }
--- a/suspect/verdict.go
+++ b/suspect/verdict.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// State is what the ledger thinks of a request.
+// State is the state of a request in the ledger.
 type State string
 
-// States of a request, by rising weight.
+// Values of State, in ascending severity.
 const (
-	Clear       State = "clear"
-	Suspect     State = "suspect"
-	Quarantined State = "quarantined"
+	Clear       State = "clear"       // not suspected of any death
+	Suspect     State = "suspect"     // suspected of a death, but may run under restrictions
+	Quarantined State = "quarantined" // refused until the end of the quarantine
 )
 
-// Verdict answers what to do with a request before it is placed.
+// Verdict tells the router whether a request may be placed.
 type Verdict struct {
 	State  State
-	Deaths int       // distinct deaths that count against it
-	Until  time.Time // end of the quarantine
+	Deaths int       // distinct deaths that count against the request
+	Until  time.Time // end of the quarantine; zero unless Quarantined
 }
 
-// RetryAfter is how long a quarantined request must stay away.
+// RetryAfter returns the time until the quarantine ends, or 0 if there is none.
 func (v Verdict) RetryAfter(now time.Time) time.Duration {
 	if v.State != Quarantined {
 		return 0
