--- a/types/doc.go
+++ b/types/doc.go
@@ -1,6 +1,6 @@
-// Package types holds the values that every other package speaks in:
-// identifiers, tokens and lineages, outcomes and refusals, load reports.
-// It depends on nothing else in this module.
+// Package types defines the data types that all other packages share:
+// identifiers, tokens and lineages, outcomes and refusals, and load reports.
+// It depends on no other package of this module.
 //
 // May import of pearyard: none.
 package types
--- a/types/id.go
+++ b/types/id.go
@@ -13,33 +13,37 @@
 	"github.com/pkg/errors"
 )
 
-// RequestID names one request as its caller sees it (Pearyard-Request-Id).
+// RequestID identifies one request towards its caller (header Pearyard-Request-Id).
 type RequestID string
 
-// Organisation names the customer that a request is made for.
+// Organisation is the name of the customer on whose behalf a request is made.
 type Organisation string
 
-// ProcessID names a router or sidecar slot; it survives a restart of the process.
+// ProcessID identifies a router or sidecar. It stays the same when the process
+// restarts.
 type ProcessID string
 
-// Zone names an availability zone.
+// Zone is the name of an availability zone.
 type Zone string
 
-// Revision counts accepted operators' texts; 0 means that none is known.
+// Revision numbers the accepted versions of the operators' configuration. 0 means
+// that none is known.
 type Revision uint64
 
-// Incarnation tells two runs of one ProcessID apart; a later run has a larger one.
+// Incarnation distinguishes the runs of one ProcessID. A later run has a larger
+// incarnation.
 type Incarnation uint64
 
 // NewIncarnation returns the start time in nanoseconds, so that a restarted
-// process always has a larger incarnation without keeping anything on disk.
+// process has a larger incarnation without storing anything on disk.
 func NewIncarnation(now time.Time) Incarnation { return Incarnation(now.UnixNano()) }
 
-// Key identifies a request across routers: a hash of organisation and
-// idempotency key. Rendezvous placement of journal peers depends on it alone.
+// Key identifies a request across routers. It is a hash of the organisation and
+// the idempotency key. The rendezvous placement of journal peers depends only on
+// it.
 type Key uint64
 
-// KeyOf hashes an organisation and its idempotency key.
+// KeyOf returns the Key of an organisation's idempotency key.
 func KeyOf(org Organisation, idempotencyKey string) Key {
 	d := xxhash.New()
 	_, _ = d.WriteString(string(org))
@@ -48,11 +52,12 @@
 	return Key(d.Sum64())
 }
 
-// Fingerprint identifies the content of a request (organisation and body), so
-// that sending a body again under a new idempotency key doesn't launder it.
+// Fingerprint identifies the content of a request: its organisation and body. A
+// request that is sent again under a new idempotency key keeps its fingerprint,
+// so that crash suspicions and quarantines still apply to it.
 type Fingerprint uint64
 
-// FingerprintOf hashes an organisation and a request body.
+// FingerprintOf returns the Fingerprint of an organisation's request body.
 func FingerprintOf(org Organisation, body []byte) Fingerprint {
 	d := xxhash.New()
 	_, _ = d.WriteString(string(org))
@@ -64,14 +69,14 @@
 // String returns the fingerprint as 16 hexadecimal digits.
 func (f Fingerprint) String() string { return fmt.Sprintf("%016x", uint64(f)) }
 
-// GenerationID names one generation. It begins with the request's Key, so that
-// any router finds the generation's journal peers from the id alone.
+// GenerationID identifies one generation. It contains the request's Key, so that
+// any router can find the generation's journal peers from the id alone.
 type GenerationID struct {
 	Key  Key
 	Salt uint32
 }
 
-// NewGenerationID draws a new generation id for a request key.
+// NewGenerationID returns a generation id with a random salt for a request key.
 func NewGenerationID(key Key) GenerationID {
 	return GenerationID{Key: key, Salt: randomUint32()}
 }
@@ -79,10 +84,10 @@
 // String returns the id as `<16 hex digits>-<8 hex digits>`.
 func (g GenerationID) String() string { return fmt.Sprintf("%016x-%08x", uint64(g.Key), g.Salt) }
 
-// ErrMalformedID reports an identifier that was not produced by this system.
+// ErrMalformedID is returned for a string that isn't an identifier of this system.
 var ErrMalformedID = errors.New("malformed identifier")
 
-// ParseGenerationID is the inverse of GenerationID.String.
+// ParseGenerationID parses the result of GenerationID.String.
 func ParseGenerationID(s string) (GenerationID, error) {
 	key, salt, ok := strings.Cut(s, "-")
 	if !ok || len(key) != 16 || len(salt) != 8 {
@@ -99,11 +104,12 @@
 	return GenerationID{Key: Key(k), Salt: uint32(s32)}, nil
 }
 
-// AttemptTag names one attempt of a generation. It is random, not a counter:
-// two routers that resume the same generation at once must not draw the same tag.
+// AttemptTag identifies one attempt of a generation. It is random instead of a
+// counter because two routers that resume the same generation concurrently must
+// not use the same tag.
 type AttemptTag uint32
 
-// NewAttemptTag draws a tag; it is never 0, which stands for "no attempt".
+// NewAttemptTag returns a random tag. It is never 0, which means "no attempt".
 func NewAttemptTag() AttemptTag {
 	for {
 		if tag := AttemptTag(randomUint32()); tag != 0 {
@@ -112,12 +118,12 @@
 	}
 }
 
-// EventID is the SSE id of one token event: which attempt of which generation
-// produced the token, and the token's index in the answer (from 0).
+// EventID is the SSE id of a token event. It identifies the generation, the
+// attempt that produced the token and the token's position in the answer.
 type EventID struct {
 	Generation GenerationID
 	Attempt    AttemptTag
-	Index      int
+	Index      int // counted from 0
 }
 
 // String returns `<generation>-<attempt>.<index>`.
@@ -125,7 +131,7 @@
 	return fmt.Sprintf("%s-%08x.%d", e.Generation, uint32(e.Attempt), e.Index)
 }
 
-// ParseEventID is the inverse of EventID.String.
+// ParseEventID parses the result of EventID.String.
 func ParseEventID(s string) (EventID, error) {
 	head, index, ok := strings.Cut(s, ".")
 	cut := strings.LastIndexByte(head, '-')
@@ -147,7 +153,7 @@
 	return EventID{Generation: gen, Attempt: AttemptTag(tag), Index: int(n)}, nil
 }
 
-// NewRequestID draws a request id.
+// NewRequestID returns a random request id.
 func NewRequestID() RequestID {
 	var b [12]byte
 	_, _ = rand.Read(b[:])
--- a/types/id_test.go
+++ b/types/id_test.go
@@ -22,26 +22,26 @@
 		}
 		again, err := types.ParseEventID(id.String())
 		if err != nil || again != id || id.Index < 0 || id.Attempt == 0 {
-			t.Fatalf("%q was read as %v, then as %v (%v)", s, id, again, err)
+			t.Fatalf("%q was parsed as %v, and its String as %v (%v)", s, id, again, err)
 		}
 	})
 }
 
-// A generation resumes several times, at falling and rising indexes, since a
-// router may know fewer tokens than the one before it. Each index must have one
-// producer, and it must be the newest attempt that began at or before it.
-func TestLineageNamesOneProducer(t *testing.T) {
+// Property: a generation may resume at lower and higher indexes, because a router
+// may know fewer tokens than the previous one. Each index must have exactly one
+// producer, the newest attempt that began at or before it.
+func TestLineageHasOneProducerPerIndex(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var lineage types.Lineage
-		const most = 40
-		producers := make([]types.AttemptTag, most)
+		const tokens = 40
+		producers := make([]types.AttemptTag, tokens)
 		for attempt := types.AttemptTag(1); attempt <= 6; attempt++ {
-			from := rapid.IntRange(0, most-1).Draw(t, "from")
+			from := rapid.IntRange(0, tokens-1).Draw(t, "from")
 			if attempt == 1 {
 				from = 0
 			}
 			lineage = lineage.Extend(attempt, from)
-			for i := from; i < most; i++ {
+			for i := from; i < tokens; i++ {
 				producers[i] = attempt
 			}
 			for i, want := range producers {
@@ -56,9 +56,10 @@
 	})
 }
 
-// A caller sends the same body under another organisation's or its own other
-// key. The requests must not share a generation.
-func TestKeysAreApart(t *testing.T) {
+// Requests of different organisations, or under different idempotency keys, must
+// not share a key, a fingerprint or a generation. Concatenating the two parts of
+// a hash without a separator would let "a"+"bc" collide with "ab"+"c".
+func TestIdentifiersAreDistinct(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(types.KeyOf("a", "bc")).NotTo(Equal(types.KeyOf("ab", "c")))
 	g.Expect(types.FingerprintOf("a", []byte("x"))).NotTo(Equal(types.FingerprintOf("b", []byte("x"))))
--- a/types/load.go
+++ b/types/load.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Load is what a backend server reports of itself. It lags: At says when it was read.
+// Load is a load report of a backend server. It may be out of date; see At.
 type Load struct {
 	Running      int       // requests in the current batch
-	Queued       int       // requests waiting for the batch
-	Capacity     int       // requests that a batch holds at the most
-	CachedTokens int       // prompt tokens held in the prefix cache
-	StepMicros   int       // time of the last decoding step, in microseconds
+	Queued       int       // requests waiting to join the batch
+	Capacity     int       // maximum number of requests in a batch
+	CachedTokens int       // prompt tokens in the prefix cache
+	StepMicros   int       // duration of the last decoding step, in microseconds
 	At           time.Time // when the report was read, by the reader's clock
 }
 
-// Role is the part a process plays.
+// Role is the role of a process.
 type Role string
 
-// Roles of processes.
+// Values of Role.
 const (
 	RoleRouter  Role = "router"
 	RoleSidecar Role = "sidecar"
--- a/types/outcome.go
+++ b/types/outcome.go
@@ -6,22 +6,23 @@
 	"time"
 )
 
-// Outcome says what is known about the run of a call (Pearyard-Outcome).
+// Outcome tells a caller whether its call ran (header Pearyard-Outcome).
 type Outcome string
 
 const (
-	// OutcomeCompleted: the call ran and its answer is this one.
+	// OutcomeCompleted means that the call ran and the response is its result.
 	OutcomeCompleted Outcome = "completed"
-	// OutcomeNotRun: it is proved that the call ran nowhere and never will.
+	// OutcomeNotRun means that the call provably did not run and never will.
 	OutcomeNotRun Outcome = "not-run"
-	// OutcomeUnknown: the call may have run; it will not be run again.
+	// OutcomeUnknown means that the call may have run and won't be run again.
 	OutcomeUnknown Outcome = "unknown"
 )
 
-// Code names the reason of a refusal, stable for callers' programs.
+// Code identifies the reason of a refusal. Codes are stable, so that callers'
+// programs can depend on them.
 type Code string
 
-// Codes of refusals, in the order in which a request can meet them.
+// Refusal codes, in the order in which a request can meet them.
 const (
 	CodeBadRequest      Code = "bad_request"
 	CodeUnauthorized    Code = "unauthorized"
@@ -50,13 +51,14 @@
 	CodeInternal        Code = "internal"
 )
 
-// Refusal is a final answer without a result. It is sent at once, never held back.
+// Refusal is a final answer to a request that has no result. It is sent to the
+// caller immediately.
 type Refusal struct {
 	Code       Code
 	Message    string
 	Outcome    Outcome
-	RetryAfter time.Duration // 0: no use in coming back with the same request
-	Status     int           // HTTP status towards the caller
+	RetryAfter time.Duration // 0: retrying the same request won't succeed
+	Status     int           // HTTP status code of the response
 }
 
 // Error implements error.
@@ -64,8 +66,8 @@
 	return fmt.Sprintf("%s (%s): %s", r.Code, r.Outcome, r.Message)
 }
 
-// NotRun builds a refusal of a request that provably ran nowhere and may be
-// sent again after retryAfter.
+// NotRun returns a refusal of a request that provably did not run and may be sent
+// again after retryAfter.
 func NotRun(code Code, retryAfter time.Duration, format string, args ...any) *Refusal {
 	status := http.StatusServiceUnavailable
 	if code == CodeRateLimited {
@@ -74,12 +76,12 @@
 	return &Refusal{Code: code, Message: fmt.Sprintf(format, args...), Outcome: OutcomeNotRun, RetryAfter: retryAfter, Status: status}
 }
 
-// Invalid builds a refusal of a request that can't succeed as it is.
+// Invalid returns a refusal of a request that can't succeed without being changed.
 func Invalid(status int, code Code, format string, args ...any) *Refusal {
 	return &Refusal{Code: code, Message: fmt.Sprintf(format, args...), Outcome: OutcomeNotRun, Status: status}
 }
 
-// Unknown builds the answer to a call that may have run and won't be run again.
+// Unknown returns the refusal for a call that may have run and won't be run again.
 func Unknown(code Code, retryAfter time.Duration, format string, args ...any) *Refusal {
 	return &Refusal{Code: code, Message: fmt.Sprintf(format, args...), Outcome: OutcomeUnknown, RetryAfter: retryAfter, Status: http.StatusBadGateway}
 }
