--- a/limit/limitbench/accuracy.go
+++ b/limit/limitbench/accuracy.go
@@ -9,77 +9,79 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// Pattern says through which routers an organisation's requests come.
+// Pattern determines through which routers an organisation's requests arrive.
 type Pattern string
 
-// Patterns that accuracy is measured in.
+// Values of Pattern, and the parameters of the accuracy simulation.
 const (
-	PatternEven   Pattern = "even"   // any router
-	PatternSkewed Pattern = "skewed" // four in five through one router
-	PatternMoving Pattern = "moving" // all through one router, another every ten seconds
-	PatternWaking Pattern = "waking" // one router for ten seconds, then all for ten
+	PatternEven   Pattern = "even"   // a random router
+	PatternSkewed Pattern = "skewed" // four of five requests through one router
+	PatternMoving Pattern = "moving" // all through one router, which changes every ten seconds
+	PatternWaking Pattern = "waking" // alternately one router and all routers, ten seconds each
 
-	accuracyEnd   = 2 * time.Minute
-	accuracyWarm  = 5 * time.Second
-	exchangeEvery = time.Second
-	exchangeDelay = 100 * time.Millisecond
-	moveEvery     = 10 * time.Second
-	// offered is what is sent, as a multiple of the limit.
-	offered      = 1.5
-	rateLimit    = 200.0
-	rateBurst    = 20
-	placesLimit  = 100
-	placesHold   = 2 * time.Second
-	placesQueued = 0
-	client       = types.Organisation("client")
+	accuracyEnd      = 2 * time.Minute
+	accuracyWarmup   = 5 * time.Second
+	exchangeInterval = time.Second
+	exchangeDelay    = 100 * time.Millisecond
+	patternInterval  = 10 * time.Second
+	// offeredLoad is the offered load as a multiple of the limit.
+	offeredLoad       = 1.5
+	rateLimit         = 200.0
+	rateBurst         = 20
+	concurrencyLimit  = 100
+	concurrencyHold   = 2 * time.Second
+	concurrencyQueued = 0
+	client            = types.Organisation("client")
 )
 
-// AccuracyRun says how far off limits were, as parts of the limit.
+// AccuracyRun is the result of one run: how accurately the limits were enforced.
+// Rates and concurrency are fractions of the limit.
 type AccuracyRun struct {
 	Routers    int     `json:"routers"`
 	Pattern    Pattern `json:"pattern"`
-	Borrow     bool    `json:"borrow"`
+	Borrow     bool    `json:"borrow"` // whether routers exchange reports and borrow from each other
 	Seed       uint64  `json:"seed"`
-	Rate       float64 `json:"rate_mean"`           // admitted over the whole run
-	RateWorst  float64 `json:"rate_worst_second"`   // most admitted within one second, less the burst
-	Rate10     float64 `json:"rate_worst_ten"`      // most admitted within ten seconds
-	Places     float64 `json:"places_mean"`         // mean held
-	PlacesMost float64 `json:"places_most"`         // most held
-	Over       float64 `json:"places_over_percent"` // time with more held than the limit
+	Rate       float64 `json:"rate_mean"`           // mean admitted rate
+	RateWorst  float64 `json:"rate_worst_second"`   // highest admitted rate over one second, less the burst
+	Rate10     float64 `json:"rate_worst_ten"`      // highest admitted rate over ten seconds, less the burst
+	Places     float64 `json:"places_mean"`         // mean concurrency
+	PlacesMost float64 `json:"places_most"`         // highest concurrency
+	Over       float64 `json:"places_over_percent"` // percentage of time with a concurrency above the limit
 }
 
+// accuracySim simulates one organisation that sends through several routers.
 type accuracySim struct {
 	clock    *clock
 	rng      *rand.Rand
 	limiters []*limit.Limiter
-	inbox    [][]limit.Report
+	inbox    [][]limit.Report // reports received by each router, not yet processed
 	pattern  Pattern
-	admitted map[int]int // by second
-	held     int
-	most     int
+	admitted map[int]int // requests by second
+	held     int         // running requests
+	peak     int
 	heldSum  float64
 	over     int
 	samples  int
 }
 
-// Accuracy offers one and a half times an organisation's limits to a number of
-// routers: first its rate, then its concurrency.
+// Accuracy measures how accurately routers enforce an organisation's limits under
+// 1.5 times the load: first a rate limit, then a concurrency limit.
 func Accuracy(routers int, pattern Pattern, borrow bool, seed uint64) AccuracyRun {
 	run := AccuracyRun{Routers: routers, Pattern: pattern, Borrow: borrow, Seed: seed}
 	s := newAccuracySim(routers, pattern, borrow, seed, limit.OrganisationLimits{
 		Name: client, RequestsPerSecond: rateLimit, Burst: rateBurst,
 	})
-	s.send(rateLimit*offered, 0)
+	s.send(rateLimit*offeredLoad, 0)
 	s.clock.runUntil(accuracyEnd, func() {})
 	run.Rate, run.RateWorst, run.Rate10 = s.rates()
 	s = newAccuracySim(routers, pattern, borrow, seed, limit.OrganisationLimits{
-		Name: client, Concurrent: placesLimit, Queued: placesQueued,
+		Name: client, Concurrent: concurrencyLimit, Queued: concurrencyQueued,
 	})
-	s.send(placesLimit*offered/placesHold.Seconds(), placesHold)
+	s.send(concurrencyLimit*offeredLoad/concurrencyHold.Seconds(), concurrencyHold)
 	s.clock.every(10*time.Millisecond, s.sample)
 	s.clock.runUntil(accuracyEnd, func() {})
-	run.Places = s.heldSum / float64(s.samples) / placesLimit
-	run.PlacesMost = float64(s.most) / placesLimit
+	run.Places = s.heldSum / float64(s.samples) / concurrencyLimit
+	run.PlacesMost = float64(s.peak) / concurrencyLimit
 	run.Over = 100 * float64(s.over) / float64(s.samples)
 	return run
 }
@@ -96,28 +98,31 @@
 	s.inbox = make([][]limit.Report, routers)
 	if borrow {
 		for i := range s.limiters {
-			phase := time.Duration(s.rng.Float64() * float64(exchangeEvery))
-			s.clock.after(phase, func() { s.clock.every(exchangeEvery, func() { s.exchange(i) }) })
+			phase := time.Duration(s.rng.Float64() * float64(exchangeInterval))
+			s.clock.after(phase, func() { s.clock.every(exchangeInterval, func() { s.exchange(i) }) })
 		}
 	}
 	return s
 }
 
-// exchange is one router's turn: it tells the others, and takes in what they
-// told since its last turn. Reports are thus up to one turn old when they act.
-func (s *accuracySim) exchange(turn int) {
-	s.limiters[turn].Peer(s.inbox[turn])
-	s.inbox[turn] = s.inbox[turn][:0]
-	report := s.limiters[turn].Usage(0)
+// exchange processes the reports that a router received since its last exchange
+// and sends its own report to the others. Reports are thus up to exchangeInterval
+// old when they take effect.
+func (s *accuracySim) exchange(router int) {
+	s.limiters[router].Peer(s.inbox[router])
+	s.inbox[router] = s.inbox[router][:0]
+	report := s.limiters[router].Usage(0)
 	s.clock.after(exchangeDelay, func() {
 		for i := range s.limiters {
-			if i != turn {
+			if i != router {
 				s.inbox[i] = append(s.inbox[i], report)
 			}
 		}
 	})
 }
 
+// send starts a Poisson process of requests that hold their permit for an
+// exponentially distributed time with mean hold.
 func (s *accuracySim) send(perSecond float64, hold time.Duration) {
 	var next func()
 	next = func() {
@@ -127,15 +132,16 @@
 	s.clock.after(0, next)
 }
 
+// router returns the router of the next request, by the pattern.
 func (s *accuracySim) router() *limit.Limiter {
 	n := len(s.limiters)
-	move := int(s.clock.now.Sub(s.clock.start) / moveEvery)
+	period := int(s.clock.now.Sub(s.clock.start) / patternInterval)
 	switch {
 	case s.pattern == PatternSkewed && s.rng.Float64() < 0.8:
 		return s.limiters[0]
 	case s.pattern == PatternMoving:
-		return s.limiters[move%n]
-	case s.pattern == PatternWaking && move%2 == 0:
+		return s.limiters[period%n]
+	case s.pattern == PatternWaking && period%2 == 0:
 		return s.limiters[0]
 	default:
 		return s.limiters[s.rng.IntN(n)]
@@ -160,21 +166,21 @@
 }
 
 func (s *accuracySim) sample() {
-	if s.clock.now.Sub(s.clock.start) < accuracyWarm {
+	if s.clock.now.Sub(s.clock.start) < accuracyWarmup {
 		return
 	}
 	s.samples++
 	s.heldSum += float64(s.held)
-	s.most = max(s.most, s.held)
-	if s.held > placesLimit {
+	s.peak = max(s.peak, s.held)
+	if s.held > concurrencyLimit {
 		s.over++
 	}
 }
 
-// rates gives the mean, the worst second and the worst ten seconds, as parts
-// of the limit. The burst that the limit allows is taken off the worst ones.
+// rates returns the mean admitted rate and the highest over one and ten seconds,
+// as fractions of the limit. The allowed burst is subtracted from the latter two.
 func (s *accuracySim) rates() (mean, second, ten float64) {
-	first, end := int(accuracyWarm/time.Second), int(accuracyEnd/time.Second)
+	first, end := int(accuracyWarmup/time.Second), int(accuracyEnd/time.Second)
 	sum := 0
 	window := 0
 	for i := first; i < end; i++ {
--- a/limit/limitbench/clock.go
+++ b/limit/limitbench/clock.go
@@ -5,36 +5,37 @@
 	"time"
 )
 
-// clock runs actions in the order of their virtual time.
+// clock is a virtual clock that runs scheduled actions in the order of their times.
 type clock struct {
 	now   time.Time
 	start time.Time
 	seq   int
-	queue actions
+	queue actionHeap
 }
 
 type action struct {
 	at  time.Time
-	seq int
+	seq int // order among actions of the same time
 	do  func()
 }
 
-type actions []action
+// actionHeap is a heap of the scheduled actions.
+type actionHeap []action
 
-func (a actions) Len() int { return len(a) }
-func (a actions) Less(i, j int) bool {
+func (a actionHeap) Len() int { return len(a) }
+func (a actionHeap) Less(i, j int) bool {
 	if a[i].at.Equal(a[j].at) {
 		return a[i].seq < a[j].seq
 	}
 	return a[i].at.Before(a[j].at)
 }
-func (a actions) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
+func (a actionHeap) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
 
 // Push implements heap.Interface.
-func (a *actions) Push(x any) { *a = append(*a, x.(action)) }
+func (a *actionHeap) Push(x any) { *a = append(*a, x.(action)) }
 
 // Pop implements heap.Interface.
-func (a *actions) Pop() any {
+func (a *actionHeap) Pop() any {
 	last := len(*a) - 1
 	out := (*a)[last]
 	*a = (*a)[:last]
@@ -46,15 +47,16 @@
 	return &clock{now: start, start: start}
 }
 
-// Now is the virtual time, for limiters.
+// Now returns the virtual time.
 func (c *clock) Now() time.Time { return c.now }
 
+// after schedules do to run once, d from now.
 func (c *clock) after(d time.Duration, do func()) {
 	c.seq++
 	heap.Push(&c.queue, action{at: c.now.Add(d), seq: c.seq, do: do})
 }
 
-// every repeats do until the end.
+// every schedules do to run repeatedly, every d.
 func (c *clock) every(d time.Duration, do func()) {
 	c.after(d, func() {
 		do()
@@ -62,6 +64,7 @@
 	})
 }
 
+// runUntil runs the scheduled actions until end, and calls each after every one.
 func (c *clock) runUntil(end time.Duration, each func()) {
 	stop := c.start.Add(end)
 	for len(c.queue) > 0 && c.queue[0].at.Before(stop) {
--- a/limit/limitbench/command.go
+++ b/limit/limitbench/command.go
@@ -15,11 +15,11 @@
 	flagJSON  = "json"
 )
 
-// Command returns the bench as a command of a command line.
+// Command returns the command line command that runs the benchmark.
 func Command() *cli.Command {
 	return &cli.Command{
 		Name:  "limit",
-		Usage: "measure fairness and accuracy of limits, in virtual time",
+		Usage: "measure the fairness and accuracy of limits in virtual time",
 		Flags: []cli.Flag{
 			&cli.IntFlag{Name: flagSeeds, Value: defaultSeeds, Usage: "number of seeds"},
 			&cli.BoolFlag{Name: flagJSON, Usage: "print every run as JSON"},
--- a/limit/limitbench/doc.go
+++ b/limit/limitbench/doc.go
@@ -1,5 +1,5 @@
-// Package limitbench measures package limit in virtual time: how fairly
-// organisations share slots under pressure, and how far off limits are that
-// routers keep together. The limiters are the real ones; callers, services and
-// the exchange of reports are modelled.
+// Package limitbench is a benchmark of package limit in virtual time. It measures
+// how fairly organisations share slots under load, and how accurately several
+// routers enforce a limit together. The limiters are real; callers, services and
+// the exchange of reports are simulated.
 package limitbench
--- a/limit/limitbench/fairness.go
+++ b/limit/limitbench/fairness.go
@@ -9,39 +9,39 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// Mode says how the limiter is told of requests.
+// Mode determines how requests are presented to the limiter.
 type Mode string
 
-// Modes that fairness is measured in.
+// Values of Mode, and the parameters of the fairness simulation.
 const (
-	ModeFair     Mode = "fair"       // as the product does it
-	ModeFIFO     Mode = "fifo"       // all organisations under one name: first come, first served
-	ModeNoClass  Mode = "no-classes" // all requests in one class
-	ModeLong     Mode = "fair-long"  // as fair, and the large one sends long generations only
-	fairCapacity      = 72
-	smallOnes         = 9
-	fairEnd           = 20 * time.Minute
-	fairWarm          = 3 * time.Minute
-	patience          = 20 * time.Second
-	queueEach         = 64
-	// quietLoad is the part of its share that each organisation uses when all is quiet.
+	ModeFair             Mode = "fair"       // as in production
+	ModeFIFO             Mode = "fifo"       // all organisations under one name: first come, first served
+	ModeNoClass          Mode = "no-classes" // all requests in one class
+	ModeLong             Mode = "fair-long"  // like ModeFair, but the large organisation sends only long generations
+	fairCapacity              = 72
+	smallOrganisations        = 9
+	fairEnd                   = 20 * time.Minute
+	fairWarmup                = 3 * time.Minute
+	queueTimeout              = 20 * time.Second
+	queuePerOrganisation      = 64
+	// quietLoad is the normal load of an organisation, as a fraction of its share.
 	quietLoad = 0.6
 )
 
-// kind is one sort of request that callers send.
-type kind struct {
-	class limit.Class
-	part  float64 // of all requests
-	mean  time.Duration
+// requestKind is a kind of request that callers send.
+type requestKind struct {
+	class    limit.Class
+	fraction float64       // fraction of all requests
+	meanHold time.Duration // mean time that it holds a slot
 }
 
-var kinds = []kind{
+var kinds = []requestKind{
 	{limit.Plain, 0.60, 20 * time.Millisecond},
 	{limit.Short, 0.36, 2 * time.Second},
 	{limit.Long, 0.04, 60 * time.Second},
 }
 
-// Latency is what the small organisations met in one class, in milliseconds.
+// Latency is the latency of the small organisations' requests in one class.
 type Latency struct {
 	Class   string  `json:"class"`
 	P50     float64 `json:"p50_ms"`
@@ -51,22 +51,26 @@
 	Shed    int     `json:"shed"`
 }
 
-// FairRun is one run: the small organisations' latencies, and what the large one got.
+// FairRun is the result of one run: the latencies of the small organisations, and
+// how many requests of the large one were shed.
 type FairRun struct {
 	Mode      Mode      `json:"mode"`
-	Large     float64   `json:"large_times_share"`
+	Large     float64   `json:"large_times_share"` // load of the large organisation as a multiple of its share
 	Seed      uint64    `json:"seed"`
 	Small     []Latency `json:"small"`
 	LargeSent int       `json:"large_sent"`
 	LargeShed int       `json:"large_shed"`
-	Used      float64   `json:"slots_used"` // mean part of the slots in use
+	Used      float64   `json:"slots_used"` // mean fraction of the slots in use
 }
 
+// pending is a request that waits for its ticket. start is called when it is
+// granted.
 type pending struct {
 	ticket *limit.Ticket
-	begin  func()
+	start  func()
 }
 
+// fairSim simulates organisations that share the slots of one router.
 type fairSim struct {
 	clock   *clock
 	rng     *rand.Rand
@@ -74,8 +78,8 @@
 	mode    Mode
 	waiting []pending
 	run     *FairRun
-	total   map[limit.Class][]float64
-	waits   map[limit.Class][]float64
+	total   map[limit.Class][]float64 // latencies of the small organisations, in ms
+	waits   map[limit.Class][]float64 // their waits, in ms
 	sent    map[limit.Class]int
 	shed    map[limit.Class]int
 	used    float64
@@ -83,8 +87,8 @@
 	inUse   int
 }
 
-// Fairness runs nine small organisations beside one that sends large times its
-// share of the slots.
+// Fairness simulates nine small organisations under normal load beside a large one
+// that sends large times its share of the slots.
 func Fairness(mode Mode, large float64, seed uint64) FairRun {
 	c := newClock()
 	s := &fairSim{
@@ -96,42 +100,43 @@
 	s.limiter = limit.New(limit.Options{Capacity: func() int { return fairCapacity }, Now: c.Now})
 	var limits []limit.OrganisationLimits
 	for _, org := range append(smallNames(), "large", "everyone") {
-		limits = append(limits, limit.OrganisationLimits{Name: org, Queued: queueEach})
+		limits = append(limits, limit.OrganisationLimits{Name: org, Queued: queuePerOrganisation})
 	}
-	limits[len(limits)-1].Queued = queueEach * (smallOnes + 1)
+	limits[len(limits)-1].Queued = queuePerOrganisation * (smallOrganisations + 1)
 	s.limiter.Apply(limits)
 	for _, org := range smallNames() {
-		s.arrivals(org, quietLoad)
+		s.startArrivals(org, quietLoad)
 	}
-	s.arrivals("large", large)
+	s.startArrivals("large", large)
 	c.every(100*time.Millisecond, s.sample)
-	c.runUntil(fairEnd, s.begin)
+	c.runUntil(fairEnd, s.startGranted)
 	return s.result()
 }
 
 func smallNames() []types.Organisation {
-	names := make([]types.Organisation, smallOnes)
+	names := make([]types.Organisation, smallOrganisations)
 	for i := range names {
 		names[i] = types.Organisation(rune('a' + i))
 	}
 	return names
 }
 
-// meanHold is the mean time that a request holds a slot.
+// meanHold returns the mean time, in seconds, that a request holds a slot.
 func meanHold() float64 {
 	sum := 0.0
 	for _, k := range kinds {
-		sum += k.part * k.mean.Seconds()
+		sum += k.fraction * k.meanHold.Seconds()
 	}
 	return sum
 }
 
-func (s *fairSim) arrivals(org types.Organisation, timesShare float64) {
+// startArrivals starts a Poisson process of an organisation's requests.
+func (s *fairSim) startArrivals(org types.Organisation, timesShare float64) {
 	hold := meanHold()
 	if s.longOnly(org) {
-		hold = kinds[limit.Long].mean.Seconds()
+		hold = kinds[limit.Long].meanHold.Seconds()
 	}
-	share := float64(fairCapacity) / (smallOnes + 1) / hold
+	share := float64(fairCapacity) / (smallOrganisations + 1) / hold
 	gap := 1 / (share * timesShare)
 	var next func()
 	next = func() {
@@ -147,23 +152,26 @@
 
 func (s *fairSim) longOnly(org types.Organisation) bool { return s.mode == ModeLong && org == "large" }
 
-func (s *fairSim) draw(org types.Organisation) kind {
+// randomKind returns a random kind of request for an organisation.
+func (s *fairSim) randomKind(org types.Organisation) requestKind {
 	if s.longOnly(org) {
 		return kinds[limit.Long]
 	}
 	x := s.rng.Float64()
 	for _, k := range kinds {
-		if x < k.part {
+		if x < k.fraction {
 			return k
 		}
-		x -= k.part
+		x -= k.fraction
 	}
 	return kinds[0]
 }
 
+// arrive sends one request of an organisation. The caller gives up waiting after
+// queueTimeout.
 func (s *fairSim) arrive(org types.Organisation) {
-	k := s.draw(org)
-	hold := s.exponential(k.mean.Seconds())
+	k := s.randomKind(org)
+	hold := s.exponential(k.meanHold.Seconds())
 	name, class := org, k.class
 	if s.mode == ModeFIFO {
 		name = "everyone"
@@ -172,7 +180,7 @@
 		class = limit.Plain
 	}
 	at := s.clock.now
-	counted := at.Sub(s.clock.start) > fairWarm
+	counted := at.Sub(s.clock.start) > fairWarmup
 	small := org != "large"
 	note := func(shed bool) {
 		switch {
@@ -188,7 +196,7 @@
 		}
 	}
 	note(false)
-	ticket, refusal := s.limiter.Start(name, class, at.Add(patience))
+	ticket, refusal := s.limiter.Start(name, class, at.Add(queueTimeout))
 	if refusal != nil {
 		note(true)
 		return
@@ -207,7 +215,7 @@
 			ticket.Release()
 		})
 	}})
-	s.clock.after(patience, func() {
+	s.clock.after(queueTimeout, func() {
 		if !begun {
 			ticket.Release()
 			note(true)
@@ -217,18 +225,18 @@
 
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// begin starts what was granted; what gave up is left out when its time is over.
-func (s *fairSim) begin() {
-	kept := s.waiting[:0]
+// startGranted starts the waiting requests whose tickets were granted.
+func (s *fairSim) startGranted() {
+	waiting := s.waiting[:0]
 	for _, p := range s.waiting {
 		select {
 		case <-p.ticket.Ready():
-			p.begin()
+			p.start()
 		default:
-			kept = append(kept, p)
+			waiting = append(waiting, p)
 		}
 	}
-	s.waiting = kept
+	s.waiting = waiting
 }
 
 func (s *fairSim) sample() {
--- a/limit/limitbench/limitbench_test.go
+++ b/limit/limitbench/limitbench_test.go
@@ -6,9 +6,9 @@
 	"github.com/onsi/gomega"
 )
 
-// One organisation sends ten times its share; nine small ones send what they
-// always do. Without fair sharing their short generations wait as long as the
-// flood's queue is. Their p95 must stay within 1.5 times that of a quiet day.
+// While one organisation sends ten times its share, the p95 latency of nine small
+// ones under normal load must stay within 1.5 times its usual value. Without fair
+// sharing, their requests would wait behind the large organisation's queue.
 func TestSmallOrganisationsKeepTheirLatency(t *testing.T) {
 	for _, mode := range []Mode{ModeFair, ModeLong} {
 		g := gomega.NewWithT(t)
@@ -19,13 +19,14 @@
 			g.Expect(small.Shed).To(gomega.BeNumerically("<=", small.Sent/100))
 		}
 		g.Expect(flooded.LargeShed).To(gomega.BeNumerically(">", 0))
-		g.Expect(flooded.Used).To(gomega.BeNumerically(">", 0.75*0.95), "slots must not stand idle")
+		g.Expect(flooded.Used).To(gomega.BeNumerically(">", 0.75*0.95), "slots must not be idle")
 	}
 }
 
-// An organisation's requests come through one router for ten seconds, then
-// through all. Each router has borrowed or has its plain part; together they
-// must neither lose much of the limit nor go far beyond it.
+// Several routers enforce an organisation's limit together, while its requests
+// arrive in changing patterns. They must neither lose much of the limit, because
+// requests arrive where little of it is available, nor exceed it by much, because
+// several routers borrow the same part.
 func TestLimitsHoldAcrossRouters(t *testing.T) {
 	for _, routers := range []int{2, 4, 40} {
 		for _, pattern := range patterns {
--- a/limit/limitbench/report.go
+++ b/limit/limitbench/report.go
@@ -6,17 +6,17 @@
 	"slices"
 )
 
-// Result is everything that one call of the bench measured.
+// Result is the result of one run of the benchmark.
 type Result struct {
 	Seeds    int           `json:"seeds"`
 	Fairness []FairRun     `json:"fairness"`
 	Accuracy []AccuracyRun `json:"accuracy"`
 }
 
-// Spread is the median of several seeds with the least and the most.
+// Spread is the median, minimum and maximum of a value over several seeds.
 type Spread struct{ Median, Least, Most float64 }
 
-// String returns the spread in its short form.
+// String formats the spread as "median [min..max]".
 func (s Spread) String() string { return fmt.Sprintf("%.2f [%.2f..%.2f]", s.Median, s.Least, s.Most) }
 
 func spread(values []float64) Spread {
@@ -24,16 +24,16 @@
 	return Spread{values[len(values)/2], values[0], values[len(values)-1]}
 }
 
-// largeTimes is what the large organisation sends under pressure, in shares.
+// largeTimes is the load of the large organisation, as a multiple of its share.
 const largeTimes = 10
 
 var (
-	modes    = []Mode{ModeFair, ModeLong, ModeFIFO, ModeNoClass}
-	patterns = []Pattern{PatternEven, PatternSkewed, PatternMoving, PatternWaking}
-	fleets   = []int{2, 4, 40}
+	modes        = []Mode{ModeFair, ModeLong, ModeFIFO, ModeNoClass}
+	patterns     = []Pattern{PatternEven, PatternSkewed, PatternMoving, PatternWaking}
+	routerCounts = []int{2, 4, 40}
 )
 
-// Run measures everything with seeds 1 to n.
+// Run runs all simulations with seeds from 1 to seeds.
 func Run(seeds int) Result {
 	out := Result{Seeds: seeds}
 	for _, mode := range modes {
@@ -42,7 +42,7 @@
 				Fairness(mode, quietLoad, uint64(seed+1)), Fairness(mode, largeTimes, uint64(seed+1)))
 		}
 	}
-	for _, routers := range fleets {
+	for _, routers := range routerCounts {
 		for _, pattern := range patterns {
 			for _, borrow := range []bool{false, true} {
 				for seed := range seeds {
@@ -54,18 +54,18 @@
 	return out
 }
 
-// Text writes medians and spreads.
+// Text writes the result as tables.
 func (r Result) Text(w io.Writer) {
-	fmt.Fprintf(w, "Small organisations beside one that sends %dx its share: median [least..most] of %d seeds\n", largeTimes, r.Seeds)
+	fmt.Fprintf(w, "Small organisations beside a large one that sends %dx its share: median [min..max] of %d seeds\n", largeTimes, r.Seeds)
 	fmt.Fprintln(w, "mode        class  p95/quiet p95       wait p95 s          shed %               large shed %         slots used")
 	for _, mode := range modes {
 		for class, k := range kinds {
 			r.fairLine(w, mode, class, k.class.String())
 		}
 	}
-	fmt.Fprintln(w, "\nAn organisation that sends 1.5x its limit through several routers: parts of the limit")
-	fmt.Fprintln(w, "routers pattern borrow  rate mean           worst second        worst ten s         places mean         places most         % time over")
-	for _, routers := range fleets {
+	fmt.Fprintln(w, "\nAn organisation that sends 1.5x its limit through several routers: values as fractions of the limit")
+	fmt.Fprintln(w, "routers pattern borrow  rate mean           rate max 1 s        rate max 10 s       concurrency mean    concurrency max     % time over")
+	for _, routers := range routerCounts {
 		for _, pattern := range patterns {
 			for _, borrow := range []bool{false, true} {
 				r.accuracyLine(w, routers, pattern, borrow)
