--- a/entry/entry.go
+++ b/entry/entry.go
@@ -74,7 +74,7 @@
 	election  *fleet.Election
 	budgets   *fleet.Budgets
 	suspects  *suspect.Ledger
-	news      *suspect.Spreader
+	news      *suspect.Gossiper
 	exchange  *exchange.Exchange
 	pool      *httpconn.Pool
 	inspect   *inspect.Registry
@@ -176,7 +176,7 @@
 		Self: types.ProcessID(e.settings.Name), Limit: crashLimit, Quarantine: quarantine, Window: crashWindow,
 		Recorder: e.recorder, Registerer: e.registry,
 	})
-	e.news = suspect.NewSpreader(e.suspects, suspect.SpreaderOptions{
+	e.news = suspect.NewGossiper(e.suspects, suspect.GossiperOptions{
 		Self: e.settings.Peers, Peers: e.fleet.Peers,
 		Dial: func(peer string) suspectpb.Suspects {
 			return suspectpb.NewSuspectsProtobufClient("http://"+peer, client)
--- a/exchange/ended_test.go
+++ b/exchange/ended_test.go
@@ -125,7 +125,7 @@
 		b := newBed(everywhere(answers(http.StatusOK, "ok", beat)))
 		req := request(site.AtMostOnce)
 		for _, server := range []string{"x", "y", "z"} {
-			b.suspects.Death(server, []types.Fingerprint{req.Fingerprint()})
+			b.suspects.RecordDeath(server, []types.Fingerprint{req.Fingerprint()})
 		}
 		_, err := b.Call(t.Context(), req)
 		var failure *Failure
--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -134,7 +134,7 @@
 // allowRetry takes one more sending out of the service's budget.
 func (e *Exchange) allowRetry(service string) bool {
 	w := e.budget(service)
-	w.Bound(e.opts.RetryRatio, e.opts.RetryExtra())
+	w.SetLimits(e.opts.RetryRatio, e.opts.RetryExtra())
 	allowed := false
 	if e.opts.Lender != nil {
 		allowed = e.opts.Lender.Allow(service, w)
@@ -150,7 +150,7 @@
 // begin counts a request and refuses one that is known to crash servers.
 func (e *Exchange) begin(req *Request) *Failure {
 	w := e.budget(req.Service)
-	w.First()
+	w.RecordRequest()
 	if e.opts.Lender != nil {
 		e.opts.Lender.First(req.Service, w)
 	}
@@ -201,7 +201,7 @@
 		if e.opts.Directory.LostBeside(s, time.Now(), crashBeside) > 0 {
 			return
 		}
-		e.opts.Suspects.Death(s.String(), []types.Fingerprint{req.Fingerprint()})
+		e.opts.Suspects.RecordDeath(s.String(), []types.Fingerprint{req.Fingerprint()})
 		e.opts.Recorder.Emit(EventCrashNoted, event.FieldRequest, req.ID, "server", s.Start, "zone", s.Zone, "fingerprint", req.Fingerprint())
 	}()
 }
--- a/exchange/stream.go
+++ b/exchange/stream.go
@@ -68,7 +68,7 @@
 		s.current.copies.close()
 	}
 	if err == nil {
-		e.opts.Suspects.Completed(req.Fingerprint())
+		e.opts.Suspects.RecordCompletion(req.Fingerprint())
 		e.metrics.pauses.Observe(s.longest.Seconds())
 	}
 	e.concluded(req, s.status, err, s.summary)
--- a/fleet/budgets.go
+++ b/fleet/budgets.go
@@ -171,7 +171,7 @@
 	if unknown+1 > (free+unknown)/vms {
 		return false
 	}
-	w.Take()
+	w.RecordRetry()
 	b.noteLocked(service, w, now)
 	return true
 }
--- a/fleet/budgets_test.go
+++ b/fleet/budgets_test.go
@@ -32,12 +32,12 @@
 
 // again asks for a retry as package exchange does.
 func (v *budgetVM) again() bool {
-	v.window.Bound(budgetRatio, budgetExtra/budgetVMs)
+	v.window.SetLimits(budgetRatio, budgetExtra/budgetVMs)
 	return v.Allow("s", v.window)
 }
 
 func (v *budgetVM) request() {
-	v.window.First()
+	v.window.RecordRequest()
 	v.First("s", v.window)
 }
 
@@ -161,7 +161,7 @@
 			if step == 4 || step == 20 {
 				vm = start()
 			}
-			vm.window.Bound(budgetRatio, entryShare*budgetExtra*FixedShare(vm.started, window)) // as package entry does
+			vm.window.SetLimits(budgetRatio, entryShare*budgetExtra*FixedShare(vm.started, window)) // as package entry does
 			for vm.Allow("s", vm.window) {
 				taken = append(taken, time.Now())
 			}
@@ -244,7 +244,7 @@
 			for range 6 {
 				tell()
 				for _, v := range vms {
-					v.window.Bound(entryShare*budgetRatio, entryShare*budgetExtra*FixedShare(v.started, window)/size)
+					v.window.SetLimits(entryShare*budgetRatio, entryShare*budgetExtra*FixedShare(v.started, window)/size)
 					for v.Allow("s", v.window) {
 						total++
 					}
--- a/limit/limitbench/accuracy.go
+++ b/limit/limitbench/accuracy.go
@@ -37,16 +37,16 @@
 // AccuracyRun is the result of one run: how accurately the limits were enforced.
 // Rates and concurrency are fractions of the limit.
 type AccuracyRun struct {
-	Routers    int     `json:"routers"`
-	Pattern    Pattern `json:"pattern"`
-	Borrow     bool    `json:"borrow"` // whether routers exchange reports and borrow from each other
-	Seed       uint64  `json:"seed"`
-	Rate       float64 `json:"rate_mean"`           // mean admitted rate
-	RateWorst  float64 `json:"rate_worst_second"`   // highest admitted rate over one second, less the burst
-	Rate10     float64 `json:"rate_worst_ten"`      // highest admitted rate over ten seconds, less the burst
-	Places     float64 `json:"places_mean"`         // mean concurrency
-	PlacesMost float64 `json:"places_most"`         // highest concurrency
-	Over       float64 `json:"places_over_percent"` // percentage of time with a concurrency above the limit
+	Routers        int     `json:"routers"`
+	Pattern        Pattern `json:"pattern"`
+	Borrow         bool    `json:"borrow"` // whether routers exchange reports and borrow from each other
+	Seed           uint64  `json:"seed"`
+	Rate           float64 `json:"rate_mean"`           // mean admitted rate
+	RateMax1s      float64 `json:"rate_worst_second"`   // highest admitted rate over one second, less the burst
+	RateMax10s     float64 `json:"rate_worst_ten"`      // highest admitted rate over ten seconds, less the burst
+	Concurrency    float64 `json:"places_mean"`         // mean concurrency
+	ConcurrencyMax float64 `json:"places_most"`         // highest concurrency
+	PercentOver    float64 `json:"places_over_percent"` // percentage of time with a concurrency above the limit
 }
 
 // accuracySim simulates one organisation that sends through several routers.
@@ -73,16 +73,16 @@
 	})
 	s.send(rateLimit*offeredLoad, 0)
 	s.clock.runUntil(accuracyEnd, func() {})
-	run.Rate, run.RateWorst, run.Rate10 = s.rates()
+	run.Rate, run.RateMax1s, run.RateMax10s = s.rates()
 	s = newAccuracySim(routers, pattern, borrow, seed, limit.OrganisationLimits{
 		Name: client, Concurrent: concurrencyLimit, Queued: concurrencyQueued,
 	})
 	s.send(concurrencyLimit*offeredLoad/concurrencyHold.Seconds(), concurrencyHold)
 	s.clock.every(10*time.Millisecond, s.sample)
 	s.clock.runUntil(accuracyEnd, func() {})
-	run.Places = s.heldSum / float64(s.samples) / concurrencyLimit
-	run.PlacesMost = float64(s.peak) / concurrencyLimit
-	run.Over = 100 * float64(s.over) / float64(s.samples)
+	run.Concurrency = s.heldSum / float64(s.samples) / concurrencyLimit
+	run.ConcurrencyMax = float64(s.peak) / concurrencyLimit
+	run.PercentOver = 100 * float64(s.over) / float64(s.samples)
 	return run
 }
 
@@ -109,7 +109,7 @@
 // and sends its own report to the others. Reports are thus up to exchangeInterval
 // old when they take effect.
 func (s *accuracySim) exchange(router int) {
-	s.limiters[router].Peer(s.inbox[router])
+	s.limiters[router].AddReports(s.inbox[router])
 	s.inbox[router] = s.inbox[router][:0]
 	report := s.limiters[router].Usage(0)
 	s.clock.after(exchangeDelay, func() {
@@ -149,7 +149,7 @@
 }
 
 func (s *accuracySim) arrive(hold time.Duration) {
-	ticket, refusal := s.router().Start(client, limit.Short, time.Time{})
+	ticket, refusal := s.router().Reserve(client, limit.Short, time.Time{})
 	if refusal != nil {
 		return
 	}
--- a/limit/limitbench/fairness.go
+++ b/limit/limitbench/fairness.go
@@ -196,7 +196,7 @@
 		}
 	}
 	note(false)
-	ticket, refusal := s.limiter.Start(name, class, at.Add(queueTimeout))
+	ticket, refusal := s.limiter.Reserve(name, class, at.Add(queueTimeout))
 	if refusal != nil {
 		note(true)
 		return
@@ -240,7 +240,7 @@
 }
 
 func (s *fairSim) sample() {
-	s.limiter.Kick()
+	s.limiter.Refresh()
 	s.used += float64(s.inUse) / fairCapacity
 	s.samples++
 }
--- a/limit/limitbench/limitbench_test.go
+++ b/limit/limitbench/limitbench_test.go
@@ -34,10 +34,10 @@
 			run := Accuracy(routers, pattern, true, 7)
 			t.Logf("%+v", run)
 			g.Expect(run.Rate).To(gomega.BeNumerically("~", 0.95, 0.08))
-			g.Expect(run.RateWorst).To(gomega.BeNumerically("<", 2))
-			g.Expect(run.Rate10).To(gomega.BeNumerically("<", 1.1))
-			g.Expect(run.Places).To(gomega.BeNumerically(">", 0.75))
-			g.Expect(run.PlacesMost).To(gomega.BeNumerically("<", 2))
+			g.Expect(run.RateMax1s).To(gomega.BeNumerically("<", 2))
+			g.Expect(run.RateMax10s).To(gomega.BeNumerically("<", 1.1))
+			g.Expect(run.Concurrency).To(gomega.BeNumerically(">", 0.75))
+			g.Expect(run.ConcurrencyMax).To(gomega.BeNumerically("<", 2))
 		}
 	}
 }
--- a/limit/limitbench/report.go
+++ b/limit/limitbench/report.go
@@ -103,7 +103,7 @@
 		if run.Routers != routers || run.Pattern != pattern || run.Borrow != borrow {
 			continue
 		}
-		for i, v := range []float64{run.Rate, run.RateWorst, run.Rate10, run.Places, run.PlacesMost, run.Over} {
+		for i, v := range []float64{run.Rate, run.RateMax1s, run.RateMax10s, run.Concurrency, run.ConcurrencyMax, run.PercentOver} {
 			columns[i] = append(columns[i], v)
 		}
 	}
--- a/limit/limiter.go
+++ b/limit/limiter.go
@@ -18,7 +18,7 @@
 	Self          types.ProcessID
 	Capacity      func() int // number of slots; nil: unlimited
 	Routers       func() int // number of live routers including this one; nil: 1
-	UnnamedQueued int        // queue length over all routers for organisations without limits of their own
+	DefaultQueued int        // queue length over all routers for organisations without limits of their own
 	Recorder      *event.Recorder
 	Registerer    prometheus.Registerer
 	Now           func() time.Time
@@ -94,13 +94,13 @@
 		case <-ctx.Done():
 			return nil
 		case <-tick.C:
-			l.Kick()
+			l.Refresh()
 		}
 	}
 }
 
 // Refresh samples the drain rate and grants free slots to waiting requests.
-func (l *Limiter) Kick() {
+func (l *Limiter) Refresh() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.drain.sample(l.opts.Now(), l.released.Load())
@@ -118,7 +118,7 @@
 // The returned release function may be called more than once.
 func (l *Limiter) Admit(ctx context.Context, org types.Organisation, class Class) (func(), *types.Refusal) {
 	deadline, _ := ctx.Deadline()
-	t, refusal := l.Start(org, class, deadline)
+	t, refusal := l.Reserve(org, class, deadline)
 	if refusal != nil {
 		return nil, refusal
 	}
@@ -137,7 +137,7 @@
 
 // Reserve is like Admit, but returns without waiting. The caller waits for the
 // ticket to become ready. A zero deadline means none.
-func (l *Limiter) Start(org types.Organisation, class Class, deadline time.Time) (*Ticket, *types.Refusal) {
+func (l *Limiter) Reserve(org types.Organisation, class Class, deadline time.Time) (*Ticket, *types.Refusal) {
 	now := l.opts.Now()
 	st := l.state(org)
 	sh := l.shareOf(st, now)
--- a/limit/limiter_test.go
+++ b/limit/limiter_test.go
@@ -46,7 +46,7 @@
 		l.Apply([]OrganisationLimits{{Name: "large", Queued: 100}, {Name: "small", Queued: 5}})
 		var held []*Ticket
 		for range 60 {
-			ticket, refusal := l.Start("large", Long, time.Time{})
+			ticket, refusal := l.Reserve("large", Long, time.Time{})
 			g.Expect(refusal).To(gomega.BeNil())
 			held = append(held, ticket)
 		}
@@ -58,7 +58,7 @@
 		}
 		g.Expect(time.Since(began)).To(gomega.BeZero())
 		// A long generation of the small organisation precedes the 45 that wait.
-		next, _ := l.Start("small", Long, time.Time{})
+		next, _ := l.Reserve("small", Long, time.Time{})
 		held[0].Release()
 		<-next.Ready()
 	})
@@ -71,7 +71,7 @@
 		g := gomega.NewWithT(t)
 		l := New(Options{Capacity: fixed(1)})
 		l.Apply([]OrganisationLimits{{Name: "o", Queued: 3}})
-		held, _ := l.Start("o", Plain, time.Time{})
+		held, _ := l.Reserve("o", Plain, time.Time{})
 		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 		defer cancel()
 		began := time.Now()
@@ -83,17 +83,17 @@
 		expectEmpty(g, l)
 
 		for range 20 { // measured drain rate: one slot per second
-			held, _ = l.Start("o", Plain, time.Time{})
+			held, _ = l.Reserve("o", Plain, time.Time{})
 			time.Sleep(time.Second)
 			held.Release()
-			l.Kick()
+			l.Refresh()
 		}
-		held, _ = l.Start("o", Plain, time.Time{})
+		held, _ = l.Reserve("o", Plain, time.Time{})
 		for range 3 {
-			_, refusal = l.Start("o", Plain, time.Now().Add(time.Minute))
+			_, refusal = l.Reserve("o", Plain, time.Now().Add(time.Minute))
 			g.Expect(refusal).To(gomega.BeNil())
 		}
-		_, full := l.Start("o", Plain, time.Now().Add(time.Minute))
+		_, full := l.Reserve("o", Plain, time.Now().Add(time.Minute))
 		g.Expect(full.Code).To(gomega.Equal(types.CodeOverloaded))
 		g.Expect(full.RetryAfter).To(gomega.BeNumerically("~", 4500*time.Millisecond, 1500*time.Millisecond))
 		held.Release()
@@ -116,7 +116,7 @@
 	l.Apply([]OrganisationLimits{{Name: "o", RequestsPerSecond: 10, Burst: 1}})
 	var retries []time.Time
 	for range 101 {
-		if _, refusal := l.Start("o", Short, time.Time{}); refusal != nil {
+		if _, refusal := l.Reserve("o", Short, time.Time{}); refusal != nil {
 			g.Expect(refusal.Status).To(gomega.Equal(429))
 			retries = append(retries, now.Add(refusal.RetryAfter))
 		}
@@ -126,7 +126,7 @@
 	g.Expect(retries[99].Sub(retries[0])).To(gomega.BeNumerically(">", 8*time.Second))
 	admitted := 0
 	for _, now = range retries {
-		if _, refusal := l.Start("o", Short, time.Time{}); refusal == nil {
+		if _, refusal := l.Reserve("o", Short, time.Time{}); refusal == nil {
 			admitted++
 		}
 	}
@@ -143,7 +143,7 @@
 	l.Apply([]OrganisationLimits{{Name: "o", Concurrent: 2, Queued: 5}, {Name: "other"}})
 	var tickets []*Ticket
 	for range 4 {
-		ticket, _ := l.Start("o", Short, time.Time{})
+		ticket, _ := l.Reserve("o", Short, time.Time{})
 		tickets = append(tickets, ticket)
 	}
 	g.Expect(l.slotWaiters.Load()).To(gomega.BeZero(), "requests that wait for their organisation's limit don't compete for slots")
@@ -167,7 +167,7 @@
 		g := gomega.NewWithT(t)
 		now := time.Now()
 		capacity := 4
-		l := New(Options{Now: func() time.Time { return now }, Capacity: func() int { return capacity }, Routers: fixed(2), UnnamedQueued: 2})
+		l := New(Options{Now: func() time.Time { return now }, Capacity: func() int { return capacity }, Routers: fixed(2), DefaultQueued: 2})
 		limits := func() []OrganisationLimits {
 			return []OrganisationLimits{
 				{Name: "a", Concurrent: rapid.IntRange(0, 6).Draw(t, "concurrent"), Queued: 8},
@@ -182,7 +182,7 @@
 			case 0, 1, 2:
 				org := rapid.SampledFrom(orgs).Draw(t, "org")
 				class := Class(rapid.IntRange(0, 2).Draw(t, "class"))
-				if ticket, refusal := l.Start(org, class, time.Time{}); refusal == nil {
+				if ticket, refusal := l.Reserve(org, class, time.Time{}); refusal == nil {
 					tickets = append(tickets, ticket)
 				}
 			case 3, 4:
@@ -192,7 +192,7 @@
 			case 5:
 				now = now.Add(300 * time.Millisecond)
 				capacity = rapid.IntRange(1, 8).Draw(t, "capacity")
-				l.Peer([]Report{{Router: "other", Complete: true, Organisations: []Usage{l.Usage(1).first()}}})
+				l.AddReports([]Report{{Router: "other", Complete: true, Organisations: []Usage{l.Usage(1).first()}}})
 			case 6:
 				l.Apply(limits())
 			}
@@ -296,7 +296,7 @@
 		l.Apply(limits)
 		named := heapNow()
 		for i := range limits {
-			ticket, _ := l.Start(limits[i].Name, Short, time.Time{})
+			ticket, _ := l.Reserve(limits[i].Name, Short, time.Time{})
 			ticket.Release()
 		}
 		b.ReportMetric((named-before)/(1<<20), "MB_named")
--- a/limit/limits.go
+++ b/limit/limits.go
@@ -44,7 +44,7 @@
 	l.table.Store(next)
 	l.epoch.Add(1)
 	l.opts.Recorder.Emit(eventApplied, "organisations", len(limits))
-	l.Kick()
+	l.Refresh()
 }
 
 // unconfigured is the name under which all organisations without configured
@@ -98,7 +98,7 @@
 	}
 	limits, configured := l.table.Load().limits[st.name]
 	if !configured {
-		limits = OrganisationLimits{Name: st.name, Weight: 1, Queued: l.opts.UnnamedQueued}
+		limits = OrganisationLimits{Name: st.name, Weight: 1, Queued: l.opts.DefaultQueued}
 	}
 	next := l.computeShare(st, limits, now)
 	next.epoch = epoch
--- a/limit/share.go
+++ b/limit/share.go
@@ -98,7 +98,7 @@
 
 // AddReports merges the reports of other routers. Reports that aren't renewed
 // within reportTTL expire.
-func (l *Limiter) Peer(reports []Report) {
+func (l *Limiter) AddReports(reports []Report) {
 	now := l.opts.Now()
 	l.peerMu.Lock()
 	for _, r := range reports {
@@ -117,7 +117,7 @@
 	l.peerMu.Unlock()
 	l.peers.Store(next)
 	l.epoch.Add(1)
-	l.Kick()
+	l.Refresh()
 }
 
 func (p *peerReports) add(r Report) {
--- a/node/common.go
+++ b/node/common.go
@@ -106,7 +106,7 @@
 	pusher   *config.Pusher
 	members  *membership.Membership
 	suspects *suspect.Ledger
-	news     *suspect.Spreader
+	news     *suspect.Gossiper
 	mux      *http.ServeMux // of the peer listener
 	left     chan struct{}  // closed when the others have heard that this process leaves, or won't
 	leaving  sync.Once
--- a/node/suspicion.go
+++ b/node/suspicion.go
@@ -23,7 +23,7 @@
 	})
 	b.suspects.Configure(text.DefaultSuspicionLimit, text.DefaultQuarantineSeconds*time.Second)
 	client := b.peer.Client()
-	b.news = suspect.NewSpreader(b.suspects, suspect.SpreaderOptions{
+	b.news = suspect.NewGossiper(b.suspects, suspect.GossiperOptions{
 		Self:  b.opts.Advertise,
 		Peers: b.others,
 		Dial: func(addr string) suspectpb.Suspects {
--- a/node/usage.go
+++ b/node/usage.go
@@ -84,7 +84,7 @@
 	for {
 		own := r.limiter.Usage(usageMost)
 		r.usage.own.Store(&own)
-		r.limiter.Peer(r.fetchUsage(ctx, r.usageSample()))
+		r.limiter.AddReports(r.fetchUsage(ctx, r.usageSample()))
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -67,14 +67,14 @@
 		recorder: opts.Recorder,
 		metrics:  newBudgetMetrics(opts.Registerer, opts.Service),
 	}
-	b.window.Bound(opts.Ratio, opts.PerSecond*opts.Window.Seconds())
+	b.window.SetLimits(opts.Ratio, opts.PerSecond*opts.Window.Seconds())
 	return b
 }
 
-// First records that a request was sent for the first time.
-func (b *Budget) First() {
+// RecordRequest records that a request was sent for the first time.
+func (b *Budget) RecordRequest() {
 	b.metrics.requests.Inc()
-	b.window.First()
+	b.window.RecordRequest()
 }
 
 // Allow reports whether the budget has room for one more retry, and takes it.
--- a/retry/budget_test.go
+++ b/retry/budget_test.go
@@ -31,7 +31,7 @@
 		const requests = 10_000
 		retries := 0
 		for range requests {
-			b.First()
+			b.RecordRequest()
 			for range 4 {
 				if b.Allow() {
 					retries++
@@ -78,7 +78,7 @@
 		for _, step := range rapid.SliceOf(rapid.IntRange(0, 2)).Draw(t, "steps") {
 			switch step {
 			case 0:
-				b.First()
+				b.RecordRequest()
 				requests = append(requests, now)
 			case 1:
 				if b.Allow() {
@@ -107,7 +107,7 @@
 	for range 8 {
 		wait.Go(func() {
 			for range 1000 {
-				b.First()
+				b.RecordRequest()
 				if b.Allow() {
 					retries.Add(1)
 				}
@@ -122,14 +122,14 @@
 // lost, and the router mistook the unknown outcome for a refusal and retried.
 func TestOnlyProvedNotRunIsRetried(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(Elsewhere(nil)).To(BeFalse())
-	g.Expect(Elsewhere(types.NotRun(types.CodeOverloaded, 0, "full"))).To(BeTrue())
-	g.Expect(Elsewhere(types.NotRun(types.CodeLeaving, 0, "leaving"))).To(BeTrue())
-	g.Expect(Elsewhere(types.NotRun(types.CodeRateLimited, 0, "any server would refuse it"))).To(BeFalse())
-	g.Expect(Elsewhere(types.NotRun(types.CodeQuarantined, 0, "any server would refuse it"))).To(BeFalse())
-	g.Expect(Elsewhere(types.Invalid(http.StatusBadRequest, types.CodeBadRequest, "bad"))).To(BeFalse())
+	g.Expect(RetryableElsewhere(nil)).To(BeFalse())
+	g.Expect(RetryableElsewhere(types.NotRun(types.CodeOverloaded, 0, "full"))).To(BeTrue())
+	g.Expect(RetryableElsewhere(types.NotRun(types.CodeLeaving, 0, "leaving"))).To(BeTrue())
+	g.Expect(RetryableElsewhere(types.NotRun(types.CodeRateLimited, 0, "any server would refuse it"))).To(BeFalse())
+	g.Expect(RetryableElsewhere(types.NotRun(types.CodeQuarantined, 0, "any server would refuse it"))).To(BeFalse())
+	g.Expect(RetryableElsewhere(types.Invalid(http.StatusBadRequest, types.CodeBadRequest, "bad"))).To(BeFalse())
 	for _, code := range []types.Code{types.CodeOverloaded, types.CodeLeaving, types.CodeUnknownOutcome} {
-		g.Expect(Elsewhere(types.Unknown(code, 0, "may have run"))).To(BeFalse(), string(code))
+		g.Expect(RetryableElsewhere(types.Unknown(code, 0, "may have run"))).To(BeFalse(), string(code))
 	}
 }
 
@@ -141,12 +141,12 @@
 		short, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 
-		_, ok := b.Next(short, refusal, 1, 2*time.Second)
+		_, ok := b.NextRetry(short, refusal, 1, 2*time.Second)
 		g.Expect(ok).To(BeFalse(), "a retry that can't complete before the deadline")
-		wait, ok := b.Next(short, refusal, 1, 100*time.Millisecond)
+		wait, ok := b.NextRetry(short, refusal, 1, 100*time.Millisecond)
 		g.Expect(ok).To(BeTrue(), "a retry denied for the deadline isn't charged to the budget")
 		g.Expect(wait).To(BeNumerically("<=", BackoffBase))
-		_, ok = b.Next(short, refusal, 2, 100*time.Millisecond)
+		_, ok = b.NextRetry(short, refusal, 2, 100*time.Millisecond)
 		g.Expect(ok).To(BeFalse(), "the budget is exhausted")
 
 		g.Expect(Wait(short, time.Minute)).To(MatchError(context.DeadlineExceeded))
--- a/retry/circuit.go
+++ b/retry/circuit.go
@@ -11,10 +11,10 @@
 
 // Defaults of CircuitOptions.
 const (
-	DefaultThreshold = 3
-	DefaultOpenFor   = 2 * time.Second
-	DefaultMaxOpen   = 30 * time.Second
-	DefaultProbe     = 5 * time.Second
+	DefaultThreshold    = 3
+	DefaultOpenFor      = 2 * time.Second
+	DefaultMaxOpen      = 30 * time.Second
+	DefaultProbeTimeout = 5 * time.Second
 )
 
 // CircuitOptions configures a Circuit. Zero fields take their defaults.
@@ -23,7 +23,7 @@
 	Threshold     int           // consecutive failures that open the circuit
 	OpenFor       time.Duration // how long the circuit first stays open; doubles with each failed probe
 	MaxOpen       time.Duration // upper bound for OpenFor after doubling
-	Probe         time.Duration // time after which a probe without a result is given up and another may start
+	ProbeTimeout  time.Duration // time after which a probe without a result is given up and another may start
 	Registerer    prometheus.Registerer
 	Recorder      *event.Recorder
 	Now           func() time.Time
@@ -60,7 +60,7 @@
 	setDefault(&opts.Threshold, DefaultThreshold)
 	setDefault(&opts.OpenFor, DefaultOpenFor)
 	setDefault(&opts.MaxOpen, DefaultMaxOpen)
-	setDefault(&opts.Probe, DefaultProbe)
+	setDefault(&opts.ProbeTimeout, DefaultProbeTimeout)
 	if opts.Now == nil {
 		opts.Now = time.Now
 	}
@@ -81,7 +81,7 @@
 	if now < at {
 		return false
 	}
-	if !c.probeAt.CompareAndSwap(at, now+int64(c.opts.Probe)) {
+	if !c.probeAt.CompareAndSwap(at, now+int64(c.opts.ProbeTimeout)) {
 		return false
 	}
 	c.probing.Store(true)
--- a/retry/circuit_test.go
+++ b/retry/circuit_test.go
@@ -52,7 +52,7 @@
 		fail(c, DefaultThreshold)
 		time.Sleep(DefaultOpenFor)
 		g.Expect(c.Allow()).To(BeTrue(), "the probe that never reports a result")
-		time.Sleep(DefaultProbe)
+		time.Sleep(DefaultProbeTimeout)
 		g.Expect(allowedOf(c, 10)).To(Equal(1))
 
 		common := gobreaker.NewTwoStepCircuitBreaker[any](gobreaker.Settings{Timeout: DefaultOpenFor, ReadyToTrip: func(n gobreaker.Counts) bool { return n.ConsecutiveFailures >= DefaultThreshold }})
@@ -155,7 +155,7 @@
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			budget.First()
+			budget.RecordRequest()
 			budget.Allow()
 		}
 	})
--- a/retry/decide.go
+++ b/retry/decide.go
@@ -7,11 +7,11 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// Elsewhere reports whether a refused request may be retried at another backend
-// server. The request must provably not have run, and another server must be
-// able to decide differently. All other refusals are final: after an unknown
+// RetryableElsewhere reports whether a refused request may be retried at another
+// backend server. The request must provably not have run, and another server must
+// be able to decide differently. All other refusals are final: after an unknown
 // outcome, a retry could run the request twice.
-func Elsewhere(r *types.Refusal) bool {
+func RetryableElsewhere(r *types.Refusal) bool {
 	if r == nil || r.Outcome != types.OutcomeNotRun {
 		return false
 	}
@@ -47,11 +47,11 @@
 	}
 }
 
-// Next decides whether to send retry n, counted from 1, of a request that was
+// NextRetry decides whether to send retry n, counted from 1, of a request that was
 // refused with r and takes need to complete. If so, it takes the retry out of
 // the budget and returns the delay before it.
-func (b *Budget) Next(ctx context.Context, r *types.Refusal, n int, need time.Duration) (time.Duration, bool) {
-	if !Elsewhere(r) {
+func (b *Budget) NextRetry(ctx context.Context, r *types.Refusal, n int, need time.Duration) (time.Duration, bool) {
+	if !RetryableElsewhere(r) {
 		return 0, false
 	}
 	wait := Backoff(n)
--- a/retry/window.go
+++ b/retry/window.go
@@ -37,15 +37,15 @@
 	return &Window{bucketLength: length / windowBuckets, now: now, start: now()}
 }
 
-// Bound sets the retries allowed per request and the number of retries that is
+// SetLimits sets the retries allowed per request and the number of retries that is
 // allowed in the window regardless of requests.
-func (w *Window) Bound(ratio, fixed float64) {
+func (w *Window) SetLimits(ratio, fixed float64) {
 	w.ratio.Store(math.Float64bits(ratio))
 	w.fixed.Store(math.Float64bits(fixed))
 }
 
-// First records that a request was sent for the first time.
-func (w *Window) First() { w.add(w.currentBucket(), 1, 0) }
+// RecordRequest records that a request was sent for the first time.
+func (w *Window) RecordRequest() { w.add(w.currentBucket(), 1, 0) }
 
 // Allow reports whether the limit has room for one more retry, and records it.
 //
@@ -67,9 +67,9 @@
 // Counts returns the requests and retries currently in the window.
 func (w *Window) Counts() (requests, retries float64) { return w.totals(w.currentBucket()) }
 
-// Take records a retry without checking the limit, for a retry that was allowed
-// by a limit that several processes share.
-func (w *Window) Take() { w.add(w.currentBucket(), 0, 1) }
+// RecordRetry records a retry without checking the limit, for a retry that was
+// allowed by a limit that several processes share.
+func (w *Window) RecordRetry() { w.add(w.currentBucket(), 0, 1) }
 
 // currentBucket returns the number of the current bucket. Buckets are numbered from
 // the creation of the window.
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -19,12 +19,12 @@
 		fixed := rapid.Float64Range(0, 5).Draw(t, "fixed")
 		now := time.Unix(0, 0)
 		w := NewWindow(length, func() time.Time { return now })
-		w.Bound(ratio, fixed)
+		w.SetLimits(ratio, fixed)
 		var requests, retries []time.Time
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 800).Draw(t, "pause")) * time.Millisecond)
 			if rapid.Bool().Draw(t, "request") {
-				w.First()
+				w.RecordRequest()
 				requests = append(requests, now)
 				continue
 			}
@@ -59,9 +59,9 @@
 	g := gomega.NewWithT(t)
 	now := time.Unix(0, 0)
 	w := NewWindow(10*time.Second, func() time.Time { return now })
-	w.Bound(0.5, 1)
+	w.SetLimits(0.5, 1)
 	for range 10 {
-		w.First()
+		w.RecordRequest()
 	}
 	for range 6 {
 		g.Expect(w.Allow()).To(gomega.BeTrue())
@@ -74,11 +74,11 @@
 
 func BenchmarkWindow(b *testing.B) {
 	w := NewWindow(10*time.Second, nil)
-	w.Bound(DefaultRatio, 10)
+	w.SetLimits(DefaultRatio, 10)
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			w.First()
+			w.RecordRequest()
 			w.Allow()
 		}
 	})
@@ -93,7 +93,7 @@
 	for range 20 {
 		now := time.Unix(0, 0)
 		w := NewWindow(10*time.Second, func() time.Time { return now })
-		w.Bound(0, fixed)
+		w.SetLimits(0, fixed)
 		var allowed atomic.Int64
 		var callers sync.WaitGroup
 		for range 16 {
@@ -122,9 +122,9 @@
 	now := time.Unix(0, 0)
 	w := NewWindow(10*time.Second, func() time.Time { return now })
 	now = now.Add(25 * time.Second)
-	w.First()
+	w.RecordRequest()
 	w.add(w.currentBucket()-windowBuckets-1, 1, 0)
-	w.Take()
+	w.RecordRetry()
 	w.add(w.currentBucket()-windowBuckets-1, 0, -1)
 	requests, retries := w.Counts()
 	g.Expect(requests).To(gomega.Equal(2.0))
--- a/route/routebench/router.go
+++ b/route/routebench/router.go
@@ -69,7 +69,7 @@
 func (r *router) ask(q *request) {
 	q.router, q.retries = r, 0
 	r.sim.result.asks++
-	r.budget.First()
+	r.budget.RecordRequest()
 	r.send(q, nil)
 }
 
--- a/router/call.go
+++ b/router/call.go
@@ -151,7 +151,7 @@
 // only where it proved not to have run: a call that makes its servers slow
 // would otherwise be multiplied by those that wait for it in vain.
 func (r *Router) runRepeatable(ctx context.Context, in *admitted, sf *serviceFleet, call plain.Call) (plain.Answer, *types.Refusal) {
-	sf.budget.First()
+	sf.budget.RecordRequest()
 	query := route.Query{Zone: r.opts.Zone}
 	for {
 		c, ok := sf.policy.Pick(&query, sf.view.Load())
--- a/router/drive.go
+++ b/router/drive.go
@@ -74,7 +74,7 @@
 func (d *drive) run(ctx context.Context) *types.Refusal {
 	d.blocks = route.Blocks(nil, d.ask.prompt)
 	patience := time.Now().Add(freshPatience)
-	if d.ran || d.verdict().Strong() {
+	if d.ran || d.verdict().StrongEvidence() {
 		// News of a suspect's second crash may be a second behind: the caller is
 		// better told that its request is quarantined than that nobody takes it.
 		patience = time.Now().Add(placePatience)
@@ -166,7 +166,7 @@
 		return errCallerLeft
 	}
 	if d.r.opts.Suspects != nil {
-		d.r.opts.Suspects.Completed(d.ask.fingerprint)
+		d.r.opts.Suspects.RecordCompletion(d.ask.fingerprint)
 	}
 	d.r.metrics.requests.WithLabelValues(string(types.OutcomeCompleted), "").Inc()
 	d.r.opts.Recorder.Emit(eventDelivered, event.FieldRequest, d.ask.requestID, "generation", d.id, "tokens", len(d.tokens), "resumes", d.resumes)
--- a/router/offer.go
+++ b/router/offer.go
@@ -89,7 +89,7 @@
 	if d.r.opts.Suspects == nil {
 		return true
 	}
-	o.entered = d.r.opts.Suspects.Enter(d.ask.fingerprint, string(candidate.ID))
+	o.entered = d.r.opts.Suspects.BeginRun(d.ask.fingerprint, string(candidate.ID))
 	return o.entered
 }
 
@@ -99,11 +99,11 @@
 		return
 	}
 	if o.result.death != "" {
-		d.r.opts.Suspects.DeathOf(o.result.death, d.ask.fingerprint, o.result.proven)
+		d.r.opts.Suspects.RecordWeightedDeath(o.result.death, d.ask.fingerprint, o.result.proven)
 	}
 	if o.entered {
 		o.entered = false
-		d.r.opts.Suspects.Leave(d.ask.fingerprint, string(o.candidate.ID))
+		d.r.opts.Suspects.EndRun(d.ask.fingerprint, string(o.candidate.ID))
 	}
 }
 
--- a/router/place.go
+++ b/router/place.go
@@ -87,7 +87,7 @@
 		Blocks:  d.blocks,
 		Zone:    d.r.opts.Zone,
 		Avoid:   d.avoid,
-		Suspect: d.verdict().Strong(),
+		Suspect: d.verdict().StrongEvidence(),
 		Long:    d.resumes > 0,
 	}
 }
--- a/router/router.go
+++ b/router/router.go
@@ -40,7 +40,7 @@
 	Limiter     *limit.Limiter     // nil: no limits
 	Claims      *claim.Coordinator // nil: no non-idempotent calls
 	Suspects    *suspect.Ledger    // nil: no quarantine
-	Grants      *suspect.Spreader  // gives suspects their one run; nil: each router for itself
+	Grants      *suspect.Gossiper  // gives suspects their one run; nil: each router for itself
 	Recorder    *event.Recorder
 	Registerer  prometheus.Registerer
 }
--- a/router/serve.go
+++ b/router/serve.go
@@ -180,7 +180,7 @@
 		}
 		return d.run(ctx)
 	}
-	d.fleet.budget.First()
+	d.fleet.budget.RecordRequest()
 	d.r.opts.Recorder.Emit(eventBegun, event.FieldRequest, d.ask.requestID, "generation", d.id, "organisation", d.ask.organisation.Name)
 	return d.run(ctx)
 }
--- a/router/suspicion.go
+++ b/router/suspicion.go
@@ -39,19 +39,19 @@
 // each router learns only of the engines that its own copy crashed. It shows as
 // a third and a fourth engine lost to the request. The home knows of all copies.
 func (d *drive) await(ctx context.Context, patience time.Time) {
-	if d.r.opts.Grants == nil || !d.verdict().Strong() {
+	if d.r.opts.Grants == nil || !d.verdict().StrongEvidence() {
 		return
 	}
 	ctx, cancel := context.WithDeadline(ctx, patience)
 	defer cancel()
-	_, err := d.r.opts.Grants.Await(ctx, d.ask.fingerprint)
+	_, err := d.r.opts.Grants.AwaitGrant(ctx, d.ask.fingerprint)
 	d.granted = err == nil
 }
 
 // mayPlace reports whether the request may be placed: if it is a strong
 // suspect, only with a grant.
 func (d *drive) mayPlace() bool {
-	return d.granted || d.r.opts.Grants == nil || !d.verdict().Strong()
+	return d.granted || d.r.opts.Grants == nil || !d.verdict().StrongEvidence()
 }
 
 // enter asks whether the request may run on candidate now. A strong suspect
@@ -62,7 +62,7 @@
 	if d.r.opts.Suspects == nil {
 		return true
 	}
-	d.entered = d.r.opts.Suspects.Enter(d.ask.fingerprint, string(candidate.ID))
+	d.entered = d.r.opts.Suspects.BeginRun(d.ask.fingerprint, string(candidate.ID))
 	return d.entered
 }
 
@@ -76,11 +76,11 @@
 		return
 	}
 	if result.death != "" {
-		d.r.opts.Suspects.DeathOf(result.death, d.ask.fingerprint, result.proven)
+		d.r.opts.Suspects.RecordWeightedDeath(result.death, d.ask.fingerprint, result.proven)
 	}
 	if d.entered {
 		d.entered = false
-		d.r.opts.Suspects.Leave(d.ask.fingerprint, string(candidate.ID))
+		d.r.opts.Suspects.EndRun(d.ask.fingerprint, string(candidate.ID))
 	}
 	d.granted = false // a run that ends gives its grant back
 }
@@ -89,6 +89,6 @@
 func (d *drive) giveBack() {
 	if d.granted {
 		d.granted = false
-		d.r.opts.Grants.Release(d.ask.fingerprint)
+		d.r.opts.Grants.ReleaseGrant(d.ask.fingerprint)
 	}
 }
--- a/sidecar/attempt.go
+++ b/sidecar/attempt.go
@@ -77,7 +77,7 @@
 		if verdict.State == suspect.Quarantined {
 			return &refusal{code: types.CodeQuarantined, message: "this request has crashed backend servers", retryAfter: time.Until(verdict.Until)}
 		}
-		isSuspect = isSuspect || verdict.Strong()
+		isSuspect = isSuspect || verdict.StrongEvidence()
 	}
 	if !isSuspect {
 		return nil
--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -172,7 +172,7 @@
 	}
 	r.setDeath(d)
 	if s.opts.Suspects != nil {
-		s.opts.Suspects.DeathOf(d.id, r.fingerprint, r.proven())
+		s.opts.Suspects.RecordWeightedDeath(d.id, r.fingerprint, r.proven())
 	}
 	lost := r.log.Lose(engine.ErrDied)
 	r.cancel()
--- a/suspect/evidence.go
+++ b/suspect/evidence.go
@@ -35,19 +35,19 @@
 // RecordWeightedDeath, given the number of engines that a request may crash.
 func LedgerLimit(engines int) int { return engines * strongWeight }
 
-// DeathOf records that an engine died while it ran a request. The evidence is
-// strong, and counts twice as much, if the request was not proven there. So a long
-// generation isn't quarantined when its engines are killed twice, while a request
-// that crashes engines immediately crashes no more than the limit.
-func (l *Ledger) DeathOf(death string, fp types.Fingerprint, proven bool) {
+// RecordWeightedDeath records that an engine died while it ran a request. The
+// evidence is strong, and counts twice as much, if the request was not proven
+// there. So a long generation isn't quarantined when its engines are killed twice,
+// while a request that crashes engines immediately crashes no more than the limit.
+func (l *Ledger) RecordWeightedDeath(death string, fp types.Fingerprint, proven bool) {
 	fps := []types.Fingerprint{fp}
-	l.Death(death, fps)
+	l.RecordDeath(death, fps)
 	if !proven {
-		l.Death(death+"/unproven", fps)
+		l.RecordDeath(death+"/unproven", fps)
 	}
 }
 
-// Strong reports whether there is strong evidence against the request: at least
-// one engine died on which it was not proven. Such a request must be kept away
-// from other suspects.
-func (v Verdict) Strong() bool { return v.State == Suspect && v.Deaths >= strongWeight }
+// StrongEvidence reports whether there is strong evidence against the request: at
+// least one engine died on which it was not proven. Such a request must be kept
+// away from other suspects.
+func (v Verdict) StrongEvidence() bool { return v.State == Suspect && v.Deaths >= strongWeight }
--- a/suspect/gossip.go
+++ b/suspect/gossip.go
@@ -29,9 +29,9 @@
 	grantTimeout = 300 * time.Millisecond
 )
 
-// SpreaderOptions configures a Gossiper. Self and Peers are required, and Dial too
+// GossiperOptions configures a Gossiper. Self and Peers are required, and Dial too
 // unless Peers is always empty.
-type SpreaderOptions struct {
+type GossiperOptions struct {
 	Self  string          // own address, as returned by the peers' Peers
 	Peers func() []string // addresses of the other members
 	// Dial returns the client of a peer. The daemons use one made by package peer,
@@ -39,12 +39,12 @@
 	Dial func(peer string) suspectpb.Suspects
 }
 
-// Spreader pushes a ledger's changes to peers, which relay them, and requests
+// Gossiper pushes a ledger's changes to peers, which relay them, and requests
 // grants for runs of suspects from their coordinators. It doesn't depend on the
 // table service.
-type Spreader struct {
+type Gossiper struct {
 	ledger *Ledger
-	opts   SpreaderOptions
+	opts   GossiperOptions
 
 	renewing chan struct{} // semaphore that serializes rounds of renew
 
@@ -61,9 +61,9 @@
 	seq      uint64
 }
 
-// NewSpreader returns a Gossiper for a ledger. A ledger can have only one.
-func NewSpreader(ledger *Ledger, opts SpreaderOptions) *Spreader {
-	s := &Spreader{
+// NewGossiper returns a Gossiper for a ledger. A ledger can have only one.
+func NewGossiper(ledger *Ledger, opts GossiperOptions) *Gossiper {
+	s := &Gossiper{
 		ledger:  ledger,
 		opts:    opts,
 		cursors: map[string]cursor{},
@@ -78,7 +78,7 @@
 
 // Run pushes and pulls changes and renews grants until ctx ends. Rounds run
 // concurrently, so that a frozen peer doesn't delay the next push.
-func (s *Spreader) Run(ctx context.Context) error {
+func (s *Gossiper) Run(ctx context.Context) error {
 	pull := time.NewTicker(pullInterval)
 	defer pull.Stop()
 	renew := time.NewTicker(grantRenewInterval)
@@ -107,7 +107,7 @@
 }
 
 // push sends new changes to a few random peers, each of which relays them once.
-func (s *Spreader) push(ctx context.Context) {
+func (s *Gossiper) push(ctx context.Context) {
 	s.mu.Lock()
 	entries, next := s.ledger.Deltas(s.pushedSeq)
 	s.pushedSeq = next
@@ -126,7 +126,7 @@
 }
 
 // pull fetches changes from a random peer.
-func (s *Spreader) pull(ctx context.Context) {
+func (s *Gossiper) pull(ctx context.Context) {
 	for _, peer := range s.randomPeers(1) {
 		s.exchange(ctx, peer, nil, true)
 	}
@@ -134,7 +134,7 @@
 
 // exchange sends entries to a peer. If pull is set, it also fetches and merges the
 // peer's changes.
-func (s *Spreader) exchange(ctx context.Context, peer string, entries []Entry, pull bool) {
+func (s *Gossiper) exchange(ctx context.Context, peer string, entries []Entry, pull bool) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	s.mu.Lock()
@@ -159,7 +159,7 @@
 }
 
 // randomPeers returns n distinct random peers, or all if there are fewer.
-func (s *Spreader) randomPeers(n int) []string {
+func (s *Gossiper) randomPeers(n int) []string {
 	peers := s.opts.Peers()
 	out := make([]string, 0, n)
 	for _, i := range rand.Perm(len(peers)) {
@@ -173,7 +173,7 @@
 // rendezvousOrder returns this process and its peers, sorted by their rendezvous
 // hash with a fingerprint. The first one is the fingerprint's coordinator.
 // Processes that see the same members choose the same coordinator.
-func (s *Spreader) rendezvousOrder(fp types.Fingerprint) []string {
+func (s *Gossiper) rendezvousOrder(fp types.Fingerprint) []string {
 	all := append([]string{s.opts.Self}, s.opts.Peers()...)
 	weight := make(map[string]uint64, len(all))
 	unique := all[:0]
@@ -189,7 +189,7 @@
 }
 
 // requestGrantFrom sends a request to the coordinator at peer.
-func (s *Spreader) requestGrantFrom(ctx context.Context, peer string, q grantRequest) (bool, time.Duration, error) {
+func (s *Gossiper) requestGrantFrom(ctx context.Context, peer string, q grantRequest) (bool, time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, grantTimeout)
 	defer cancel()
 	answer, err := s.opts.Dial(peer).Grant(ctx, &suspectpb.GrantRequest{
--- a/suspect/gossip_test.go
+++ b/suspect/gossip_test.go
@@ -23,7 +23,7 @@
 // fleet is a set of ledgers that are connected in memory.
 type fleet struct {
 	ledgers   map[string]*Ledger
-	gossipers map[string]*Spreader
+	gossipers map[string]*Gossiper
 	names     []string
 	cut       sync.Map // names of processes that are partitioned from all others
 }
@@ -62,14 +62,14 @@
 }
 
 func newFleet(ctx context.Context, n int, opts Options) *fleet {
-	f := &fleet{ledgers: map[string]*Ledger{}, gossipers: map[string]*Spreader{}}
+	f := &fleet{ledgers: map[string]*Ledger{}, gossipers: map[string]*Gossiper{}}
 	for i := range n {
 		f.names = append(f.names, fmt.Sprintf("10.0.0.%d:1", i))
 	}
 	for _, name := range f.names {
 		l := New(opts)
 		f.ledgers[name] = l
-		f.gossipers[name] = NewSpreader(l, SpreaderOptions{
+		f.gossipers[name] = NewGossiper(l, GossiperOptions{
 			Self:  name,
 			Peers: func() []string { return f.names },
 			Dial:  func(to string) suspectpb.Suspects { return call{f, name, to} },
@@ -88,11 +88,11 @@
 // engine would get a copy while the second is dying.
 func TestPoisonThroughSeveralRoutersCrashesTwoEngines(t *testing.T) {
 	plain := func(l *Ledger, death string) {
-		l.Death(death, []types.Fingerprint{poison, beside(death)})
+		l.RecordDeath(death, []types.Fingerprint{poison, beside(death)})
 	}
 	weighted := func(l *Ledger, death string) { // as the daemons record deaths
-		l.DeathOf(death, poison, false)
-		l.DeathOf(death, beside(death), true)
+		l.RecordWeightedDeath(death, poison, false)
+		l.RecordWeightedDeath(death, beside(death), true)
 	}
 	for _, coordinator := range []string{"reachable", "cut"} {
 		t.Run(coordinator, func(t *testing.T) {
@@ -136,12 +136,12 @@
 		l, s := f.ledgers[router], f.gossipers[router]
 		for ; ; engine += 10 {
 			backend := fmt.Sprint("engine-", engine)
-			verdict, err := s.Await(ctx, poison)
+			verdict, err := s.AwaitGrant(ctx, poison)
 			if err != nil || verdict.State == Quarantined {
 				return
 			}
-			if !l.Enter(poison, backend) {
-				s.Release(poison)
+			if !l.BeginRun(poison, backend) {
+				s.ReleaseGrant(poison)
 				time.Sleep(grantRetryInterval)
 				continue
 			}
@@ -150,7 +150,7 @@
 			crashed[backend] = true
 			mu.Unlock()
 			record(l, backend)
-			l.Leave(poison, backend)
+			l.EndRun(poison, backend)
 		}
 	}
 	callers.Go(func() { run(routers[0], 1) })
@@ -177,18 +177,18 @@
 		}()
 		f := newFleet(ctx, 4, Options{})
 		order := f.gossipers[f.names[0]].rendezvousOrder(poison)
-		f.ledgers[order[1]].Death("x/1", []types.Fingerprint{poison})
+		f.ledgers[order[1]].RecordDeath("x/1", []types.Fingerprint{poison})
 		time.Sleep(time.Second)
-		_, err := f.gossipers[order[1]].Await(ctx, poison)
+		_, err := f.gossipers[order[1]].AwaitGrant(ctx, poison)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
-		g.Expect(f.ledgers[order[1]].Enter(poison, "a")).To(gomega.BeTrue())
+		g.Expect(f.ledgers[order[1]].BeginRun(poison, "a")).To(gomega.BeTrue())
 		f.cut.Store(order[1], true)
 		short, stop := context.WithTimeout(ctx, 5*time.Second)
 		defer stop()
-		_, err = f.gossipers[order[2]].Await(short, poison)
+		_, err = f.gossipers[order[2]].AwaitGrant(short, poison)
 		g.Expect(err).To(gomega.MatchError(context.DeadlineExceeded))
 		began := time.Now()
-		_, err = f.gossipers[order[2]].Await(ctx, poison)
+		_, err = f.gossipers[order[2]].AwaitGrant(ctx, poison)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(time.Since(began)).To(gomega.BeNumerically("<", 2*grantTTL))
 	})
@@ -206,7 +206,7 @@
 		}()
 		f := newFleet(ctx, 400, Options{Table: &memoryTable{down: true}})
 		began := time.Now()
-		f.ledgers[f.names[7]].Death("x/1", []types.Fingerprint{poison})
+		f.ledgers[f.names[7]].RecordDeath("x/1", []types.Fingerprint{poison})
 		informed := func() int {
 			n := 0
 			for _, l := range f.ledgers {
@@ -309,8 +309,8 @@
 		}
 		first, stopFirst := start()
 		second, stopSecond := start()
-		first.Death("a/1", []types.Fingerprint{poison})
-		second.Death("b/1", []types.Fingerprint{poison}) // the two exchange nothing directly
+		first.RecordDeath("a/1", []types.Fingerprint{poison})
+		second.RecordDeath("b/1", []types.Fingerprint{poison}) // the two exchange nothing directly
 		time.Sleep(3 * time.Second)
 		table.setDown(false)
 		time.Sleep(5 * time.Second)
--- a/suspect/grants.go
+++ b/suspect/grants.go
@@ -103,11 +103,11 @@
 	}
 }
 
-// Await waits until the fingerprint's coordinator grants this process a run of a
-// suspect. It returns immediately if the request is clear or quarantined, and with
-// the context's error if ctx ends first. The caller must still call BeginRun for
-// the chosen backend server.
-func (s *Spreader) Await(ctx context.Context, fp types.Fingerprint) (Verdict, error) {
+// AwaitGrant waits until the fingerprint's coordinator grants this process a run
+// of a suspect. It returns immediately if the request is clear or quarantined, and
+// with the context's error if ctx ends first. The caller must still call BeginRun
+// for the chosen backend server.
+func (s *Gossiper) AwaitGrant(ctx context.Context, fp types.Fingerprint) (Verdict, error) {
 	for {
 		verdict := s.ledger.Verdict(fp)
 		if verdict.State != Suspect {
@@ -127,10 +127,10 @@
 // recheck returns the current verdict, because a death may have been recorded
 // while the grant was requested. If the request is no longer a suspect, it
 // releases the grant.
-func (s *Spreader) recheck(fp types.Fingerprint) Verdict {
+func (s *Gossiper) recheck(fp types.Fingerprint) Verdict {
 	verdict := s.ledger.Verdict(fp)
 	if verdict.State != Suspect {
-		s.Release(fp)
+		s.ReleaseGrant(fp)
 	}
 	return verdict
 }
@@ -138,7 +138,7 @@
 // requestGrant sends a request to the first process in rendezvous order that
 // answers. If no peer is reachable, this process is its own coordinator, so
 // partitioned routers may run one copy each.
-func (s *Spreader) requestGrant(ctx context.Context, q grantRequest) (bool, time.Duration) {
+func (s *Gossiper) requestGrant(ctx context.Context, q grantRequest) (bool, time.Duration) {
 	for _, peer := range s.rendezvousOrder(q.fp) {
 		if peer == s.opts.Self {
 			return s.ledger.coordinator.handle(q, s.ledger.opts.Now())
@@ -155,21 +155,21 @@
 }
 
 // addHeld records that this process holds the run of a fingerprint.
-func (s *Spreader) addHeld(fp types.Fingerprint) {
+func (s *Gossiper) addHeld(fp types.Fingerprint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.held[fp] = struct{}{}
 }
 
-// Release releases a grant that wasn't followed by BeginRun.
-func (s *Spreader) Release(fp types.Fingerprint) {
+// ReleaseGrant releases a grant that wasn't followed by BeginRun.
+func (s *Gossiper) ReleaseGrant(fp types.Fingerprint) {
 	if !s.ledger.running.has(fp) {
 		s.release(fp)
 	}
 }
 
 // release schedules the release of a run that this process holds.
-func (s *Spreader) release(fp types.Fingerprint) {
+func (s *Gossiper) release(fp types.Fingerprint) {
 	s.mu.Lock()
 	_, held := s.held[fp]
 	delete(s.held, fp)
@@ -186,12 +186,12 @@
 // granted or already running when they became suspects, and releases the runs that
 // ended. Rounds don't overlap: if a release were overtaken by an earlier claim, the
 // claim would block other processes until it expires.
-func (s *Spreader) renew(ctx context.Context) {
+func (s *Gossiper) renew(ctx context.Context) {
 	s.renewing <- struct{}{}
 	defer func() { <-s.renewing }()
 	for _, fp := range s.ledger.runningSuspects() {
 		s.addHeld(fp)
-		s.Release(fp) // the run may have ended since it was listed
+		s.ReleaseGrant(fp) // the run may have ended since it was listed
 	}
 	s.mu.Lock()
 	released := s.released
--- a/suspect/ledger.go
+++ b/suspect/ledger.go
@@ -95,10 +95,10 @@
 	}
 }
 
-// Death records that an engine died while these fingerprints ran on it. All
+// RecordDeath records that an engine died while these fingerprints ran on it. All
 // processes must use the same id for the same death, such as the backend server's
 // address and the engine's incarnation.
-func (l *Ledger) Death(death string, fps []types.Fingerprint) {
+func (l *Ledger) RecordDeath(death string, fps []types.Fingerprint) {
 	if len(fps) == 0 {
 		return
 	}
@@ -112,10 +112,11 @@
 	l.apply(entries, true)
 }
 
-// Completed records that a request ran to completion and clears the deaths that
-// this ledger knows of. Deaths that are recorded later, or that only other ledgers
-// know of, still count. An existing quarantine isn't lifted before its end.
-func (l *Ledger) Completed(fp types.Fingerprint) {
+// RecordCompletion records that a request ran to completion and clears the deaths
+// that this ledger knows of. Deaths that are recorded later, or that only other
+// ledgers know of, still count. An existing quarantine isn't lifted before its
+// end.
+func (l *Ledger) RecordCompletion(fp types.Fingerprint) {
 	if l.Verdict(fp).State != Suspect {
 		return
 	}
--- a/suspect/ledger_test.go
+++ b/suspect/ledger_test.go
@@ -29,19 +29,19 @@
 			for n := range 7 {
 				ran = append(ran, types.Fingerprint(100*(i+1)+n))
 			}
-			l.Death(engine, ran)
-			l.Death(engine, ran) // the same death is reported by a second router
+			l.RecordDeath(engine, ran)
+			l.RecordDeath(engine, ran) // the same death is reported by a second router
 		}
 		g.Expect(l.Verdict(poison).State).To(gomega.Equal(Quarantined))
 		g.Expect(l.Verdict(poison).RetryAfter(time.Now())).To(gomega.Equal(DefaultQuarantine))
 		for n := range 7 {
 			g.Expect(l.Verdict(types.Fingerprint(100 + n))).To(gomega.Equal(Verdict{State: Suspect, Deaths: 1}))
-			l.Completed(types.Fingerprint(100 + n))
+			l.RecordCompletion(types.Fingerprint(100 + n))
 			g.Expect(l.Verdict(types.Fingerprint(100 + n)).State).To(gomega.Equal(Clear))
 		}
 		time.Sleep(DefaultQuarantine + time.Second)
 		g.Expect(l.Verdict(poison).State).To(gomega.Equal(Suspect))
-		l.Death("c/1", []types.Fingerprint{poison}) // one more death suffices and doubles the quarantine
+		l.RecordDeath("c/1", []types.Fingerprint{poison}) // one more death suffices and doubles the quarantine
 		g.Expect(l.Verdict(poison).RetryAfter(time.Now())).To(gomega.Equal(2 * DefaultQuarantine))
 		time.Sleep(DefaultWindow + time.Minute)
 		l.expire()
@@ -59,20 +59,20 @@
 		entries, _ := from.Deltas(0)
 		to.Merge(entries)
 	}
-	a.Death("x/1", []types.Fingerprint{poison, neighbour})
+	a.RecordDeath("x/1", []types.Fingerprint{poison, neighbour})
 	exchange(a, b)
-	b.Death("y/1", []types.Fingerprint{poison})
-	a.Completed(poison)
-	a.Completed(neighbour)
+	b.RecordDeath("y/1", []types.Fingerprint{poison})
+	a.RecordCompletion(poison)
+	a.RecordCompletion(neighbour)
 	exchange(a, b)
 	exchange(b, a)
 	for _, l := range []*Ledger{a, b} {
 		g.Expect(l.Verdict(poison).State).To(gomega.Equal(Quarantined))
 		g.Expect(l.Verdict(neighbour).State).To(gomega.Equal(Clear))
 	}
-	a.Completed(poison) // another copy completes after the quarantine began
+	a.RecordCompletion(poison) // another copy completes after the quarantine began
 	g.Expect(a.Verdict(poison).State).To(gomega.Equal(Quarantined))
-	a.Death("z/1", []types.Fingerprint{neighbour})
+	a.RecordDeath("z/1", []types.Fingerprint{neighbour})
 	g.Expect(a.Verdict(neighbour)).To(gomega.Equal(Verdict{State: Suspect, Deaths: 1}))
 }
 
@@ -83,17 +83,17 @@
 	g := gomega.NewWithT(t)
 	l := New(Options{})
 	other := types.Fingerprint(9)
-	g.Expect(l.Enter(poison, "a")).To(gomega.BeTrue())
-	g.Expect(l.Enter(poison, "b")).To(gomega.BeTrue()) // clear requests aren't restricted
-	l.Death("a/1", []types.Fingerprint{poison, neighbour})
-	l.Leave(poison, "a")
-	g.Expect(l.Enter(poison, "c")).To(gomega.BeFalse(), "the copy on b still runs")
-	g.Expect(l.Enter(neighbour, "b")).To(gomega.BeFalse(), "b has a suspect")
-	g.Expect(l.Enter(neighbour, "c")).To(gomega.BeTrue())
-	g.Expect(l.Enter(other, "b")).To(gomega.BeTrue())
+	g.Expect(l.BeginRun(poison, "a")).To(gomega.BeTrue())
+	g.Expect(l.BeginRun(poison, "b")).To(gomega.BeTrue()) // clear requests aren't restricted
+	l.RecordDeath("a/1", []types.Fingerprint{poison, neighbour})
+	l.EndRun(poison, "a")
+	g.Expect(l.BeginRun(poison, "c")).To(gomega.BeFalse(), "the copy on b still runs")
+	g.Expect(l.BeginRun(neighbour, "b")).To(gomega.BeFalse(), "b has a suspect")
+	g.Expect(l.BeginRun(neighbour, "c")).To(gomega.BeTrue())
+	g.Expect(l.BeginRun(other, "b")).To(gomega.BeTrue())
 	g.Expect(l.SuspectsOn()).To(gomega.Equal(map[string]int{"b": 1, "c": 1}))
-	l.Leave(poison, "b")
-	g.Expect(l.Enter(poison, "b")).To(gomega.BeTrue())
+	l.EndRun(poison, "b")
+	g.Expect(l.BeginRun(poison, "b")).To(gomega.BeTrue())
 }
 
 // Engines die while they run a long generation that was proven on each, and a
@@ -105,22 +105,22 @@
 	l.Configure(2, DefaultQuarantine)
 	for i, state := range []State{Suspect, Suspect, Suspect, Quarantined} {
 		death := fmt.Sprint("engine-", i)
-		l.DeathOf(death, neighbour, true)
-		l.DeathOf(death, neighbour, true) // reported by both the router and the sidecar
+		l.RecordWeightedDeath(death, neighbour, true)
+		l.RecordWeightedDeath(death, neighbour, true) // reported by both the router and the sidecar
 		g.Expect(l.Verdict(neighbour).State).To(gomega.Equal(state))
 	}
-	l.DeathOf("x", poison, false)
-	g.Expect(l.Verdict(poison).Strong()).To(gomega.BeTrue())
-	l.DeathOf("y", poison, false)
+	l.RecordWeightedDeath("x", poison, false)
+	g.Expect(l.Verdict(poison).StrongEvidence()).To(gomega.BeTrue())
+	l.RecordWeightedDeath("y", poison, false)
 	g.Expect(l.Verdict(poison).State).To(gomega.Equal(Quarantined))
 }
 
 func TestFullLedgerKeepsQuarantinedEntries(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l := New(Options{Max: 3})
-	l.Death("a", []types.Fingerprint{poison})
-	l.Death("b", []types.Fingerprint{poison})
-	l.Death("c", []types.Fingerprint{10, 11, 12, 13})
+	l.RecordDeath("a", []types.Fingerprint{poison})
+	l.RecordDeath("b", []types.Fingerprint{poison})
+	l.RecordDeath("c", []types.Fingerprint{10, 11, 12, 13})
 	g.Expect(l.Dump().Entries).To(gomega.HaveLen(3))
 	g.Expect(l.Verdict(poison).State).To(gomega.Equal(Quarantined))
 	g.Expect(l.Verdict(13).State).To(gomega.Equal(Suspect))
@@ -176,7 +176,7 @@
 
 func BenchmarkVerdict(b *testing.B) {
 	l := New(Options{})
-	l.Death("a", []types.Fingerprint{poison})
+	l.RecordDeath("a", []types.Fingerprint{poison})
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
@@ -192,8 +192,8 @@
 		fp := types.FingerprintOf("o", []byte(fmt.Sprint(time.Now().UnixNano())))
 		for pb.Next() {
 			fp++
-			l.Enter(fp, "a")
-			l.Leave(fp, "a")
+			l.BeginRun(fp, "a")
+			l.EndRun(fp, "a")
 		}
 	})
 }
--- a/suspect/running.go
+++ b/suspect/running.go
@@ -96,12 +96,12 @@
 	return v.State == Suspect && v.Deaths >= int(l.running.holdThreshold.Load())
 }
 
-// Enter records that a request is about to run on a backend server, and reports
+// BeginRun records that a request is about to run on a backend server, and reports
 // whether it may. A quarantined request may not. A suspect may not while another
 // copy of it runs through this process, nor on a backend server that runs another
 // suspect: if that server died too, an innocent request would be quarantined with
 // the one that crashes engines. Other requests always may.
-func (l *Ledger) Enter(fp types.Fingerprint, backend string) bool {
+func (l *Ledger) BeginRun(fp types.Fingerprint, backend string) bool {
 	now := l.opts.Now()
 	verdict := l.Verdict(fp)
 	if verdict.State == Quarantined {
@@ -122,10 +122,10 @@
 	return true
 }
 
-// Leave records the end of a run that BeginRun allowed. If the engine died, the
+// EndRun records the end of a run that BeginRun allowed. If the engine died, the
 // death must be recorded first, because another process may start a copy as soon
 // as the grant is released.
-func (l *Ledger) Leave(fp types.Fingerprint, backend string) {
+func (l *Ledger) EndRun(fp types.Fingerprint, backend string) {
 	if l.running.remove(fp, backend) {
 		return
 	}
