--- a/limit/limiter_test.go
+++ b/limit/limiter_test.go
@@ -102,7 +102,7 @@
 		defer stop()
 		_, refusal = l.Admit(short, "o", Plain)
 		g.Expect(refusal).NotTo(gomega.BeNil())
-		g.Expect(time.Since(began)).To(gomega.BeZero(), "two requests are ahead at one slot per second, so a wait of one second is hopeless")
+		g.Expect(time.Since(began)).To(gomega.BeZero(), "two requests are ahead at one slot per second, so a wait of one second isn't enough")
 	})
 }
 
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -36,7 +36,7 @@
 // It prevents retry storms: when many backend servers fail at once under full
 // load, every failed request is retried, and without a limit the retries alone
 // keep the remaining servers overloaded. Unused retries don't accumulate beyond
-// the window, otherwise a quiet period would pay for a storm. In a model of 36
+// the window, or a retry storm could follow any quiet period. In a model of 36
 // runners at 1.5 times the steady rate, with a tenth of them dead, the others
 // received 2.15 attempts per request without a budget and 1.08 with it.
 type Budget struct {
