--- a/fleet/budgets.go
+++ b/fleet/budgets.go
@@ -174,7 +174,7 @@
 	if unknown+1 > (free+unknown)/vms {
 		return false
 	}
-	w.Take()
+	w.RecordRetry()
 	b.recordRetryLocked(service, w, now)
 	return true
 }
