--- a/exchange/attempt.go
+++ b/exchange/attempt.go
@@ -13,86 +13,87 @@
 	"github.com/pearyard/pearyard/directory"
 )
 
-// streamAttempt is one sending of a stream to one server. A goroutine reads what
-// the server sends and hands it on step by step; all else is done by the stream
-// that the attempt belongs to.
+// streamAttempt is one delivery of a stream to one server. A goroutine reads what the
+// server sends and passes it on as steps; everything else is done by the stream that
+// owns the attempt.
 type streamAttempt struct {
-	server *directory.Server
-	from   *Memory            // what it goes on from; nil: it reads the prompt
-	copies copyKeeper         // where its memory is copied to
-	load   *directory.Running // its share of the server's load
-	watch  *watch
-	steps  chan step
-	heard  bool         // it has brought an event
-	offer  atomic.Int32 // what became of its copy: one of the offer constants
+	server    *directory.Server
+	from      *Memory            // copy to resume from; nil: the server reads the prompt
+	copies    copyTracker        // where its KV cache is copied to
+	load      *directory.Running // its share of the server's load
+	watch     *silenceWatch
+	steps     chan step
+	gotEvent  bool         // an event has been received
+	copyState atomic.Int32 // state of its copy: one of the copy constants
 
-	over     chan struct{} // closed when nobody takes its steps any more
-	overOnce sync.Once
+	done     chan struct{} // closed when its steps are no longer received
+	doneOnce sync.Once
 }
 
-// What became of an attempt's copy.
+// States of an attempt's copy.
 const (
-	offerNone   = iota // it is where it was placed
-	offerOpen          // it was taken to offer the stream to another server
-	offerUnused        // the same, and the stream stayed: there is no copy now
+	copyPlaced  = iota // where it was placed
+	copyOffered        // taken for a takeover by its holder
+	copyUsedUp         // used up by a takeover that was abandoned: another one is needed
 )
 
-// step is what an attempt's server has sent.
+// step is one item that an attempt's server has sent.
 type step struct {
-	answer *Answer     // the head that an event or the end belongs to
-	event  streamEvent // if err is nil and there is no reply
-	reply  *Reply      // an answer that is no stream
-	err    error       // io.EOF: the stream ended whole
-	fault  *Fault      // the program panicked while it read
+	answer   *Answer     // response head that the event or the end belongs to
+	event    streamEvent // valid if err and reply are nil
+	reply    *Reply      // a response that is not a stream
+	err      error       // io.EOF: the stream is complete
+	panicked *Fault      // a panic of the reading goroutine
 }
 
-// Fault is a panic of a goroutine that works beside a request's own. It is raised
-// again there: a goroutine of its own would end the process, with all that runs
-// through it.
+// Fault is a panic of a goroutine that works on behalf of a request. It is raised again
+// on the request's own goroutine: unrecovered, it would end the process with all
+// requests that it serves.
 type Fault struct {
 	Why   any
-	Stack []byte // where it happened
+	Stack []byte // where the panic happened
 }
 
 // Error implements error.
 func (f *Fault) Error() string { return fmt.Sprint(f.Why) }
 
-// launch sends the stream to a server.
+// launch starts an attempt at a server.
 func (s *stream) launch(ctx context.Context, server *directory.Server, from *Memory) *streamAttempt {
-	prompt := s.unread(server)
+	prompt := s.unreadTokens(server)
 	if from != nil {
 		prompt = 0
 	} else {
-		s.e.paceOf(s.req.Service).sent(time.Now())
+		s.e.paceFor(s.req.Service).recordSent(time.Now())
 	}
 	a := &streamAttempt{
-		server: server, from: from, copies: copyKeeper{free: s.e.freeCopy}, load: server.StreamBegun(prompt),
-		watch: newWatch(ctx, s.e, server), steps: make(chan step), over: make(chan struct{}),
+		server: server, from: from, copies: copyTracker{free: s.e.freeCopy}, load: server.StreamBegun(prompt),
+		watch: newWatch(ctx, s.e, server), steps: make(chan step), done: make(chan struct{}),
 	}
-	sending := &Attempt{
-		Request: s.req, Server: server, Left: s.req.left(time.Now()), After: s.after(), CopyTo: s.placeCopy(a), From: from,
+	attempt := &Attempt{
+		Request: s.req, Server: server, Left: s.req.timeLeft(time.Now()), After: s.resumeAfter(), CopyTo: s.placeCopy(a), From: from,
 	}
-	go a.read(s.e.opts.Backend, sending)
+	go a.read(s.e.opts.Backend, attempt)
 	return a
 }
 
-// read hands on what the server sends until its end, or until nobody takes it.
-func (a *streamAttempt) read(backend Backend, sending *Attempt) {
+// read delivers what the server sends, until the response ends or the steps are no
+// longer received.
+func (a *streamAttempt) read(backend Backend, attempt *Attempt) {
 	defer func() {
 		if why := recover(); why != nil {
-			a.deliver(step{fault: &Fault{Why: why, Stack: debug.Stack()}})
+			a.deliver(step{panicked: &Fault{Why: why, Stack: debug.Stack()}})
 		}
 	}()
-	answer, err := backend.Open(a.watch.ctx, sending)
+	answer, err := backend.Open(a.watch.ctx, attempt)
 	if err != nil {
-		a.deliver(step{err: a.watch.explain(err)})
+		a.deliver(step{err: a.watch.translate(err)})
 		return
 	}
 	defer answer.Body.Close()
 	if answer.Status >= 300 || answer.Status < 200 {
-		reply, err := whole(answer)
+		reply, err := readReply(answer)
 		if a.deliver(step{reply: reply, err: err}) && err == nil && reply.Rest != nil {
-			<-a.over // the rest is read by whoever took the step
+			<-a.done // the rest is read by the receiver of the step
 		}
 		return
 	}
@@ -100,40 +101,40 @@
 	for {
 		ev, err := events.next()
 		if err != nil {
-			a.deliver(step{answer: answer, err: a.ending(err)})
+			a.deliver(step{answer: answer, err: a.endError(err)})
 			return
 		}
-		a.watch.heard()
+		a.watch.eventReceived()
 		a.server.Heard(time.Now())
-		ev.raw = bytes.Clone(ev.raw) // the next one is read while this is passed on
+		ev.raw = bytes.Clone(ev.raw) // the next event is read while this one is forwarded
 		if !a.deliver(step{answer: answer, event: ev}) {
 			return
 		}
-		a.watch.listen()
+		a.watch.awaitEvent()
 	}
 }
 
-func (a *streamAttempt) ending(err error) error {
+func (a *streamAttempt) endError(err error) error {
 	if err == io.EOF {
 		return err
 	}
-	return a.watch.explain(&BrokenError{Err: err})
+	return a.watch.translate(&BrokenError{Err: err})
 }
 
-// deliver reports whether the step was taken.
+// deliver hands a step to the stream and reports whether it was received.
 func (a *streamAttempt) deliver(st step) bool {
 	select {
 	case a.steps <- st:
 		return true
-	case <-a.over:
+	case <-a.done:
 		return false
 	}
 }
 
-// end ends the attempt at its server and takes it off the load. Its copy stays
-// until it is taken or dropped.
+// end stops the attempt and removes it from the server's load. Its copy stays until it
+// is taken or dropped.
 func (a *streamAttempt) end() {
-	a.overOnce.Do(func() { close(a.over) })
-	a.watch.end()
+	a.doneOnce.Do(func() { close(a.done) })
+	a.watch.stop()
 	a.load.End()
 }
--- a/exchange/copies.go
+++ b/exchange/copies.go
@@ -11,115 +11,115 @@
 )
 
 const (
-	// copyLook is how often a stream looks whether its copy's server is still
-	// usable; a loss that is told ends the wait at once.
-	copyLook = 400 * time.Millisecond
-	// copyTimeout bounds a copy that is asked for: 40 ms for the memory of a long
-	// prompt between zones, behind those of other streams.
+	// copyCheckInterval is how often a stream checks whether its copy's server is still
+	// usable. A reported loss ends the wait at once.
+	copyCheckInterval = 400 * time.Millisecond
+	// copyTimeout bounds a request for a copy, which takes 40 ms for the KV cache of a
+	// long prompt between zones, and longer behind those of other streams.
 	copyTimeout = 800 * time.Millisecond
 )
 
-// copyKeeper knows where the memory of a stream's running attempt is copied to.
-type copyKeeper struct {
+// copyTracker tracks where the KV cache of a stream's running attempt is copied to.
+type copyTracker struct {
 	// free releases a copy that will not be used; its server reserves memory for it
 	// until then.
 	free func(*Memory)
 
-	mu     sync.Mutex
-	memory *Memory
-	end    func() // takes the copy off its server's load
-	closed bool   // no copy is wanted any more
+	mu      sync.Mutex
+	current *Memory
+	endLoad func() // removes the copy from its server's load
+	closed  bool   // no copy is needed any more
 }
 
-// set replaces the copy. One that comes after the end is given up at once: it was
-// asked for while its stream ran.
-func (k *copyKeeper) set(m *Memory) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.dropLocked()
-	if k.closed {
-		k.giveUp(m)
+// set replaces the copy. A copy that arrives after close is released at once: it was
+// requested while its stream ran.
+func (t *copyTracker) set(m *Memory) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.dropLocked()
+	if t.closed {
+		t.release(m)
 		return
 	}
-	k.memory, k.end = m, m.At.CopyBegun()
+	t.current, t.endLoad = m, m.At.CopyBegun()
 }
 
-// close gives the copy up, and all that come later.
-func (k *copyKeeper) close() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.closed = true
-	k.dropLocked()
+// close releases the copy, and all that arrive later.
+func (t *copyTracker) close() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.closed = true
+	t.dropLocked()
 }
 
-// giveUp frees a copy that was made by a call.
-func (k *copyKeeper) giveUp(m *Memory) {
-	if m != nil && m.Handle != "" && k.free != nil {
-		k.free(m)
+// release frees a copy that was made by Backend.Copy.
+func (t *copyTracker) release(m *Memory) {
+	if m != nil && m.Handle != "" && t.free != nil {
+		t.free(m)
 	}
 }
 
 // take returns the copy, if there is one, for use.
-func (k *copyKeeper) take() *Memory {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	m := k.memory
-	k.memory = nil
-	k.dropLocked()
+func (t *copyTracker) take() *Memory {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	m := t.current
+	t.current = nil
+	t.dropLocked()
 	return m
 }
 
-// drop gives the copy up.
-func (k *copyKeeper) drop() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.dropLocked()
+// drop releases the copy.
+func (t *copyTracker) drop() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.dropLocked()
 }
 
-func (k *copyKeeper) dropLocked() {
-	if k.end != nil {
-		k.end()
+func (t *copyTracker) dropLocked() {
+	if t.endLoad != nil {
+		t.endLoad()
 	}
-	k.giveUp(k.memory)
-	k.memory, k.end = nil, nil
+	t.release(t.current)
+	t.current, t.endLoad = nil, nil
 }
 
-// called returns the copy if it was made by a call; nil otherwise.
-func (k *copyKeeper) called() *Memory {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.memory == nil || k.memory.Handle == "" {
+// requested returns the copy if it was made by Backend.Copy; nil otherwise.
+func (t *copyTracker) requested() *Memory {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.current == nil || t.current.Handle == "" {
 		return nil
 	}
-	return k.memory
+	return t.current
 }
 
-// renewed puts a copy that has been brought up to date in the place of what it was
-// before. If that was taken or replaced meanwhile, nobody will use the new one.
-func (k *copyKeeper) renewed(old, renewed *Memory) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// refreshed replaces a copy by its refreshed version. If the old one was taken or
+// replaced meanwhile, the new one is released, since nobody will use it.
+func (t *copyTracker) refreshed(old, renewed *Memory) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	unused := renewed
-	if k.memory == old {
-		k.memory, unused = renewed, old
+	if t.current == old {
+		t.current, unused = renewed, old
 	}
 	if old.Handle != renewed.Handle {
-		k.giveUp(unused)
+		t.release(unused)
 	}
 }
 
-// at returns the server that holds the copy, nil without one.
-func (k *copyKeeper) at() *directory.Server {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.memory == nil {
+// holder returns the server that holds the copy, nil without one.
+func (t *copyTracker) holder() *directory.Server {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.current == nil {
 		return nil
 	}
-	return k.memory.At
+	return t.current.At
 }
 
-// freeCopy gives a copy up, beside what the stream does. If that fails, its
-// server lets go of it some seconds later.
+// freeCopy releases a copy in the background. If that fails, its server drops it some
+// seconds later.
 func (e *Exchange) freeCopy(m *Memory) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), copyTimeout)
@@ -130,106 +130,107 @@
 	}()
 }
 
-// copyPlace chooses where the memory of a run on server is copied to: another
-// zone, since zones fail as a whole. A copy that replaces a lost one is placed again.
-func (s *stream) copyPlace(server *directory.Server, avoid map[directory.Start]bool, again bool) *directory.Server {
+// pickCopyServer chooses the server for the copy of a run on server: one in another
+// zone, since zones fail as a whole. again is set for a copy that replaces a lost one.
+func (s *stream) pickCopyServer(server *directory.Server, avoid map[directory.Start]bool, again bool) *directory.Server {
 	return s.e.opts.Directory.Pick(directory.Query{
 		Service: s.req.Service, Zone: s.e.opts.Zone, Avoid: avoid, NotZone: server.Zone, Prompt: s.req.PromptTokens, Copy: true, Again: again,
 	}, time.Now())
 }
 
-// excludedFor returns the servers that are no place for the copy of a run on server.
+// excludedFor returns the servers that can't hold the copy of a run on server.
 func (s *stream) excludedFor(server *directory.Server) map[directory.Start]bool {
 	avoid := maps.Clone(s.tried)
 	avoid[server.Start] = true
 	return avoid
 }
 
-// placeCopy chooses the place of the copy that a new run sends as it grows.
+// placeCopy chooses the server for the copy that a new run sends as it grows.
 func (s *stream) placeCopy(a *streamAttempt) *directory.Server {
 	service, ok := s.e.opts.Services(s.req.Service)
 	if !ok || !service.Copies || !s.req.Route.Resumable {
 		return nil
 	}
-	to := s.copyPlace(a.server, s.excludedFor(a.server), false)
+	to := s.pickCopyServer(a.server, s.excludedFor(a.server), false)
 	if to != nil {
 		a.copies.set(&Memory{At: to})
 	}
 	return to
 }
 
-// keepCopy replaces the copy of a run when the server that holds it is lost or
-// leaves. A zone's loss takes the copies of streams that run elsewhere with it,
-// and the next zone's loss would make each of them read its prompt again, which
-// takes longer than the pause that callers allow. It runs beside the stream and
-// reads nothing that the stream writes: avoid is its own.
-func (s *stream) keepCopy(ctx context.Context, a *streamAttempt, avoid map[directory.Start]bool) {
+// maintainCopy replaces the copy of a run when the server that holds it is lost or
+// leaves, and keeps it up to date. The loss of a zone takes the copies of streams that
+// run elsewhere with it, and the loss of the next zone would make each of them read its
+// prompt again, which takes longer than the pause that callers allow. It runs beside
+// the stream and reads nothing that the stream writes; avoid is its own.
+func (s *stream) maintainCopy(ctx context.Context, a *streamAttempt, avoid map[directory.Start]bool) {
 	service, ok := s.e.opts.Services(s.req.Service)
 	if !ok || !service.CopiesOnCall {
 		return
 	}
-	look := time.NewTicker(copyLook)
-	defer look.Stop()
-	var asked *directory.Server // whose loss has been answered already; the next look comes by time
+	check := time.NewTicker(copyCheckInterval)
+	defer check.Stop()
+	var handled *directory.Server // whose loss has been handled; the next check is by time
 	for {
-		at := a.copies.at()
-		if at == nil && a.offer.Load() == offerNone {
+		at := a.copies.holder()
+		if at == nil && a.copyState.Load() == copyPlaced {
 			return
 		}
 		var down <-chan struct{}
-		if at != nil && at != asked {
+		if at != nil && at != handled {
 			down = at.Down()
 		}
 		select {
 		case <-ctx.Done():
 			return
 		case <-down:
-		case <-look.C:
+		case <-check.C:
 		}
-		if at == nil && a.offer.Load() == offerOpen {
+		if at == nil && a.copyState.Load() == copyOffered {
 			continue
 		}
 		if at != nil && s.e.opts.Directory.Usable(at, time.Now()) {
-			s.renewCopy(ctx, a)
+			s.refreshCopy(ctx, a)
 			continue
 		}
-		asked = at
-		if !s.copyAgain(ctx, a, at, avoid) {
+		handled = at
+		if !s.replaceCopy(ctx, a, at, avoid) {
 			return
 		}
 	}
 }
 
-// renewCopy brings a copy that was made by a call up to date; a copy that the run
+// refreshCopy brings a copy that was made by Backend.Copy up to date; one that the run
 // itself sends grows with it.
 //
 // What an old copy lacks would have to be read behind other prompts.
-func (s *stream) renewCopy(ctx context.Context, a *streamAttempt) {
-	old := a.copies.called()
+func (s *stream) refreshCopy(ctx context.Context, a *streamAttempt) {
+	old := a.copies.requested()
 	if old == nil {
 		return
 	}
-	asking, cancel := context.WithTimeout(ctx, copyTimeout)
+	copyCtx, cancel := context.WithTimeout(ctx, copyTimeout)
 	defer cancel()
-	renewed, err := s.e.opts.Backend.Copy(asking, s.req, a.server, old.At)
+	renewed, err := s.e.opts.Backend.Copy(copyCtx, s.req, a.server, old.At)
 	if err != nil {
-		s.e.metrics.renewalsFailed.Inc() // the copy holds, as old as it is
+		s.e.metrics.renewalsFailed.Inc() // the old copy stays valid
 		return
 	}
-	a.copies.renewed(old, renewed)
+	a.copies.refreshed(old, renewed)
 }
 
-// copyAgain asks for a copy in another place. It reports false if none can be had
-// any more; while no place is usable, there may be one later.
+// replaceCopy requests a copy on another server. It returns false if none can be had
+// any more; while no server is usable, there may be one later.
 //
-// A place without room does not leave the stream without a copy.
+// A server that refuses for lack of room does not leave the stream without a copy:
+// another one is asked next time.
 //
-// It does not ask at servers that are themselves believed lost.
-func (s *stream) copyAgain(ctx context.Context, a *streamAttempt, lost *directory.Server, avoid map[directory.Start]bool) bool {
+// Servers that are themselves believed lost are not asked.
+func (s *stream) replaceCopy(ctx context.Context, a *streamAttempt, lost *directory.Server, avoid map[directory.Start]bool) bool {
 	if !s.req.hasTime(time.Now()) {
 		return false
 	}
-	to := s.copyPlace(a.server, avoid, true)
+	to := s.pickCopyServer(a.server, avoid, true)
 	if to == nil || to == lost {
 		return false
 	}
@@ -237,20 +238,20 @@
 		return true
 	}
 	began := time.Now()
-	asking, cancel := context.WithTimeout(ctx, copyTimeout)
+	copyCtx, cancel := context.WithTimeout(ctx, copyTimeout)
 	defer cancel()
-	memory, err := s.e.opts.Backend.Copy(asking, s.req, a.server, to)
+	replacement, err := s.e.opts.Backend.Copy(copyCtx, s.req, a.server, to)
 	if ctx.Err() != nil && err != nil {
 		return false
 	}
-	s.e.opts.Recorder.Emit(EventCopied, event.FieldRequest, s.req.ID, "server", a.server.Start, "lost", idOf(lost), "to", to.Start,
+	s.e.opts.Recorder.Emit(EventCopied, event.FieldRequest, s.req.ID, "server", a.server.Start, "lost", serverName(lost), "to", to.Start,
 		"took", time.Since(began), "err", err)
 	if err != nil {
-		avoid[to.Start] = true // the next look asks another one, until none is left
+		avoid[to.Start] = true // the next check asks another server, until none is left
 		return true
 	}
-	a.copies.set(memory)
-	a.offer.Store(offerNone)
+	a.copies.set(replacement)
+	a.copyState.Store(copyPlaced)
 	s.e.metrics.copies.Inc()
 	return true
 }
--- a/exchange/ended_test.go
+++ b/exchange/ended_test.go
@@ -18,8 +18,8 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// endOfRequest returns the reason and the number of a request's last line.
-func endOfRequest(b *bed, id string) (by, number string) {
+// endOfRequest returns which side ended a request, and the event id of its last line.
+func endOfRequest(b *testbed, id string) (by, number string) {
 	for _, entry := range b.recorder.Entries(id) {
 		if by := entry.Fields[event.FieldEndedBy]; by != "" {
 			return by, entry.ID
@@ -28,16 +28,15 @@
 	return "", ""
 }
 
-// Callers leave while a server works for them. Their leaving closes the
-// connections to the server, which breaks the attempts: the server was said to
-// have broken off, was held at fault and asked whether it had crashed, whenever
-// the attempt's end was seen before the caller's.
-func TestCallersLeavingIsNoFaultOfTheServer(t *testing.T) {
+// When a caller leaves, the connections to its server are closed, which breaks the
+// attempts. Guards against blaming the server when the attempt's end is seen before the
+// caller's: it was said to have broken off, got a fault and was probed for a crash.
+func TestLeavingCallerIsNotBlamedOnTheServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		const calls = 2000
 		var leave context.CancelFunc
-		b := newBed(everywhere(func(context.Context, *Attempt) (*Answer, error) {
+		b := newTestbed(everywhere(func(context.Context, *Attempt) (*Answer, error) {
 			leave()
 			return nil, &BrokenError{Err: net.ErrClosed}
 		}))
@@ -55,10 +54,10 @@
 	})
 }
 
-// A caller closes its connection as its own deadline passes, a moment before
-// this process's clock says so: the request arrived some time after the caller
-// began to wait. The deadline ended it, not a change of mind. The time of a
-// route is none that a caller knows.
+// A caller closes its connection as its own deadline passes, a moment before this
+// process's clock says so: the request arrived some time after the caller started to
+// wait. That counts as the deadline, not as the caller's choice. A route's timeout is
+// not known to callers.
 func TestCallerThatLeavesAtItsDeadline(t *testing.T) {
 	for name, c := range map[string]struct {
 		early   time.Duration
@@ -72,7 +71,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := gomega.NewWithT(t)
-				b := newBed(everywhere(answers(http.StatusOK, "late", time.Hour)))
+				b := newTestbed(everywhere(answers(http.StatusOK, "late", time.Hour)))
 				req := request(site.AtMostOnce)
 				req.UntilBy = c.untilBy
 				ctx, leave := context.WithCancel(t.Context())
@@ -87,12 +86,12 @@
 	}
 }
 
-// A server says nothing until the request's time is up. Its line said sent=0 and
-// named no server, as if the request had not been sent anywhere.
-func TestLineOfATimeoutNamesTheServerThatWasWaitedFor(t *testing.T) {
+// A server sends nothing until the request's deadline. Guards against a last line with
+// sent=0 and no server, as if the request had not been sent anywhere.
+func TestTimeoutLineNamesTheAwaitedServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newBed(map[string][]script{"a1": {answers(http.StatusOK, "late", time.Hour)}}, "a1")
+		b := newTestbed(map[string][]script{"a1": {answers(http.StatusOK, "late", time.Hour)}}, "a1")
 		req := request(site.AtMostOnce)
 		_, err := b.Call(t.Context(), req)
 		g.Expect(err).To(gomega.MatchError(ErrTimeout))
@@ -102,12 +101,12 @@
 	})
 }
 
-// A server answers with a failure of its own, which is passed on. The request
-// has its whole answer; who failed is the server.
-func TestOwnFailureIsTheServers(t *testing.T) {
+// A server's own error response is forwarded. The request is answered completely, and
+// the side that ended it is the server.
+func TestErrorResponseIsEndedByTheServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newBed(everywhere(answers(http.StatusInternalServerError, "no stock", beat)))
+		b := newTestbed(everywhere(answers(http.StatusInternalServerError, "no stock", eventInterval)))
 		req := request(site.AtMostOnce)
 		_, err := b.Call(t.Context(), req)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -117,12 +116,12 @@
 	})
 }
 
-// A request has crashed several servers and comes again. The limit refuses it,
-// in its line and in the counter.
-func TestQuarantineIsALimit(t *testing.T) {
+// A request that has crashed several servers is refused. Its line and the counter must
+// give the limit as the reason.
+func TestQuarantineIsEndedByTheLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newBed(everywhere(answers(http.StatusOK, "ok", beat)))
+		b := newTestbed(everywhere(answers(http.StatusOK, "ok", eventInterval)))
 		req := request(site.AtMostOnce)
 		for _, server := range []string{"x", "y", "z"} {
 			b.suspects.Death(server, []types.Fingerprint{req.Fingerprint()})
@@ -137,9 +136,10 @@
 	})
 }
 
-// The caller of a stream can't be written to any more while net/http has not
-// noticed yet. It was logged as failed, like the work of a server that broke off.
-func TestUnwrittenStreamIsTheCallersSide(t *testing.T) {
+// Writing to the caller of a stream fails before net/http has noticed that the
+// connection is gone. Guards against logging that as a failure, as if the server had
+// broken off.
+func TestFailedWriteIsEndedByTheCaller(t *testing.T) {
 	for name, c := range map[string]struct {
 		err    error
 		by     EndedBy
@@ -152,9 +152,9 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := gomega.NewWithT(t)
-				b := newBed(everywhere(streams(10, beat, nil)))
+				b := newTestbed(everywhere(streams(10, eventInterval, nil)))
 				req := streamRequest()
-				_, err := b.Stream(t.Context(), req, deafSink{c.err})
+				_, err := b.Stream(t.Context(), req, failingSink{c.err})
 				g.Expect(err).To(gomega.MatchError(c.err))
 				by, number := endOfRequest(b, req.ID)
 				g.Expect(by).To(gomega.Equal(string(c.by)))
@@ -164,11 +164,11 @@
 	}
 }
 
-// deafSink is a caller that takes no event.
-type deafSink struct{ err error }
+// failingSink is a caller that can't be written to.
+type failingSink struct{ err error }
 
 // Begin implements Sink.
-func (deafSink) Begin(int, http.Header) error { return nil }
+func (failingSink) Begin(int, http.Header) error { return nil }
 
 // Event implements Sink.
-func (s deafSink) Event([]byte) error { return s.err }
+func (s failingSink) Event([]byte) error { return s.err }
--- a/exchange/enginemodel_test.go
+++ b/exchange/enginemodel_test.go
@@ -19,19 +19,19 @@
 	"github.com/pearyard/pearyard/suspect"
 )
 
-// The laws of a model engine, those of a batch engine that reads prompts in chunks
-// between the tokens of what runs: a step gives each stream a token, and holds one
-// chunk of the oldest unread prompt.
+// Parameters of the model engine, a batch engine that reads prompts in chunks between
+// the tokens of running streams: a step gives each stream a token and reads one chunk
+// of the oldest unread prompt.
 const (
 	modelStep       = 6 * time.Millisecond
-	modelChunk      = 200 // prompt tokens a step
-	modelReadSpeed  = 8   // prompt tokens a millisecond
-	modelEvent      = 5   // tokens an event
+	modelChunk      = 200 // prompt tokens per step
+	modelReadSpeed  = 8   // prompt tokens per millisecond
+	modelEvent      = 5   // tokens per event
 	modelCopyAfter  = 400 * time.Millisecond
 	modelCopyTime   = 50 * time.Millisecond
-	modelAnswerTime = 2 * time.Millisecond // of a question to a server
-	// modelSmall is what is read with the next step; more is read in its turn behind
-	// prompts. Of streams that went on from a copy by a call, 0 of 31 paused for over 0.7 s
+	modelAnswerTime = 2 * time.Millisecond // of a probe or query
+	// modelSmall is how much is read with the next step; more is queued behind prompts.
+	// Of the streams that resumed from a requested copy, 0 of 31 paused for over 0.7 s
 	// where the copy was less than a second old, 88 of 543 where it was older.
 	modelSmall = 100 // tokens
 )
@@ -40,22 +40,22 @@
 type modelEngine struct {
 	slowness float64 // 1: as fast as modelStep and modelReadSpeed say
 
-	mu     sync.Mutex
-	runs   []*modelRun
-	kept   promptcache.Contents
-	down   bool
-	born   int64 // of its newest start
-	read   int   // prompt tokens read in all
-	begun  int   // runs begun
-	wake   chan struct{}
-	copies map[string]modelCopy // by request
+	mu      sync.Mutex
+	runs    []*modelRun
+	kept    promptcache.Contents
+	down    bool
+	born    int64 // of its newest start
+	read    int   // prompt tokens read in total
+	started int   // runs started
+	wake    chan struct{}
+	copies  map[string]modelCopy // by request
 }
 
-// modelCopy is the memory of a run elsewhere.
+// modelCopy is a copy of a run on another engine.
 type modelCopy struct {
-	ready  time.Time // from when on it can be gone on from
+	ready  time.Time // when it can be resumed from
 	grows  bool      // the run itself sends it as it grows
-	events int       // that it holds, if it doesn't grow
+	events int       // events that it covers, if it doesn't grow
 }
 
 // modelRun is one stream on an engine.
@@ -64,15 +64,15 @@
 	ctx    context.Context
 	prompt []promptcache.Part
 	unread int
-	tokens int // made since the start of the run
+	tokens int // generated since the start of the run
 	last   int // event
 	events int // of the whole stream
 	out    chan []byte
-	ended  error // to be read once out is closed
+	ended  error // valid once out is closed
 }
 
-// modelBackend is a set of model engines in virtual time. Ids begin with a letter
-// that is their zone.
+// modelBackend is a set of model engines in virtual time. The first letter of an id is
+// its zone.
 type modelBackend struct {
 	engines map[string]*modelEngine
 	length  func(id string) int // events of a request's stream
@@ -90,7 +90,7 @@
 
 func evenSpeed(int) float64 { return 1 }
 
-// work makes steps for as long as something runs.
+// work runs steps while there are runs.
 func (e *modelEngine) work(ctx context.Context) {
 	for {
 		e.mu.Lock()
@@ -149,7 +149,7 @@
 	}
 }
 
-// stepOf gives a run its token; false if it has ended.
+// stepOf generates a run's next token; it returns false if the run has ended.
 func (e *modelEngine) stepOf(r *modelRun) bool {
 	if r.ctx.Err() != nil {
 		r.end(r.ctx.Err())
@@ -176,7 +176,7 @@
 	close(r.out)
 }
 
-// crash ends all that runs and forgets what is kept; revive begins a new start.
+// crash ends all runs and drops the cache and the copies; revive begins a new start.
 func (e *modelEngine) crash() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -226,20 +226,20 @@
 	_, _ = fmt.Sscan(a.After, &r.last)
 	r.unread = max(0, a.Request.PromptTokens-e.kept.Prefix(r.prompt)) + modelEvent*r.last
 	if a.From != nil {
-		memory, known := e.copies[a.Request.ID]
-		if !known || time.Now().Before(memory.ready) {
+		found, known := e.copies[a.Request.ID]
+		if !known || time.Now().Before(found.ready) {
 			return nil, &NotRunError{Reason: Busy, Err: io.ErrClosedPipe}
 		}
 		r.unread = 0
-		if !memory.grows {
-			r.unread = modelEvent * max(0, r.last-memory.events)
+		if !found.grows {
+			r.unread = modelEvent * max(0, r.last-found.events)
 			if r.unread <= modelSmall {
 				r.unread = 0
 			}
 		}
 	}
 	e.runs = append(e.runs, r)
-	e.begun++
+	e.started++
 	select {
 	case e.wake <- struct{}{}:
 	default:
@@ -247,7 +247,7 @@
 	return r, nil
 }
 
-// expect notes a copy that a run sends as it grows.
+// expect records a copy that a run sends as it grows.
 func (e *modelEngine) expect(request string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -344,7 +344,7 @@
 
 func (b *modelBody) Close() error { return nil }
 
-// modelVM is an entry VM before model engines.
+// modelVM is an entry VM in front of model engines.
 type modelVM struct {
 	*Exchange
 	dir *directory.Directory
@@ -366,7 +366,7 @@
 	return vm
 }
 
-// readList takes in what the store tells of the servers.
+// readList applies the store's list of servers.
 func (vm *modelVM) readList(b *modelBackend, ids []string) {
 	var list []directory.Listing
 	for _, id := range ids {
@@ -387,9 +387,9 @@
 	return ids
 }
 
-// modelRequest is a long prompt's: a short piece that it shares and 7,800 tokens of
-// its own, within a third, as long prompts are. A prompt is as long each time that
-// it is named.
+// modelRequest returns a request with a long prompt: a short part that it shares and
+// 7,800 tokens of its own, within a third, as long prompts are. The same name gives the
+// same length.
 func modelRequest(name string) *Request {
 	chance := rand.New(rand.NewPCG(xxhash.Sum64String(name), 0))
 	own := int(7800 * (0.7 + 0.6*chance.Float64()))
--- a/exchange/errors.go
+++ b/exchange/errors.go
@@ -10,15 +10,15 @@
 // NotRunReason says why an attempt provably did not run.
 type NotRunReason string
 
-// Reasons.
+// Reasons of a NotRunError.
 const (
 	Unreachable NotRunReason = "unreachable" // nothing was sent
-	Refused     NotRunReason = "refused"     // its address takes no connections: the process has ended
-	Busy        NotRunReason = "busy"        // the server had no room, or no such copy
+	Refused     NotRunReason = "refused"     // its address refuses connections: the process has ended
+	Busy        NotRunReason = "busy"        // the server had no room, or not the copy to resume from
 	Misdirected NotRunReason = "misdirected" // another server has the address now
 )
 
-// NotRunError says that the server proved not to have run the attempt.
+// NotRunError says that the attempt provably did not run.
 type NotRunError struct {
 	Reason NotRunReason
 	Err    error
@@ -32,7 +32,8 @@
 // Unwrap returns the cause.
 func (e *NotRunError) Unwrap() error { return e.Err }
 
-// BrokenError says that the attempt was sent and has no whole answer: it may have run.
+// BrokenError says that the attempt was sent but got no complete response: it may have
+// run.
 type BrokenError struct{ Err error }
 
 // Error implements error.
@@ -42,54 +43,56 @@
 func (e *BrokenError) Unwrap() error { return e.Err }
 
 var (
-	// ErrSilent: a server sent nothing for longer than a sound one takes.
+	// ErrSilent: a server sent nothing for longer than a healthy one pauses.
 	ErrSilent = errors.New("exchange: the backend server fell silent")
-	// ErrServerLost: others found the server lost while its answer was awaited.
-	ErrServerLost = errors.New("exchange: the backend server is lost")
-	// ErrOtherStart: another process has the server's address, so the server has ended.
-	ErrOtherStart = errors.New("exchange: another start of the backend server answers")
+	// ErrServerLost: the server was found lost, by another request or process, while
+	// its response was awaited.
+	ErrServerLost = errors.New("exchange: the backend server was found lost")
+	// ErrOtherStart: another process answers at the server's address, so the server has
+	// ended.
+	ErrOtherStart = errors.New("exchange: another process answers at the backend server's address")
 	// ErrOrder: an event was missing or came twice.
 	ErrOrder = errors.New("exchange: events out of order")
-	// ErrCut: a stream ended in the middle.
-	ErrCut = errors.New("exchange: the stream ended in its middle")
-	// ErrBudget: the retry budget of the service is spent.
+	// ErrCut: a stream ended before it was complete.
+	ErrCut = errors.New("exchange: the stream ended before it was complete")
+	// ErrBudget: the service's retry budget is spent.
 	ErrBudget = errors.New("exchange: retry budget spent")
-	// ErrNoServer: no backend server takes the request.
+	// ErrNoServer: no backend server is available for the request.
 	ErrNoServer = errors.New("exchange: no backend server takes the request")
-	// ErrTimeout: the caller's or the route's time is up.
+	// ErrTimeout: the deadline of the caller or of the route has passed.
 	ErrTimeout = errors.New("exchange: time is up")
-	// ErrNoTime: no attempt could be answered in the time that is left.
+	// ErrNoTime: too little time is left for an attempt to be answered.
 	ErrNoTime = errors.New("exchange: too little time is left to send the request to a backend server")
 	// ErrQuarantined: the same request crashed too many servers.
 	ErrQuarantined = errors.New("exchange: the request crashed several backend servers")
 )
 
-// Unreached tells whether an attempt never reached its server.
+// Unreached reports whether the attempt never reached its server.
 func (e *NotRunError) Unreached() bool { return e.Reason == Unreachable || e.Reason == Refused }
 
-// SilentError is ErrSilent with what it was decided by.
+// SilentError is ErrSilent with the facts that it was decided on.
 type SilentError struct {
 	Silence time.Duration // since the last event
-	Alive   bool          // the server gave a sign of life meanwhile
-	Unread  int64         // prompt tokens that lay ahead there, as far as this process knows
+	Alive   bool          // nothing but its silence suggests that the server is lost
+	Unread  int64         // prompt tokens queued at the server, as far as this process knows
 }
 
 // Error implements error.
 func (e *SilentError) Error() string {
-	return fmt.Sprintf("%v (for %v, alive=%v, %d prompt tokens ahead)", ErrSilent, e.Silence, e.Alive, e.Unread)
+	return fmt.Sprintf("%v (for %v, alive=%v, %d prompt tokens queued)", ErrSilent, e.Silence, e.Alive, e.Unread)
 }
 
 // Unwrap returns the cause.
 func (e *SilentError) Unwrap() error { return ErrSilent }
 
-// Failure is the final answer to a request that can't be served.
+// Failure is the final outcome of a request that can't be served.
 type Failure struct {
-	// Ran is false only if it is proved that no backend server runs the
-	// request or ever will.
+	// Ran is false only if it is proven that no backend server runs the request or ever
+	// will.
 	Ran        bool
 	TimedOut   bool
 	By         EndedBy
-	RetryAfter time.Duration // when the caller may come back; set if it has not run
+	RetryAfter time.Duration // when the caller may try again; set if the request has not run
 	Err        error
 }
 
--- a/exchange/estimate_test.go
+++ b/exchange/estimate_test.go
@@ -19,12 +19,12 @@
 // fakeEngine reads prompts one after the other; its events come slowly meanwhile.
 type fakeEngine struct {
 	mu    sync.Mutex
-	speed float64   // prompt tokens a second
+	speed float64   // prompt tokens per second
 	free  time.Time // when all prompts are read
 	reads int
 }
 
-const besidePrompt = 200 * time.Millisecond
+const promptEventInterval = 200 * time.Millisecond
 
 func (e *fakeEngine) take(tokens int) (readAt time.Time) {
 	e.mu.Lock()
@@ -42,9 +42,9 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if time.Now().Before(e.free) {
-		return besidePrompt
+		return promptEventInterval
 	}
-	return beat
+	return eventInterval
 }
 
 func (e *fakeEngine) set(speed float64) {
@@ -80,14 +80,14 @@
 	return &Answer{Status: http.StatusOK, Header: http.Header{}, Body: r}, nil
 }
 
-// engineBed has four engines of that speed.
-func engineBed(speed float64) (*bed, map[string]*fakeEngine) {
+// newEngineTestbed returns a testbed with four engines of the given speed.
+func newEngineTestbed(speed float64) (*testbed, map[string]*fakeEngine) {
 	engines, scripts := map[string]*fakeEngine{}, map[string][]script{}
 	for _, id := range []string{"a1", "a2", "b1", "b2"} {
 		engines[id] = &fakeEngine{speed: speed}
 		scripts[id] = []script{engines[id].play}
 	}
-	return newBed(scripts), engines
+	return newTestbed(scripts), engines
 }
 
 func reads(engines map[string]*fakeEngine) (sum int) {
@@ -99,21 +99,21 @@
 	return sum
 }
 
-// ending of a stream.
+// ending is how a stream ended.
 type ending struct {
-	begun, took time.Duration
-	failure     *Failure
+	startedAt, took time.Duration
+	failure         *Failure
 }
 
-// arrive sends streams in a row and returns how each ended, in order of arrival.
-func arrive(t *testing.T, b *bed, count int, every time.Duration) []ending {
+// arrive sends streams at an interval and returns how each ended, in order of arrival.
+func arrive(t *testing.T, b *testbed, count int, every time.Duration) []ending {
 	t.Helper()
 	start, out := time.Now(), make([]ending, count)
 	var wg sync.WaitGroup
 	for i := range out {
 		wg.Go(func() {
 			req := streamRequest()
-			out[i].begun = req.Arrived.Sub(start)
+			out[i].startedAt = req.Arrived.Sub(start)
 			_, err := b.Stream(t.Context(), req, &recordingSink{start: time.Now()})
 			out[i].took = time.Since(req.Arrived)
 			_ = errors.As(err, &out[i].failure)
@@ -137,15 +137,15 @@
 func refused(o ending) bool { return o.failure != nil && !o.failure.Ran && !o.failure.TimedOut }
 func late(o ending) bool    { return o.failure != nil && o.failure.TimedOut }
 
-// Engines read a prompt in four seconds, and fifty drafts are asked for at once
-// where about twenty can be whole in time. The others waited in the engines'
-// queues until their deadlines passed, and held up those that could be served.
-// They are told at once that they have not run, and when to come back.
-func TestWhatNoServerCanFinishIsRefusedAtOnce(t *testing.T) {
+// Engines read a prompt in four seconds, and fifty streams are requested at once where
+// about twenty can be complete in time. Guards against queueing the others until their
+// deadlines pass, which delays those that could be served. They are told at once that
+// they have not run, and when to come back.
+func TestStreamsThatNoServerCanFinishAreRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b, engines := engineBed(2000)
-		arrive(t, b, 8, 10*time.Second) // what engines can do is known from then on
+		b, engines := newEngineTestbed(2000)
+		arrive(t, b, 8, 10*time.Second) // the engines' speed is known from then on
 		before := reads(engines)
 		burst := arrive(t, b, 50, time.Millisecond)
 		g.Expect(count(burst, served)).To(gomega.BeNumerically(">=", 16))
@@ -161,13 +161,13 @@
 	})
 }
 
-// An engine breaks off a draft four seconds before its deadline. Reading the
-// prompt again takes eight: it would cost another engine the time of a draft
-// that can be served. The caller hears at once.
-func TestPromptIsNotSentAgainThatWouldBeLate(t *testing.T) {
+// An engine breaks off a stream four seconds before its deadline. Reading the prompt
+// again takes eight, and would cost another engine the time of a stream that can be
+// served. The caller must be told at once.
+func TestPromptThatWouldBeLateIsNotSentAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b, engines := engineBed(1000)
+		b, engines := newEngineTestbed(1000)
 		arrive(t, b, 4, 20*time.Second)
 		before := reads(engines)
 		broken := func(ctx context.Context, a *Attempt) (*Answer, error) {
@@ -188,36 +188,37 @@
 	})
 }
 
-// A process has just started, and engines are too slow for any draft to be whole:
-// none ever tells how long drafts are. How far they come tells at least that.
-func TestLengthIsReckonedFromStreamsOnTheirWay(t *testing.T) {
+// A process has just started, and engines are too slow for any stream to be complete,
+// so that no length is ever measured. The progress of the unfinished ones must count at
+// least.
+func TestLengthIsEstimatedFromUnfinishedStreams(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := &pace{}
 	for i := range 50 {
-		p.reached(uint64(i+1), 600)
+		p.observeProgress(uint64(i+1), 600)
 	}
-	g.Expect(p.events(600)).To(gomega.BeNumerically("~", 50, 0.1))
-	p.ended(130, 600)
-	g.Expect(p.events(600)).To(gomega.BeNumerically("~", 130*shortLength, 0.1))
+	g.Expect(p.expectedEvents(600)).To(gomega.BeNumerically("~", 50, 0.1))
+	p.observeLength(130, 600)
+	g.Expect(p.expectedEvents(600)).To(gomega.BeNumerically("~", 130*shortLengthShare, 0.1))
 }
 
-// A process has just started and knows nothing of the engines. It refuses nothing.
+// A process that has just started and has measured nothing refuses nothing.
 func TestWithoutMeasurementsNothingIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b, _ := engineBed(2000)
+		b, _ := newEngineTestbed(2000)
 		all := arrive(t, b, 50, time.Millisecond)
 		g.Expect(count(all, refused)).To(gomega.BeZero())
 	})
 }
 
-// Engines turn so slow that no draft can be whole in time, and recover a minute
-// later. If every request were refused meanwhile, nobody would notice: one each
-// two seconds is sent on trial, and drafts are served again seconds after.
+// Engines become so slow that no stream can be complete in time, and recover a minute
+// later. If every request were refused meanwhile, nobody would notice. One every two
+// seconds is sent as a trial, and streams are served again seconds after the recovery.
 func TestRecoveryIsNoticedWithinSeconds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b, engines := engineBed(8000)
+		b, engines := newEngineTestbed(8000)
 		arrive(t, b, 8, 10*time.Second)
 		for _, e := range engines {
 			e.set(200)
@@ -233,13 +234,13 @@
 	})
 }
 
-// The same, where one engine has been seen to be fast again and the others idle.
-// Every draft went to that one until none more would be in time there, and the
-// rest was refused, since the others kept the speed of their bad time for good.
+// As above, but one engine has been measured to be fast again and the others are idle.
+// Guards against sending every stream to that one and refusing the rest, because the
+// others keep the speed of their slow phase for good.
 func TestIdleServersAreMeasuredAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b, engines := engineBed(8000)
+		b, engines := newEngineTestbed(8000)
 		arrive(t, b, 8, 10*time.Second)
 		for _, s := range b.dir.View().Service("s") {
 			if s.ID != "a1" {
@@ -259,19 +260,19 @@
 	})
 }
 
-// Half as many drafts again come as the engines can finish, for three minutes.
-// As many are served in each half minute: admission doesn't swing between all
-// and nothing.
+// Requests arrive at one and a half times the rate that the engines can serve, for
+// three minutes. As many must be served in each half minute: admission must not
+// oscillate between all and nothing.
 func TestAdmissionIsSteady(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b, _ := engineBed(2000)
+		b, _ := newEngineTestbed(2000)
 		arrive(t, b, 8, 10*time.Second)
 		all := arrive(t, b, 270, 666*time.Millisecond)
 		perSpan := make([]int, 6)
 		for _, o := range all {
 			if served(o) {
-				perSpan[min(5, int(o.begun/(30*time.Second)))]++
+				perSpan[min(5, int(o.startedAt/(30*time.Second)))]++
 			}
 		}
 		g.Expect(count(all, late)).To(gomega.BeNumerically("<=", 60), "%v", perSpan)
@@ -281,12 +282,12 @@
 	})
 }
 
-// Guards against streams that are sent to a server whose own pace lets none of them end in
-// time, by the pace of faster ones.
-func TestEstimateGoesByTheServersOwnPace(t *testing.T) {
+// Guards against estimating a slow server by the pace of faster ones: streams would be
+// sent to it none of which can end in time.
+func TestEstimateUsesTheServersOwnPace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newBed(everywhere(paced(130, beat)))
+		b := newTestbed(everywhere(paced(130, eventInterval)))
 		servers := b.dir.View().Service("s")
 		for i, seconds := range []time.Duration{1, 1, 1, 3} {
 			prompt := servers[i].StreamBegun(8000)
@@ -294,11 +295,11 @@
 			prompt.Read()
 			prompt.End()
 		}
-		p := b.paceOf("s")
+		p := b.paceFor("s")
 		for range 1000 {
-			p.seen(beat)
+			p.observePause(eventInterval)
 		}
-		p.ended(130, 600)
+		p.observeLength(130, 600)
 		b.dir.Pick(directory.Query{Service: "s", Prompt: 8000}, time.Now())
 		s := &stream{e: b.Exchange, req: streamRequest()}
 		fast, _ := s.estimate(servers[0], time.Now())
--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -17,7 +17,7 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// Options of an Exchange; all but the timings are needed.
+// Options configures an Exchange. Metrics, Timings, Lender and Restarts are optional.
 type Options struct {
 	Zone      string
 	Directory *directory.Directory
@@ -27,39 +27,39 @@
 	Recorder  *event.Recorder
 	Metrics   prometheus.Registerer
 	Timings   Timings
-	// RetryWindow, RetryRatio and RetryExtra bound the retries of each
-	// service; RetryExtra is this process's part.
+	// RetryWindow, RetryRatio and RetryExtra bound the retries of each service.
+	// RetryExtra is this process's share of the fixed allowance.
 	RetryWindow time.Duration
 	RetryRatio  float64
 	RetryExtra  func() float64
-	// Lender, if set, shares the retry budget with other processes.
+	// Lender, if set, enforces the retry budget jointly with other processes.
 	Lender Lender
-	// Restarts, if set, finds servers that were started again while the store
-	// doesn't tell of them.
+	// Restarts, if set, detects restarted servers while the store can't report them.
 	Restarts *Restarts
 }
 
-// Lender shares the retry budget among processes.
+// Lender enforces the retry budget jointly with other processes.
 type Lender interface {
-	// Allow counts a retry if all processes together have room for it. Without
-	// word of the others the window's own bound decides.
+	// Allow reports whether a retry fits the budget of all processes together, and
+	// counts it if so. While nothing is known of the others, the window's own bound
+	// decides.
 	Allow(service string, w *retry.Window) bool
-	// First notes a first try in the window.
+	// First counts a first attempt in the window.
 	First(service string, w *retry.Window)
 }
 
-// Timings of an Exchange; zero fields take the defaults.
+// Timings are the timeouts of an Exchange. Zero fields take the defaults.
 type Timings struct {
-	// Silence is how long a running stream may send nothing before its server
-	// is held lost. A sound engine sends an event each 30 ms, and each 150 ms
-	// while it reads others' prompts.
+	// Silence is how long a started stream may go without an event before a takeover by
+	// another server is attempted. A healthy engine sends an event every 30 ms, and
+	// every 150 ms while it reads other prompts.
 	Silence time.Duration
-	// ProbeAfter is how long a stream waits for its first event before its
-	// server is asked for a sign of life, and again after each answer.
+	// ProbeAfter is how long a stream waits for its first event before its server is
+	// probed, and again after each answered probe.
 	ProbeAfter time.Duration
-	// ProbeTimeout is what that sign may take.
+	// ProbeTimeout bounds a probe.
 	ProbeTimeout time.Duration
-	// WaitForServer is how long a stream waits for a server to turn up.
+	// WaitForServer is how long a stream waits for a server to become available.
 	WaitForServer time.Duration
 }
 
@@ -72,27 +72,27 @@
 )
 
 const (
-	// notRunTries bounds how many servers are tried that prove not to run a
-	// request. It is above the number that a burst fills at the same time.
-	notRunTries = 4
-	// retryAfter is what a caller is told whose request found no place: about
-	// the time in which a lost server is back or a burst's queue moves on.
+	// maxNotRunTries bounds how many servers are tried that prove not to run a request.
+	// It is larger than the number of servers that a burst fills up at the same time.
+	maxNotRunTries = 4
+	// retryAfter is the Retry-After time for a request that found no server: about the
+	// time until a lost server is back or the queues of a burst have shortened.
 	retryAfter = 400 * time.Millisecond
-	// quarantineRetryAfter is told to callers of a request that crashes servers.
+	// quarantineRetryAfter is the Retry-After time for a request that crashes servers.
 	quarantineRetryAfter = 30 * time.Second
-	// leftMargin is kept back from the time that a server is given, so that its
-	// answer still reaches the caller.
-	leftMargin = 20 * time.Millisecond
+	// responseMargin is subtracted from the time that a server is given, so that its
+	// response still reaches the caller.
+	responseMargin = 20 * time.Millisecond
 )
 
-// Exchange carries requests.
+// Exchange forwards requests to backend servers and returns their responses.
 type Exchange struct {
 	opts    Options
 	metrics *metrics
 	budgets sync.Map // service -> *retry.Window
 	paces   sync.Map // service -> *pace
 	probes  prober
-	running running
+	active  activeStreams
 	prompts *promptcache.Locator
 }
 
@@ -103,9 +103,9 @@
 	orDefault(&t.ProbeAfter, DefaultProbeAfter)
 	orDefault(&t.ProbeTimeout, DefaultProbeTimeout)
 	orDefault(&t.WaitForServer, DefaultWaitForServer)
-	e := &Exchange{opts: opts, metrics: newMetrics(opts.Metrics), running: running{streams: map[*onItsWay]struct{}{}}}
-	e.prompts = promptcache.NewLocator(e.askKept)
-	e.probes = prober{exchange: e, running: map[*directory.Server]*question{}}
+	e := &Exchange{opts: opts, metrics: newMetrics(opts.Metrics), active: activeStreams{streams: map[*activeStream]struct{}{}}}
+	e.prompts = promptcache.NewLocator(e.askCached)
+	e.probes = prober{exchange: e, inFlight: map[*directory.Server]*probe{}}
 	return e
 }
 
@@ -123,7 +123,7 @@
 	return w.(*retry.Window)
 }
 
-func (e *Exchange) paceOf(service string) *pace {
+func (e *Exchange) paceFor(service string) *pace {
 	if p, ok := e.paces.Load(service); ok {
 		return p.(*pace)
 	}
@@ -131,7 +131,8 @@
 	return p.(*pace)
 }
 
-// allowRetry takes one more sending out of the service's budget.
+// allowRetry takes one retry out of the service's budget and reports whether it was
+// allowed.
 func (e *Exchange) allowRetry(service string) bool {
 	w := e.budget(service)
 	w.Bound(e.opts.RetryRatio, e.opts.RetryExtra())
@@ -147,8 +148,8 @@
 	return allowed
 }
 
-// begin counts a request and refuses one that is known to crash servers.
-func (e *Exchange) begin(req *Request) *Failure {
+// admit counts a request and refuses one that is known to crash servers.
+func (e *Exchange) admit(req *Request) *Failure {
 	w := e.budget(req.Service)
 	w.First()
 	if e.opts.Lender != nil {
@@ -157,48 +158,47 @@
 	if e.opts.Suspects.Verdict(req.Fingerprint()).State != suspect.Quarantined {
 		return nil
 	}
-	e.metrics.ended(req.Route.Kind.String(), outcomeRefused, EndedByLimit)
+	e.metrics.countEnd(req.Route.Kind.String(), outcomeRefused, EndedByLimit)
 	e.opts.Recorder.Emit(EventQuarantined, event.FieldRequest, req.ID, "route", req.Route.Name, "fingerprint", req.Fingerprint(), event.FieldEndedBy, EndedByLimit)
 	return &Failure{By: EndedByLimit, Err: ErrQuarantined, RetryAfter: quarantineRetryAfter}
 }
 
-// left returns the time that a server may take for an attempt begun now.
-func (r *Request) left(now time.Time) time.Duration {
-	return max(time.Millisecond, r.Until.Sub(now)-leftMargin)
+// timeLeft returns how long a server may take for an attempt started now.
+func (r *Request) timeLeft(now time.Time) time.Duration {
+	return max(time.Millisecond, r.Until.Sub(now)-responseMargin)
 }
 
-// hasTime tells whether an attempt begun now may still be answered in time.
-func (r *Request) hasTime(now time.Time) bool { return r.Until.Sub(now) > leftMargin }
+// hasTime reports whether an attempt started now can still be answered in time.
+func (r *Request) hasTime(now time.Time) bool { return r.Until.Sub(now) > responseMargin }
 
-// failed notes what an attempt's error says about its server.
-func (e *Exchange) failed(s *directory.Server, err error) {
+// recordFailure updates a server's state according to an attempt's error.
+func (e *Exchange) recordFailure(s *directory.Server, err error) {
 	now := time.Now()
 	var notRun *NotRunError
 	switch {
 	case errors.As(err, &notRun) && (notRun.Reason == Misdirected || notRun.Reason == Refused):
-		e.ended(s, err)
+		e.markEnded(s, err)
 	case errors.As(err, &notRun) && notRun.Reason == Unreachable:
-		e.lost(s, err)
+		e.markLost(s, err)
 	case errors.As(err, &notRun):
-		s.Fault(now, busyFault)
+		s.Fault(now, busyFaultWeight)
 	case errors.Is(err, ErrServerLost):
 	default:
 		s.Fault(now, 1)
 	}
 }
 
-// mayHaveCrashed notes that a server broke off while it ran a request. Whether
-// the server died of it shows a moment later: it is asked for a sign of life.
-// A zone that fails as a whole takes many servers at once and says nothing
-// about the requests that they ran.
-func (e *Exchange) mayHaveCrashed(req *Request, s *directory.Server) {
+// checkCrash probes a server that broke off while it ran a request, and blames the
+// request if the server has died. When a zone fails as a whole, many servers are lost
+// at once, which says nothing about the requests that they ran.
+func (e *Exchange) checkCrash(req *Request, s *directory.Server) {
 	go func() {
-		<-e.probes.ask(s).done
+		<-e.probes.start(s).done
 		if !s.IsDown(time.Now()) {
 			return
 		}
-		time.Sleep(crashAlone)
-		if e.opts.Directory.LostBeside(s, time.Now(), crashBeside) > 0 {
+		time.Sleep(crashConfirmDelay)
+		if e.opts.Directory.LostBeside(s, time.Now(), zoneLossWindow) > 0 {
 			return
 		}
 		e.opts.Suspects.Death(s.String(), []types.Fingerprint{req.Fingerprint()})
@@ -207,34 +207,36 @@
 }
 
 const (
-	// crashAlone is how long other losses of the zone are waited for: the time
-	// in which several entry VMs notice and tell theirs.
-	crashAlone = 600 * time.Millisecond
-	// crashBeside is how close in time two losses count as one failure.
-	crashBeside = 2 * time.Second
+	// crashConfirmDelay is how long to wait for other losses in the zone before a
+	// request is blamed: the time in which several entry VMs notice a loss and report
+	// it.
+	crashConfirmDelay = 600 * time.Millisecond
+	// zoneLossWindow is how close in time two losses in a zone count as one failure.
+	zoneLossWindow = 2 * time.Second
 )
 
-// busyFault is the weight of a refusal: a full server is sound, but one that
-// refuses while it has room does so again.
-const busyFault = 0.3
+// busyFaultWeight is the weight of a refusal. A full server is healthy, but one that
+// refuses although it has room will do so again.
+const busyFaultWeight = 0.3
 
-// ended notes that a server's process has ended.
-func (e *Exchange) ended(s *directory.Server, err error) {
+// markEnded records that a server's process has ended.
+func (e *Exchange) markEnded(s *directory.Server, err error) {
 	if s.Dead(time.Now()) {
-		e.opts.Restarts.lookFor(e, s)
+		e.opts.Restarts.watchAddress(e, s)
 		e.opts.Recorder.Emit(EventServerLost, "server", s.Start, "service", s.Service, "zone", s.Zone, "err", err)
 	}
 }
 
-func (e *Exchange) lost(s *directory.Server, err error) {
+// markLost records that a server can't be reached.
+func (e *Exchange) markLost(s *directory.Server, err error) {
 	if s.Lost(time.Now()) {
-		e.opts.Restarts.lookFor(e, s)
+		e.opts.Restarts.watchAddress(e, s)
 		e.opts.Recorder.Emit(EventServerLost, "server", s.Start, "service", s.Service, "zone", s.Zone, "err", err)
 	}
 }
 
-// timedOut tells whether the request's own time ended ctx, not its caller or
-// this process: the caller is still there to be answered.
+// timedOut reports whether ctx ended by the request's own deadline, not because its
+// caller left or this process stops: the caller can still be answered.
 func timedOut(ctx context.Context) bool {
 	return errors.Is(ctx.Err(), context.DeadlineExceeded)
 }
--- a/exchange/fake_test.go
+++ b/exchange/fake_test.go
@@ -19,18 +19,18 @@
 // script is what a fake server does with one attempt.
 type script func(ctx context.Context, a *Attempt) (*Answer, error)
 
-// fakeBackend plays a script a server; servers without one refuse.
+// fakeBackend plays one script per server; servers without one refuse.
 type fakeBackend struct {
 	mu       sync.Mutex
-	scripts  map[string][]script // by server id, used one after the other, the last one again
+	scripts  map[string][]script // by server id, played in order, the last one repeatedly
 	attempts []Attempt
-	probes   map[string]error // by server id; nil: it lives; errMute: no answer
-	born     map[string]int64 // what the process at a server's address tells of its start
+	probes   map[string]error // by server id; nil: alive; errMute: no answer
+	born     map[string]int64 // by server id: start time that the process at its address reports
 	copies   []*directory.Server
 	freed    []string
-	refusals int                             // of the next copies that are asked for
+	refusals int                             // how many of the next copies are refused
 	kept     map[string]promptcache.Contents // by server id
-	asked    []string                        // ids of servers that were asked what they keep
+	asked    []string                        // ids of servers that were asked what they have cached
 }
 
 func (b *fakeBackend) Open(ctx context.Context, a *Attempt) (*Answer, error) {
@@ -78,7 +78,7 @@
 	return &Memory{At: to, Source: from, Handle: "h"}, nil
 }
 
-// copyPlaces returns where copies were asked for, each place once.
+// copyPlaces returns the servers on which copies were requested.
 func (b *fakeBackend) copyPlaces() map[*directory.Server]bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -102,7 +102,7 @@
 	return append([]Attempt(nil), b.attempts...)
 }
 
-// answers returns a plain answer after a while.
+// answers returns a plain response after a delay.
 func answers(status int, body string, after time.Duration) script {
 	return func(ctx context.Context, _ *Attempt) (*Answer, error) {
 		select {
@@ -126,9 +126,9 @@
 	}
 }
 
-// streams sends events from the one after Attempt.After up to last, each gap
-// apart, and then ends as how says: nil for a whole stream, io.EOF's opposite
-// for a break, errMute for silence.
+// streams sends events from the one after Attempt.After up to last, each after the gap,
+// and then ends the stream: complete if how is nil, silent if it is errMute, and broken
+// off with any other error.
 func streams(last int, gap time.Duration, how error) script {
 	return func(ctx context.Context, a *Attempt) (*Answer, error) {
 		from := 0
@@ -162,9 +162,9 @@
 
 var errMute = io.ErrNoProgress
 
-// recordingSink keeps what a caller gets.
+// recordingSink records what a caller gets.
 type recordingSink struct {
-	begun  int
+	heads  int
 	header http.Header
 	ids    []uint64
 	longest,
@@ -174,7 +174,7 @@
 }
 
 func (s *recordingSink) Begin(_ int, header http.Header) error {
-	s.begun++
+	s.heads++
 	s.header = header
 	return nil
 }
@@ -195,8 +195,9 @@
 	return nil
 }
 
-// bed is an Exchange over fake servers: a1, a2 in zone a, b1, b2 in zone b.
-type bed struct {
+// testbed is an Exchange with fake servers: by default a1, a2 in zone a, b1, b2 in zone
+// b.
+type testbed struct {
 	*Exchange
 	backend  *fakeBackend
 	dir      *directory.Directory
@@ -204,8 +205,8 @@
 	recorder *event.Recorder
 }
 
-func newBed(scripts map[string][]script, ids ...string) *bed {
-	b := &bed{backend: &fakeBackend{scripts: scripts, probes: map[string]error{}, born: map[string]int64{}}, dir: directory.New(), recorder: event.Discard()}
+func newTestbed(scripts map[string][]script, ids ...string) *testbed {
+	b := &testbed{backend: &fakeBackend{scripts: scripts, probes: map[string]error{}, born: map[string]int64{}}, dir: directory.New(), recorder: event.Discard()}
 	b.suspects = suspect.New(suspect.Options{Limit: 3, Quarantine: time.Minute, Window: time.Minute})
 	if len(ids) == 0 {
 		ids = []string{"a1", "a2", "b1", "b2"}
--- a/exchange/late_attempt_test.go
+++ b/exchange/late_attempt_test.go
@@ -13,25 +13,25 @@
 )
 
 // Guards against a nil timer when an attempt begins after its request has ended.
-func TestAttemptThatBeginsAfterTheEnd(t *testing.T) {
+func TestAttemptStartedAfterTheRequestEnded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newBed(everywhere(streams(3, time.Millisecond, nil)))
+		b := newTestbed(everywhere(streams(3, time.Millisecond, nil)))
 		ended, cancel := context.WithCancel(t.Context())
 		cancel()
 		s := b.newStream(streamRequest(), &recordingSink{})
 		attempt := s.launch(ended, b.dir.View().Service("s")[0], nil)
 		g.Expect(attempt.end).NotTo(gomega.Panic())
-		g.Expect(attempt.watch.heard).NotTo(gomega.Panic())
+		g.Expect(attempt.watch.eventReceived).NotTo(gomega.Panic())
 	})
 }
 
-// Guards against sending a stream to a server when its time is over.
+// Guards against sending a stream to a server after its deadline.
 func TestStreamWithoutTimeIsRefusedAtOnce(t *testing.T) {
-	for _, left := range []time.Duration{0, time.Millisecond, leftMargin} {
+	for _, left := range []time.Duration{0, time.Millisecond, responseMargin} {
 		synctest.Test(t, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			b := newBed(everywhere(streams(3, time.Millisecond, nil)))
+			b := newTestbed(everywhere(streams(3, time.Millisecond, nil)))
 			req := streamRequest()
 			req.Until = req.Arrived.Add(left)
 			_, err := b.Stream(t.Context(), req, &recordingSink{})
@@ -45,13 +45,13 @@
 	}
 }
 
-// Guards against calls sent to a server when their time is over: one that must not
-// run twice is lost by it.
+// Guards against sending a call to a server after its deadline: one that must not run
+// twice would be lost.
 func TestCallWithoutTimeIsRefusedAtOnce(t *testing.T) {
-	for _, left := range []time.Duration{0, time.Millisecond, leftMargin} {
+	for _, left := range []time.Duration{0, time.Millisecond, responseMargin} {
 		synctest.Test(t, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			b := newBed(everywhere(answers(200, "ok", time.Millisecond)))
+			b := newTestbed(everywhere(answers(200, "ok", time.Millisecond)))
 			req := request(site.AtMostOnce)
 			req.Until = req.Arrived.Add(left)
 			_, err := b.Call(t.Context(), req)
@@ -64,11 +64,11 @@
 	}
 }
 
-// Guards against trials of slow servers by streams that could not be whole at any
+// Guards against trials of slow servers by streams that could not be complete at any
 // speed: such a trial reads a prompt in vain and measures nothing.
 func TestTrialNeedsTimeForTheAnswer(t *testing.T) {
 	trials := func(t *testing.T, left time.Duration) int {
-		b, engines := engineBed(8000)
+		b, engines := newEngineTestbed(8000)
 		arrive(t, b, 8, 10*time.Second)
 		for _, e := range engines {
 			e.set(200)
--- a/exchange/load_test.go
+++ b/exchange/load_test.go
@@ -14,38 +14,38 @@
 	"github.com/pearyard/pearyard/retry"
 )
 
-// got is what a caller got of a stream.
-type got struct {
+// received is what a caller got of a stream.
+type received struct {
 	first, pause time.Duration
 	took         time.Duration
 	events       int
 	err          error
 }
 
-// inTime tells whether the answer is whole, its first event came within the
+// inTime reports whether the response is complete, its first event came within the
 // objective and no pause was longer than the caller allows.
-func (o got) inTime(r *Request, events int) bool {
+func (o received) inTime(r *Request, events int) bool {
 	return o.err == nil && o.events == events && o.first <= r.Route.Objective && o.pause <= r.Route.MaxGap
 }
 
-// play sends streams at set times, named apart from those of other plays, and
-// returns what their callers got.
-func (vm *modelVM) play(t *testing.T, name string, arrivals []time.Duration) []got {
-	outcomes := make([]got, len(arrivals))
+// play sends streams at the given times, with ids that start with name, and returns
+// what their callers got.
+func (vm *modelVM) play(t *testing.T, name string, arrivals []time.Duration) []received {
+	outcomes := make([]received, len(arrivals))
 	var callers sync.WaitGroup
 	for i, at := range arrivals {
 		callers.Go(func() {
 			time.Sleep(at)
 			sink := &recordingSink{start: time.Now()}
 			_, err := vm.Stream(t.Context(), modelRequest(fmt.Sprint(name, i)), sink)
-			outcomes[i] = got{first: sink.first, pause: sink.longest, took: time.Since(sink.start), events: len(sink.ids), err: err}
+			outcomes[i] = received{first: sink.first, pause: sink.longest, took: time.Since(sink.start), events: len(sink.ids), err: err}
 		})
 	}
 	callers.Wait()
 	return outcomes
 }
 
-// every returns times that far apart.
+// every returns count times at intervals of gap.
 func every(gap time.Duration, count int) []time.Duration {
 	var at []time.Duration
 	for i := range count {
@@ -54,10 +54,10 @@
 	return at
 }
 
-// A burst of 48 long prompts comes to 24 idle servers within a second. Each server
-// can read two of them before the second one's first event is late by a second;
-// four on one server, while another has none, would make two callers wait for
-// longer than their objective of 4.5 s with all the tokens that they hold up.
+// A burst of 48 long prompts comes to 24 idle servers within a second. Each server can
+// read two of them before the second one's first event is late by a second. Guards
+// against four on one server while another has none: two callers would wait for longer
+// than their objective of 4.5 s.
 func TestBurstOfLongPromptsIsSpread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
@@ -68,16 +68,16 @@
 			g.Expect(o.inTime(modelRequest(""), 130)).To(gomega.BeTrue(), "caller %d: %+v", i, o)
 		}
 		for id, e := range engines.engines {
-			g.Expect(e.begun).To(gomega.BeNumerically("<=", 3), id)
+			g.Expect(e.started).To(gomega.BeNumerically("<=", 3), id)
 		}
 	})
 }
 
 // A zone of six servers is lost every 6.5 s for 1.2 s while six streams a second
-// come, as many as 24 servers bear. A quarter of what runs is struck each time. What
-// has a copy goes on within the pause that callers allow; what has no event yet
-// begins anew within its objective. Only a stream whose first event came so shortly
-// before the loss that its copy was not there yet may be late.
+// arrive, as many as 24 servers can serve. Each loss hits a quarter of the running
+// streams. Those with a copy resume within the pause that callers allow; those without
+// an event start again within their objective. Only a stream whose first event came so
+// shortly before the loss that its copy was not ready may be late.
 func TestZoneLostEverySixSeconds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
@@ -89,9 +89,9 @@
 		go func() {
 			for _, zone := range zones {
 				time.Sleep(gap - down)
-				engines.strike(zone, (*modelEngine).crash)
+				engines.forZone(zone, (*modelEngine).crash)
 				time.Sleep(down)
-				engines.strike(zone, (*modelEngine).revive)
+				engines.forZone(zone, (*modelEngine).revive)
 				vm.readList(engines, ids)
 			}
 		}()
@@ -112,7 +112,7 @@
 	})
 }
 
-func (b *modelBackend) strike(zone string, how func(*modelEngine)) {
+func (b *modelBackend) forZone(zone string, how func(*modelEngine)) {
 	for id, e := range b.engines {
 		if strings.HasPrefix(id, zone) {
 			how(e)
@@ -120,18 +120,18 @@
 	}
 }
 
-// tellLoads has a VM tell another one its load, as often as VMs do.
-func tellLoads(ctx context.Context, from, to *modelVM) {
+// reportLoads reports one VM's load to another, as often as VMs do.
+func reportLoads(ctx context.Context, from, to *modelVM) {
 	for retry.Wait(ctx, 20*time.Millisecond) == nil {
 		to.dir.Others("other", from.dir.Own())
 	}
 }
 
-// Servers are few, and each prompt that comes holds up the streams that run there: a
-// draft of 6 s takes 9. A VM is stopped just after six of these have begun, and what
-// has not ended after a grace of 7.7 s is cut in the middle. The other VM's prompts keep
-// away from their servers, and they end in time.
-func TestPromptsKeepAwayFromStreamsOfAStoppingVM(t *testing.T) {
+// Servers are few, and each new prompt delays the streams that run there: a stream of 6
+// s takes 9. A VM is stopped just after six streams have started, and what has not
+// ended after a grace period of 7.7 s is cut off. The other VM must keep its prompts
+// away from their servers, so that they end in time.
+func TestPromptsAvoidServersWithStreamsOfAStoppingVM(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -140,8 +140,8 @@
 		engines := newModelBackend(ctx, ids, evenSpeed)
 		engines.length = func(string) int { return 170 }
 		stopping, serving := newModelVM(engines, ids), newModelVM(engines, ids)
-		go tellLoads(ctx, stopping, serving)
-		go tellLoads(ctx, serving, stopping)
+		go reportLoads(ctx, stopping, serving)
+		go reportLoads(ctx, serving, stopping)
 		var others sync.WaitGroup
 		others.Go(func() { serving.play(t, "other", every(200*time.Millisecond, 40)) })
 		go func() {
@@ -151,16 +151,16 @@
 		const grace = 7700 * time.Millisecond
 		for i, o := range stopping.play(t, "draft", every(170*time.Millisecond, 6)) {
 			g.Expect(o.err).NotTo(gomega.HaveOccurred())
-			g.Expect(time.Duration(i)*170*time.Millisecond+o.took).To(gomega.BeNumerically("<", 1100*time.Millisecond+grace), "draft %d", i)
+			g.Expect(time.Duration(i)*170*time.Millisecond+o.took).To(gomega.BeNumerically("<", 1100*time.Millisecond+grace), "stream %d", i)
 		}
 		others.Wait()
 	})
 }
 
-// A draft runs in zone a, its copy lies in b. Zone b is lost, the copy is replaced by a
-// call. Four seconds later zone a is lost while each server left reads a long
-// prompt. The copy had grown old: what came after it had to be read behind these
-// prompts, and the caller got nothing for over a second.
+// A stream runs in zone a with its copy in zone b. Zone b is lost, and the copy is
+// replaced by Backend.Copy. Four seconds later zone a is lost while each remaining
+// server reads a long prompt. Guards against an outdated copy: what it lacked had to be
+// read behind these prompts, and the caller got nothing for over a second.
 func TestReplacedCopyIsUpToDateWhenItIsNeeded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
@@ -173,29 +173,29 @@
 		var others sync.WaitGroup
 		go func() {
 			time.Sleep(2 * time.Second)
-			engines.strike("b", (*modelEngine).crash)
-			vm.dir.View().Service("s")[1].Lost(time.Now()) // another VM tells
+			engines.forZone("b", (*modelEngine).crash)
+			vm.dir.View().Service("s")[1].Lost(time.Now()) // reported by another VM
 			time.Sleep(3400 * time.Millisecond)
 			others.Go(func() { another.play(t, "prompt", every(time.Millisecond, 2)) })
 			time.Sleep(300 * time.Millisecond)
-			engines.strike("a", (*modelEngine).crash)
+			engines.forZone("a", (*modelEngine).crash)
 		}()
 		for _, s := range vm.dir.View().Service("s") {
-			// The draft begins in zone a and has its copy in zone b.
+			// The stream starts in zone a and has its copy in zone b.
 			defer s.StreamBegun(map[string]int{"b1": 1000, "c2": 4000}[s.ID]).End()
 		}
-		draft := vm.play(t, "draft", []time.Duration{0})[0]
-		g.Expect(draft.err).NotTo(gomega.HaveOccurred())
-		g.Expect(draft.events).To(gomega.Equal(180))
-		g.Expect(draft.pause).To(gomega.BeNumerically("<=", 700*time.Millisecond))
+		outcome := vm.play(t, "draft", []time.Duration{0})[0]
+		g.Expect(outcome.err).NotTo(gomega.HaveOccurred())
+		g.Expect(outcome.events).To(gomega.Equal(180))
+		g.Expect(outcome.pause).To(gomega.BeNumerically("<=", 700*time.Millisecond))
 		others.Wait()
 	})
 }
 
-// A third of the servers is slower by 1.6 and a third by 2.2, and nobody tells. Four
-// long prompts a second come, a quarter of what these servers read. Each caller's
-// first event comes within the objective and no pause is longer than allowed: what a
-// slow server has not read yet counts against it.
+// A third of the servers is slower by a factor of 1.6 and a third by 2.2, which no list
+// says. Four long prompts a second arrive, a quarter of what these servers read. Each
+// caller's first event must come within the objective and no pause may be longer than
+// allowed: what a slow server has not read yet counts against it.
 func TestServersOfUnevenSpeed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
@@ -205,10 +205,10 @@
 		for i, o := range vm.play(t, "s", every(250*time.Millisecond, 80)) {
 			g.Expect(o.inTime(modelRequest(""), 130)).To(gomega.BeTrue(), "caller %d: %+v", i, o)
 		}
-		begun := map[float64]int{}
+		started := map[float64]int{}
 		for _, e := range engines.engines {
-			begun[e.slowness] += e.begun
+			started[e.slowness] += e.started
 		}
-		g.Expect(begun[2.2]).To(gomega.BeNumerically("<", begun[1]))
+		g.Expect(started[2.2]).To(gomega.BeNumerically("<", started[1]))
 	})
 }
--- a/exchange/kept_test.go
+++ b/exchange/locate_test.go
@@ -14,22 +14,22 @@
 	"github.com/pearyard/pearyard/promptcache"
 )
 
-// Drafts are under way when all entry VMs are killed. Their callers come back a
-// moment after the VMs do, each for the rest of its draft. The VMs know nothing of
-// before and send each draft to any server, which reads the prompt of 8,000 tokens
-// again: a second without a token for the caller, and for those whose prompts wait
-// behind. The servers that had read them keep them.
-func TestCallersThatComeBackGoOnWhereTheirPromptIsKept(t *testing.T) {
+// All entry VMs are killed while streams run. Their callers come back a moment after
+// the VMs do, each for the rest of its stream. Guards against sending the streams to
+// any server, since the new VMs know nothing of before: each prompt of 8,000 tokens is
+// read again, a second without a token for the caller and for those whose prompts are
+// queued behind. The servers that had read the prompts have them cached.
+func TestReturningCallersResumeWhereTheirPromptIsCached(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		ids := modelServers(24)
 		engines := newModelBackend(t.Context(), ids, evenSpeed)
-		const drafts = 30
+		const streamCount = 30
 		killed, kill := context.WithCancel(t.Context())
 		before := newModelVM(engines, ids)
-		reached := make([]uint64, drafts)
+		reached := make([]uint64, streamCount)
 		var vm sync.WaitGroup
-		for i := range drafts {
+		for i := range streamCount {
 			vm.Go(func() {
 				time.Sleep(time.Duration(i) * 100 * time.Millisecond)
 				sink := &recordingSink{start: time.Now()}
@@ -48,9 +48,9 @@
 		returned, inTime := 0, 0
 		var mu sync.Mutex
 		var callers sync.WaitGroup
-		for i := range drafts {
+		for i := range streamCount {
 			if reached[i] == 0 {
-				continue // it got nothing: it comes back as if it were new
+				continue // it got nothing: its request looks new
 			}
 			returned++
 			callers.Go(func() {
@@ -69,20 +69,20 @@
 			})
 		}
 		callers.Wait()
-		g.Expect(returned).To(gomega.BeNumerically(">", drafts/2))
-		g.Expect(inTime).To(gomega.Equal(returned), "goes on within the pause that callers allow")
+		g.Expect(returned).To(gomega.BeNumerically(">", streamCount/2))
+		g.Expect(inTime).To(gomega.Equal(returned), "resumes within the pause that callers allow")
 		again := engines.tokensRead() - readBefore
 		g.Expect(again).To(gomega.BeNumerically("<", returned*8000/5), "prompt tokens read again")
 	})
 }
 
-// The server that keeps a caller's prompt is lost meanwhile, and one that keeps a
-// part of it is so busy that another reads the prompt sooner. Knowing where it is
-// kept must not hold the stream there.
-func TestKeptPromptIsNoReasonToWait(t *testing.T) {
+// Of the servers that have the prompt cached, one is lost and the other so busy that
+// another one reads the prompt sooner. Knowing where the prompt is cached must not hold
+// the stream there.
+func TestCachedPromptDoesNotHoldAStreamAtABusyServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newBed(everywhere(streams(3, time.Millisecond, nil)))
+		b := newTestbed(everywhere(streams(3, time.Millisecond, nil)))
 		b.backend.kept = map[string]promptcache.Contents{"a1": {"p": 8000}, "b1": {"p": 8000}}
 		server := func(id string) int {
 			for i, s := range b.dir.View().Service("s") {
@@ -104,12 +104,12 @@
 	})
 }
 
-// A new prompt is kept nowhere: asking all servers for each would cost more than
-// it tells.
+// A new prompt is cached nowhere: querying all servers for each would cost more than it
+// gains.
 func TestServersAreNotAskedForNewPrompts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newBed(everywhere(streams(3, time.Millisecond, nil)))
+		b := newTestbed(everywhere(streams(3, time.Millisecond, nil)))
 		req := streamRequest()
 		req.Prompt = []promptcache.Part{{ID: "p", Tokens: 8000}}
 		_, err := b.Stream(t.Context(), req, &recordingSink{})
@@ -118,11 +118,11 @@
 	})
 }
 
-// A VM's connections are reset, those of its callers and those to its servers. The
-// caller comes back for the rest of its stream; its prompt lies at the server whose
-// connection broke. That fault must not send it where the prompt has to be read. A
-// server that breaks off again and again gets it only if there is no other.
-func TestBrokenConnectionIsNoReasonToReadThePromptAgain(t *testing.T) {
+// A VM's connections to its callers and servers are reset. The caller comes back for
+// the rest of its stream, whose prompt is cached on the server whose connection broke.
+// That one fault must not send the stream where the prompt has to be read. A server
+// that breaks off again and again is used only if there is no other.
+func TestOneBrokenConnectionDoesNotMakeThePromptBeReadAgain(t *testing.T) {
 	for name, c := range map[string]struct {
 		faults float64
 		want   string
@@ -133,7 +133,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := gomega.NewWithT(t)
-				b := newBed(everywhere(streams(3, time.Millisecond, nil)), "a1", "a2")
+				b := newTestbed(everywhere(streams(3, time.Millisecond, nil)), "a1", "a2")
 				b.backend.kept = map[string]promptcache.Contents{"a1": {"p": 4480}}
 				b.dir.View().Service("s")[0].Fault(time.Now(), c.faults)
 				req := streamRequest()
--- a/exchange/concluded.go
+++ b/exchange/outcome.go
@@ -19,53 +19,54 @@
 	outcomeRefused    outcome = "refused"     // not run, and its caller was told so
 	outcomeFailed     outcome = "failed"      // it may have run
 	outcomeCallerLeft outcome = "caller_left" // the caller closed its connection
-	outcomeCallerLost outcome = "caller_lost" // its connection was reset or went dead
-	outcomeCut        outcome = "cut"         // by this process's stop
-	outcomeTurnedAway outcome = "turned_away" // by its content alone
+	outcomeCallerLost outcome = "caller_lost" // its connection was reset or timed out
+	outcomeCut        outcome = "cut"         // cut off by this process's stop
+	outcomeTurnedAway outcome = "turned_away" // invalid in itself, or without a route
 )
 
-// noKind counts requests that have no route.
+// noKind is the kind of requests that have no route.
 const noKind = "none"
 
-func (m *metrics) ended(kind string, what outcome, by EndedBy) {
-	m.requests.WithLabelValues(kind, string(what), string(by)).Inc()
+func (m *metrics) countEnd(kind string, result outcome, by EndedBy) {
+	m.requests.WithLabelValues(kind, string(result), string(by)).Inc()
 }
 
-// Refused counts a request that was refused before it was handed on; route is
-// nil if it isn't known yet.
+// Refused counts a request that was refused before it was forwarded; route is nil if it
+// isn't known yet.
 func (e *Exchange) Refused(route *site.Route, by EndedBy) {
 	kind := noKind
 	if route != nil {
 		kind = route.Kind.String()
 	}
-	e.metrics.ended(kind, outcomeRefused, by)
+	e.metrics.countEnd(kind, outcomeRefused, by)
 }
 
-// TurnedAway counts a request that is wrong in itself, or has no route.
-func (e *Exchange) TurnedAway(by EndedBy) { e.metrics.ended(noKind, outcomeTurnedAway, by) }
+// TurnedAway counts a request that is invalid in itself, or has no route.
+func (e *Exchange) TurnedAway(by EndedBy) { e.metrics.countEnd(noKind, outcomeTurnedAway, by) }
 
-// concluded logs and counts how a request ended, with the configuration that
-// routed it and the list of servers known now.
-func (e *Exchange) concluded(req *Request, status int, err error, more func() []any) {
+// conclude logs and counts how a request ended, with the version of the configuration
+// that routed it and the position of the list of servers known now.
+func (e *Exchange) conclude(req *Request, status int, err error, more func() []any) {
 	took := time.Since(req.Arrived)
 	kind := req.Route.Kind.String()
 	line := append([]any{event.FieldRequest, req.ID, "route", req.Route.Name, "kind", kind, "service", req.Service,
 		"organisation", req.Organisation, "version", req.Version, "list", e.opts.Directory.View().Position, "took", took}, more()...)
-	by, what, kindOfEvent := conclusion(status, err)
-	e.metrics.ended(kind, what, by)
-	if what == outcomeServed {
+	by, result, eventKind := classify(status, err)
+	e.metrics.countEnd(kind, result, by)
+	if result == outcomeServed {
 		e.metrics.duration.WithLabelValues(kind).Observe(took.Seconds())
 	}
 	line = append(line, event.FieldEndedBy, by)
 	if err != nil {
 		line = append(line, "err", err)
 	}
-	e.opts.Recorder.Emit(kindOfEvent, line...)
+	e.opts.Recorder.Emit(eventKind, line...)
 }
 
-// conclusion translates a request's error; without one it got its whole answer,
-// which may be a backend server's own failure.
-func conclusion(status int, err error) (EndedBy, outcome, event.Kind) {
+// classify derives from a request's error which side ended it, its outcome and its
+// event. Without an error the request got its complete response, which may be a backend
+// server's own error.
+func classify(status int, err error) (EndedBy, outcome, event.Kind) {
 	var failure *Failure
 	var end *End
 	switch {
--- a/exchange/pauses.go
+++ b/exchange/pauses.go
@@ -7,67 +7,68 @@
 )
 
 const (
-	// shortPause is what an event takes beside no prompt, with room to spare;
-	// pauses up to it say nothing about what a prompt costs.
-	shortPause = 80 * time.Millisecond
-	// pausesKept is how many long pauses are remembered: those of about five
-	// streams, each of which is held up by one or two prompts.
-	pausesKept = 32
-	// pausesNeeded is how many make a measure. The first few tell too little: a
-	// prompt that begins in the middle of an event lengthens it by a part only.
-	pausesNeeded = 8
-	// usualShare of the pauses kept are no longer than the usual one. The rest may
-	// be of a standstill of this VM.
-	usualShare = 0.9
-	// silenceFactor is how much longer than the usual pause a silence may last.
-	// Engines that read 8,000 tokens a second pause for 200 ms at most: the usual
-	// bound of 350 ms stands there.
+	// minPause is what an event takes while the server reads no prompt, with a margin;
+	// shorter pauses say nothing about what a prompt costs.
+	minPause = 80 * time.Millisecond
+	// pauseSamples is how many long pauses are kept: those of about five streams, each
+	// of which is delayed by one or two prompts.
+	pauseSamples = 32
+	// minPauseSamples is how many make a measurement. The first few tell too little: a
+	// prompt that starts in the middle of an event delays it by a part only.
+	minPauseSamples = 8
+	// usualQuantile of the samples are no longer than the usual pause. The rest may be
+	// due to a freeze of this VM.
+	usualQuantile = 0.9
+	// silenceFactor is how much longer than the usual pause a silence may last. Engines
+	// that read 8,000 tokens a second pause for 200 ms at most: the default bound of
+	// 350 ms applies to them.
 	silenceFactor = 1.5
-	// unknownFactor of the usual bound is what a silence may last beside a prompt
-	// while nothing has been measured. Engines that read 2,000 tokens a second
-	// pause for 730 ms: at twice the bound each was cut just before its end.
-	unknownFactor = 3
-	// maxSilence is the longest silence that is borne. Callers give a stream up
-	// after two seconds at least.
+	// unmeasuredFactor times the default bound is what a silence may last during a
+	// prompt while nothing has been measured. Engines that read 2,000 tokens a second
+	// pause for 730 ms: at twice the bound each was cut off just before the end of its
+	// pause.
+	unmeasuredFactor = 3
+	// maxSilence is the longest silence that is tolerated. Callers give up on a stream
+	// after two seconds at the earliest.
 	maxSilence = 1800 * time.Millisecond
 )
 
-// pauses learns how long the sound engines of a service pause between events
-// while they read prompts. It takes no lock: every stream writes to it.
+// pauses measures how long the healthy engines of a service pause between events while
+// they read prompts. It takes no lock, since every stream writes to it.
 //
 // Healthy servers that are slow pause for long; they must not be mistaken for failed
-// ones, since each takeover makes others read the prompt again.
+// ones, since each takeover makes another server read the prompt again.
 type pauses struct {
-	kept  [pausesKept]atomic.Int64 // nanoseconds, the oldest replaced first
-	count atomic.Uint64
-	usual atomic.Int64 // nanoseconds; 0: not measured
+	samples [pauseSamples]atomic.Int64 // nanoseconds, the oldest replaced first
+	count   atomic.Uint64
+	usual   atomic.Int64 // nanoseconds; 0: not measured
 }
 
-// seen notes a pause after which the stream went on.
-func (p *pauses) seen(pause time.Duration) {
-	if pause < shortPause {
+// observe records a pause after which the stream continued.
+func (p *pauses) observe(pause time.Duration) {
+	if pause < minPause {
 		return
 	}
 	n := p.count.Add(1)
-	p.kept[(n-1)%pausesKept].Store(int64(pause))
-	if n < pausesNeeded {
+	p.samples[(n-1)%pauseSamples].Store(int64(pause))
+	if n < minPauseSamples {
 		return
 	}
 	var sorted []int64
-	for i := range min(n, pausesKept) {
-		sorted = append(sorted, p.kept[i].Load())
+	for i := range min(n, pauseSamples) {
+		sorted = append(sorted, p.samples[i].Load())
 	}
 	slices.Sort(sorted)
-	p.usual.Store(sorted[int(usualShare*float64(len(sorted)-1))])
+	p.usual.Store(sorted[int(usualQuantile*float64(len(sorted)-1))])
 }
 
-// bound returns how long a stream of a server that gives signs of life may be
-// silent: least, or more if pauses are longer than usual there, or unknown and the
-// server reads a prompt. slowness is the server's, beside the median one.
+// bound returns how long a stream of a server that answers probes may be silent: least,
+// or more if the usual pauses there are longer, or not measured yet and the server
+// reads a prompt. slowness is the server's, relative to the median one.
 func (p *pauses) bound(least time.Duration, reads bool, slowness float64) time.Duration {
 	usual := p.usual.Load()
 	if usual == 0 && reads {
-		return unknownFactor * least
+		return unmeasuredFactor * least
 	}
 	return max(least, min(time.Duration(silenceFactor*slowness*float64(usual)), maxSilence))
 }
--- a/exchange/pauses_test.go
+++ b/exchange/pauses_test.go
@@ -12,7 +12,7 @@
 	"github.com/onsi/gomega"
 )
 
-// paced sends events whose pauses repeat in turn, and then ends the stream whole.
+// paced sends events after the given pauses in turn, and then completes the stream.
 func paced(last int, pauses ...time.Duration) script {
 	return func(ctx context.Context, a *Attempt) (*Answer, error) {
 		from, _ := strconv.Atoi(a.After)
@@ -33,17 +33,17 @@
 	}
 }
 
-// Engines read prompts at half the usual speed, so events beside a prompt come
-// 375 ms apart. Each of these pauses was taken for the loss of the engine: the
-// prompt was read again elsewhere, which held up the streams there in turn, and
-// nearly no draft was whole before its deadline. All engines were sound.
+// Engines read prompts at half the usual speed, so that events come 375 ms apart during
+// a prompt. Guards against taking each of these pauses for the loss of a healthy
+// engine: the prompt was read again elsewhere, which delayed the streams there in turn,
+// and hardly any stream was complete before its deadline.
 func TestEnginesThatPauseLongerAreNotTakenForLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newBed(everywhere(paced(60, beat, 120*time.Millisecond, 250*time.Millisecond, 300*time.Millisecond)))
+		b := newTestbed(everywhere(paced(60, eventInterval, 120*time.Millisecond, 250*time.Millisecond, 300*time.Millisecond)))
 		_, err := runStream(t, b, streamRequest())
 		g.Expect(err).NotTo(gomega.HaveOccurred())
-		slow := paced(40, beat, 375*time.Millisecond)
+		slow := paced(40, eventInterval, 375*time.Millisecond)
 		for id := range b.backend.scripts {
 			b.backend.scripts[id] = []script{slow}
 		}
@@ -55,12 +55,13 @@
 	})
 }
 
-// A process has just started and knows no pauses. Beside a prompt a sound engine
-// is given twice the usual time; without one its silence is a loss as ever.
-func TestUnknownPausesBesideAPromptAreBorne(t *testing.T) {
+// A process that has just started has measured no pauses. During a prompt a healthy
+// engine gets unmeasuredFactor times the default bound; without one its silence counts
+// as a loss as usual.
+func TestUnmeasuredPausesDuringAPromptAreTolerated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newBed(everywhere(paced(40, beat, 380*time.Millisecond)))
+		b := newTestbed(everywhere(paced(40, eventInterval, 380*time.Millisecond)))
 		for _, s := range b.dir.View().Service("s") {
 			s.StreamBegun(8000)
 		}
@@ -71,13 +72,13 @@
 	})
 }
 
-// The same, but from the start on every pause beside a prompt is longer than the
-// bound of silence: a pause that ends never shows. The attempts that were given
-// up while their engines gave signs of life have to tell.
+// As above, but from the start every pause during a prompt is longer than the bound of
+// silence, so that none is seen to end. They must be learned from the attempts that
+// were given up while their engines answered probes.
 func TestPausesBeyondTheBoundAreLearnedFromAttemptsGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newBed(everywhere(paced(40, beat, 700*time.Millisecond)))
+		b := newTestbed(everywhere(paced(40, eventInterval, 700*time.Millisecond)))
 		for range 12 {
 			_, _ = runStream(t, b, streamRequest())
 			time.Sleep(20 * time.Second)
@@ -90,18 +91,18 @@
 	})
 }
 
-// Engines pause long, and one is lost in the middle of a draft: its process has
-// ended, or its VM lost power and nothing answers there. That engines are slow is
-// no reason to wait for it: it gives no sign of life, and the stream goes on
-// elsewhere within the pause that is allowed.
+// Engines pause for long, and one is lost in the middle of a stream: its process has
+// ended, or its VM lost power and nothing answers there. The engine answers no probe,
+// so the stream must resume elsewhere within the allowed pause although engines are
+// slow.
 func TestLossOfASlowEngineIsNoticedInTime(t *testing.T) {
 	ended := &NotRunError{Reason: Unreachable, Err: io.ErrClosedPipe}
 	for answer, within := range map[error]time.Duration{ended: 450 * time.Millisecond, errMute: 500 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			b := newBed(firstOf(streams(50, beat, errMute), streams(130, beat, nil)))
-			for range pausesNeeded {
-				b.paceOf("s").seen(700 * time.Millisecond)
+			b := newTestbed(inOrder(streams(50, eventInterval, errMute), streams(130, eventInterval, nil)))
+			for range minPauseSamples {
+				b.paceFor("s").observePause(700 * time.Millisecond)
 			}
 			for id := range b.backend.scripts {
 				b.backend.probes[id] = answer
@@ -114,36 +115,36 @@
 	}
 }
 
-// Where engines pause no longer than they do in general, a stream that falls
-// silent is given up as soon as ever, though its engine lives.
-func TestUsualPausesLeaveTheBoundOfSilence(t *testing.T) {
+// Where engines pause no longer than usual, a silent stream is taken over as soon as
+// ever, though its engine is alive.
+func TestUsualPausesKeepTheDefaultBoundOfSilence(t *testing.T) {
 	p := &pauses{}
 	for range 1000 {
-		p.seen(200 * time.Millisecond)
+		p.observe(200 * time.Millisecond)
 	}
 	gomega.NewWithT(t).Expect(p.bound(DefaultSilence, true, 1)).To(gomega.Equal(DefaultSilence))
 }
 
-// This VM is frozen for seconds, and every stream seems to have paused so long.
-// These few pauses don't change what is held usual.
-func TestOwnStandstillIsNoPauseOfTheEngines(t *testing.T) {
+// This VM freezes for seconds, and every stream seems to have paused for so long. These
+// few pauses must not change the usual one.
+func TestFreezeOfThisVMIsNotCountedAsPauses(t *testing.T) {
 	p := &pauses{}
-	for range pausesKept {
-		p.seen(200 * time.Millisecond)
+	for range pauseSamples {
+		p.observe(200 * time.Millisecond)
 	}
 	for range 3 {
-		p.seen(5 * time.Second)
+		p.observe(5 * time.Second)
 	}
 	gomega.NewWithT(t).Expect(p.bound(DefaultSilence, true, 1)).To(gomega.Equal(DefaultSilence))
 }
 
-// Guards against streams of a slow server that are taken for lost: its pauses beside a
-// prompt are as much longer as it reads more slowly.
-func TestPausesOfASlowServerAreBorne(t *testing.T) {
+// Guards against taking streams of a slow server for lost: its pauses during a prompt
+// are longer by the factor by which it reads more slowly.
+func TestPausesOfASlowServerAreTolerated(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var p pauses
-	for range pausesKept {
-		p.seen(300 * time.Millisecond)
+	for range pauseSamples {
+		p.observe(300 * time.Millisecond)
 	}
 	usual := p.bound(DefaultSilence, true, 1)
 	g.Expect(p.bound(DefaultSilence, true, 2.2)).To(gomega.BeNumerically("~", 22*usual/10, time.Millisecond))
--- a/exchange/plain.go
+++ b/exchange/plain.go
@@ -15,61 +15,61 @@
 )
 
 const (
-	// wholeBody is the largest answer that is read to its end before the caller
-	// gets any of it: until then a broken answer can be asked for again.
-	wholeBody = 256 << 10
-	// hedgeShare of its objective is how long an idempotent request waits for
-	// an answer before a second server is asked too. Calls take a fifth of the
-	// objective in the mean; the second answer then still comes within it.
-	hedgeShare = 0.5
+	// maxBufferedBody bounds the responses that are read completely before the caller
+	// gets any of them: until then a broken response can be requested again.
+	maxBufferedBody = 256 << 10
+	// hedgeFraction of its objective is how long an idempotent request waits for a
+	// response before a second server is asked as well. Calls take a fifth of the
+	// objective on average, so the second response still arrives within it.
+	hedgeFraction = 0.5
 )
 
-// Reply is the answer to a plain request.
+// Reply is the response to a plain request.
 type Reply struct {
 	Status int
 	Header http.Header
 	Body   []byte
-	// Rest is what follows Body in an answer too large to be held; nil
-	// otherwise. If it fails, the caller's answer must be cut off.
+	// Rest is what follows Body in a response too large to be held in memory; nil
+	// otherwise. If reading it fails, the response to the caller must be cut off.
 	Rest Body
 
-	server *directory.Server // whose answer it is
+	server *directory.Server // that sent the response
 }
 
-// result is what came of one attempt.
+// result is the outcome of one attempt.
 type result struct {
 	server *directory.Server
 	reply  *Reply
 	err    error
 }
 
-// call is a plain request on its way.
+// call is a plain request in progress.
 type call struct {
-	e       *Exchange
-	req     *Request
-	cancel  map[directory.Start]context.CancelFunc // of attempts
-	results chan result
-	tried   map[directory.Start]bool
-	pending int
-	sent    int // attempts that may have run
-	refused int // attempts proved not to have run
-	last    error
-	newest  *directory.Server // that was sent to, or whose result came, last
-	failing *Reply            // a server's own failure, passed on if nothing better comes
+	e          *Exchange
+	req        *Request
+	cancel     map[directory.Start]context.CancelFunc // of the attempts by server
+	results    chan result
+	tried      map[directory.Start]bool
+	pending    int
+	sent       int // attempts that may have run
+	refused    int // attempts that provably did not run
+	last       error
+	lastServer *directory.Server // server of the newest attempt or result
+	errorReply *Reply            // a server's own error response, forwarded if no better one arrives
 }
 
-// Call serves a plain request. The error is a *Failure, or that of ctx when the
-// caller has left.
+// Call serves a plain request. The error is a *Failure, or an *End if the caller has
+// left.
 func (e *Exchange) Call(ctx context.Context, req *Request) (*Reply, error) {
-	if f := e.begin(req); f != nil {
+	if f := e.admit(req); f != nil {
 		return nil, f
 	}
-	within, cancel := req.within(ctx)
-	c := &call{e: e, req: req, cancel: map[directory.Start]context.CancelFunc{}, results: make(chan result, notRunTries+req.Route.Attempts()+1), tried: map[directory.Start]bool{}}
+	within, cancel := req.withDeadline(ctx)
+	c := &call{e: e, req: req, cancel: map[directory.Start]context.CancelFunc{}, results: make(chan result, maxNotRunTries+req.Route.Attempts()+1), tried: map[directory.Start]bool{}}
 	reply, err := c.run(within)
-	c.endLosers(reply)
+	c.cancelLosers(reply)
 	if reply != nil && reply.Rest != nil {
-		reply.Rest = &rest{Body: reply.Rest, call: c, status: reply.Status, ctx: within, cancel: cancel}
+		reply.Rest = &trackedRest{Body: reply.Rest, call: c, status: reply.Status, ctx: within, cancel: cancel}
 		return reply, nil
 	}
 	cancel()
@@ -82,20 +82,20 @@
 }
 
 func (c *call) conclude(status int, err error) {
-	c.e.concluded(c.req, status, err, func() []any { return c.summary(status) })
+	c.e.conclude(c.req, status, err, func() []any { return c.summary(status) })
 }
 
 func (c *call) summary(status int) []any {
-	fields := []any{"sent", c.sent, "pending", c.pending, "refused", c.refused, "server", idOf(c.newest), "last", c.last}
+	fields := []any{"sent", c.sent, "pending", c.pending, "refused", c.refused, "server", serverName(c.lastServer), "last", c.last}
 	if status != 0 {
 		fields = append(fields, "status", status)
 	}
 	return fields
 }
 
-// endLosers stops the attempts that lost; the winner's context must live on
-// while a rest of its answer is read.
-func (c *call) endLosers(reply *Reply) {
+// cancelLosers stops the attempts that lost. The winner's context must live on while
+// the rest of its response is read.
+func (c *call) cancelLosers(reply *Reply) {
 	for server, cancel := range c.cancel {
 		if reply == nil || reply.Rest == nil || server != reply.server.Start {
 			cancel()
@@ -110,61 +110,62 @@
 	if !c.launch(ctx) {
 		return nil, c.refusal(ErrNoServer)
 	}
-	hedge := c.hedge()
+	hedge := c.hedgeTimer()
 	defer hedge.Stop()
 	for {
 		select {
 		case r := <-c.results:
 			if r.err != nil && ctx.Err() != nil {
-				// What ended the request broke the attempt too: no fault of its server.
-				return c.ended(ctx)
+				// The end of the request broke the attempt as well: no fault of its
+				// server.
+				return c.interrupted(ctx)
 			}
 			c.pending--
-			if reply := c.take(r); reply != nil {
+			if reply := c.handleResult(r); reply != nil {
 				return reply, nil
 			}
-			if c.mayTry() && c.launchAgain(ctx, r) {
+			if c.mayTry() && c.relaunch(ctx, r) {
 				continue
 			}
 			if c.pending == 0 {
-				return c.remainder()
+				return c.fallback()
 			}
 		case <-hedge.C:
 			if c.mayTry() && c.pending > 0 && c.e.allowRetry(c.req.Service) {
 				c.launch(ctx)
 			}
 		case <-ctx.Done():
-			return c.ended(ctx)
+			return c.interrupted(ctx)
 		}
 	}
 }
 
-// remainder returns what is left when every attempt has ended.
-func (c *call) remainder() (*Reply, error) {
-	if c.failing != nil {
-		return c.failing, nil
+// fallback returns the outcome when all attempts have ended.
+func (c *call) fallback() (*Reply, error) {
+	if c.errorReply != nil {
+		return c.errorReply, nil
 	}
 	return nil, c.refusal(c.last)
 }
 
-func (c *call) hedge() *time.Timer {
+func (c *call) hedgeTimer() *time.Timer {
 	objective := c.req.Route.Objective
 	if c.req.Route.Kind != site.Idempotent || c.req.Route.Attempts() < 2 || objective <= 0 {
 		t := time.NewTimer(time.Hour)
 		t.Stop()
 		return t
 	}
-	return time.NewTimer(time.Duration(hedgeShare * float64(objective)))
+	return time.NewTimer(time.Duration(hedgeFraction * float64(objective)))
 }
 
-// mayTry tells whether the request may be sent to one more server: those that
-// proved not to have run it don't count against its attempts.
+// mayTry reports whether the request may be sent to one more server. Servers that
+// provably did not run it don't count against its attempts.
 func (c *call) mayTry() bool {
-	return c.sent+c.pending < c.req.Route.Attempts() && c.refused < notRunTries && c.req.hasTime(time.Now())
+	return c.sent+c.pending < c.req.Route.Attempts() && c.refused < maxNotRunTries && c.req.hasTime(time.Now())
 }
 
-// launchAgain sends the request once more after a failed attempt.
-func (c *call) launchAgain(ctx context.Context, r result) bool {
+// relaunch sends the request to another server after a failed attempt.
+func (c *call) relaunch(ctx context.Context, r result) bool {
 	if !unreached(r.err) && !c.e.allowRetry(c.req.Service) {
 		c.last = errors.Wrap(ErrBudget, c.last.Error())
 		return false
@@ -177,8 +178,8 @@
 	return true
 }
 
-// unreached tells whether an attempt never reached its server, so that the next
-// one is no retry there.
+// unreached reports whether an attempt never reached its server, so that the next one
+// is no retry for the servers.
 func unreached(err error) bool {
 	var notRun *NotRunError
 	return errors.As(err, &notRun) && notRun.Unreached()
@@ -191,20 +192,20 @@
 	}
 	c.tried[s.Start] = true
 	c.pending++
-	c.newest = s
-	attempt, cancel := context.WithCancel(ctx)
+	c.lastServer = s
+	attemptCtx, cancel := context.WithCancel(ctx)
 	c.cancel[s.Start] = cancel
-	go func() { c.results <- c.attempt(attempt, s) }()
+	go func() { c.results <- c.attempt(attemptCtx, s) }()
 	return true
 }
 
 func (c *call) attempt(ctx context.Context, s *directory.Server) result {
 	defer s.CallBegun()()
-	answer, err := c.e.opts.Backend.Open(ctx, &Attempt{Request: c.req, Server: s, Left: c.req.left(time.Now())})
+	answer, err := c.e.opts.Backend.Open(ctx, &Attempt{Request: c.req, Server: s, Left: c.req.timeLeft(time.Now())})
 	if err != nil {
 		return result{server: s, err: err}
 	}
-	reply, err := whole(answer)
+	reply, err := readReply(answer)
 	if err != nil {
 		return result{server: s, err: err}
 	}
@@ -212,24 +213,24 @@
 	return result{server: s, reply: reply}
 }
 
-// whole reads an answer's body to its end if it is of ordinary size.
-func whole(a *Answer) (*Reply, error) {
+// readReply reads a response body to its end, or up to maxBufferedBody.
+func readReply(a *Answer) (*Reply, error) {
 	var body bytes.Buffer
-	n, err := io.CopyN(&body, a.Body, wholeBody)
+	n, err := io.CopyN(&body, a.Body, maxBufferedBody)
 	if err != nil && err != io.EOF {
 		_ = a.Body.Close()
 		return nil, &BrokenError{Err: err}
 	}
 	reply := &Reply{Status: a.Status, Header: a.Header, Body: body.Bytes()}
-	if n == wholeBody {
+	if n == maxBufferedBody {
 		reply.Rest = a.Body
 	}
 	return reply, nil
 }
 
-// take looks at an attempt's result and returns the reply if it is final.
-func (c *call) take(r result) *Reply {
-	c.newest = r.server
+// handleResult processes an attempt's result and returns the reply if it is final.
+func (c *call) handleResult(r result) *Reply {
+	c.lastServer = r.server
 	if r.err == nil && (r.reply.Status < 500 || !c.req.Route.Repeatable()) {
 		c.sent++
 		c.succeeded(r)
@@ -237,9 +238,9 @@
 	}
 	if r.err == nil {
 		c.sent++
-		c.failing = r.reply
+		c.errorReply = r.reply
 		c.last = errors.Errorf("the server answered %d", r.reply.Status)
-		r.server.Fault(time.Now(), ownErrorFault)
+		r.server.Fault(time.Now(), errorStatusFaultWeight)
 		c.e.metrics.attempts.WithLabelValues("error_status").Inc()
 		return nil
 	}
@@ -250,35 +251,35 @@
 		c.e.metrics.attempts.WithLabelValues(string(notRun.Reason)).Inc()
 	} else {
 		c.sent++
-		c.e.mayHaveCrashed(c.req, r.server)
+		c.e.checkCrash(c.req, r.server)
 		c.e.metrics.attempts.WithLabelValues("broken").Inc()
 	}
-	c.e.failed(r.server, r.err)
+	c.e.recordFailure(r.server, r.err)
 	return nil
 }
 
-// ownErrorFault is the weight of a server's own error status: applications
-// answer some of their requests so when they are sound.
-const ownErrorFault = 0.15
+// errorStatusFaultWeight is the weight of a server's own error status: healthy
+// applications answer some of their requests that way.
+const errorStatusFaultWeight = 0.15
 
 func (c *call) succeeded(r result) {
 	c.e.metrics.attempts.WithLabelValues("answered").Inc()
 	if r.reply.Status >= 500 {
-		r.server.Fault(time.Now(), ownErrorFault)
+		r.server.Fault(time.Now(), errorStatusFaultWeight)
 		return
 	}
 	r.server.Alive(time.Now())
 }
 
-// ended is the outcome when the time is up or the caller has left. A failure that a
-// server has answered with is still an answer.
-func (c *call) ended(ctx context.Context) (*Reply, error) {
+// interrupted returns the outcome when the time is up or the caller has left. An error
+// response of a server is still a response.
+func (c *call) interrupted(ctx context.Context) (*Reply, error) {
 	end := c.req.endOf(ctx)
 	if !timedOut(ctx) {
 		return nil, end
 	}
-	if c.failing != nil {
-		return c.failing, nil
+	if c.errorReply != nil {
+		return c.errorReply, nil
 	}
 	return nil, &Failure{By: end.By, Ran: c.sent+c.pending > 0, TimedOut: true, RetryAfter: retryAfter, Err: errors.Wrap(ErrTimeout, describe(c.last))}
 }
--- a/exchange/plain_test.go
+++ b/exchange/plain_test.go
@@ -13,13 +13,13 @@
 	"github.com/pearyard/pearyard/site"
 )
 
-// A dispatch label is printed and the connection breaks before the answer. A
-// second try would print it twice, and "not run" would make the caller's depot
-// try it again itself: the answer must be that it may have run.
+// A call that prints a label breaks before its response. A second try would print it
+// twice, and "not run" would make the caller try again itself: the failure must say
+// that it may have run.
 func TestAtMostOnceIsNotSentAgainOnceItMayHaveRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newBed(everywhere(breaks()))
+		b := newTestbed(everywhere(breaks()))
 		_, err := b.Call(t.Context(), request(site.AtMostOnce))
 		var failure *Failure
 		g.Expect(errors.As(err, &failure)).To(gomega.BeTrue())
@@ -28,12 +28,12 @@
 	})
 }
 
-// All places are taken for a moment: each server says that it did not run the
-// call. The caller is told "not run" and when to come back, at once.
-func TestRefusalByAllIsToldAtOnceAndTrue(t *testing.T) {
+// All servers are full for a moment and say that they did not run the call. The caller
+// is told at once that it has not run, and when to come back.
+func TestRefusalByAllServersIsReportedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newBed(everywhere(refuses(Busy)))
+		b := newTestbed(everywhere(refuses(Busy)))
 		began := time.Now()
 		_, err := b.Call(t.Context(), request(site.AtMostOnce))
 		var failure *Failure
@@ -41,16 +41,16 @@
 		g.Expect(failure.Ran).To(gomega.BeFalse())
 		g.Expect(failure.RetryAfter).To(gomega.BeNumerically(">", 0))
 		g.Expect(time.Since(began)).To(gomega.BeNumerically("<", 50*time.Millisecond))
-		g.Expect(b.backend.sent()).To(gomega.HaveLen(notRunTries))
+		g.Expect(b.backend.sent()).To(gomega.HaveLen(maxNotRunTries))
 	})
 }
 
-// A server that was restarted a moment ago refuses the connection. Nothing was
-// sent, so even a call that runs at most once goes to another server.
-func TestWhatWasNotRunGoesElsewhere(t *testing.T) {
+// A server that was just restarted refuses the connection. Nothing was sent, so even a
+// call that runs at most once goes to another server.
+func TestCallThatDidNotRunGoesToAnotherServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newBed(map[string][]script{
+		b := newTestbed(map[string][]script{
 			"a1": {refuses(Refused)}, "a2": {refuses(Misdirected)}, "b1": {answers(200, "ok", 60*time.Millisecond)}, "b2": {refuses(Unreachable)},
 		})
 		for range 5 {
@@ -58,18 +58,18 @@
 			g.Expect(err).NotTo(gomega.HaveOccurred())
 			g.Expect(string(reply.Body)).To(gomega.Equal("ok"))
 		}
-		// Servers found to have ended are not asked again: one miss each at the most.
+		// Servers found to have ended are not asked again: at most one miss each.
 		g.Expect(len(b.backend.sent())).To(gomega.BeNumerically("<=", 5+3))
 	})
 }
 
-// A server runs a stock check and never answers. The caller waits for 300 ms:
-// another server is asked in time for that.
+// A server never answers an idempotent call whose objective is 300 ms. Another server
+// must be asked early enough to meet it.
 func TestIdempotentCallIsHedgedWithinItsObjective(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		slow, fast := answers(200, "slow", time.Hour), answers(200, "fast", 60*time.Millisecond)
-		b := newBed(map[string][]script{"a1": {slow}, "b1": {fast}}, "a1", "b1")
+		b := newTestbed(map[string][]script{"a1": {slow}, "b1": {fast}}, "a1", "b1")
 		for range 4 {
 			req := request(site.Idempotent)
 			reply, err := b.Call(t.Context(), req)
@@ -80,12 +80,12 @@
 	})
 }
 
-// A server's own failure is an answer: with no better one to be had it is
-// passed on as it is, with its signature.
-func TestOwnFailureOfTheServerIsPassedOnIfNothingBetterComes(t *testing.T) {
+// A server's own error is a response: if no better one is available, it is forwarded
+// unchanged, with its signature.
+func TestErrorResponseIsForwardedIfThereIsNoBetterOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newBed(everywhere(answers(500, "no stock", 10*time.Millisecond)))
+		b := newTestbed(everywhere(answers(500, "no stock", 10*time.Millisecond)))
 		req := request(site.Idempotent)
 		req.Route.MaxAttempts = 2
 		reply, err := b.Call(t.Context(), req)
@@ -95,12 +95,12 @@
 	})
 }
 
-// The route's time is up while a server still works: the caller gets its final
-// answer then, not when the server is done, and isn't told that nothing ran.
-func TestTimeIsUp(t *testing.T) {
+// The route times out while a server still works: the caller gets its failure then, not
+// when the server is done, and isn't told that nothing ran.
+func TestRouteTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newBed(everywhere(answers(200, "late", time.Hour)))
+		b := newTestbed(everywhere(answers(200, "late", time.Hour)))
 		req := request(site.AtMostOnce)
 		_, err := b.Call(t.Context(), req)
 		var failure *Failure
@@ -110,13 +110,13 @@
 	})
 }
 
-// A caller closes its connection. Whatever runs for it is stopped at once, and
-// nothing more is sent.
+// When a caller closes its connection, everything that runs for it is stopped at once,
+// and nothing more is sent.
 func TestCallerLeaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		stopped := make(chan time.Time, 1)
-		b := newBed(everywhere(func(ctx context.Context, _ *Attempt) (*Answer, error) {
+		b := newTestbed(everywhere(func(ctx context.Context, _ *Attempt) (*Answer, error) {
 			<-ctx.Done()
 			stopped <- time.Now()
 			return nil, &BrokenError{Err: ctx.Err()}
@@ -131,13 +131,12 @@
 	})
 }
 
-// Many servers fail at the same time. Each failed call asks for another try;
-// beyond the budget the callers get what there is, and the servers that are
-// left aren't drowned.
+// Many servers fail at the same time, and each failed call asks for a retry. Beyond the
+// budget callers get a failure, so that the remaining servers aren't overloaded.
 func TestRetriesKeepToTheBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newBed(everywhere(breaks()))
+		b := newTestbed(everywhere(breaks()))
 		const calls = 100
 		for range calls {
 			_, _ = b.Call(t.Context(), request(site.Idempotent))
@@ -147,12 +146,12 @@
 	})
 }
 
-// An engineer on call has the line of a request's end alone: it names who
-// answered, and by which configuration and list that server was chosen.
-func TestLastLineNamesWhatDecided(t *testing.T) {
+// The last line of a request must name the server that answered, and the configuration
+// and list by which it was chosen: an engineer on call may have that line alone.
+func TestLastLineNamesServerConfigurationAndList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newBed(map[string][]script{"a1": {answers(200, "ok", beat)}}, "a1")
+		b := newTestbed(map[string][]script{"a1": {answers(200, "ok", eventInterval)}}, "a1")
 		req := request(site.AtMostOnce)
 		req.Version, req.Organisation = 7, "o"
 		_, err := b.Call(t.Context(), req)
--- a/exchange/probe.go
+++ b/exchange/probe.go
@@ -9,49 +9,50 @@
 	"github.com/pearyard/pearyard/directory"
 )
 
-// prober asks servers for signs of life, one question a server at a time
-// however many streams wait there.
+// prober probes servers, with at most one probe per server at a time however many
+// streams wait there.
 type prober struct {
 	exchange *Exchange
 	mu       sync.Mutex
-	running  map[*directory.Server]*question
+	inFlight map[*directory.Server]*probe
 }
 
-// question is one that was put to a server.
-type question struct {
-	done  chan struct{} // closed when it is answered or the server was noted as lost
-	alive bool          // the process that was asked answered; to be read after done
+// probe is one probe of a server.
+type probe struct {
+	done  chan struct{} // closed when it is answered or the server was recorded as lost
+	alive bool          // the process that was probed answered; valid once done is closed
 }
 
-func (p *prober) ask(s *directory.Server) *question {
+func (p *prober) start(s *directory.Server) *probe {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if q, ok := p.running[s]; ok {
-		return q
+	if pr, ok := p.inFlight[s]; ok {
+		return pr
 	}
-	q := &question{done: make(chan struct{})}
-	p.running[s] = q
-	go p.probe(s, q)
-	return q
+	pr := &probe{done: make(chan struct{})}
+	p.inFlight[s] = pr
+	go p.run(s, pr)
+	return pr
 }
 
-func (p *prober) probe(s *directory.Server, q *question) {
+func (p *prober) run(s *directory.Server, pr *probe) {
 	ctx, cancel := context.WithTimeout(context.Background(), p.exchange.opts.Timings.ProbeTimeout)
 	defer cancel()
 	p.exchange.metrics.probes.Inc()
 	born, err := p.exchange.opts.Backend.Probe(ctx, s)
 	switch {
 	case err != nil:
-		p.exchange.failed(s, err)
+		p.exchange.recordFailure(s, err)
 	case s.EndedBy(born):
-		// The process that answers knows nothing of the streams of the one before.
-		p.exchange.ended(s, errors.Wrapf(ErrOtherStart, "born %d", born))
+		// The process that answers is a later start, which knows nothing of the streams
+		// of the one before.
+		p.exchange.markEnded(s, errors.Wrapf(ErrOtherStart, "born %d", born))
 		p.exchange.opts.Restarts.confirm(p.exchange, s)
 	default:
-		q.alive = true
+		pr.alive = true
 	}
 	p.mu.Lock()
-	delete(p.running, s)
+	delete(p.inFlight, s)
 	p.mu.Unlock()
-	close(q.done)
+	close(pr.done)
 }
--- a/exchange/request.go
+++ b/exchange/request.go
@@ -1,8 +1,7 @@
-// Package exchange carries one request of a caller to backend servers and the
-// answer back. It decides where a request goes, when it is sent once more, when
-// a stream goes on elsewhere, and what a caller is told when nothing more can
-// be done. It speaks to callers and backend servers through ports and knows no
-// protocol.
+// Package exchange forwards a caller's request to backend servers and returns the
+// response. It decides where a request goes, when it is retried, when a stream resumes
+// on another server, and what a caller is told when nothing more can be done. It
+// reaches callers and backend servers through interfaces and knows no protocol.
 package exchange
 
 import (
@@ -18,31 +17,32 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// Request is one request of a caller.
+// Request is a caller's request.
 type Request struct {
 	ID     string // of the caller's attempt; backend servers echo it
 	Method string
-	Target string // path and query as they came
+	Target string // path and query as received
 	Host   string
-	Header http.Header // to be passed on; nothing in it is the caller's to forge
+	Header http.Header // to be forwarded; holds nothing that a caller could forge
 	Body   []byte
 
-	Arrived      time.Time // steady
-	Until        time.Time // when the caller stops waiting or the route's time is up
-	UntilBy      EndedBy   // whose time Until is; empty: the caller's
+	Arrived      time.Time // with a monotonic clock reading
+	Until        time.Time // when the caller stops waiting or the route times out
+	UntilBy      EndedBy   // whose deadline Until is; empty: the caller's
 	Route        *site.Route
 	Service      string
-	Organisation string // empty without keys
-	LastEvent    string // event that the caller has already; empty: none
-	Version      uint64 // of the configuration that gave the route and the service
+	Organisation string // empty if the route needs no key
+	LastEvent    string // id of the last event that the caller has; empty: none
+	Version      uint64 // of the configuration that the route and the service come from
 
 	PromptTokens int
 	MaxTokens    int
-	Prompt       []promptcache.Part // its pieces in order, as far as they are known
+	Prompt       []promptcache.Part // the parts of the prompt in order, as far as they are known
 }
 
-// Fingerprint names what is asked for: a request that crashes the servers that
-// run it comes again with another id, but the same path, organisation and body.
+// Fingerprint identifies the content of a request. A request that crashes the servers
+// that run it comes back with another id, but with the same method, path, organisation
+// and body.
 func (r *Request) Fingerprint() types.Fingerprint {
 	h := xxhash.New()
 	_, _ = h.WriteString(r.Organisation)
@@ -51,59 +51,62 @@
 	return types.Fingerprint(h.Sum64())
 }
 
-// Attempt is one sending of a request to one backend server.
+// Attempt is one delivery of a request to one backend server.
 type Attempt struct {
 	Request *Request
 	Server  *directory.Server
-	Left    time.Duration // what the server may take
-	After   string        // event after which it is to go on; empty: from the start
-	// CopyTo is where the server sends a running copy of the stream's memory.
+	Left    time.Duration // how long the server may take
+	After   string        // id of the event to resume after; empty: from the start
+	// CopyTo is where the server sends a running copy of the stream's KV cache; nil:
+	// nowhere.
 	CopyTo *directory.Server
-	// From is what the server goes on from, in place of reading the prompt; nil: nothing.
+	// From is the copy to resume from instead of reading the prompt; nil: none.
 	From *Memory
 }
 
-// Memory is a copy of a running stream's memory.
+// Memory is a copy of a running stream's KV cache.
 type Memory struct {
-	At *directory.Server // where the copy lies; only this server can go on from it
-	// Source and Handle name a copy that was made by a call; without a handle
-	// it is the one that the run itself sends there as it grows.
+	At *directory.Server // holder of the copy; only this server can resume from it
+	// Source and Handle identify a copy made by Backend.Copy. Without a handle it is
+	// the one that the run itself sends there as it grows.
 	Source *directory.Server
 	Handle string
 }
 
-// Answer is the head of a backend server's answer, and its body.
+// Answer is a backend server's response: its head and its body.
 type Answer struct {
 	Status int
-	Header http.Header // to be passed on
+	Header http.Header // to be forwarded
 	Body   Body
 }
 
-// Body reads an answer's body. io.EOF means that the answer came whole; any
-// other error, or a Close before it, ends the server's work.
+// Body reads a response body. io.EOF means that the response is complete; any other
+// error, or a Close before it, ends the server's work.
 type Body interface {
 	Read(p []byte) (int, error)
 	Close() error
 }
 
-// Backend sends attempts. Its errors are *NotRunError and *BrokenError.
+// Backend sends attempts to servers. Its errors are *NotRunError and *BrokenError.
 type Backend interface {
 	Open(ctx context.Context, a *Attempt) (*Answer, error)
-	// Copy copies the memory of a running attempt to another server; the run goes on.
+	// Copy copies the KV cache of a running attempt to another server. The run
+	// continues.
 	Copy(ctx context.Context, req *Request, from, to *directory.Server) (*Memory, error)
-	// Free gives up a copy that was made by a call.
+	// Free releases a copy that was made by Copy.
 	Free(ctx context.Context, m *Memory) error
-	// Probe asks a server for a sign of life, outside its queue. It returns when
-	// the process that answered was born (directory.Start), 0 if that did not tell.
+	// Probe checks that a server is alive, bypassing its queue. It returns the start
+	// time of the process that answered (see directory.Start), 0 if the process did not
+	// report it.
 	Probe(ctx context.Context, s *directory.Server) (born int64, err error)
-	// Kept asks a server which pieces of prompts it keeps.
+	// Kept asks a server which prompt parts it has cached.
 	Kept(ctx context.Context, s *directory.Server) (promptcache.Contents, error)
 }
 
-// Sink takes a stream's answer to the caller.
+// Sink writes a stream's response to the caller.
 type Sink interface {
-	// Begin sends the head; it is called once.
+	// Begin sends the response head. It is called once.
 	Begin(status int, header http.Header) error
-	// Event sends one whole event at once.
+	// Event sends one complete event immediately.
 	Event(raw []byte) error
 }
--- a/exchange/rest.go
+++ b/exchange/rest.go
@@ -8,44 +8,45 @@
 	"github.com/pkg/errors"
 )
 
-// errNotTaken: the caller was written to no longer, though net/http has not
-// said why.
-var errNotTaken = errors.New("exchange: the rest of the answer could not be written")
+// errNotWritten: the caller is no longer written to, though net/http has not reported
+// why.
+var errNotWritten = errors.New("exchange: the rest of the answer could not be written")
 
-// rest is what follows in an answer too large to be held. The request is on its
-// way until all of it has been handed on: only its end says who ended it.
+// trackedRest is the rest of a response that is too large to be held in memory. The
+// request is in progress until all of it has been forwarded: only its end says who
+// ended the request.
 //
-// The request's context must live until then: the rest comes on its connection.
-type rest struct {
+// The request's context must live until then, since the rest arrives on its connection.
+type trackedRest struct {
 	Body
 	call   *call
 	status int
-	ctx    context.Context // of the request, until its time is up
+	ctx    context.Context // of the request, with its deadline
 	cancel context.CancelFunc
 	once   sync.Once
 }
 
 // Read implements Body.
-func (r *rest) Read(p []byte) (int, error) {
+func (r *trackedRest) Read(p []byte) (int, error) {
 	n, err := r.Body.Read(p)
 	switch err {
 	case nil:
 	case io.EOF:
 		r.conclude(nil)
 	default:
-		r.conclude(r.broken(err))
+		r.conclude(r.brokenOff(err))
 	}
 	return n, err
 }
 
 // Close implements Body.
-func (r *rest) Close() error {
-	r.conclude(r.call.req.unwritten(r.ctx, errNotTaken))
+func (r *trackedRest) Close() error {
+	r.conclude(r.call.req.writeFailed(r.ctx, errNotWritten))
 	return r.Body.Close()
 }
 
-// broken is the end of a request whose server's connection ended early.
-func (r *rest) broken(err error) error {
+// brokenOff returns the end of a request whose server connection ended early.
+func (r *trackedRest) brokenOff(err error) error {
 	switch {
 	case r.ctx.Err() == nil:
 		return &BrokenError{Err: err}
@@ -56,7 +57,7 @@
 	}
 }
 
-func (r *rest) conclude(err error) {
+func (r *trackedRest) conclude(err error) {
 	r.once.Do(func() {
 		r.cancel()
 		r.call.conclude(r.status, err)
--- a/exchange/restarts.go
+++ b/exchange/restarts.go
@@ -7,65 +7,65 @@
 	"github.com/pearyard/pearyard/directory"
 )
 
-// Restarts finds servers that crashed and were started again while the store is
-// away. A start may have a new id, or the id of the one before and a later time
-// of birth; the store alone lists either. Without it every crash during an outage
-// takes a server out until the outage is over, and two zones' losses leave half
-// of them.
+// Restarts detects servers that crashed and were restarted while the store is
+// unavailable. A new start has a new id, or the id of the former one and a later start
+// time; only the store lists either. Without detection every crash during an outage
+// takes a server out of use until the outage is over, and the loss of two zones leaves
+// half of them.
 //
-// A server's address may be given to another service, but not sooner than
-// Reuse after its end. A process that answers there within Reuse of the last
-// sign of life of the former one is therefore of the same service. Both clocks
-// must say so: the steady one stands still while this VM is suspended.
+// A server's address may be given to another service, but not sooner than Reuse after
+// the server's end. A process that answers there within Reuse of the last proof of life
+// of the former one is therefore of the same service. Both clocks must say so: the
+// monotonic one stands still while this VM is suspended.
 type Restarts struct {
-	// Reuse is how long an address stays unused by other services.
+	// Reuse is how long an address is not given to another service.
 	Reuse time.Duration
-	// Away tells whether the store doesn't tell the list at the moment.
+	// Away reports whether the store is unavailable at the moment.
 	Away func() bool
-	// Identify asks which start answers at a server's address.
+	// Identify returns which start answers at a server's address.
 	Identify func(ctx context.Context, s *directory.Server) (directory.Start, error)
-	// Found is told of a restart.
+	// Found is called with each restart that is detected.
 	Found func(old *directory.Server, start directory.Start)
 }
 
 const (
-	// restartLook is the time between two questions, restartFirst that before
+	// restartPollInterval is the time between two polls, restartFirstDelay that before
 	// the first one: a process takes about a second to come back.
-	restartLook  = 150 * time.Millisecond
-	restartFirst = 1050 * time.Millisecond
-	// reuseMargin is kept free before the address may be another service's.
+	restartPollInterval = 150 * time.Millisecond
+	restartFirstDelay   = 1050 * time.Millisecond
+	// reuseMargin is a safety margin before the address may be another service's.
 	reuseMargin = 100 * time.Millisecond
 )
 
-// lookFor watches the address of a server that has just been lost.
-func (r *Restarts) lookFor(e *Exchange, s *directory.Server) {
+// watchAddress polls the address of a server that has just been lost.
+func (r *Restarts) watchAddress(e *Exchange, s *directory.Server) {
 	if r == nil || r.Reuse <= 0 {
 		return
 	}
-	sign := s.LastSign()
-	steady := time.Now().Add(-time.Since(sign))
+	lastProof := s.LastSign()
+	monotonic := time.Now().Add(-time.Since(lastProof))
 	go func() {
-		time.Sleep(time.Until(steady.Add(restartFirst)))
-		for r.within(sign, steady) {
-			if r.Away() && r.ask(e, s, sign, steady) {
+		time.Sleep(time.Until(monotonic.Add(restartFirstDelay)))
+		for r.withinReuse(lastProof, monotonic) {
+			if r.Away() && r.poll(e, s, lastProof, monotonic) {
 				return
 			}
-			time.Sleep(restartLook)
+			time.Sleep(restartPollInterval)
 		}
 	}()
 }
 
-// within tells whether a process that answers now must be of the same service.
-func (r *Restarts) within(sign, steady time.Time) bool {
+// withinReuse reports whether a process that answers now must be of the same service.
+func (r *Restarts) withinReuse(lastProof, monotonic time.Time) bool {
 	limit := r.Reuse - reuseMargin
-	return time.Since(steady) < limit && time.Now().Round(0).Sub(sign.Round(0)) < limit
+	return time.Since(monotonic) < limit && time.Now().Round(0).Sub(lastProof.Round(0)) < limit
 }
 
-// confirm takes a later start that answers at a server's address into use, if it
-// has the server's id: then it is the same service, whatever the list says by now.
-// A server that was cut off from the store when it crashed is listed with its
-// former start for some seconds more, and got nothing meanwhile. Without an answer
-// it is used once the list tells of it; its loss has been told already.
+// confirm puts a later start that answers at a server's address to use, if it has the
+// server's id: then it is of the same service, whatever the list says by now. A server
+// that was cut off from the store when it crashed is listed with its former start for
+// some seconds more, and would get nothing meanwhile. If it does not answer, it is used
+// once the list has it; its loss has been recorded already.
 func (r *Restarts) confirm(e *Exchange, s *directory.Server) {
 	if r == nil {
 		return
@@ -75,26 +75,26 @@
 		defer cancel()
 		e.metrics.probes.Inc()
 		if start, err := r.Identify(ctx, s); err == nil && start.LaterThan(s.Start) {
-			r.found(e, s, start)
+			r.report(e, s, start)
 		}
 	}()
 }
 
-func (r *Restarts) found(e *Exchange, s *directory.Server, start directory.Start) {
+func (r *Restarts) report(e *Exchange, s *directory.Server, start directory.Start) {
 	e.opts.Recorder.Emit(EventRestarted, "server", s.Start, "now", start, "service", s.Service, "zone", s.Zone, "since", time.Since(s.LastSign()))
 	r.Found(s, start)
 }
 
-func (r *Restarts) ask(e *Exchange, s *directory.Server, sign, steady time.Time) bool {
+func (r *Restarts) poll(e *Exchange, s *directory.Server, lastProof, monotonic time.Time) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), e.opts.Timings.ProbeTimeout)
 	defer cancel()
 	e.metrics.probes.Inc()
 	start, err := r.Identify(ctx, s)
 	another := start.ID != s.ID || start.LaterThan(s.Start)
-	if err != nil || start.ID == "" || !another || !r.within(sign, steady) {
-		// It is not back yet; the server's loss has been told already.
+	if err != nil || start.ID == "" || !another || !r.withinReuse(lastProof, monotonic) {
+		// It is not back yet; the server's loss has been recorded already.
 		return false
 	}
-	r.found(e, s, start)
+	r.report(e, s, start)
 	return true
 }
--- a/exchange/restarts_test.go
+++ b/exchange/restarts_test.go
@@ -12,10 +12,10 @@
 	"github.com/pearyard/pearyard/directory"
 )
 
-// restartBed is a bed with one server that is lost, and a process at its
-// address that answers with another id from a given time on.
-func restartBed(away bool, backAfter time.Duration) (b *bed, found func() string) {
-	b = newBed(nil, "a1")
+// newRestartTestbed returns a testbed with one server that is lost, and a process at
+// its address that answers with another id from a given time on.
+func newRestartTestbed(away bool, backAfter time.Duration) (b *testbed, found func() string) {
+	b = newTestbed(nil, "a1")
 	lost := time.Now()
 	got := make(chan string, 1)
 	b.opts.Restarts = &Restarts{
@@ -31,7 +31,7 @@
 	}
 	s := b.dir.View().Service("s")[0]
 	s.Heard(lost)
-	b.failed(s, &NotRunError{Reason: Refused, Err: io.ErrClosedPipe})
+	b.recordFailure(s, &NotRunError{Reason: Refused, Err: io.ErrClosedPipe})
 	return b, func() string {
 		time.Sleep(3 * time.Second)
 		select {
@@ -43,28 +43,28 @@
 	}
 }
 
-// A server crashes while the store is away and is back a second later under an
-// id that nobody lists. It is found at its address.
-func TestServerIsFoundWhileTheStoreIsAway(t *testing.T) {
+// A server crashes while the store is unavailable and is back a second later with an id
+// that no list has. It must be detected at its address.
+func TestRestartIsDetectedWhileTheStoreIsUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, found := restartBed(true, 1200*time.Millisecond)
+		_, found := newRestartTestbed(true, 1200*time.Millisecond)
 		gomega.NewWithT(t).Expect(found()).To(gomega.Equal("a2"))
 	})
 }
 
-// From two seconds after a server's end on its address may be another service's.
-// What answers there then is not taken for the server.
-func TestAddressThatMayBeAnotherServicesIsLeftAlone(t *testing.T) {
+// From two seconds after a server's end its address may be another service's. What
+// answers there then must not be taken for the server.
+func TestAddressIsNotPolledOnceItMayBeReused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, found := restartBed(true, 2100*time.Millisecond)
+		_, found := newRestartTestbed(true, 2100*time.Millisecond)
 		gomega.NewWithT(t).Expect(found()).To(gomega.BeEmpty())
 	})
 }
 
-// While the store answers, it alone says which servers there are.
-func TestNothingIsLookedForWhileTheStoreAnswers(t *testing.T) {
+// While the store is available, its list alone says which servers there are.
+func TestRestartIsNotLookedForWhileTheStoreIsAvailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, found := restartBed(false, 1200*time.Millisecond)
+		_, found := newRestartTestbed(false, 1200*time.Millisecond)
 		gomega.NewWithT(t).Expect(found()).To(gomega.BeEmpty())
 	})
 }
--- a/exchange/running.go
+++ b/exchange/running.go
@@ -14,65 +14,66 @@
 )
 
 const (
-	// tellRunning is the age at which a stream is named in the log, and how often
-	// that is looked for. Streams take five seconds; one that is over sooner is
-	// named by its end alone.
-	tellRunning = time.Second
-	// runningInLine bounds one log line, to about 2 KB.
-	runningInLine = 40
+	// runningLogInterval is the age at which a stream is logged, and how often that is
+	// checked. Streams take five seconds; one that is over sooner is logged at its end
+	// alone.
+	runningLogInterval = time.Second
+	// streamsPerLine bounds one log line, to about 2 KB.
+	streamsPerLine = 40
 )
 
-// running knows the streams that are on their way here.
+// activeStreams holds the streams in progress.
 //
-// A process that is killed writes no last line; each stream is named once before, together
-// with others.
-type running struct {
+// A process that is killed writes no last line, so each stream is logged once before,
+// together with others.
+type activeStreams struct {
 	mu      sync.Mutex
-	streams map[*onItsWay]struct{}
+	streams map[*activeStream]struct{}
 }
 
-// onItsWay is one stream.
-type onItsWay struct {
-	id     string
-	begun  time.Time
-	server atomic.Pointer[directory.Server] // of the newest attempt; nil before it
-	named  bool                             // guarded by running.mu
+// activeStream is one stream in progress.
+type activeStream struct {
+	id        string
+	startedAt time.Time
+	server    atomic.Pointer[directory.Server] // of the newest attempt; nil before the first
+	logged    bool                             // guarded by activeStreams.mu
 }
 
-func (r *running) begin(id string) *onItsWay {
+func (r *activeStreams) add(id string) *activeStream {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s := &onItsWay{id: id, begun: time.Now()}
+	s := &activeStream{id: id, startedAt: time.Now()}
 	r.streams[s] = struct{}{}
 	return s
 }
 
-func (r *running) end(s *onItsWay) {
+func (r *activeStreams) remove(s *activeStream) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.streams, s)
 }
 
-// unnamed returns streams that are old enough to be named and have not been.
-func (r *running) unnamed(now time.Time) []string {
+// takeUnlogged returns the streams that are old enough to be logged and have not been,
+// and marks them as logged.
+func (r *activeStreams) takeUnlogged(now time.Time) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var names []string
 	for s := range r.streams {
-		if s.named || now.Sub(s.begun) < tellRunning {
+		if s.logged || now.Sub(s.startedAt) < runningLogInterval {
 			continue
 		}
-		s.named = true
-		names = append(names, s.id+event.AtServer+idOf(s.server.Load()))
+		s.logged = true
+		names = append(names, s.id+event.AtServer+serverName(s.server.Load()))
 	}
 	slices.Sort(names)
 	return names
 }
 
-// TellRunning names the streams that are on their way until ctx ends.
+// TellRunning logs the streams in progress until ctx ends.
 func (e *Exchange) TellRunning(ctx context.Context) error {
-	for retry.Wait(ctx, tellRunning) == nil {
-		for names := range slices.Chunk(e.running.unnamed(time.Now()), runningInLine) {
+	for retry.Wait(ctx, runningLogInterval) == nil {
+		for names := range slices.Chunk(e.active.takeUnlogged(time.Now()), streamsPerLine) {
 			e.opts.Recorder.Emit(EventRunning, event.FieldRequests, strings.Join(names, event.BetweenRequests))
 		}
 	}
--- a/exchange/running_test.go
+++ b/exchange/running_test.go
@@ -13,13 +13,13 @@
 	"github.com/pearyard/pearyard/event"
 )
 
-// An entry VM loses power while a stream runs through it without trouble. Its
-// caller complains with the stream's id: a line from before must name it. Short
-// streams, and a long one's later seconds, cost nothing more.
-func TestStreamsOnTheirWayAreNamedOnce(t *testing.T) {
+// An entry VM loses power while a stream runs through it without trouble, and the
+// caller complains with the stream's id: an earlier line must name it. Short streams,
+// and the later seconds of a long one, must cost no more lines.
+func TestStreamsInProgressAreLoggedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newBed(everywhere(streams(130, beat, nil)))
+		b := newTestbed(everywhere(streams(130, eventInterval, nil)))
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		go func() { _ = b.TellRunning(ctx) }()
@@ -37,18 +37,18 @@
 	})
 }
 
-// A process has hundreds of streams. Its lines stay of bounded length and name
-// every one of them.
-func TestManyStreamsAreNamedInSeveralLines(t *testing.T) {
+// With hundreds of streams, lines must stay of bounded length and name every one of
+// them.
+func TestManyStreamsAreLoggedInSeveralLines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newBed(nil)
-		for i := range 3*runningInLine + 1 {
-			b.running.begin(fmt.Sprintf("r%03d", i))
+		b := newTestbed(nil)
+		for i := range 3*streamsPerLine + 1 {
+			b.active.add(fmt.Sprintf("r%03d", i))
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		go func() { _ = b.TellRunning(ctx) }()
-		time.Sleep(tellRunning + time.Millisecond)
+		time.Sleep(runningLogInterval + time.Millisecond)
 		cancel()
 		lines, all := 0, ""
 		for _, e := range b.recorder.Entries("") {
@@ -56,6 +56,6 @@
 			all += e.Fields[event.FieldRequests] + event.BetweenRequests
 		}
 		g.Expect(lines).To(gomega.Equal(4))
-		g.Expect(strings.Count(all, event.AtServer)).To(gomega.Equal(3*runningInLine + 1))
+		g.Expect(strings.Count(all, event.AtServer)).To(gomega.Equal(3*streamsPerLine + 1))
 	})
 }
--- a/exchange/sse.go
+++ b/exchange/sse.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// eventBuffer is the first size of the buffer for one event.
-	eventBuffer = 1024
-	// maxEvent bounds one event; a server that sends more sends garbage.
+	// eventBufferSize is the initial size of the buffer for one event.
+	eventBufferSize = 1024
+	// maxEvent bounds one event. A server that sends a longer one sends garbage.
 	maxEvent = 1 << 20
 )
 
-// streamEvent is one event of a stream as it came.
+// streamEvent is one event of a stream, as received.
 type streamEvent struct {
-	raw []byte // with the empty line that ends it; valid until the next read
+	raw []byte // including the empty line that ends it; valid until the next read
 	id  uint64 // 0: none
 }
 
@@ -29,11 +29,11 @@
 }
 
 func newEventReader(r io.Reader) *eventReader {
-	return &eventReader{in: bufio.NewReaderSize(r, eventBuffer), buf: make([]byte, 0, eventBuffer)}
+	return &eventReader{in: bufio.NewReaderSize(r, eventBufferSize), buf: make([]byte, 0, eventBufferSize)}
 }
 
-// next returns the next whole event. io.EOF means that the stream ended between
-// two events; an end inside one is io.ErrUnexpectedEOF.
+// next returns the next complete event. io.EOF means that the stream ended between two
+// events; an end within one is io.ErrUnexpectedEOF.
 func (r *eventReader) next() (streamEvent, error) {
 	r.buf = r.buf[:0]
 	var ev streamEvent
@@ -44,23 +44,23 @@
 			continue
 		}
 		if err != nil {
-			return ev, r.ended(err)
+			return ev, r.endError(err)
 		}
 		if len(r.buf) > maxEvent {
-			return ev, errors.New("exchange: an event is too long")
+			return ev, errors.New("exchange: an event exceeds the maximum length")
 		}
-		whole := r.buf[lineStart(r.buf):]
-		if len(bytes.TrimRight(whole, "\r\n")) == 0 {
+		complete := r.buf[lineStart(r.buf):]
+		if len(bytes.TrimRight(complete, "\r\n")) == 0 {
 			ev.raw = r.buf
 			return ev, nil
 		}
-		if id, ok := eventID(whole); ok {
+		if id, ok := eventID(complete); ok {
 			ev.id = id
 		}
 	}
 }
 
-func (r *eventReader) ended(err error) error {
+func (r *eventReader) endError(err error) error {
 	if err == io.EOF && len(r.buf) > 0 {
 		return io.ErrUnexpectedEOF
 	}
--- a/exchange/start_test.go
+++ b/exchange/start_test.go
@@ -14,8 +14,8 @@
 	"github.com/pearyard/pearyard/suspect"
 )
 
-// list puts servers in force, all of one time of birth but those named.
-func (b *bed) list(position uint64, born map[string]int64, ids ...string) {
+// list applies a list of servers, all with the same start time but those given in born.
+func (b *testbed) list(position uint64, born map[string]int64, ids ...string) {
 	var list []directory.Listing
 	for _, id := range ids {
 		at := int64(100)
@@ -27,19 +27,19 @@
 	b.dir.Apply(position, list, false, time.Now())
 }
 
-// mute is a server that takes a request and says nothing.
+// mute is a server that accepts a request and sends nothing.
 func mute(ctx context.Context, _ *Attempt) (*Answer, error) {
 	<-ctx.Done()
 	return nil, &BrokenError{Err: ctx.Err()}
 }
 
-// A server loses power before a stream's first event and is started again under
-// its id. It answers for signs of life, but knows nothing of the stream, whose
-// caller waited in vain until its time was up.
-func TestSignOfLifeOfALaterStartIsNone(t *testing.T) {
+// A server loses power before a stream's first event and is restarted under its id. The
+// new process answers probes, but knows nothing of the stream. Guards against letting
+// the caller wait until its deadline.
+func TestProbeAnsweredByALaterStartDoesNotCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newBed(map[string][]script{"a1": {mute}, "b1": {streams(10, 30*time.Millisecond, nil)}}, "a1")
+		b := newTestbed(map[string][]script{"a1": {mute}, "b1": {streams(10, 30*time.Millisecond, nil)}}, "a1")
 		b.list(2, nil, "a1")
 		b.backend.born["a1"] = 100
 		sink := &recordingSink{start: time.Now()}
@@ -60,16 +60,16 @@
 	})
 }
 
-// A server that the store does not reach crashes and starts again under its id,
-// and is listed with its former start for seconds. A stream that waits there finds
-// it out, and goes on at the new start, which has the same id; a process with
-// another id may be another service's, and is left alone.
+// A server that is cut off from the store crashes, restarts under its id, and is listed
+// with its former start for seconds. A stream that waits there detects the new start,
+// which has the same id, and resumes on it. A process with another id may be another
+// service's and must not be used.
 func TestLaterStartThatAnswersIsUsed(t *testing.T) {
 	for id, used := range map[string]bool{"a1": true, "x9": false} {
 		t.Run(id, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := gomega.NewWithT(t)
-				b := newBed(map[string][]script{"a1": {mute, streams(10, 30*time.Millisecond, nil)}}, "a1")
+				b := newTestbed(map[string][]script{"a1": {mute, streams(10, 30*time.Millisecond, nil)}}, "a1")
 				b.list(2, nil, "a1")
 				b.backend.born["a1"] = 200
 				b.opts.Restarts = &Restarts{
@@ -80,7 +80,7 @@
 				}
 				sink := &recordingSink{start: time.Now()}
 				_, err := b.Stream(t.Context(), streamRequest(), sink)
-				time.Sleep(crashAlone)
+				time.Sleep(crashConfirmDelay)
 				if used {
 					g.Expect(err).NotTo(gomega.HaveOccurred())
 					g.Expect(sink.ids).To(gomega.HaveLen(10))
@@ -93,12 +93,12 @@
 	}
 }
 
-// The list tells that a server has started again under its id while a stream
-// waits for its first event there. The stream goes on elsewhere in that moment.
+// The list reports that a server has been restarted under its id while a stream waits
+// for its first event there. The stream must resume elsewhere at once.
 func TestStreamLeavesAReplacedStartAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newBed(map[string][]script{"a1": {mute}, "b1": {streams(10, 30*time.Millisecond, nil)}}, "a1")
+		b := newTestbed(map[string][]script{"a1": {mute}, "b1": {streams(10, 30*time.Millisecond, nil)}}, "a1")
 		b.list(2, nil, "a1")
 		sink := &recordingSink{start: time.Now()}
 		done := make(chan error, 1)
@@ -111,26 +111,26 @@
 		time.Sleep(200 * time.Millisecond)
 		g.Expect(b.backend.sent()).To(gomega.HaveLen(2))
 		g.Expect(<-done).NotTo(gomega.HaveOccurred())
-		time.Sleep(crashAlone) // what is noted of a crash comes after the stream
+		time.Sleep(crashConfirmDelay) // a crash is recorded after the stream's end
 	})
 }
 
-// A stream runs, and its copy lies on a server that crashes and is back under its
-// id within moments: nobody sees a connection fail. The copy is gone. The stream
-// used to be sent there when its own server was lost, was refused, and had its
-// caller wait while the prompt was read again. Later it was seldom red: the loss
-// of the old start was told before the new one was in the view, and the stream
-// found the lost start alone (its red runs had asked for no copy at all).
+// The server that holds a stream's copy crashes and is back under its id within
+// moments, so that no connection is seen to fail. The copy is gone and must be
+// replaced. Guards against sending the stream there when its own server is lost: it was
+// refused, and the caller waited while the prompt was read again. Also guards against a
+// race: the loss of the old start was reported before the new one was in the view, so
+// the stream found only the lost start and requested no copy.
 func TestCopyOnAReplacedStartIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newBed(map[string][]script{
+		b := newTestbed(map[string][]script{
 			"a1": {streams(60, 30*time.Millisecond, io.ErrUnexpectedEOF)},
 			"b1": {streams(100, 30*time.Millisecond, nil)},
 		}, "a1", "b1")
 		b.list(2, nil, "a1", "b1")
 		b.opts.Directory.View().Service("s")[0].Heard(time.Now())
-		busy := serverOf(b, "b1").StreamBegun(8000) // the stream begins on a1
+		busy := serverOf(b, "b1").StreamBegun(8000) // the stream starts on a1
 		sink := &recordingSink{start: time.Now()}
 		done := make(chan error, 1)
 		go func() {
@@ -149,11 +149,11 @@
 		sent := b.backend.sent()
 		g.Expect(sent).To(gomega.HaveLen(2))
 		g.Expect(sent[1].From.At.Start).To(gomega.Equal(directory.Start{ID: "b1", Born: 200}))
-		time.Sleep(crashAlone)
+		time.Sleep(crashConfirmDelay)
 	})
 }
 
-func serverOf(b *bed, id string) *directory.Server {
+func serverOf(b *testbed, id string) *directory.Server {
 	for _, s := range b.dir.View().Service("s") {
 		if s.ID == id {
 			return s
@@ -162,13 +162,13 @@
 	return nil
 }
 
-// A request crashes the server that runs it. The server is back under its id
-// before anyone asks whether it lives, and crashes again, and again. Three starts
-// have died of the request: it is refused. One id seemed to be one death at most.
+// A request crashes the server that runs it. The server is back under its id before it
+// is probed, and crashes again, and again. Three starts have died of the request, so it
+// is refused. Guards against counting one death per id.
 func TestCrashesOfThreeStartsAreThreeDeaths(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newBed(map[string][]script{"a1": {breaks()}}, "a1")
+		b := newTestbed(map[string][]script{"a1": {breaks()}}, "a1")
 		for n := range int64(3) {
 			b.list(uint64(2+n), map[string]int64{"a1": 100 + n}, "a1")
 			b.backend.mu.Lock()
@@ -182,13 +182,13 @@
 	})
 }
 
-// A stream runs when the list tells that its server, the only one, has started
-// again under its id. The connection to the old process shows nothing yet. The
-// stream goes on at the new start at once: that one has not been tried.
-func TestStreamGoesOnAtTheNewStart(t *testing.T) {
+// A stream runs when the list reports that its server, the only one, has been restarted
+// under its id. The connection to the old process shows nothing yet. The stream must
+// resume on the new start at once: that one has not been tried.
+func TestStreamResumesOnTheNewStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newBed(map[string][]script{
+		b := newTestbed(map[string][]script{
 			"a1": {streams(3, 30*time.Millisecond, errMute), streams(10, 30*time.Millisecond, nil)},
 		}, "a1")
 		b.list(2, nil, "a1")
@@ -206,28 +206,28 @@
 		g.Expect(sent[1].Server.Start).To(gomega.Equal(directory.Start{ID: "a1", Born: 200}))
 		g.Expect(<-done).NotTo(gomega.HaveOccurred())
 		g.Expect(sink.ids).To(gomega.HaveLen(10))
-		time.Sleep(crashAlone)
+		time.Sleep(crashConfirmDelay)
 	})
 }
 
-// While the store is away a server crashes and is back at its address under its
-// id. It is found; before that its own old answers, a process that doesn't tell
-// its start, and an earlier start are none.
-func TestServerIsFoundUnderItsIDWhileTheStoreIsAway(t *testing.T) {
+// While the store is unavailable a server crashes and is back at its address under its
+// id. It must be detected. Answers of the former process, of a process that doesn't
+// report its start time, and of an earlier start must not count.
+func TestRestartUnderTheSameIDIsDetectedWhileTheStoreIsUnavailable(t *testing.T) {
 	for name, c := range map[string]struct {
 		listed, answers int64
 		found           bool
 	}{
-		"a later start":                {100, 200, true},
-		"the same start":               {100, 100, false},
-		"an earlier start":             {200, 100, false},
-		"no start told":                {100, 0, false},
-		"an entry that tells no start": {0, 100, false},
+		"a later start":                     {100, 200, true},
+		"the same start":                    {100, 100, false},
+		"an earlier start":                  {200, 100, false},
+		"no start told":                     {100, 0, false},
+		"a list entry without a start time": {0, 100, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := gomega.NewWithT(t)
-				b := newBed(nil, "a1")
+				b := newTestbed(nil, "a1")
 				b.list(2, map[string]int64{"a1": c.listed}, "a1")
 				var found []directory.Start
 				b.opts.Restarts = &Restarts{
@@ -240,7 +240,7 @@
 				}
 				s := serverOf(b, "a1")
 				s.Heard(time.Now())
-				b.failed(s, &NotRunError{Reason: Refused, Err: io.ErrClosedPipe})
+				b.recordFailure(s, &NotRunError{Reason: Refused, Err: io.ErrClosedPipe})
 				time.Sleep(3 * time.Second)
 				synctest.Wait()
 				if c.found {
--- a/exchange/stream_test.go
+++ b/exchange/stream_test.go
@@ -15,7 +15,7 @@
 	"github.com/pearyard/pearyard/retry"
 )
 
-const beat = 30 * time.Millisecond
+const eventInterval = 30 * time.Millisecond
 
 func consecutive(from, to uint64) []uint64 {
 	var ids []uint64
@@ -25,15 +25,15 @@
 	return ids
 }
 
-func runStream(t *testing.T, b *bed, req *Request) (*recordingSink, error) {
+func runStream(t *testing.T, b *testbed, req *Request) (*recordingSink, error) {
 	sink := &recordingSink{start: time.Now()}
 	_, err := b.Stream(t.Context(), req, sink)
 	return sink, err
 }
 
-// firstOf returns scripts that are played one attempt after the other, whichever
-// servers are tried; the last one is played again.
-func firstOf(plays ...script) map[string][]script {
+// inOrder returns scripts that are played one per attempt, whichever servers are tried;
+// the last one is repeated.
+func inOrder(plays ...script) map[string][]script {
 	var mu sync.Mutex
 	next := func() script {
 		mu.Lock()
@@ -47,17 +47,17 @@
 	return everywhere(func(ctx context.Context, a *Attempt) (*Answer, error) { return next()(ctx, a) })
 }
 
-// An engine crashes in the middle of a draft. The caller's stream goes on at
-// the server that holds a copy of the draft's memory, in another zone, within
-// the pause that is allowed, and no event is missing or doubled.
-func TestStreamGoesOnFromItsCopy(t *testing.T) {
+// An engine crashes in the middle of a stream. The stream resumes on the server that
+// holds a copy of its KV cache, in another zone, within the allowed pause, and no event
+// is missing or doubled.
+func TestStreamResumesFromItsCopy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newBed(firstOf(streams(50, beat, io.ErrUnexpectedEOF), streams(130, beat, nil)))
+		b := newTestbed(inOrder(streams(50, eventInterval, io.ErrUnexpectedEOF), streams(130, eventInterval, nil)))
 		sink, err := runStream(t, b, streamRequest())
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(sink.ids).To(gomega.Equal(consecutive(1, 130)))
-		g.Expect(sink.begun).To(gomega.Equal(1))
+		g.Expect(sink.heads).To(gomega.Equal(1))
 		sent := b.backend.sent()
 		g.Expect(sent).To(gomega.HaveLen(2))
 		g.Expect(sent[0].CopyTo.Zone).NotTo(gomega.Equal(sent[0].Server.Zone))
@@ -69,12 +69,12 @@
 	})
 }
 
-// An engine's VM loses power in the middle of a draft: no reset comes, only
-// silence. It is noticed well within the pause that is allowed.
+// An engine's VM loses power in the middle of a stream: no reset comes, only silence.
+// It must be noticed well within the allowed pause.
 func TestSilentLossIsNoticedInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newBed(firstOf(streams(50, beat, errMute), streams(130, beat, nil)))
+		b := newTestbed(inOrder(streams(50, eventInterval, errMute), streams(130, eventInterval, nil)))
 		sink, err := runStream(t, b, streamRequest())
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(sink.ids).To(gomega.Equal(consecutive(1, 130)))
@@ -82,34 +82,34 @@
 	})
 }
 
-// An engine falls silent while it reads the prompt, which takes a second in any
-// case. A question for a sign of life tells the loss; one that is answered
-// leaves the stream where it is.
+// An engine falls silent while it reads the prompt, which takes a second in any case. A
+// probe that fails reveals the loss; one that is answered leaves the stream where it
+// is.
 func TestLossBeforeTheFirstEvent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newBed(firstOf(streams(0, beat, errMute), streams(20, beat, nil)))
+		b := newTestbed(inOrder(streams(0, eventInterval, errMute), streams(20, eventInterval, nil)))
 		for _, id := range []string{"a1", "a2"} {
 			b.backend.probes[id] = &NotRunError{Reason: Unreachable, Err: io.ErrClosedPipe}
 		}
 		sink, err := runStream(t, b, streamRequest())
-		time.Sleep(crashAlone) // for which other losses of the zone are waited for
+		time.Sleep(crashConfirmDelay) // until the crash check has ended
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(sink.ids).To(gomega.Equal(consecutive(1, 20)))
 		g.Expect(sink.first).To(gomega.BeNumerically("<", time.Second))
 	})
 }
 
-// A prompt takes three seconds to be read by a busy but sound engine. Nobody
-// takes it for lost: the stream stays there.
-func TestSlowPromptIsNoLoss(t *testing.T) {
+// A busy but healthy engine takes three seconds to read a prompt. It must not be taken
+// for lost.
+func TestSlowPromptIsNotTakenForALoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		slow := func(ctx context.Context, a *Attempt) (*Answer, error) {
 			time.Sleep(3 * time.Second)
-			return streams(20, beat, nil)(ctx, a)
+			return streams(20, eventInterval, nil)(ctx, a)
 		}
-		b := newBed(everywhere(slow))
+		b := newTestbed(everywhere(slow))
 		sink, err := runStream(t, b, streamRequest())
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(sink.ids).To(gomega.HaveLen(20))
@@ -117,13 +117,13 @@
 	})
 }
 
-// A server was lost some seconds ago and is tried again because no other is
-// there. What was known against it must not end the new attempt at its start:
-// streams were once answered "may have run" within a millisecond so.
-func TestServerThatWasLostIsWatchedAnew(t *testing.T) {
+// A server was lost some seconds ago and is tried again because there is no other. What
+// was known against it must not end the new attempt at its start: streams failed with
+// "may have run" within a millisecond.
+func TestFormerLossDoesNotEndANewAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newBed(map[string][]script{"a1": {streams(20, beat, nil)}}, "a1")
+		b := newTestbed(map[string][]script{"a1": {streams(20, eventInterval, nil)}}, "a1")
 		b.dir.View().Service("s")[0].Lost(time.Now())
 		sink, err := runStream(t, b, streamRequest())
 		g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -131,21 +131,21 @@
 	})
 }
 
-// The copy lies on a server that was lost with the one that ran the draft, or
-// never had room for it. The prompt is read again elsewhere; nothing is lost.
+// The copy is on a server that was lost with the one that ran the stream, or that never
+// had room for it. The prompt is read again elsewhere; nothing is lost.
 func TestWithoutACopyThePromptIsReadAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		tries := 0
-		b := newBed(everywhere(func(ctx context.Context, a *Attempt) (*Answer, error) {
+		b := newTestbed(everywhere(func(ctx context.Context, a *Attempt) (*Answer, error) {
 			tries++
 			if tries == 1 {
-				return streams(50, beat, io.ErrUnexpectedEOF)(ctx, a)
+				return streams(50, eventInterval, io.ErrUnexpectedEOF)(ctx, a)
 			}
 			if a.From != nil {
 				return nil, &NotRunError{Reason: Busy, Err: io.ErrClosedPipe}
 			}
-			return streams(130, beat, nil)(ctx, a)
+			return streams(130, eventInterval, nil)(ctx, a)
 		}))
 		sink, err := runStream(t, b, streamRequest())
 		g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -154,12 +154,12 @@
 	})
 }
 
-// An attempt that never ran has left no copy: asking for it would cost an
-// arrival that is refused.
-func TestNoCopyOfWhatNeverRan(t *testing.T) {
+// An attempt that never ran has left no copy: resuming from it would cost an attempt
+// that is refused.
+func TestAttemptThatNeverRanLeavesNoCopy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newBed(firstOf(refuses(Refused), streams(20, beat, nil)))
+		b := newTestbed(inOrder(refuses(Refused), streams(20, eventInterval, nil)))
 		_, err := runStream(t, b, streamRequest())
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		for _, a := range b.backend.sent() {
@@ -168,23 +168,23 @@
 	})
 }
 
-// A faulty server goes on at the wrong event after a resume. Its events are
-// dropped, and another server goes on at the right one.
+// A faulty server resumes at the wrong event. Its events are dropped, and another
+// server resumes at the right one.
 func TestEventsOutOfOrderNeverReachTheCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		tries := 0
-		b := newBed(everywhere(func(ctx context.Context, a *Attempt) (*Answer, error) {
+		b := newTestbed(everywhere(func(ctx context.Context, a *Attempt) (*Answer, error) {
 			tries++
 			switch tries {
 			case 1:
-				return streams(50, beat, io.ErrUnexpectedEOF)(ctx, a)
+				return streams(50, eventInterval, io.ErrUnexpectedEOF)(ctx, a)
 			case 2:
 				wrong := *a
 				wrong.After = "20"
-				return streams(130, beat, nil)(ctx, &wrong)
+				return streams(130, eventInterval, nil)(ctx, &wrong)
 			default:
-				return streams(130, beat, nil)(ctx, a)
+				return streams(130, eventInterval, nil)(ctx, a)
 			}
 		}))
 		sink, err := runStream(t, b, streamRequest())
@@ -193,12 +193,12 @@
 	})
 }
 
-// A caller comes back after its own connection broke, with the id of the last
-// event that it has, and gets the next one first.
-func TestCallerComesBackWithAnEventID(t *testing.T) {
+// A caller comes back after its own connection broke, with the id of its last event,
+// and gets the next one first.
+func TestCallerResumesWithAnEventID(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newBed(everywhere(streams(130, beat, nil)))
+		b := newTestbed(everywhere(streams(130, eventInterval, nil)))
 		req := streamRequest()
 		req.LastEvent = "77"
 		sink, err := runStream(t, b, req)
@@ -207,12 +207,12 @@
 	})
 }
 
-// A stream that can't be resumed breaks in its middle. Nothing else is tried,
-// and the caller's answer is cut off rather than ended.
-func TestStreamThatCanNotBeResumedIsCut(t *testing.T) {
+// A stream that can't be resumed breaks in the middle. Nothing else is tried, and the
+// response is cut off rather than ended.
+func TestStreamThatCannotBeResumedIsCutOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newBed(everywhere(streams(50, beat, io.ErrUnexpectedEOF)))
+		b := newTestbed(everywhere(streams(50, eventInterval, io.ErrUnexpectedEOF)))
 		req := streamRequest()
 		req.Route.Resumable = false
 		sink := &recordingSink{start: time.Now()}
@@ -225,12 +225,12 @@
 	})
 }
 
-// One request crashes each server that runs it. After three of them it gets no
-// further one, by whatever id it comes.
-func TestRequestThatCrashesServersIsStopped(t *testing.T) {
+// A request crashes each server that runs it. After three of them it is refused,
+// whatever its id.
+func TestRequestThatCrashesServersIsQuarantined(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newBed(everywhere(breaks()), "a1", "b1", "c1", "d1", "e1", "f1")
+		b := newTestbed(everywhere(breaks()), "a1", "b1", "c1", "d1", "e1", "f1")
 		for _, id := range []string{"a1", "b1", "c1", "d1", "e1", "f1"} {
 			b.backend.scripts[id] = []script{breaks()}
 			b.backend.probes[id] = &NotRunError{Reason: Refused, Err: io.ErrClosedPipe}
@@ -240,7 +240,7 @@
 			req.ID = string(rune('a' + i))
 			req.Route.MaxAttempts = 1
 			_, _ = runStream(t, b, req)
-			time.Sleep(crashAlone + crashBeside)
+			time.Sleep(crashConfirmDelay + zoneLossWindow)
 		}
 		before := len(b.backend.sent())
 		req := streamRequest()
@@ -254,12 +254,12 @@
 	})
 }
 
-// A zone loses its servers with all that runs there. The requests that ran
-// there had no part in it and are not held to have crashed anything.
-func TestLossOfAZoneIsNoRequestsFault(t *testing.T) {
+// A zone is lost with all that runs there. The requests that ran there must not be
+// blamed for crashes.
+func TestLossOfAZoneIsNotBlamedOnRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newBed(nil, "a1", "a2", "a3")
+		b := newTestbed(nil, "a1", "a2", "a3")
 		for _, id := range []string{"a1", "a2", "a3"} {
 			b.backend.scripts = everywhere(breaks())
 			b.backend.scripts["a3"] = []script{breaks()}
@@ -267,19 +267,19 @@
 		}
 		req := streamRequest()
 		_, _ = runStream(t, b, req)
-		time.Sleep(crashAlone + crashBeside)
+		time.Sleep(crashConfirmDelay + zoneLossWindow)
 		g.Expect(b.suspects.Verdict(req.Fingerprint()).Deaths).To(gomega.BeZero())
 	})
 }
 
-// The server that holds a stream's copy begins to leave, and seconds later the
-// stream's own server is lost. The leaving server gets nothing new, not even
-// the stream that it holds a copy of.
+// The server that holds a stream's copy starts to leave, and seconds later the stream's
+// own server is lost. The leaving server gets nothing new, not even the stream that it
+// holds a copy of.
 func TestCopyOnALeavingServerIsNotUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newBed(firstOf(streams(50, beat, io.ErrUnexpectedEOF), streams(130, beat, nil)))
-		time.AfterFunc(20*beat, func() {
+		b := newTestbed(inOrder(streams(50, eventInterval, io.ErrUnexpectedEOF), streams(130, eventInterval, nil)))
+		time.AfterFunc(20*eventInterval, func() {
 			copyAt := b.backend.sent()[0].CopyTo.ID
 			var list []directory.Listing
 			for _, id := range []string{"a1", "a2", "b1", "b2"} {
@@ -296,15 +296,14 @@
 	})
 }
 
-// A zone is lost with the copies of streams that run in another one. Seconds
-// later that zone is lost too. The streams go on from new copies, within the
-// pause that is allowed.
+// A zone is lost with the copies of streams that run in another one. Seconds later that
+// zone is lost too. The streams must resume from new copies, within the allowed pause.
 func TestCopyIsReplacedWhenItsServerIsLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newBed(firstOf(streams(100, beat, io.ErrUnexpectedEOF), streams(130, beat, nil)), "a1", "b1", "c1")
+		b := newTestbed(inOrder(streams(100, eventInterval, io.ErrUnexpectedEOF), streams(130, eventInterval, nil)), "a1", "b1", "c1")
 		b.backend.scripts["c1"] = b.backend.scripts["a1"]
-		time.AfterFunc(20*beat, func() { b.backend.sent()[0].CopyTo.Lost(time.Now()) })
+		time.AfterFunc(20*eventInterval, func() { b.backend.sent()[0].CopyTo.Lost(time.Now()) })
 		sink, err := runStream(t, b, streamRequest())
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(sink.ids).To(gomega.Equal(consecutive(1, 130)))
@@ -318,54 +317,55 @@
 	})
 }
 
-// The same, but the first place that is asked for the new copy has no room. The
-// stream had none from then on, and read its prompt again at the next loss.
-func TestCopyThatIsRefusedIsAskedForElsewhere(t *testing.T) {
+// As above, but the first server that is asked for the new copy has no room. Guards
+// against leaving the stream without a copy, so that it reads its prompt again at the
+// next loss.
+func TestRefusedCopyIsRequestedElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newBed(firstOf(streams(100, beat, io.ErrUnexpectedEOF), streams(130, beat, nil)), "a1", "b1", "c1", "c2")
+		b := newTestbed(inOrder(streams(100, eventInterval, io.ErrUnexpectedEOF), streams(130, eventInterval, nil)), "a1", "b1", "c1", "c2")
 		for _, id := range []string{"c1", "c2"} {
 			b.backend.scripts[id] = b.backend.scripts["a1"]
 		}
 		b.backend.refusals = 1
-		time.AfterFunc(20*beat, func() { b.backend.sent()[0].CopyTo.Lost(time.Now()) })
+		time.AfterFunc(20*eventInterval, func() { b.backend.sent()[0].CopyTo.Lost(time.Now()) })
 		sink, err := runStream(t, b, streamRequest())
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(sink.ids).To(gomega.Equal(consecutive(1, 130)))
 		sent := b.backend.sent()
 		g.Expect(sent).To(gomega.HaveLen(2))
-		g.Expect(sent[1].From).NotTo(gomega.BeNil(), "it goes on from a copy")
+		g.Expect(sent[1].From).NotTo(gomega.BeNil(), "it resumes from a copy")
 		g.Expect(b.backend.copyPlaces()).To(gomega.HaveLen(2))
 		g.Expect(sent[1].Server).NotTo(gomega.Equal(b.backend.copies[0]), "the one that refused")
 		g.Expect(sink.longest).To(gomega.BeNumerically("<", 100*time.Millisecond))
 	})
 }
 
-// A stream ends well after its copy had to be replaced. The new copy was asked
-// for, so nobody but the asker knows that it is no longer needed: it is given up.
-func TestCopyThatIsNotUsedIsGivenUp(t *testing.T) {
+// A stream completes after its copy had to be replaced. Only this process knows that
+// the requested copy is no longer needed, so it must release it.
+func TestUnusedCopyIsReleased(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newBed(everywhere(streams(130, beat, nil)))
-		time.AfterFunc(20*beat, func() { b.backend.sent()[0].CopyTo.Lost(time.Now()) })
+		b := newTestbed(everywhere(streams(130, eventInterval, nil)))
+		time.AfterFunc(20*eventInterval, func() { b.backend.sent()[0].CopyTo.Lost(time.Now()) })
 		_, err := runStream(t, b, streamRequest())
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		synctest.Wait()
 		g.Expect(b.backend.copyPlaces()).To(gomega.HaveLen(1))
-		g.Expect(len(b.backend.copies)).To(gomega.BeNumerically("<=", 1+int(130*beat/copyLook)), "asked for, and brought up to date")
+		g.Expect(len(b.backend.copies)).To(gomega.BeNumerically("<=", 1+int(130*eventInterval/copyCheckInterval)), "asked for, and brought up to date")
 		g.Expect(b.backend.freed).To(gomega.Equal([]string{"h"}))
 	})
 }
 
-// stingy is a Lender that has nothing for a while.
+// stingy is a Lender that allows nothing until a given time.
 type stingy struct{ until time.Time }
 
 func (l *stingy) Allow(string, *retry.Window) bool { return time.Now().After(l.until) }
 func (l *stingy) First(string, *retry.Window)      {}
 
-// Many streams of one entry VM are lost at once, more than it may send again
-// before the others know. The last ones wait for a moment and go on; they used
-// to end there. With no budget for longer, a stream ends.
+// Many streams of one entry VM are lost at once, more than it may retry before the
+// others know. Guards against ending the last ones: they wait for a moment and resume.
+// Without budget for longer, a stream ends.
 func TestStreamWaitsForTheRetryBudget(t *testing.T) {
 	for name, c := range map[string]struct {
 		spent  time.Duration
@@ -374,8 +374,8 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := gomega.NewWithT(t)
-				b := newBed(firstOf(streams(50, beat, io.ErrUnexpectedEOF), streams(130, beat, nil)))
-				b.opts.Lender = &stingy{until: time.Now().Add(50*beat + c.spent)}
+				b := newTestbed(inOrder(streams(50, eventInterval, io.ErrUnexpectedEOF), streams(130, eventInterval, nil)))
+				b.opts.Lender = &stingy{until: time.Now().Add(50*eventInterval + c.spent)}
 				sink, err := runStream(t, b, streamRequest())
 				if !c.served {
 					g.Expect(errors.Is(err, ErrBudget)).To(gomega.BeTrue())
@@ -389,20 +389,20 @@
 	}
 }
 
-// counting is a Lender that allows all and counts.
+// counting is a Lender that allows and counts every retry.
 type counting struct{ taken int }
 
 func (l *counting) Allow(string, *retry.Window) bool { l.taken++; return true }
 func (l *counting) First(string, *retry.Window)      {}
 
-// A zone dies. A stream that ran there is sent to servers that died with it and
-// take no connection, before it finds one that lives. The backend servers get
-// one retry, so one is taken out of the budget; each try used to be, and 93
-// streams ended for want of budget in a loss of several zones one by one.
-func TestRetryThatReachesNobodyCostsNoBudget(t *testing.T) {
+// A zone is lost. A stream that ran there is sent to servers that were lost with it and
+// refuse connections, before it finds a live one. Servers get one retry, so one is
+// taken out of the budget. With one per try, 93 streams ended for lack of budget when
+// several zones were lost one by one.
+func TestRetryThatReachesNoServerCostsNoBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newBed(firstOf(streams(50, beat, io.ErrUnexpectedEOF), refuses(Refused), refuses(Unreachable), streams(130, beat, nil)))
+		b := newTestbed(inOrder(streams(50, eventInterval, io.ErrUnexpectedEOF), refuses(Refused), refuses(Unreachable), streams(130, eventInterval, nil)))
 		lender := &counting{}
 		b.opts.Lender = lender
 		sink, err := runStream(t, b, streamRequest())
@@ -413,13 +413,13 @@
 	})
 }
 
-// A server is lost while it reads a stream's prompt: nothing of its memory has
-// been copied yet. The server that was to hold the copy refused to go on from
-// it, which took a retry of the budget; it is no longer asked to.
-func TestNoCopyIsAskedForBeforeTheFirstEvent(t *testing.T) {
+// A server is lost while it reads a stream's prompt, when nothing of its KV cache has
+// been copied yet. The server that was to hold the copy must not be asked to resume
+// from it: it refused, which cost a retry of the budget.
+func TestNoCopyIsResumedFromBeforeTheFirstEvent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newBed(firstOf(breaks(), streams(130, beat, nil)))
+		b := newTestbed(inOrder(breaks(), streams(130, eventInterval, nil)))
 		lender := &counting{}
 		b.opts.Lender = lender
 		sink, err := runStream(t, b, streamRequest())
@@ -433,15 +433,15 @@
 	})
 }
 
-// The only server of a service breaks a stream off and has no room when the
-// stream comes back for it; a moment later it has. The answer had begun: without
-// the wait for a server it would be cut.
+// The only server of a service breaks a stream off and has no room when the stream is
+// resumed; a moment later it has. The response has begun: without the wait for a server
+// it would be cut off.
 func TestStreamWaitsForItsOnlyServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newBed(map[string][]script{"a1": {streams(50, beat, io.ErrUnexpectedEOF), refuses(Busy), streams(130, beat, nil)}}, "a1")
+		b := newTestbed(map[string][]script{"a1": {streams(50, eventInterval, io.ErrUnexpectedEOF), refuses(Busy), streams(130, eventInterval, nil)}}, "a1")
 		sink, err := runStream(t, b, streamRequest())
-		time.Sleep(crashAlone) // for which other losses of the zone are waited for
+		time.Sleep(crashConfirmDelay) // until the crash check has ended
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(sink.ids).To(gomega.Equal(consecutive(1, 130)))
 	})
--- a/exchange/takeover.go
+++ b/exchange/takeover.go
@@ -11,52 +11,54 @@
 	"github.com/pearyard/pearyard/event"
 )
 
-// silenceTimeout is how long a server may give no sign of life before an attempt there is
-// ended though no other server takes the stream on. It must be longer than a full link
-// of this VM keeps answers back, and leave the caller time to come back.
+// silenceTimeout is how long a server may show no proof of life before an attempt there
+// is ended although no other server takes the stream over. It must exceed the delay
+// that a saturated link of this VM adds to responses, and leave the caller time to come
+// back.
 const silenceTimeout = 5 * time.Second
 
-// errAbandoned: the request ended while its attempt was under way.
-var errAbandoned = errors.New("exchange: the request ended before its answer")
+// errAbandoned: the request ended while its attempt was in progress.
+var errAbandoned = errors.New("exchange: the request ended before its attempt was answered")
 
-// follow hands on what the current attempt's server sends until the stream is
-// whole (nil) or the attempt is over. While that server is silent, the stream is
-// offered to another one beside it.
+// relay forwards what the current attempt's server sends until the stream is complete
+// (nil) or the attempt is over. While that server is silent, another one is asked to
+// take the stream over.
 //
 // Silence alone ends nothing, since a server that pauses for other prompts is as silent
-// as a lost one: an attempt goes on until another one has brought an event in its place,
-// its connection breaks, or its server has given no sign of life for silenceTimeout.
+// as a lost one. An attempt continues until a takeover attempt has delivered an event
+// in its place, its connection breaks, or its server has shown no proof of life for
+// silenceTimeout.
 //
 // Invariant: events reach the caller from the current attempt alone, and an attempt
-// that becomes the current one goes on after the caller's last event.
-func (s *stream) follow(ctx context.Context) error {
+// that becomes the current one continues after the caller's last event.
+func (s *stream) relay(ctx context.Context) error {
 	defer s.abandonNext()
 	defer func() { s.current.end() }()
 	for {
 		select {
 		case st := <-s.current.steps:
-			done, err := s.fromCurrent(ctx, st)
+			done, err := s.handleCurrent(ctx, st)
 			if done || err != nil {
 				return err
 			}
 		case st := <-stepsOf(s.next):
-			done, err := s.fromNext(ctx, st)
+			done, err := s.handleNext(ctx, st)
 			if done || err != nil {
 				return err
 			}
 		case n := <-s.current.watch.alerts:
-			if err := s.silent(ctx, n); err != nil {
+			if err := s.onSilence(ctx, n); err != nil {
 				return err
 			}
 		case <-s.retryAvailable:
-			s.lookForNext(ctx)
+			s.tryTakeover(ctx)
 		case <-ctx.Done():
 			return &BrokenError{Err: errAbandoned}
 		}
 	}
 }
 
-// stepsOf returns the attempt's steps; none come without one.
+// stepsOf returns the attempt's steps; a nil channel without an attempt.
 func stepsOf(a *streamAttempt) <-chan step {
 	if a == nil {
 		return nil
@@ -64,21 +66,21 @@
 	return a.steps
 }
 
-// raise goes on with a panic of the goroutine that read the step.
-func (st step) raise() {
-	if st.fault != nil {
-		panic(st.fault)
+// rethrow continues a panic of the goroutine that read the step.
+func (st step) rethrow() {
+	if st.panicked != nil {
+		panic(st.panicked)
 	}
 }
 
-// fromCurrent handles a step of the current attempt. If that is over, the one
-// beside it is all that is left.
-func (s *stream) fromCurrent(ctx context.Context, st step) (done bool, err error) {
-	st.raise()
+// handleCurrent processes a step of the current attempt. If that attempt is over, a
+// takeover attempt replaces it.
+func (s *stream) handleCurrent(ctx context.Context, st step) (done bool, err error) {
+	st.rethrow()
 	if isEvent := st.err == nil && st.reply == nil; isEvent {
-		s.wentOn()
+		s.currentResumed()
 	}
-	done, err = s.take(ctx, st)
+	done, err = s.handleStep(ctx, st)
 	var final *finalError
 	if err == nil || s.next == nil || errors.As(err, &final) || ctx.Err() != nil {
 		return done && err == nil, err
@@ -87,164 +89,166 @@
 	return false, nil
 }
 
-// fromNext handles a step of the attempt that was begun beside a silent one.
-func (s *stream) fromNext(ctx context.Context, st step) (done bool, err error) {
-	st.raise()
-	if err := s.unusable(st); err != nil {
+// handleNext processes a step of the takeover attempt.
+func (s *stream) handleNext(ctx context.Context, st step) (done bool, err error) {
+	st.rethrow()
+	if err := s.checkTakeover(st); err != nil {
 		next := s.dropNext()
-		s.note(next, err)
-		s.lookForNext(ctx)
+		s.handleFailure(next, err)
+		s.tryTakeover(ctx)
 		return false, nil
 	}
-	s.promote(&BrokenError{Err: s.current.watch.silence()})
-	return s.take(ctx, st)
+	s.promote(&BrokenError{Err: s.current.watch.silenceError()})
+	return s.handleStep(ctx, st)
 }
 
-// unusable tells why the stream can't go on with what the attempt beside the
-// current one has sent; nil if it can. A server that begins anew, or ends without
-// an event, must not take the place of one that is at work.
-func (s *stream) unusable(st step) error {
+// checkTakeover returns why the stream can't continue with what the takeover attempt
+// has sent; nil if it can. A server that starts over, or ends without an event, must
+// not replace one that is working.
+func (s *stream) checkTakeover(st step) error {
 	switch {
 	case st.err == io.EOF:
 		return &BrokenError{Err: ErrCut}
 	case st.err != nil:
 		return st.err
-	case st.reply != nil && (s.begun || st.reply.Status >= 500):
+	case st.reply != nil && (s.headSent || st.reply.Status >= 500):
 		return &BrokenError{Err: errors.Errorf("the server answered %d", st.reply.Status)}
 	case st.reply == nil:
-		return s.follows(st.event)
+		return s.checkOrder(st.event)
 	}
 	return nil
 }
 
-// promote puts the attempt beside the current one in its place, for the reason given.
+// promote makes the takeover attempt the current one, for the reason given.
 func (s *stream) promote(why error) {
 	s.current.end()
-	s.note(s.current, why)
+	s.handleFailure(s.current, why)
 	s.current.copies.close()
-	s.current, s.next, s.quiet, s.waitsFor = s.next, nil, false, ""
-	s.onItsWay.server.Store(s.current.server)
+	s.current, s.next, s.isSilent, s.noTakeoverReason = s.next, nil, false, ""
+	s.active.server.Store(s.current.server)
 }
 
-// wentOn is called when the current attempt brings an event: what was begun
-// beside it is not needed.
-func (s *stream) wentOn() {
-	if !s.quiet {
+// currentResumed is called when the current attempt delivers an event: a takeover is
+// not needed.
+func (s *stream) currentResumed() {
+	if !s.isSilent {
 		return
 	}
-	s.quiet, s.waitsFor = false, ""
+	s.isSilent, s.noTakeoverReason = false, ""
 	delete(s.tried, s.current.server.Start)
 	s.e.opts.Recorder.Emit(EventWentOn, event.FieldRequest, s.req.ID, "route", s.req.Route.Name, "server", s.current.server.Start,
-		"reached", s.last, "after", time.Since(s.quietSince()), "beside", s.next.name())
+		"reached", s.lastEvent, "after", time.Since(s.silentSince()), "beside", s.next.serverName())
 	s.abandonNext()
 }
 
-func (a *streamAttempt) name() string {
+func (a *streamAttempt) serverName() string {
 	if a == nil {
 		return ""
 	}
 	return a.server.String()
 }
 
-// abandonNext ends the attempt beside the current one. It counts as a retry: its
-// server may have begun with it.
+// abandonNext ends the takeover attempt. It counts as a retry, since its server may
+// have started to run the stream.
 func (s *stream) abandonNext() {
 	if s.next == nil {
 		return
 	}
 	s.dropNext()
-	s.left++
-	s.reached()
+	s.abandoned++
+	s.countReached()
 }
 
-// dropNext ends the attempt beside the current one and gives up what it went on
-// from. The current one gets another copy.
+// dropNext ends the takeover attempt and releases the copy that it resumed from. The
+// current attempt gets another copy.
 func (s *stream) dropNext() *streamAttempt {
 	next := s.next
 	s.next = nil
 	next.end()
 	next.copies.close()
 	if next.from != nil {
-		next.copies.giveUp(next.from)
-		s.current.offer.Store(offerUnused)
+		next.copies.release(next.from)
+		s.current.copyState.Store(copyUsedUp)
 	}
 	return next
 }
 
-// silent is told that the current attempt's server sends nothing.
-func (s *stream) silent(ctx context.Context, alert silenceAlert) error {
-	if !s.current.watch.isSilent() {
-		return nil // an event has come meanwhile
+// onSilence handles an alert that the current attempt's server sends nothing.
+func (s *stream) onSilence(ctx context.Context, alert silenceAlert) error {
+	if !s.current.watch.isWaiting() {
+		return nil // an event has arrived meanwhile
 	}
-	if !s.quiet {
-		s.quiet = true
+	if !s.isSilent {
+		s.isSilent = true
 		s.e.opts.Recorder.Emit(EventSilent, event.FieldRequest, s.req.ID, "route", s.req.Route.Name, "server", s.current.server.Start,
-			"reached", s.last, "silent", time.Since(s.quietSince()), "alive", alert.alive, "ahead", s.current.server.Unread(), "copy", idOf(s.current.copies.at()))
+			"reached", s.lastEvent, "silent", time.Since(s.silentSince()), "alive", alert.alive, "ahead", s.current.server.Unread(), "copy", serverName(s.current.copies.holder()))
 	}
-	s.lookForNext(ctx)
-	if s.next == nil && alert.unheard > s.patience() {
-		return &BrokenError{Err: s.current.watch.silence()}
+	s.tryTakeover(ctx)
+	if s.next == nil && alert.sinceProof > s.silenceLimit() {
+		return &BrokenError{Err: s.current.watch.silenceError()}
 	}
 	return nil
 }
 
-// patience is how long a server may give no sign of life while no other takes the
-// stream on. A caller that has got nothing yet loses nothing by an answer that
-// says so, and learns sooner that it may come back.
-func (s *stream) patience() time.Duration {
-	if s.begun || !s.mayTakeOver() {
-		return silenceTimeout // or no other may run it
+// silenceLimit is how long a server may show no proof of life while no other server
+// takes the stream over. A caller that has received nothing yet loses nothing by a
+// response that says so, and learns sooner that it may come back.
+func (s *stream) silenceLimit() time.Duration {
+	if s.headSent || !s.mayTakeOver() {
+		return silenceTimeout // or no other server may run it
 	}
 	return budgetWait
 }
 
-// lookForNext begins an attempt beside the current one if a server is found for it.
+// tryTakeover starts a takeover attempt if a server is found for it.
 //
-// For want of budget it looks again a moment later: in a mass loss a process's part of
-// it is spent at once and free again soon after.
-func (s *stream) lookForNext(ctx context.Context) {
+// If the budget is spent it tries again a moment later: in a mass loss a process's
+// share is spent at once and available again soon after.
+func (s *stream) tryTakeover(ctx context.Context) {
 	s.retryAvailable = nil
-	if !s.quiet || s.next != nil || !s.mayTakeOver() {
+	if !s.isSilent || s.next != nil || !s.mayTakeOver() {
 		return
 	}
-	server, from, err := s.successor()
+	server, from, err := s.chooseTakeover()
 	if server != nil {
 		s.next = s.launch(ctx, server, from)
 		return
 	}
-	s.notOffered(err)
-	if errors.Is(err, ErrBudget) && time.Since(s.quietSince()) < budgetWait {
-		s.retryAvailable = time.After(pickAgain)
+	s.logNotOffered(err)
+	if errors.Is(err, ErrBudget) && time.Since(s.silentSince()) < budgetWait {
+		s.retryAvailable = time.After(pickInterval)
 	}
 }
 
-// notOffered tells why no other server goes on with a silent stream, once for each
-// reason in a row: it is looked for every 50 ms.
-func (s *stream) notOffered(why error) {
+// logNotOffered logs why no other server takes over a silent stream, once for each
+// reason in a row: a takeover is tried every 50 ms.
+func (s *stream) logNotOffered(why error) {
 	reason := why.Error()
 	var late *LateError
 	if errors.As(why, &late) {
-		reason = "late" // its text has the figures of the moment
+		reason = "late" // its text contains figures that change
 	}
-	if s.waitsFor == reason {
+	if s.noTakeoverReason == reason {
 		return
 	}
-	s.waitsFor = reason
+	s.noTakeoverReason = reason
 	s.e.opts.Recorder.Emit(EventNotOffered, event.FieldRequest, s.req.ID, "route", s.req.Route.Name, "server", s.current.server.Start,
-		"reached", s.last, "silent", time.Since(s.quietSince()), "err", why)
+		"reached", s.lastEvent, "silent", time.Since(s.silentSince()), "err", why)
 }
 
-// mayTakeOver tells whether one more server may run the stream beside the current one.
+// mayTakeOver reports whether one more server may run the stream beside the current
+// one.
 func (s *stream) mayTakeOver() bool {
-	return s.req.Route.Resumable && s.ran+s.left+1 < s.req.Route.Attempts() && s.turnedDown < 2*notRunTries
+	return s.req.Route.Resumable && s.ran+s.abandoned+1 < s.req.Route.Attempts() && s.takeoversRefused < 2*maxNotRunTries
 }
 
-// errSooner: the server lives, and the prompt would not be read sooner elsewhere.
-var errSooner = errors.New("exchange: the silent server lives and is expected to go on sooner than another could")
+// errCurrentSooner: the silent server is alive, and another one would not read the
+// prompt sooner.
+var errCurrentSooner = errors.New("exchange: the silent server is alive and expected to resume before another one could")
 
-// successor returns the server that is to go on with the stream of a silent one;
-// nil and why, if there is none now.
-func (s *stream) successor() (*directory.Server, *Memory, error) {
+// chooseTakeover returns the server that is to take over the stream of a silent one;
+// nil and the reason, if there is none now.
+func (s *stream) chooseTakeover() (*directory.Server, *Memory, error) {
 	if !s.req.hasTime(time.Now()) {
 		return nil, nil, ErrNoTime
 	}
@@ -252,22 +256,22 @@
 	if !s.current.watch.alive() {
 		s.lostZone = s.current.server.Zone
 	}
-	if s.current.heard && s.hasCopy() { // memory is copied once there is an event
+	if s.current.gotEvent && s.hasCopy() { // the KV cache is copied once there is an event
 		if !s.tryReserveRetry() {
 			return nil, nil, ErrBudget
 		}
-		s.current.offer.Store(offerOpen)
+		s.current.copyState.Store(copyOffered)
 		m := s.current.copies.take()
 		return m.At, m, nil
 	}
-	server, err := s.inTime()
+	server, err := s.pickInTime()
 	switch {
 	case err != nil:
 		return nil, nil, err
 	case server == nil:
 		return nil, nil, ErrNoServer
-	case !s.worthReading(server):
-		return nil, nil, errSooner
+	case !s.worthRereading(server):
+		return nil, nil, errCurrentSooner
 	}
 	if !s.tryReserveRetry() {
 		return nil, nil, ErrBudget
@@ -275,14 +279,14 @@
 	return server, nil, nil
 }
 
-// worthReading tells whether the prompt is to be read again at another server
-// while the current one may still go on. A server that lives does so in the end:
-// the prompt would be read twice, and hold up the other server's streams, for an
-// answer that is late by then in either way. Once it has been silent for longer
-// than any sound server, it is.
-func (s *stream) worthReading(server *directory.Server) bool {
-	quiet := time.Since(s.quietSince())
-	if !s.current.watch.alive() || !s.current.heard || quiet >= maxSilence {
+// worthRereading reports whether the prompt should be read again on another server
+// while the current one may still resume. A server that is alive resumes in the end:
+// the prompt would be read twice, and delay the other server's streams, for a response
+// that is late either way. It is worthwhile once the server has been silent for
+// longer than any healthy one.
+func (s *stream) worthRereading(server *directory.Server) bool {
+	quiet := time.Since(s.silentSince())
+	if !s.current.watch.alive() || !s.current.gotEvent || quiet >= maxSilence {
 		return true
 	}
 	t, measured := s.estimate(server, time.Now())
@@ -290,10 +294,11 @@
 	return !measured || gap <= 0 || quiet+t.first <= gap
 }
 
-// tryReserveRetry is reserveRetry without a wait: the current attempt may go on any moment.
+// tryReserveRetry is reserveRetry without waiting: the current attempt may resume any
+// moment.
 func (s *stream) tryReserveRetry() bool {
-	if !s.reserved {
-		s.reserved = s.e.allowRetry(s.req.Service)
+	if !s.retryReserved {
+		s.retryReserved = s.e.allowRetry(s.req.Service)
 	}
-	return s.reserved
+	return s.retryReserved
 }
--- a/exchange/takeover_notice_test.go
+++ b/exchange/takeover_alert_test.go
@@ -8,7 +8,7 @@
 	"github.com/onsi/gomega"
 )
 
-// stuckSink takes a while for each event, and long for one.
+// stuckSink takes a millisecond for each event, and long for one.
 type stuckSink struct {
 	recordingSink
 	stuckAt uint64
@@ -24,14 +24,14 @@
 	return err
 }
 
-// A caller takes nothing for some seconds, in which its server pauses too and goes
-// on. When the caller reads again, an event lies ready, but what was told of the
-// silence before it is still there: the answer was cut right after that event.
-func TestSilenceThatIsOverIsNotToldLater(t *testing.T) {
+// A caller reads nothing for some seconds, in which its server pauses and resumes. When
+// the caller reads again, an event is ready, but so is the alert of the silence before
+// it. Guards against ending the response because of that alert right after the event.
+func TestOutdatedSilenceAlertIsDiscarded(t *testing.T) {
 	cut := 0
-	for range 20 { // an event and a notice lie ready at once: which is taken first is chance
+	for range 20 { // an event and an alert are ready at once: which is received first is random
 		synctest.Test(t, func(t *testing.T) {
-			b := newBed(firstOf(pausing(6*time.Second)), "a1")
+			b := newTestbed(inOrder(pausing(6*time.Second)), "a1")
 			b.backend.probes["a1"] = errMute
 			sink := &stuckSink{recordingSink: recordingSink{start: time.Now()}, stuckAt: 50, stuck: 7 * time.Second}
 			req := streamRequest()
@@ -40,7 +40,7 @@
 				cut++
 				t.Logf("cut after %d events: %v", len(sink.ids), err)
 			}
-			time.Sleep(time.Second) // questions may be open
+			time.Sleep(time.Second) // probes may be in flight
 		})
 	}
 	gomega.NewWithT(t).Expect(cut).To(gomega.BeZero(), "answers cut of 20")
