--- a/exchange/takeover_bounds_test.go
+++ b/exchange/takeover_bounds_test.go
@@ -10,19 +10,19 @@
 	"github.com/pearyard/pearyard/site"
 )
 
-// A server pauses, and another one would take the draft. It must not be asked
-// where the route allows one server, or the retry budget is spent: a mass of
-// pausing servers would be answered by as many prompts more.
-func TestNothingIsBegunBesideWithoutRight(t *testing.T) {
-	for name, change := range map[string]func(*bed, *Request){
-		"the route allows one server": func(_ *bed, r *Request) { r.Route.MaxAttempts = 1 },
-		"it can't be resumed":         func(_ *bed, r *Request) { r.Route.Resumable = false },
-		"the retry budget is spent":   func(b *bed, _ *Request) { b.opts.Lender = &stingy{until: time.Now().Add(time.Hour)} },
+// A server pauses, and another one would take the stream over. It must not be asked
+// where the route allows one server, the stream can't be resumed, or the retry budget
+// is spent: many pausing servers would cause as many additional prompts.
+func TestNoTakeoverWithoutPermission(t *testing.T) {
+	for name, change := range map[string]func(*testbed, *Request){
+		"the route allows one server": func(_ *testbed, r *Request) { r.Route.MaxAttempts = 1 },
+		"it can't be resumed":         func(_ *testbed, r *Request) { r.Route.Resumable = false },
+		"the retry budget is spent":   func(b *testbed, _ *Request) { b.opts.Lender = &stingy{until: time.Now().Add(time.Hour)} },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := gomega.NewWithT(t)
-				b := newBed(firstOf(pausing(setAside), streams(130, beat, nil)))
+				b := newTestbed(inOrder(pausing(preemption), streams(130, eventInterval, nil)))
 				req := streamRequest()
 				change(b, req)
 				sink, err := runStream(t, b, req)
@@ -34,14 +34,14 @@
 	}
 }
 
-// A draft whose server pauses is taken over by another one: that is one retry of
-// the service's budget, whichever of the two goes on in the end.
+// A stream whose server pauses is taken over by another one: that costs one retry of
+// the service's budget, whichever of the two continues in the end.
 func TestTakeoverCostsOneRetry(t *testing.T) {
-	for name, next := range map[string]script{"taken over": streams(130, beat, nil), "not needed": paced(130, 5*time.Second)} {
+	for name, next := range map[string]script{"taken over": streams(130, eventInterval, nil), "not needed": paced(130, 5*time.Second)} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := gomega.NewWithT(t)
-				b := newBed(firstOf(pausing(setAside), next))
+				b := newTestbed(inOrder(pausing(preemption), next))
 				lender := &counting{}
 				b.opts.Lender = lender
 				_, err := runStream(t, b, streamRequest())
@@ -52,20 +52,20 @@
 	}
 }
 
-// A zone goes dark, and the streams that ran there fall silent together, more than
-// this VM may send again before the others know. One that finds the budget spent
-// asks again a moment later and goes on within the pause that callers allow; it
-// used to ask 0.4 s later.
+// A zone loses its network, and the streams that ran there fall silent together, more
+// than this VM may retry before the others know. A stream that finds the budget spent
+// asks again a moment later and resumes within the pause that callers allow. Guards
+// against asking again 0.4 s later.
 func TestSilentStreamWaitsForTheRetryBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newBed(firstOf(streams(50, beat, errMute), streams(130, beat, nil)))
-		b.opts.Lender = &stingy{until: time.Now().Add(50*beat + DefaultSilence + 150*time.Millisecond)}
+		b := newTestbed(inOrder(streams(50, eventInterval, errMute), streams(130, eventInterval, nil)))
+		b.opts.Lender = &stingy{until: time.Now().Add(50*eventInterval + DefaultSilence + 150*time.Millisecond)}
 		for id := range b.backend.scripts {
 			b.backend.probes[id] = errMute
 		}
 		sink, err := runStream(t, b, streamRequest())
-		time.Sleep(time.Second) // questions may be open
+		time.Sleep(time.Second) // probes may be in flight
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(sink.ids).To(gomega.Equal(consecutive(1, 130)))
 		g.Expect(sink.longest).To(gomega.BeNumerically("<", 650*time.Millisecond))
@@ -73,12 +73,12 @@
 }
 
 // Servers read a prompt in a second, callers allow pauses of 0.7 s, and there is no
-// copy. A sound server that pauses keeps its draft: read again elsewhere it would
-// be late too, and hold up the drafts there.
-func TestPromptIsNotReadAgainToBeLate(t *testing.T) {
+// copy. A healthy server that pauses keeps its stream: read again elsewhere it would be
+// late too, and delay the streams there.
+func TestPromptIsNotReadAgainIfThatWouldBeLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newBed(firstOf(pausing(setAside), streams(130, beat, nil)))
+		b := newTestbed(inOrder(pausing(preemption), streams(130, eventInterval, nil)))
 		b.opts.Services = func(string) (site.Service, bool) { return site.Service{Name: "s"}, true }
 		for _, s := range b.dir.View().Service("s") {
 			load := s.StreamBegun(8000)
--- a/exchange/takeover_latecopy_test.go
+++ b/exchange/takeover_latecopy_test.go
@@ -11,7 +11,7 @@
 	"github.com/pearyard/pearyard/directory"
 )
 
-// lateCopies answers that a copy was made some time after it was asked for.
+// lateCopies delays the responses to requests for copies.
 type lateCopies struct {
 	*fakeBackend
 	after time.Duration
@@ -22,12 +22,13 @@
 	return b.fakeBackend.Copy(ctx, r, from, to)
 }
 
-// A draft's copy is lost, another one is asked for, and the draft ends before the
-// answer to that. The new copy was forgotten: its memory stayed set aside.
-func TestCopyThatComesAfterTheEndIsFreed(t *testing.T) {
+// A stream's copy is lost, another one is requested, and the stream ends before the
+// response to that. Guards against forgetting the new copy, whose memory stayed
+// reserved.
+func TestCopyThatArrivesAfterTheEndIsFreed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newBed(everywhere(streams(60, beat, nil)))
+		b := newTestbed(everywhere(streams(60, eventInterval, nil)))
 		b.opts.Backend = lateCopies{b.backend, 600 * time.Millisecond}
 		time.AfterFunc(1300*time.Millisecond, func() { b.backend.sent()[0].CopyTo.Lost(time.Now()) })
 		_, err := runStream(t, b, streamRequest())
--- a/exchange/takeover_order_test.go
+++ b/exchange/takeover_order_test.go
@@ -8,20 +8,21 @@
 	"github.com/onsi/gomega"
 )
 
-// anew sends the stream from its first event, whatever it was asked to go on after.
-func anew(ctx context.Context, a *Attempt) (*Answer, error) {
+// startOver sends the stream from its first event, whatever event it is to resume
+// after.
+func startOver(ctx context.Context, a *Attempt) (*Answer, error) {
 	from := *a
 	from.After = ""
-	return streams(130, beat, nil)(ctx, &from)
+	return streams(130, eventInterval, nil)(ctx, &from)
 }
 
-// A sound server pauses in a draft, and the one that is asked to go on begins the
-// draft anew. Its first event is of no use, but the first server's attempt was
-// ended for it before that was looked at: the caller's answer was cut in its middle.
-func TestPausingServerIsNotLeftForAnEventOfNoUse(t *testing.T) {
+// A healthy server pauses, and the one that is asked to take over starts the stream
+// from its first event, which is of no use. Guards against ending the first server's
+// attempt before that event is checked: the response was cut off.
+func TestPausingServerIsNotLeftForAUselessEvent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newBed(firstOf(pausing(setAside), anew))
+		b := newTestbed(inOrder(pausing(preemption), startOver))
 		req := streamRequest()
 		req.Route.MaxAttempts = 2
 		sink, err := runStream(t, b, req)
--- a/exchange/takeover_test.go
+++ b/exchange/takeover_test.go
@@ -15,28 +15,28 @@
 	"github.com/pkg/errors"
 )
 
-// works notes when servers work on a stream: from the head of an answer until
-// the attempt is ended.
-type works struct {
+// workLog records when servers work on a stream: from the head of a response until the
+// attempt is ended.
+type workLog struct {
 	mu   sync.Mutex
-	runs []*workOn
+	runs []*workSpan
 }
 
-type workOn struct {
+type workSpan struct {
 	server string
 	first  time.Time // its first event; zero: none
-	broke  time.Time // the server ended it by itself; zero: it didn't
-	ended  time.Time // the attempt was ended; zero: it is at work
+	broke  time.Time // the server broke it off; zero: it didn't
+	ended  time.Time // the attempt was ended; zero: still running
 }
 
-// noted plays a script and notes its work.
-func (w *works) noted(play script) script {
+// recorded plays a script and records its work.
+func (w *workLog) recorded(play script) script {
 	return func(ctx context.Context, a *Attempt) (*Answer, error) {
 		answer, err := play(ctx, a)
 		if err != nil {
 			return nil, err
 		}
-		run := &workOn{server: a.Server.ID}
+		run := &workSpan{server: a.Server.ID}
 		w.mu.Lock()
 		w.runs = append(w.runs, run)
 		w.mu.Unlock()
@@ -45,7 +45,7 @@
 			defer w.mu.Unlock()
 			run.ended = time.Now()
 		})
-		answer.Body = &notingBody{Body: answer.Body, read: func(err error) {
+		answer.Body = &recordingBody{Body: answer.Body, read: func(err error) {
 			w.mu.Lock()
 			defer w.mu.Unlock()
 			if run.first.IsZero() && err == nil {
@@ -59,20 +59,20 @@
 	}
 }
 
-type notingBody struct {
+type recordingBody struct {
 	Body
 	read func(error)
 }
 
 // Read implements Body.
-func (b *notingBody) Read(p []byte) (int, error) {
+func (b *recordingBody) Read(p []byte) (int, error) {
 	n, err := b.Body.Read(p)
 	b.read(err)
 	return n, err
 }
 
-// which returns the servers of the runs that a test asks for.
-func (w *works) which(is func(*workOn) bool) (servers []string) {
+// serversWhere returns the servers of the runs for which is holds.
+func (w *workLog) serversWhere(is func(*workSpan) bool) (servers []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, run := range w.runs {
@@ -83,9 +83,9 @@
 	return servers
 }
 
-// overlap returns the longest time for which a server still worked after the
-// first event of the one that was sent to next.
-func (w *works) overlap() (longest time.Duration) {
+// overlap returns the longest time for which a server kept working after the first
+// event of the one that was sent to next.
+func (w *workLog) overlap() (longest time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for i, run := range w.runs[1:] {
@@ -96,15 +96,15 @@
 	return longest
 }
 
-// A server pauses for over a second in the middle of a draft, and another one
-// holds a copy of its memory. The draft goes on there within the pause that
-// callers allow, and the first server's work ends with the first event of the
-// other: two that work on one draft would cost the second one's time for nothing.
-func TestPausingServerIsLeftWhenAnotherHasTakenOver(t *testing.T) {
+// A server pauses for over a second in the middle of a stream, and another one holds a
+// copy of its KV cache. The stream resumes there within the pause that callers allow,
+// and the first server's work ends with the first event of the other: two servers on
+// one stream would waste the second one's time.
+func TestTakeoverEndsTheAttemptAtThePausingServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		w := &works{}
-		b := newBed(firstOf(w.noted(pausing(setAside)), w.noted(streams(130, beat, nil))))
+		w := &workLog{}
+		b := newTestbed(inOrder(w.recorded(pausing(preemption)), w.recorded(streams(130, eventInterval, nil))))
 		sink, err := runStream(t, b, streamRequest())
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(sink.ids).To(gomega.Equal(consecutive(1, 130)))
@@ -115,76 +115,76 @@
 	})
 }
 
-// A server pauses, another one is asked to go on and takes a while, and the first
-// one goes on by itself. The caller gets its events from there, none twice, and
-// the other server's work ends at once.
-func TestServerThatGoesOnKeepsItsStream(t *testing.T) {
+// A server pauses, another one is asked to take over and takes a while, and the first
+// one resumes by itself. The caller gets its events from there, none twice, and the
+// other server's work ends at once.
+func TestServerThatResumesKeepsItsStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		slow := func(ctx context.Context, a *Attempt) (*Answer, error) { return paced(130, 5*time.Second)(ctx, a) }
-		w := &works{}
-		b := newBed(firstOf(w.noted(pausing(setAside)), w.noted(slow)))
+		w := &workLog{}
+		b := newTestbed(inOrder(w.recorded(pausing(preemption)), w.recorded(slow)))
 		sink, err := runStream(t, b, streamRequest())
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(sink.ids).To(gomega.Equal(consecutive(1, 130)))
 		synctest.Wait()
 		g.Expect(w.runs).To(gomega.HaveLen(2))
-		g.Expect(w.runs[1].ended.Sub(sink.start)).To(gomega.BeNumerically("~", 50*beat+setAside, 2*beat))
+		g.Expect(w.runs[1].ended.Sub(sink.start)).To(gomega.BeNumerically("~", 50*eventInterval+preemption, 2*eventInterval))
 	})
 }
 
-// A server is gone without a word, and no other has room. The caller is cut off
-// after silenceTimeout, not held until its time is up: it may come back for the rest.
-func TestLostServerIsNotWaitedForToTheEnd(t *testing.T) {
+// A server is lost silently, and no other has room. The caller is cut off after
+// silenceTimeout, not held until its deadline: it may come back for the rest.
+func TestLostServerIsNotAwaitedUntilTheDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newBed(firstOf(streams(50, beat, errMute), refuses(Busy)))
+		b := newTestbed(inOrder(streams(50, eventInterval, errMute), refuses(Busy)))
 		for id := range b.backend.scripts {
 			b.backend.probes[id] = errMute
 		}
 		req := streamRequest()
 		_, err := runStream(t, b, req)
 		took := time.Since(req.Arrived)
-		time.Sleep(time.Second) // questions may be open
+		time.Sleep(time.Second) // probes may be in flight
 		var failure *Failure
 		g.Expect(errors.As(err, &failure)).To(gomega.BeTrue())
 		g.Expect(failure.Ran).To(gomega.BeTrue())
-		g.Expect(took).To(gomega.BeNumerically(">", 50*beat+silenceTimeout))
-		g.Expect(took).To(gomega.BeNumerically("<", 50*beat+silenceTimeout+2*time.Second))
+		g.Expect(took).To(gomega.BeNumerically(">", 50*eventInterval+silenceTimeout))
+		g.Expect(took).To(gomega.BeNumerically("<", 50*eventInterval+silenceTimeout+2*time.Second))
 	})
 }
 
-// A stream that has begun goes on at another server, which reads the prompt again
-// for a second and a half; its signs of life are lost, as the link of this VM is
-// full. It was given up as lost, and so were the next three: the caller's answer
-// was cut though each of them was at work.
-func TestServerThatReadsThePromptAgainIsNotGivenUpForAMuteLink(t *testing.T) {
+// A started stream resumes on another server, which reads the prompt again for a second
+// and a half; its probe answers are lost because the link of this VM is saturated.
+// Guards against giving it up as lost, and the next three as well: the response was cut
+// off though each of them was working on it.
+func TestServerReadingThePromptAgainIsNotGivenUpForLostProbes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		reads := func(ctx context.Context, a *Attempt) (*Answer, error) {
 			if err := sleep(ctx, 1500*time.Millisecond); err != nil {
 				return nil, &BrokenError{Err: err}
 			}
-			return streams(130, beat, nil)(ctx, a)
+			return streams(130, eventInterval, nil)(ctx, a)
 		}
-		first := streams(50, beat, io.ErrUnexpectedEOF)
-		b := newBed(firstOf(first, refuses(Busy), reads, refuses(Busy)))
+		first := streams(50, eventInterval, io.ErrUnexpectedEOF)
+		b := newTestbed(inOrder(first, refuses(Busy), reads, refuses(Busy)))
 		for id := range b.backend.scripts {
 			b.backend.probes[id] = errMute
 		}
 		sink, err := runStream(t, b, streamRequest())
-		time.Sleep(time.Second) // questions may be open
+		time.Sleep(time.Second) // probes may be in flight
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(sink.ids).To(gomega.Equal(consecutive(1, 130)))
 	})
 }
 
-// chaotic plays one attempt by chance: pauses of all lengths, breaks, refusals,
-// heads that come late.
+// chaotic plays an attempt at random: pauses of all lengths, breaks, refusals, late
+// response heads.
 type chaotic struct {
 	mu   sync.Mutex
 	rng  *rand.Rand
-	last int // event of a whole stream
+	last int // last event of a complete stream
 }
 
 func (c *chaotic) chance(n int) int {
@@ -209,7 +209,7 @@
 	r, w := io.Pipe()
 	go func() {
 		for i := from + 1; i <= c.last; i++ {
-			pause := beat
+			pause := eventInterval
 			if c.chance(12) == 0 {
 				pause = time.Duration(c.chance(3000)) * time.Millisecond
 			}
@@ -230,18 +230,18 @@
 	return &Answer{Status: http.StatusOK, Header: http.Header{}, Body: r}, nil
 }
 
-// Servers pause, break off and refuse in any order, and attempts run beside each
-// other. Whatever happens, the caller gets each event once and in order, a stream
-// that ends well is whole, none is cut while a server is at work on it, and no two
-// servers go on working on one stream.
+// Servers pause, break off and refuse in any order, and attempts run beside each other.
+// In every case the caller gets each event once and in order, a stream that ends
+// without an error is complete, none is cut off while a server is working on it, and no
+// two servers keep working on one stream.
 func TestAnyOrderOfPausesBreaksAndRefusals(t *testing.T) {
-	whole := 0
+	complete := 0
 	for seed := range uint64(400) {
 		synctest.Test(t, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			c := &chaotic{rng: rand.New(rand.NewPCG(seed, 1)), last: 40}
-			w := &works{}
-			b := newBed(everywhere(w.noted(c.play)))
+			w := &workLog{}
+			b := newTestbed(everywhere(w.recorded(c.play)))
 			for id := range b.backend.scripts {
 				if c.chance(4) == 0 {
 					b.backend.probes[id] = errMute
@@ -249,19 +249,19 @@
 			}
 			sink, err := runStream(t, b, streamRequest())
 			over := time.Now()
-			time.Sleep(time.Minute) // all that was begun has ended
+			time.Sleep(time.Minute) // everything that was started has ended
 			g.Expect(sink.ids).To(gomega.Equal(consecutive(1, uint64(len(sink.ids)))), "seed %d", seed)
-			g.Expect(sink.begun).To(gomega.BeNumerically("<=", 1))
+			g.Expect(sink.heads).To(gomega.BeNumerically("<=", 1))
 			if err == nil {
-				whole++
+				complete++
 				g.Expect(sink.ids).To(gomega.HaveLen(c.last), "seed %d", seed)
 			}
 			var failure *Failure
 			if errors.As(err, &failure) && !failure.TimedOut {
-				g.Expect(w.which(func(r *workOn) bool { return r.broke.IsZero() && !r.ended.Before(over) })).To(gomega.BeEmpty(), "seed %d: cut at work", seed)
+				g.Expect(w.serversWhere(func(r *workSpan) bool { return r.broke.IsZero() && !r.ended.Before(over) })).To(gomega.BeEmpty(), "seed %d: cut off while running", seed)
 			}
-			g.Expect(w.which(func(r *workOn) bool { return r.ended.IsZero() })).To(gomega.BeEmpty(), "seed %d: still at work", seed)
+			g.Expect(w.serversWhere(func(r *workSpan) bool { return r.ended.IsZero() })).To(gomega.BeEmpty(), "seed %d: still running", seed)
 		})
 	}
-	gomega.NewWithT(t).Expect(whole).To(gomega.BeNumerically(">", 200), "seeds in which the stream was whole")
+	gomega.NewWithT(t).Expect(complete).To(gomega.BeNumerically(">", 200), "seeds in which the stream was complete")
 }
--- a/exchange/watch.go
+++ b/exchange/watch.go
@@ -10,55 +10,55 @@
 	"github.com/pearyard/pearyard/directory"
 )
 
-// watch tells of an attempt of a stream whose server sends nothing. A server that
-// loses power or its network sends no reset: only its silence tells. A sound one
-// that reads other prompts is as silent, so what the watch tells ends nothing by
-// itself; the attempt is ended at once only when its server's process is known to
-// have ended.
+// silenceWatch detects that the server of a stream's attempt sends nothing. A server
+// that loses power or its network sends no reset, so silence is the only sign. A
+// healthy server that reads other prompts is as silent, so an alert ends nothing by
+// itself. The attempt is ended at once only when its server's process is known to have
+// ended.
 //
-// Before the first event silence is ordinary, since the prompt is being read;
-// the server is asked for a sign of life instead. After it, events come in a
-// steady beat and their absence is enough.
-type watch struct {
+// Before the first event silence is normal, since the prompt is being read; the server
+// is probed instead. After it, events come at a steady pace and their absence is
+// enough.
+type silenceWatch struct {
 	ctx    context.Context
 	cancel context.CancelCauseFunc
 	e      *Exchange
 	server *directory.Server
-	alerts chan silenceAlert // holds the newest
+	alerts chan silenceAlert // holds the newest alert
 
-	mu      sync.Mutex
-	timer   *time.Timer // never nil
-	armed   time.Time
-	wait    time.Duration
-	since   time.Time // when the wait for the next event began; zero while there is none
-	early   bool      // no event has come yet
-	proven  time.Time // the server's newest sign of life
-	lived   bool      // what the newest alert said
-	learned bool      // this wait has been counted as a pause
+	mu           sync.Mutex
+	timer        *time.Timer // never nil
+	armedAt      time.Time
+	wait         time.Duration
+	waitingSince time.Time // when the wait for the next event started; zero while there is none
+	beforeFirst  bool      // no event has arrived yet
+	lastProof    time.Time // the server's newest proof of life
+	lastAlive    bool      // alive of the newest alert; true before the first
+	pauseCounted bool      // this wait has been counted as a pause
 }
 
-// silenceAlert says that a server sends nothing.
+// silenceAlert reports that a server sends nothing.
 type silenceAlert struct {
-	alive   bool          // nothing is known against it but that
-	unheard time.Duration // since its newest sign of life
+	alive      bool          // nothing but the silence suggests that the server is lost
+	sinceProof time.Duration // since its newest proof of life
 }
 
-func newWatch(ctx context.Context, e *Exchange, server *directory.Server) *watch {
+func newWatch(ctx context.Context, e *Exchange, server *directory.Server) *silenceWatch {
 	now := time.Now()
-	w := &watch{e: e, server: server, alerts: make(chan silenceAlert, 1), early: true, since: now, proven: now, lived: true}
+	w := &silenceWatch{e: e, server: server, alerts: make(chan silenceAlert, 1), beforeFirst: true, waitingSince: now, lastProof: now, lastAlive: true}
 	w.ctx, w.cancel = context.WithCancelCause(ctx)
 	w.mu.Lock()
-	w.armed, w.wait = now, e.opts.Timings.ProbeAfter
-	w.timer = time.AfterFunc(w.wait, w.silent)
+	w.armedAt, w.wait = now, e.opts.Timings.ProbeAfter
+	w.timer = time.AfterFunc(w.wait, w.onTimer)
 	w.mu.Unlock()
-	go w.untilDown(server.Try())
+	go w.watchDown(server.Try())
 	return w
 }
 
-// untilDown tells when others have found the server lost. Once events flow, the
-// attempt's own are better evidence, but for a later start of the server: the
-// process that ran the stream has ended.
-func (w *watch) untilDown(down <-chan struct{}) {
+// watchDown raises an alert when the server was found lost by other requests or
+// processes. Once events flow, the attempt's own events are better evidence, except for
+// a later start of the server: then the process that ran the stream has ended.
+func (w *silenceWatch) watchDown(down <-chan struct{}) {
 	select {
 	case <-down:
 	case <-w.ctx.Done():
@@ -67,204 +67,204 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch {
-	case w.server.Replaced(), w.early && w.server.Ended():
+	case w.server.Replaced(), w.beforeFirst && w.server.Ended():
 		w.cancel(ErrServerLost)
-	case w.early:
-		w.tell(false)
+	case w.beforeFirst:
+		w.alert(false)
 	}
 }
 
-// tell puts the newest alert in place of one that was not taken yet. The caller
-// holds mu.
-func (w *watch) tell(alive bool) {
-	w.lived = alive
-	w.forget()
-	w.alerts <- silenceAlert{alive: alive, unheard: time.Since(w.proven)}
+// alert replaces an alert that was not received yet. The caller holds mu.
+func (w *silenceWatch) alert(alive bool) {
+	w.lastAlive = alive
+	w.discardAlert()
+	w.alerts <- silenceAlert{alive: alive, sinceProof: time.Since(w.lastProof)}
 }
 
-// alive tells what the newest alert said; true without one.
-func (w *watch) alive() bool {
+// alive returns what the newest alert said; true without one.
+func (w *silenceWatch) alive() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.lived
+	return w.lastAlive
 }
 
-// isSilent tells whether the next event is still waited for.
-func (w *watch) isSilent() bool {
+// isWaiting reports whether the next event is still awaited.
+func (w *silenceWatch) isWaiting() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return !w.since.IsZero()
+	return !w.waitingSince.IsZero()
 }
 
-// silence returns what is known of the wait that goes on.
-func (w *watch) silence() *SilentError {
+// silenceError describes the wait in progress.
+func (w *silenceWatch) silenceError() *SilentError {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	e := &SilentError{Alive: w.lived, Unread: w.server.Unread()}
-	if !w.since.IsZero() {
-		e.Silence = time.Since(w.since)
+	e := &SilentError{Alive: w.lastAlive, Unread: w.server.Unread()}
+	if !w.waitingSince.IsZero() {
+		e.Silence = time.Since(w.waitingSince)
 	}
 	return e
 }
 
-// arm has silent called after a wait. The caller holds mu.
-func (w *watch) arm(wait time.Duration) {
+// arm schedules onTimer after a wait. The caller holds mu.
+func (w *silenceWatch) arm(wait time.Duration) {
 	if w.ctx.Err() != nil {
 		return
 	}
-	w.armed, w.wait = time.Now(), wait
+	w.armedAt, w.wait = time.Now(), wait
 	w.timer.Reset(wait)
 }
 
-// heard notes an event; the timer rests while it is handed to the caller.
-func (w *watch) heard() {
+// eventReceived records an event. The timer is stopped while the event is forwarded to
+// the caller.
+func (w *silenceWatch) eventReceived() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !w.early && !w.learned {
-		w.pace().seen(w.atUsualPace(time.Since(w.since)))
+	if !w.beforeFirst && !w.pauseCounted {
+		w.pace().observePause(w.normalized(time.Since(w.waitingSince)))
 	}
-	w.early, w.learned, w.lived = false, false, true
-	w.since, w.proven = time.Time{}, time.Now()
+	w.beforeFirst, w.pauseCounted, w.lastAlive = false, false, true
+	w.waitingSince, w.lastProof = time.Time{}, time.Now()
 	w.timer.Stop()
-	w.forget()
+	w.discardAlert()
 }
 
-// forget takes back an alert that nobody has taken: the silence is over. Taken
-// later, when the next event is waited for, it ended an answer that went on.
+// discardAlert withdraws an alert that was not received yet, since the silence is over.
+// Received later, while the next event is awaited, it ended a response that continued.
 // The caller holds mu.
-func (w *watch) forget() {
+func (w *silenceWatch) discardAlert() {
 	select {
 	case <-w.alerts:
 	default:
 	}
 }
 
-func (w *watch) pace() *pace { return w.e.paceOf(w.server.Service) }
+func (w *silenceWatch) pace() *pace { return w.e.paceFor(w.server.Service) }
 
-// atUsualPace returns how long the median server of the service would have paused.
-func (w *watch) atUsualPace(pause time.Duration) time.Duration {
+// normalized returns how long the median server of the service would have paused.
+func (w *silenceWatch) normalized(pause time.Duration) time.Duration {
 	return time.Duration(float64(pause) / w.server.Slowness())
 }
 
-// listen waits for the next event.
-func (w *watch) listen() {
+// awaitEvent starts the wait for the next event.
+func (w *silenceWatch) awaitEvent() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.since = time.Now()
+	w.waitingSince = time.Now()
 	w.arm(w.e.opts.Timings.Silence)
 }
 
-// lateTimer is how late a timer may fire before it says more about this process
-// than about the server: after a freeze every timer fires at once, while the
-// events that came meanwhile are still unread.
-const lateTimer = 150 * time.Millisecond
+// maxTimerDelay is how late a timer may fire before that says more about this process
+// than about the server: after a freeze all timers fire at once, while the events that
+// arrived meanwhile are still unread.
+const maxTimerDelay = 150 * time.Millisecond
 
-func (w *watch) silent() {
+func (w *silenceWatch) onTimer() {
 	if w.ctx.Err() != nil {
 		return
 	}
 	w.mu.Lock()
-	late := time.Since(w.armed)-w.wait > lateTimer
+	late := time.Since(w.armedAt)-w.wait > maxTimerDelay
 	if late {
 		w.arm(w.wait)
 	}
-	early := w.early
+	early := w.beforeFirst
 	w.mu.Unlock()
 	if late {
 		return
 	}
 	if !early {
-		w.silentBetween()
+		w.silentBetweenEvents()
 		return
 	}
-	asked := w.e.probes.ask(w.server)
+	probe := w.e.probes.start(w.server)
 	select {
-	case <-asked.done:
+	case <-probe.done:
 	case <-w.ctx.Done():
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !w.early {
+	if !w.beforeFirst {
 		return
 	}
-	if asked.alive {
-		w.proven = time.Now()
+	if probe.alive {
+		w.lastProof = time.Now()
 	} else {
-		w.tell(false)
+		w.alert(false)
 	}
 	w.arm(w.e.opts.Timings.ProbeAfter)
 }
 
-// silentBetween tells of a silence between two events that is longer than the
-// pauses of other servers, or whose server gives no sign of life. The first kind
-// is told before the answer is there: where a copy of the stream's memory lies
-// ready, nothing has to be known of the server.
-func (w *watch) silentBetween() {
-	asked := w.e.probes.ask(w.server) // also for the streams that wait there for their first event
+// silentBetweenEvents raises an alert for a silence between two events that is longer
+// than the pauses of other servers, or whose server does not answer a probe. The former
+// is raised before the probe is answered: where a copy of the stream's KV cache is
+// ready, nothing needs to be known about the server.
+func (w *silenceWatch) silentBetweenEvents() {
+	probe := w.e.probes.start(w.server) // also on behalf of streams that await their first event there
 	w.mu.Lock()
-	since := w.since
+	since := w.waitingSince
 	if since.IsZero() {
 		w.mu.Unlock()
-		return // an event has come just now
+		return // an event has just arrived
 	}
 	silence := time.Since(since)
-	rest := w.pace().pauses.bound(w.e.opts.Timings.Silence, w.server.Unread() > 0, w.server.Slowness()) - silence
-	tooLong := rest <= 0
+	remaining := w.pace().pauses.bound(w.e.opts.Timings.Silence, w.server.Unread() > 0, w.server.Slowness()) - silence
+	tooLong := remaining <= 0
 	if tooLong {
-		w.tell(w.lived)
-		rest = w.e.opts.Timings.ProbeAfter
+		w.alert(w.lastAlive)
+		remaining = w.e.opts.Timings.ProbeAfter
 	}
-	w.arm(rest)
+	w.arm(remaining)
 	w.mu.Unlock()
-	alive := w.answers(asked)
+	alive := w.awaitProbe(probe)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !w.since.Equal(since) {
+	if !w.waitingSince.Equal(since) {
 		return
 	}
 	if !alive {
-		w.tell(false)
+		w.alert(false)
 		return
 	}
-	w.lived, w.proven = true, time.Now()
+	w.lastAlive, w.lastProof = true, time.Now()
 	if tooLong {
-		w.learn(silence)
+		w.countPause(silence)
 	}
 }
 
-// probeTimeout is how long a server may take to give one while a stream waits: an
-// answer takes 3 ms between zones, twice that on a new connection, and the caller
-// allows 700 ms without an event, in which the stream has to go on elsewhere.
-const probeTimeout = 100 * time.Millisecond
+// quickProbeTimeout bounds a probe while a stream waits: an answer takes 3 ms between
+// zones, twice that on a new connection, and the caller allows 700 ms without an event,
+// within which the stream has to resume elsewhere.
+const quickProbeTimeout = 100 * time.Millisecond
 
-// answers tells whether the server answers the question that was asked.
-func (w *watch) answers(asked *question) bool {
+// awaitProbe reports whether the server answers the probe in time.
+func (w *silenceWatch) awaitProbe(probe *probe) bool {
 	select {
-	case <-asked.done:
-		return asked.alive
-	case <-time.After(probeTimeout):
+	case <-probe.done:
+		return probe.alive
+	case <-time.After(quickProbeTimeout):
 		return false
 	case <-w.ctx.Done():
 		return true
 	}
 }
 
-// learn counts a silence beyond the bound as a pause of a server that lives. Where
-// every pause beside a prompt is longer than the bound, none would ever be seen
-// otherwise: most end at another server. How much longer the silence lasts is not
-// counted: a stream that is set aside for seconds says nothing about pauses.
-func (w *watch) learn(silence time.Duration) {
-	if w.learned {
+// countPause counts a silence beyond the bound as a pause of a live server. If every
+// pause during a prompt is longer than the bound, none would ever be seen otherwise,
+// since most end on another server. How much longer the silence lasts is not counted: a
+// stream that is preempted for seconds says nothing about pauses.
+func (w *silenceWatch) countPause(silence time.Duration) {
+	if w.pauseCounted {
 		return
 	}
-	w.learned = true
-	w.pace().pauses.seen(w.atUsualPace(silence))
+	w.pauseCounted = true
+	w.pace().pauses.observe(w.normalized(silence))
 }
 
-// explain puts the watch's own reason in place of the error that closing the
-// connection gave.
-func (w *watch) explain(err error) error {
+// translate replaces the error that closing the connection caused by the watch's own
+// reason.
+func (w *silenceWatch) translate(err error) error {
 	var notRun *NotRunError
 	if errors.As(err, &notRun) {
 		return err
@@ -276,7 +276,7 @@
 	return err
 }
 
-func (w *watch) end() {
+func (w *silenceWatch) stop() {
 	w.cancel(context.Canceled)
 	w.mu.Lock()
 	defer w.mu.Unlock()
