--- a/exchange/locate.go
+++ b/exchange/locate.go
@@ -20,15 +20,15 @@
 		return
 	}
 	if s.req.LastEvent == "" {
-		s.cachedTokens = s.e.prompts.Known(s.req.Service, s.req.Prompt).Kept
+		s.cachedTokens = s.e.prompts.Known(s.req.Service, s.req.Prompt).CachedTokens
 		return
 	}
 	began := time.Now()
 	servers := s.e.opts.Directory.Sound(s.req.Service, began)
 	found := s.e.prompts.Find(ctx, s.req.Service, servers, s.req.Prompt)
-	s.cachedTokens = found.Kept
+	s.cachedTokens = found.CachedTokens
 	s.e.opts.Recorder.Emit(EventLocated, event.FieldRequest, s.req.ID, "route", s.req.Route.Name, "after", s.req.LastEvent,
-		"servers", len(found.Kept), "tokens", found.Most(), "of", s.req.PromptTokens, "asked", found.Asked, "took", time.Since(began))
+		"servers", len(found.CachedTokens), "tokens", found.Most(), "of", s.req.PromptTokens, "asked", found.Queried, "took", time.Since(began))
 }
 
 func (e *Exchange) askCached(ctx context.Context, s *directory.Server) (promptcache.Contents, error) {
--- a/promptcache/contents.go
+++ b/promptcache/contents.go
@@ -1,30 +1,30 @@
 package promptcache
 
-// Part is a piece of a prompt. Requests that share a piece name it alike.
+// Part is a piece of a prompt. Requests that share it use the same id.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// Contents is what one server keeps: tokens by the id of their piece.
+// Contents is what one server has cached: tokens by part id.
 type Contents map[string]int
 
-// Prefix returns how many tokens of a prompt need not be read where these
-// contents are kept. A piece counts only if all pieces before it are kept whole:
-// what a token means to an engine depends on everything before it.
+// Prefix returns how many tokens of a prompt need not be read where these contents are
+// cached. A part counts only if all parts before it are cached completely: an engine's
+// state for a token depends on everything before it.
 func (c Contents) Prefix(prompt []Part) int {
-	kept := 0
+	cached := 0
 	for _, part := range prompt {
 		have := min(c[part.ID], part.Tokens)
-		kept += have
+		cached += have
 		if have < part.Tokens {
 			break
 		}
 	}
-	return kept
+	return cached
 }
 
-// Tokens returns the length of a prompt.
+// Tokens returns the length of a prompt in tokens.
 func Tokens(prompt []Part) int {
 	sum := 0
 	for _, part := range prompt {
--- a/promptcache/locator_test.go
+++ b/promptcache/locator_test.go
@@ -15,48 +15,49 @@
 
 var prompt = []Part{{"shared", 200}, {"session", 300}, {"own", 7500}}
 
-func TestPrefixEndsAtTheFirstPieceThatIsNotWhole(t *testing.T) {
+func TestPrefixEndsAtTheFirstIncompletePart(t *testing.T) {
 	for name, c := range map[string]struct {
-		kept Contents
-		want int
+		cached Contents
+		want   int
 	}{
-		"nothing":              {nil, 0},
-		"the last piece alone": {Contents{"own": 7500}, 0},
-		"a gap":                {Contents{"shared": 200, "own": 7500}, 200},
-		"a part of a piece":    {Contents{"shared": 200, "session": 160, "own": 7500}, 360},
-		"whole blocks of it":   {Contents{"shared": 200, "session": 300, "own": 7488}, 7988},
-		"more than asked for":  {Contents{"shared": 900, "session": 900, "own": 9000}, 8000},
+		"nothing":               {nil, 0},
+		"the last part alone":   {Contents{"own": 7500}, 0},
+		"a gap":                 {Contents{"shared": 200, "own": 7500}, 200},
+		"an incomplete part":    {Contents{"shared": 200, "session": 160, "own": 7500}, 360},
+		"complete blocks of it": {Contents{"shared": 200, "session": 300, "own": 7488}, 7988},
+		"more than requested":   {Contents{"shared": 900, "session": 900, "own": 9000}, 8000},
 	} {
 		t.Run(name, func(t *testing.T) {
-			gomega.NewWithT(t).Expect(c.kept.Prefix(prompt)).To(gomega.Equal(c.want))
+			gomega.NewWithT(t).Expect(c.cached.Prefix(prompt)).To(gomega.Equal(c.want))
 		})
 	}
 }
 
-// servers are asked by what they keep; one that isn't named is lost and never answers.
-type servers struct {
-	mu    sync.Mutex
-	kept  map[string]Contents
-	asked int
+// fakeServers answer queries with their cache contents. A server without an entry is
+// lost and never answers; one with nil contents answers with an error.
+type fakeServers struct {
+	mu      sync.Mutex
+	cached  map[string]Contents
+	queries int
 }
 
-func (s *servers) ask(ctx context.Context, server *directory.Server) (Contents, error) {
+func (s *fakeServers) ask(ctx context.Context, server *directory.Server) (Contents, error) {
 	s.mu.Lock()
-	s.asked++
-	kept, lives := s.kept[server.ID]
+	s.queries++
+	cached, alive := s.cached[server.ID]
 	s.mu.Unlock()
-	if !lives {
+	if !alive {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	if kept == nil {
-		return nil, errors.New("it can't tell")
+	if cached == nil {
+		return nil, errors.New("cache contents unavailable")
 	}
 	time.Sleep(2 * time.Millisecond)
-	return kept, nil
+	return cached, nil
 }
 
-func listed(ids ...string) []*directory.Server {
+func newServers(ids ...string) []*directory.Server {
 	d := directory.New()
 	var list []directory.Listing
 	for _, id := range ids {
@@ -66,63 +67,63 @@
 	return d.View().Service("s")
 }
 
-// Servers of a lost zone answer nothing. The caller waits for its next token
-// meanwhile; whoever keeps the prompt has answered long before.
-func TestLostServersHoldNobodyUp(t *testing.T) {
+// Servers of a lost zone do not answer. The caller, who waits for its next token, must
+// not wait for them: the server with the prompt has answered long before.
+func TestLostServersDelayNoCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		s := &servers{kept: map[string]Contents{"a": {"shared": 200}, "b": {"shared": 200, "session": 300, "own": 7488}, "c": nil}}
+		s := &fakeServers{cached: map[string]Contents{"a": {"shared": 200}, "b": {"shared": 200, "session": 300, "own": 7488}, "c": nil}}
 		l := NewLocator(s.ask)
 		began := time.Now()
-		found := l.Find(t.Context(), "s", listed("a", "b", "c", "lost"), prompt)
+		found := l.Find(t.Context(), "s", newServers("a", "b", "c", "lost"), prompt)
 		g.Expect(time.Since(began)).To(gomega.BeNumerically("<", 5*time.Millisecond))
 		g.Expect(found.Most()).To(gomega.Equal(7988))
-		g.Expect(found.Asked).To(gomega.Equal(4))
+		g.Expect(found.Queried).To(gomega.Equal(4))
 		synctest.Wait()
-		time.Sleep(askTimeout)
+		time.Sleep(queryTimeout)
 	})
 }
 
-// Nobody keeps the prompt, and a server is lost: the stream goes on elsewhere
-// after the bound of a question.
-func TestUnknownPromptCostsOneBound(t *testing.T) {
+// No server has the prompt cached, and one is lost: the stream resumes elsewhere after
+// the timeout of one query.
+func TestUnknownPromptCostsOneTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		s := &servers{kept: map[string]Contents{"a": {"shared": 200}}}
+		s := &fakeServers{cached: map[string]Contents{"a": {"shared": 200}}}
 		l := NewLocator(s.ask)
 		began := time.Now()
-		found := l.Find(t.Context(), "s", listed("a", "lost"), prompt)
-		g.Expect(time.Since(began)).To(gomega.Equal(askTimeout))
+		found := l.Find(t.Context(), "s", newServers("a", "lost"), prompt)
+		g.Expect(time.Since(began)).To(gomega.Equal(queryTimeout))
 		g.Expect(found.Most()).To(gomega.Equal(200))
 	})
 }
 
-// A VM is lost and 200 callers come back through this one within a second: the
-// servers are asked five times, not 200 times.
-func TestReturnsShareTheirQuestions(t *testing.T) {
+// A VM is lost and 200 callers come back through this one within a second: the servers
+// must be queried five times, not 200 times.
+func TestReturningCallersShareQueries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		s := &servers{kept: map[string]Contents{"a": {}, "b": {}}}
+		s := &fakeServers{cached: map[string]Contents{"a": {}, "b": {}}}
 		l := NewLocator(s.ask)
 		var all sync.WaitGroup
 		for i := range 200 {
 			all.Go(func() {
 				time.Sleep(time.Duration(i) * 4900 * time.Microsecond)
-				l.Find(t.Context(), "s", listed("a", "b"), prompt)
+				l.Find(t.Context(), "s", newServers("a", "b"), prompt)
 			})
 		}
 		all.Wait()
-		g.Expect(s.asked).To(gomega.Equal(5 * 2))
+		g.Expect(s.queries).To(gomega.Equal(5 * 2))
 	})
 }
 
-// What a server told a while ago may have been dropped there since.
-func TestOldAnswersCountNothing(t *testing.T) {
+// What a server reported a while ago may have been evicted since.
+func TestOldAnswersAreIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		s := &servers{kept: map[string]Contents{"a": {"shared": 200, "session": 300, "own": 7500}}}
+		s := &fakeServers{cached: map[string]Contents{"a": {"shared": 200, "session": 300, "own": 7500}}}
 		l := NewLocator(s.ask)
-		l.Find(t.Context(), "s", listed("a"), prompt)
+		l.Find(t.Context(), "s", newServers("a"), prompt)
 		g.Expect(l.Known("s", prompt).Most()).To(gomega.Equal(8000))
 		g.Expect(l.Known("another", prompt).Most()).To(gomega.BeZero())
 		time.Sleep(validFor + time.Millisecond)
