--- a/entry/changes_test.go
+++ b/entry/changes_test.go
@@ -47,7 +47,7 @@
 func (b changeBackend) Open(ctx context.Context, a *exchange.Attempt) (*exchange.Answer, error) {
 	_, again := b.reached.LoadOrStore(a.Request.ID, true)
 	breaks := !again && breaksOff(a.Request.Target)
-	if a.From != nil && strings.HasSuffix(a.Request.Target, "/nocopy") {
+	if a.ResumeFrom != nil && strings.HasSuffix(a.Request.Target, "/nocopy") {
 		return nil, &exchange.NotRunError{Reason: exchange.Busy, Err: io.EOF}
 	}
 	if a.Request.Route.Kind != site.Stream {
@@ -79,10 +79,10 @@
 }
 
 func (b changeBackend) events(ctx context.Context, a *exchange.Attempt, w *io.PipeWriter, breaks bool) {
-	after, _ := strconv.Atoi(a.After)
+	after, _ := strconv.Atoi(a.ResumeAfter)
 	ends := time.Now().Add(changeBreak)
 	wait := changeFirst
-	if a.From != nil {
+	if a.ResumeFrom != nil {
 		b.fromCopy.Add(1)
 		wait = changeGap
 	}
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -189,7 +189,7 @@
 	s := e.settings
 	backend := platform.NewBackend(e.pool)
 	e.exchange = exchange.New(exchange.Options{
-		Restarts: e.restarts(backend), Lender: e.budgets,
+		Restarts: e.restarts(backend), SharedBudget: e.budgets,
 		Zone: s.Zone, Directory: e.directory, Backend: &guardedBackend{backend, e.recorder}, Services: e.service,
 		Suspects: e.suspects, Recorder: e.recorder, Metrics: e.registry,
 		RetryWindow: s.RetryWindow, RetryRatio: retryShare * s.RetryRatio,
@@ -200,10 +200,10 @@
 }
 
 // restarts finds backend servers that come back while the store is away.
-func (e *Entry) restarts(backend *platform.Backend) *exchange.Restarts {
+func (e *Entry) restarts(backend *platform.Backend) *exchange.RestartDetector {
 	found := fleet.NewRestarts(e.socket, e.directory)
-	return &exchange.Restarts{
-		Reuse: e.settings.AddressReuse, Away: e.servers.Failing, Found: found.Found,
+	return &exchange.RestartDetector{
+		Reuse: e.settings.AddressReuse, StoreUnavailable: e.servers.Failing, Found: found.Found,
 		Identify: func(ctx context.Context, s *directory.Server) (directory.Start, error) {
 			service, ok := e.service(s.Service)
 			if !ok || service.HealthPath == "" {
@@ -254,7 +254,7 @@
 	background(&group, e.budgets.Run)
 	background(&group, e.suspects.Run)
 	background(&group, e.news.Run)
-	background(&group, e.exchange.TellRunning)
+	background(&group, e.exchange.LogRunning)
 	background(&group, e.prune)
 	if err := e.serveReady(&group); err != nil {
 		return err
--- a/entry/guard.go
+++ b/entry/guard.go
@@ -46,14 +46,14 @@
 }
 
 // Copy implements exchange.Backend.
-func (g *guardedBackend) Copy(ctx context.Context, req *exchange.Request, from, to *directory.Server) (m *exchange.Memory, err error) {
+func (g *guardedBackend) Copy(ctx context.Context, req *exchange.Request, from, to *directory.Server) (m *exchange.KVCopy, err error) {
 	defer g.guard(req.ID, from, &err)
 	return g.Backend.Copy(ctx, req, from, to)
 }
 
 // Free implements exchange.Backend.
-func (g *guardedBackend) Free(ctx context.Context, m *exchange.Memory) (err error) {
-	defer g.guard("", m.At, &err)
+func (g *guardedBackend) Free(ctx context.Context, m *exchange.KVCopy) (err error) {
+	defer g.guard("", m.Server, &err)
 	return g.Backend.Free(ctx, m)
 }
 
@@ -64,9 +64,9 @@
 }
 
 // Kept implements exchange.Backend.
-func (g *guardedBackend) Kept(ctx context.Context, s *directory.Server) (contents promptcache.Contents, err error) {
+func (g *guardedBackend) CachedPrompts(ctx context.Context, s *directory.Server) (contents promptcache.Contents, err error) {
 	defer g.guard("", s, &err)
-	return g.Backend.Kept(ctx, s)
+	return g.Backend.CachedPrompts(ctx, s)
 }
 
 // guardedBody is the body of an answer of a guardedBackend.
--- a/entry/handler.go
+++ b/entry/handler.go
@@ -79,7 +79,7 @@
 		h.notYet(w, call, "list of servers", min(comeBack(call.Wait), spreadOut(listWait)))
 		return
 	}
-	if !time.Now().Before(call.Until) {
+	if !time.Now().Before(call.Deadline) {
 		h.refuseLate(w, call)
 		return
 	}
@@ -107,7 +107,7 @@
 	}
 	call.Service = call.Route.Pick()
 	length, by := wait(call.Wait, call.Route.Timeout)
-	call.Until, call.UntilBy = call.Arrived.Add(length), by
+	call.Deadline, call.DeadlineBy = call.Arrived.Add(length), by
 	return nil
 }
 
@@ -145,7 +145,7 @@
 	if call.Route.Kind != site.Stream {
 		return true
 	}
-	if h.stop.late(now) && call.Until.After(h.stop.endsAt()) {
+	if h.stop.late(now) && call.Deadline.After(h.stop.endsAt()) {
 		return false
 	}
 	h.recorder.Emit(EventTakenInStop, event.FieldRequest, call.ID, "route", call.Route.Name, "need", need, "left", h.stop.endsAt().Sub(now))
@@ -153,8 +153,8 @@
 }
 
 func (h *handler) servePlain(w http.ResponseWriter, r *http.Request, call *platform.Call) {
-	if last := h.stop.bound(call.Until); last.Before(call.Until) {
-		call.Until, call.UntilBy = last, exchange.EndedByStop
+	if last := h.stop.bound(call.Deadline); last.Before(call.Deadline) {
+		call.Deadline, call.DeadlineBy = last, exchange.EndedByStop
 	}
 	served := false
 	end := h.stop.of(call.Route).begin(call.Arrived)
--- a/entry/late_test.go
+++ b/entry/late_test.go
@@ -79,6 +79,6 @@
 	now := time.Now()
 	h := &handler{stop: newStopping(), allStop: func() bool { return true }}
 	h.stop.begin(now.Add(time.Second))
-	call := &platform.Call{Request: exchange.Request{Route: &site.Route{Kind: site.Stream}, Until: now.Add(-time.Second)}}
+	call := &platform.Call{Request: exchange.Request{Route: &site.Route{Kind: site.Stream}, Deadline: now.Add(-time.Second)}}
 	g.Expect(h.afterStop(call, now)).To(gomega.BeNumerically(">=", 0))
 }
--- a/entry/model_test.go
+++ b/entry/model_test.go
@@ -100,11 +100,11 @@
 func (modelServer) Probe(context.Context, *directory.Server) (int64, error) {
 	return 0, nil
 }
-func (modelServer) Kept(context.Context, *directory.Server) (promptcache.Contents, error) {
+func (modelServer) CachedPrompts(context.Context, *directory.Server) (promptcache.Contents, error) {
 	return nil, nil
 }
-func (modelServer) Free(context.Context, *exchange.Memory) error { return nil }
-func (modelServer) Copy(context.Context, *exchange.Request, *directory.Server, *directory.Server) (*exchange.Memory, error) {
+func (modelServer) Free(context.Context, *exchange.KVCopy) error { return nil }
+func (modelServer) Copy(context.Context, *exchange.Request, *directory.Server, *directory.Server) (*exchange.KVCopy, error) {
 	return nil, io.ErrClosedPipe
 }
 
--- a/entry/panics.go
+++ b/entry/panics.go
@@ -34,7 +34,7 @@
 	}
 	id := platform.RequestID(r)
 	stack := debug.Stack()
-	if fault, ok := why.(*exchange.Fault); ok {
+	if fault, ok := why.(*exchange.PanicError); ok {
 		stack = fault.Stack
 	}
 	h.recorder.Emit(EventPanicked, event.FieldRequest, id, "panic", fmt.Sprint(why), "answered", !w.Begun, "stack", string(stack[:min(len(stack), maxStack)]))
--- a/entry/refusal.go
+++ b/entry/refusal.go
@@ -66,11 +66,11 @@
 // Sent to a backend server with no time left it could only be answered that it may have
 // run.
 func (h *handler) refuseLate(w http.ResponseWriter, call *platform.Call) {
-	h.exchange.Refused(call.Route, call.UntilBy)
+	h.exchange.Refused(call.Route, call.DeadlineBy)
 	h.recorder.Emit(EventLate, event.FieldRequest, call.ID, "route", call.Route.Name, "version", call.Version,
-		"took", time.Since(call.Arrived), event.FieldEndedBy, call.UntilBy)
+		"took", time.Since(call.Arrived), event.FieldEndedBy, call.DeadlineBy)
 	platform.WriteFailure(w, call.ID, &exchange.Failure{
-		By: call.UntilBy, RetryAfter: spreadOut(elsewhere), Err: errors.New("entry: its time was over when the request was complete"),
+		By: call.DeadlineBy, RetryAfter: spreadOut(elsewhere), Err: errors.New("entry: its time was over when the request was complete"),
 	})
 }
 
@@ -138,7 +138,7 @@
 		return spreadOut(elsewhere)
 	}
 	back := h.firstBack(now).Sub(now) + time.Duration(rand.Float64()*float64(returnsOver))
-	left := max(0, call.Until.Sub(now))
+	left := max(0, call.Deadline.Sub(now))
 	return min(back, time.Duration(honouredShare*float64(left)))
 }
 
--- a/entry/stopping_test.go
+++ b/entry/stopping_test.go
@@ -115,9 +115,9 @@
 	h := &handler{stop: newStopping(), allStop: func() bool { return all }}
 	h.stop.begin(now.Add(4 * time.Second))
 	stream, plain := &site.Route{Kind: site.Stream}, &site.Route{Kind: site.Idempotent}
-	draft := &platform.Call{Request: exchange.Request{Route: stream, Until: now.Add(25 * time.Second)}}
-	short := &platform.Call{Request: exchange.Request{Route: stream, Until: now.Add(3 * time.Second)}}
-	check := &platform.Call{Request: exchange.Request{Route: plain, Until: now.Add(3 * time.Second)}}
+	draft := &platform.Call{Request: exchange.Request{Route: stream, Deadline: now.Add(25 * time.Second)}}
+	short := &platform.Call{Request: exchange.Request{Route: stream, Deadline: now.Add(3 * time.Second)}}
+	check := &platform.Call{Request: exchange.Request{Route: plain, Deadline: now.Add(3 * time.Second)}}
 	g.Expect(h.afterStop(draft, now)).To(gomega.BeNumerically("<=", elsewhere))
 	all = true
 	g.Expect(h.afterStop(draft, now)).To(gomega.And(gomega.BeNumerically(">=", restartTime), gomega.BeNumerically("<=", restartTime+returnsOver)), "nothing runs")
@@ -146,7 +146,7 @@
 	h.stop.begin(now.Add(grace))
 	h.stop.began.Store(int64(now.Sub(h.stop.at)))
 	stream := &site.Route{Kind: site.Stream}
-	draft := &platform.Call{Request: exchange.Request{Route: stream, Until: now.Add(25 * time.Second)}}
+	draft := &platform.Call{Request: exchange.Request{Route: stream, Deadline: now.Add(25 * time.Second)}}
 	h.stop.of(stream).begin(now)
 	const firstBack = grace - 6*time.Second + restartTime
 	between := func(least time.Duration) types.GomegaMatcher {
--- a/exchange/attempt.go
+++ b/exchange/attempt.go
@@ -18,7 +18,7 @@
 // owns the attempt.
 type streamAttempt struct {
 	server    *directory.Server
-	from      *Memory            // copy to resume from; nil: the server reads the prompt
+	from      *KVCopy            // copy to resume from; nil: the server reads the prompt
 	copies    copyTracker        // where its KV cache is copied to
 	load      *directory.Running // its share of the server's load
 	watch     *silenceWatch
@@ -43,22 +43,22 @@
 	event    streamEvent // valid if err and reply are nil
 	reply    *Reply      // a response that is not a stream
 	err      error       // io.EOF: the stream is complete
-	panicked *Fault      // a panic of the reading goroutine
+	panicked *PanicError // a panic of the reading goroutine
 }
 
-// Fault is a panic of a goroutine that works on behalf of a request. It is raised again
-// on the request's own goroutine: unrecovered, it would end the process with all
+// PanicError is a panic of a goroutine that works on behalf of a request. It is raised
+// again on the request's own goroutine: unrecovered, it would end the process with all
 // requests that it serves.
-type Fault struct {
-	Why   any
+type PanicError struct {
+	Value any
 	Stack []byte // where the panic happened
 }
 
 // Error implements error.
-func (f *Fault) Error() string { return fmt.Sprint(f.Why) }
+func (f *PanicError) Error() string { return fmt.Sprint(f.Value) }
 
 // launch starts an attempt at a server.
-func (s *stream) launch(ctx context.Context, server *directory.Server, from *Memory) *streamAttempt {
+func (s *stream) launch(ctx context.Context, server *directory.Server, from *KVCopy) *streamAttempt {
 	prompt := s.unreadTokens(server)
 	if from != nil {
 		prompt = 0
@@ -70,7 +70,7 @@
 		watch: newWatch(ctx, s.e, server), steps: make(chan step), done: make(chan struct{}),
 	}
 	attempt := &Attempt{
-		Request: s.req, Server: server, Left: s.req.timeLeft(time.Now()), After: s.resumeAfter(), CopyTo: s.placeCopy(a), From: from,
+		Request: s.req, Server: server, Timeout: s.req.timeLeft(time.Now()), ResumeAfter: s.resumeAfter(), CopyTo: s.placeCopy(a), ResumeFrom: from,
 	}
 	go a.read(s.e.opts.Backend, attempt)
 	return a
@@ -80,8 +80,8 @@
 // longer received.
 func (a *streamAttempt) read(backend Backend, attempt *Attempt) {
 	defer func() {
-		if why := recover(); why != nil {
-			a.deliver(step{panicked: &Fault{Why: why, Stack: debug.Stack()}})
+		if value := recover(); value != nil {
+			a.deliver(step{panicked: &PanicError{Value: value, Stack: debug.Stack()}})
 		}
 	}()
 	answer, err := backend.Open(a.watch.ctx, attempt)
--- a/exchange/copies.go
+++ b/exchange/copies.go
@@ -23,17 +23,17 @@
 type copyTracker struct {
 	// free releases a copy that will not be used; its server reserves memory for it
 	// until then.
-	free func(*Memory)
+	free func(*KVCopy)
 
 	mu      sync.Mutex
-	current *Memory
+	current *KVCopy
 	endLoad func() // removes the copy from its server's load
 	closed  bool   // no copy is needed any more
 }
 
 // set replaces the copy. A copy that arrives after close is released at once: it was
 // requested while its stream ran.
-func (t *copyTracker) set(m *Memory) {
+func (t *copyTracker) set(m *KVCopy) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.dropLocked()
@@ -41,7 +41,7 @@
 		t.release(m)
 		return
 	}
-	t.current, t.endLoad = m, m.At.CopyBegun()
+	t.current, t.endLoad = m, m.Server.CopyBegun()
 }
 
 // close releases the copy, and all that arrive later.
@@ -53,14 +53,14 @@
 }
 
 // release frees a copy that was made by Backend.Copy.
-func (t *copyTracker) release(m *Memory) {
+func (t *copyTracker) release(m *KVCopy) {
 	if m != nil && m.Handle != "" && t.free != nil {
 		t.free(m)
 	}
 }
 
 // take returns the copy, if there is one, for use.
-func (t *copyTracker) take() *Memory {
+func (t *copyTracker) take() *KVCopy {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	m := t.current
@@ -85,7 +85,7 @@
 }
 
 // requested returns the copy if it was made by Backend.Copy; nil otherwise.
-func (t *copyTracker) requested() *Memory {
+func (t *copyTracker) requested() *KVCopy {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.current == nil || t.current.Handle == "" {
@@ -96,7 +96,7 @@
 
 // refreshed replaces a copy by its refreshed version. If the old one was taken or
 // replaced meanwhile, the new one is released, since nobody will use it.
-func (t *copyTracker) refreshed(old, renewed *Memory) {
+func (t *copyTracker) refreshed(old, renewed *KVCopy) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	unused := renewed
@@ -115,12 +115,12 @@
 	if t.current == nil {
 		return nil
 	}
-	return t.current.At
+	return t.current.Server
 }
 
 // freeCopy releases a copy in the background. If that fails, its server drops it some
 // seconds later.
-func (e *Exchange) freeCopy(m *Memory) {
+func (e *Exchange) freeCopy(m *KVCopy) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), copyTimeout)
 		defer cancel()
@@ -153,7 +153,7 @@
 	}
 	to := s.pickCopyServer(a.server, s.excludedFor(a.server), false)
 	if to != nil {
-		a.copies.set(&Memory{At: to})
+		a.copies.set(&KVCopy{Server: to})
 	}
 	return to
 }
@@ -211,7 +211,7 @@
 	}
 	copyCtx, cancel := context.WithTimeout(ctx, copyTimeout)
 	defer cancel()
-	renewed, err := s.e.opts.Backend.Copy(copyCtx, s.req, a.server, old.At)
+	renewed, err := s.e.opts.Backend.Copy(copyCtx, s.req, a.server, old.Server)
 	if err != nil {
 		s.e.metrics.renewalsFailed.Inc() // the old copy stays valid
 		return
--- a/exchange/ended.go
+++ b/exchange/ended.go
@@ -55,11 +55,11 @@
 
 // withDeadline bounds ctx by the request's deadline.
 func (r *Request) withDeadline(ctx context.Context) (context.Context, context.CancelFunc) {
-	return context.WithDeadlineCause(ctx, r.Until, &End{By: r.deadlineBy(), Err: ErrTimeout})
+	return context.WithDeadlineCause(ctx, r.Deadline, &End{By: r.deadlineBy(), Err: ErrTimeout})
 }
 
 // deadlineBy returns whose deadline the request's is.
-func (r *Request) deadlineBy() EndedBy { return cmp.Or(r.UntilBy, EndedByDeadline) }
+func (r *Request) deadlineBy() EndedBy { return cmp.Or(r.DeadlineBy, EndedByDeadline) }
 
 // endOf returns what ended the request's context. net/http cancels it without a cause
 // when it reads the end of the caller's connection.
@@ -73,7 +73,7 @@
 
 // callerLeft returns the end of a request whose caller closed its connection.
 func (r *Request) callerLeft(err error) *End {
-	if r.UntilBy != EndedByRouteTimeout && r.UntilBy != EndedByStop && time.Until(r.Until) < callerSlack {
+	if r.DeadlineBy != EndedByRouteTimeout && r.DeadlineBy != EndedByStop && time.Until(r.Deadline) < callerSlack {
 		return &End{By: EndedByDeadline, Err: err}
 	}
 	return &End{By: EndedByCaller, Err: err}
--- a/exchange/ended_test.go
+++ b/exchange/ended_test.go
@@ -73,9 +73,9 @@
 				g := gomega.NewWithT(t)
 				b := newTestbed(everywhere(answers(http.StatusOK, "late", time.Hour)))
 				req := request(site.AtMostOnce)
-				req.UntilBy = c.untilBy
+				req.DeadlineBy = c.untilBy
 				ctx, leave := context.WithCancel(t.Context())
-				time.AfterFunc(time.Until(req.Until)-c.early, leave)
+				time.AfterFunc(time.Until(req.Deadline)-c.early, leave)
 				_, err := b.Call(ctx, req)
 				g.Expect(err).To(gomega.MatchError(context.Canceled))
 				by, number := endOfRequest(b, req.ID)
--- a/exchange/enginemodel_test.go
+++ b/exchange/enginemodel_test.go
@@ -223,9 +223,9 @@
 		return nil, &NotRunError{Reason: Refused, Err: io.ErrClosedPipe}
 	}
 	r := &modelRun{id: a.Request.ID, ctx: ctx, prompt: a.Request.Prompt, events: events, out: make(chan []byte, 4096)}
-	_, _ = fmt.Sscan(a.After, &r.last)
+	_, _ = fmt.Sscan(a.ResumeAfter, &r.last)
 	r.unread = max(0, a.Request.PromptTokens-e.kept.Prefix(r.prompt)) + modelEvent*r.last
-	if a.From != nil {
+	if a.ResumeFrom != nil {
 		found, known := e.copies[a.Request.ID]
 		if !known || time.Now().Before(found.ready) {
 			return nil, &NotRunError{Reason: Busy, Err: io.ErrClosedPipe}
@@ -255,7 +255,7 @@
 }
 
 // Copy implements Backend.
-func (b *modelBackend) Copy(_ context.Context, req *Request, from, to *directory.Server) (*Memory, error) {
+func (b *modelBackend) Copy(_ context.Context, req *Request, from, to *directory.Server) (*KVCopy, error) {
 	events, runs := b.engines[from.ID].reached(req.ID)
 	time.Sleep(modelCopyTime)
 	e := b.engines[to.ID]
@@ -265,7 +265,7 @@
 		return nil, io.ErrClosedPipe
 	}
 	e.copies[req.ID] = modelCopy{ready: time.Now(), events: events}
-	return &Memory{At: to, Source: from, Handle: req.ID}, nil
+	return &KVCopy{Server: to, Source: from, Handle: req.ID}, nil
 }
 
 // reached returns the newest event of a request's run.
@@ -281,7 +281,7 @@
 }
 
 // Free implements Backend.
-func (b *modelBackend) Free(context.Context, *Memory) error { return nil }
+func (b *modelBackend) Free(context.Context, *KVCopy) error { return nil }
 
 // Probe implements Backend.
 func (b *modelBackend) Probe(ctx context.Context, s *directory.Server) (int64, error) {
@@ -296,8 +296,8 @@
 	return 0, nil
 }
 
-// Kept implements Backend.
-func (b *modelBackend) Kept(ctx context.Context, s *directory.Server) (promptcache.Contents, error) {
+// CachedPrompts implements Backend.
+func (b *modelBackend) CachedPrompts(ctx context.Context, s *directory.Server) (promptcache.Contents, error) {
 	time.Sleep(modelAnswerTime)
 	e := b.engines[s.ID]
 	e.mu.Lock()
--- a/exchange/estimate_test.go
+++ b/exchange/estimate_test.go
@@ -66,7 +66,7 @@
 func (e *fakeEngine) play(ctx context.Context, a *Attempt) (*Answer, error) {
 	readAt := e.take(a.Request.PromptTokens)
 	from := 0
-	_, _ = fmt.Sscan(a.After, &from)
+	_, _ = fmt.Sscan(a.ResumeAfter, &from)
 	r, w := io.Pipe()
 	go func() {
 		err := sleep(ctx, time.Until(readAt))
--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -17,7 +17,8 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// Options configures an Exchange. Metrics, Timings, Lender and Restarts are optional.
+// Options configures an Exchange. Metrics, Timings, SharedBudget and Restarts are
+// optional.
 type Options struct {
 	Zone      string
 	Directory *directory.Directory
@@ -32,14 +33,14 @@
 	RetryWindow time.Duration
 	RetryRatio  float64
 	RetryExtra  func() float64
-	// Lender, if set, enforces the retry budget jointly with other processes.
-	Lender Lender
+	// SharedBudget, if set, enforces the retry budget jointly with other processes.
+	SharedBudget SharedBudget
 	// Restarts, if set, detects restarted servers while the store can't report them.
-	Restarts *Restarts
+	Restarts *RestartDetector
 }
 
-// Lender enforces the retry budget jointly with other processes.
-type Lender interface {
+// SharedBudget enforces the retry budget jointly with other processes.
+type SharedBudget interface {
 	// Allow reports whether a retry fits the budget of all processes together, and
 	// counts it if so. While nothing is known of the others, the window's own bound
 	// decides.
@@ -137,8 +138,8 @@
 	w := e.budget(service)
 	w.Bound(e.opts.RetryRatio, e.opts.RetryExtra())
 	allowed := false
-	if e.opts.Lender != nil {
-		allowed = e.opts.Lender.Allow(service, w)
+	if e.opts.SharedBudget != nil {
+		allowed = e.opts.SharedBudget.Allow(service, w)
 	} else {
 		allowed = w.Allow()
 	}
@@ -152,8 +153,8 @@
 func (e *Exchange) admit(req *Request) *Failure {
 	w := e.budget(req.Service)
 	w.First()
-	if e.opts.Lender != nil {
-		e.opts.Lender.First(req.Service, w)
+	if e.opts.SharedBudget != nil {
+		e.opts.SharedBudget.First(req.Service, w)
 	}
 	if e.opts.Suspects.Verdict(req.Fingerprint()).State != suspect.Quarantined {
 		return nil
@@ -165,11 +166,11 @@
 
 // timeLeft returns how long a server may take for an attempt started now.
 func (r *Request) timeLeft(now time.Time) time.Duration {
-	return max(time.Millisecond, r.Until.Sub(now)-responseMargin)
+	return max(time.Millisecond, r.Deadline.Sub(now)-responseMargin)
 }
 
 // hasTime reports whether an attempt started now can still be answered in time.
-func (r *Request) hasTime(now time.Time) bool { return r.Until.Sub(now) > responseMargin }
+func (r *Request) hasTime(now time.Time) bool { return r.Deadline.Sub(now) > responseMargin }
 
 // recordFailure updates a server's state according to an attempt's error.
 func (e *Exchange) recordFailure(s *directory.Server, err error) {
--- a/exchange/fake_test.go
+++ b/exchange/fake_test.go
@@ -60,14 +60,14 @@
 	return born, err
 }
 
-func (b *fakeBackend) Kept(ctx context.Context, s *directory.Server) (promptcache.Contents, error) {
+func (b *fakeBackend) CachedPrompts(ctx context.Context, s *directory.Server) (promptcache.Contents, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.asked = append(b.asked, s.ID)
 	return b.kept[s.ID], nil
 }
 
-func (b *fakeBackend) Copy(_ context.Context, _ *Request, from, to *directory.Server) (*Memory, error) {
+func (b *fakeBackend) Copy(_ context.Context, _ *Request, from, to *directory.Server) (*KVCopy, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.copies = append(b.copies, to)
@@ -75,7 +75,7 @@
 		b.refusals--
 		return nil, io.ErrShortBuffer
 	}
-	return &Memory{At: to, Source: from, Handle: "h"}, nil
+	return &KVCopy{Server: to, Source: from, Handle: "h"}, nil
 }
 
 // copyPlaces returns the servers on which copies were requested.
@@ -89,7 +89,7 @@
 	return places
 }
 
-func (b *fakeBackend) Free(_ context.Context, m *Memory) error {
+func (b *fakeBackend) Free(_ context.Context, m *KVCopy) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.freed = append(b.freed, m.Handle)
@@ -126,13 +126,13 @@
 	}
 }
 
-// streams sends events from the one after Attempt.After up to last, each after the gap,
-// and then ends the stream: complete if how is nil, silent if it is errMute, and broken
-// off with any other error.
+// streams sends events from the one after Attempt.ResumeAfter up to last, each after
+// the gap, and then ends the stream: complete if how is nil, silent if it is errMute,
+// and broken off with any other error.
 func streams(last int, gap time.Duration, how error) script {
 	return func(ctx context.Context, a *Attempt) (*Answer, error) {
 		from := 0
-		_, _ = fmt.Sscan(a.After, &from)
+		_, _ = fmt.Sscan(a.ResumeAfter, &from)
 		r, w := io.Pipe()
 		go func() {
 			for i := from + 1; i <= last; i++ {
@@ -229,7 +229,7 @@
 func request(kind site.Kind) *Request {
 	return &Request{
 		ID: "r1", Method: http.MethodPost, Target: "/x/1", Header: http.Header{}, Service: "s", PromptTokens: 8000, MaxTokens: 600,
-		Arrived: time.Now(), Until: time.Now().Add(4 * time.Second),
+		Arrived: time.Now(), Deadline: time.Now().Add(4 * time.Second),
 		Route: &site.Route{
 			Name: "r", Kind: kind, Resumable: kind == site.Stream, MaxAttempts: 5,
 			Objective: 300 * time.Millisecond, Timeout: 4 * time.Second, MaxGap: 700 * time.Millisecond,
@@ -239,7 +239,7 @@
 
 func streamRequest() *Request {
 	r := request(site.Stream)
-	r.Until = r.Arrived.Add(25 * time.Second)
+	r.Deadline = r.Arrived.Add(25 * time.Second)
 	return r
 }
 
--- a/exchange/late_attempt_test.go
+++ b/exchange/late_attempt_test.go
@@ -33,7 +33,7 @@
 			g := gomega.NewWithT(t)
 			b := newTestbed(everywhere(streams(3, time.Millisecond, nil)))
 			req := streamRequest()
-			req.Until = req.Arrived.Add(left)
+			req.Deadline = req.Arrived.Add(left)
 			_, err := b.Stream(t.Context(), req, &recordingSink{})
 			var failure *Failure
 			g.Expect(errors.As(err, &failure)).To(gomega.BeTrue(), "%v", err)
@@ -53,7 +53,7 @@
 			g := gomega.NewWithT(t)
 			b := newTestbed(everywhere(answers(200, "ok", time.Millisecond)))
 			req := request(site.AtMostOnce)
-			req.Until = req.Arrived.Add(left)
+			req.Deadline = req.Arrived.Add(left)
 			_, err := b.Call(t.Context(), req)
 			var failure *Failure
 			g.Expect(errors.As(err, &failure)).To(gomega.BeTrue(), "%v", err)
@@ -77,7 +77,7 @@
 		before := reads(engines)
 		for range 40 {
 			req := streamRequest()
-			req.Until = req.Arrived.Add(left)
+			req.Deadline = req.Arrived.Add(left)
 			_, _ = b.Stream(t.Context(), req, &recordingSink{})
 			time.Sleep(500 * time.Millisecond)
 		}
--- a/exchange/locate.go
+++ b/exchange/locate.go
@@ -33,7 +33,7 @@
 
 func (e *Exchange) askCached(ctx context.Context, s *directory.Server) (promptcache.Contents, error) {
 	e.metrics.probes.Inc()
-	return e.opts.Backend.Kept(ctx, s)
+	return e.opts.Backend.CachedPrompts(ctx, s)
 }
 
 // unreadTokens returns how many tokens of the stream's prompt a server has yet to read.
--- a/exchange/pauses_test.go
+++ b/exchange/pauses_test.go
@@ -15,7 +15,7 @@
 // paced sends events after the given pauses in turn, and then completes the stream.
 func paced(last int, pauses ...time.Duration) script {
 	return func(ctx context.Context, a *Attempt) (*Answer, error) {
-		from, _ := strconv.Atoi(a.After)
+		from, _ := strconv.Atoi(a.ResumeAfter)
 		r, w := io.Pipe()
 		go func() {
 			for i := from + 1; i <= last; i++ {
--- a/exchange/pausing_test.go
+++ b/exchange/pausing_test.go
@@ -37,7 +37,7 @@
 		"others refuse":   {servers: all},
 		"no other server": {servers: all[:1]},
 		"the retry budget is spent": {servers: all, change: func(b *testbed, _ *Request) {
-			b.opts.Lender = &stingy{until: time.Now().Add(time.Hour)}
+			b.opts.SharedBudget = &stingy{until: time.Now().Add(time.Hour)}
 		}},
 		"the route allows one server": {servers: all, change: func(_ *testbed, r *Request) { r.Route.MaxAttempts = 1 }},
 		"it can't be resumed":         {servers: all, change: func(_ *testbed, r *Request) { r.Route.Resumable = false }},
@@ -74,7 +74,7 @@
 		before := reads(engines)
 		b.backend.scripts = inOrder(pausing(2*preemption), refuses(Busy))
 		req := streamRequest()
-		req.Until = req.Arrived.Add(8 * time.Second)
+		req.Deadline = req.Arrived.Add(8 * time.Second)
 		sink, err := runStream(t, b, req)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(sink.ids).To(gomega.Equal(consecutive(1, 130)))
--- a/exchange/plain.go
+++ b/exchange/plain.go
@@ -201,7 +201,7 @@
 
 func (c *call) attempt(ctx context.Context, s *directory.Server) result {
 	defer s.CallBegun()()
-	answer, err := c.e.opts.Backend.Open(ctx, &Attempt{Request: c.req, Server: s, Left: c.req.timeLeft(time.Now())})
+	answer, err := c.e.opts.Backend.Open(ctx, &Attempt{Request: c.req, Server: s, Timeout: c.req.timeLeft(time.Now())})
 	if err != nil {
 		return result{server: s, err: err}
 	}
--- a/exchange/request.go
+++ b/exchange/request.go
@@ -27,11 +27,11 @@
 	Body   []byte
 
 	Arrived      time.Time // with a monotonic clock reading
-	Until        time.Time // when the caller stops waiting or the route times out
-	UntilBy      EndedBy   // whose deadline Until is; empty: the caller's
+	Deadline     time.Time // when the caller stops waiting or the route times out
+	DeadlineBy   EndedBy   // whose deadline it is; empty: the caller's
 	Route        *site.Route
 	Service      string
-	Organisation string // empty if the route needs no key
+	Organisation string // empty if no key was needed
 	LastEvent    string // id of the last event that the caller has; empty: none
 	Version      uint64 // of the configuration that the route and the service come from
 
@@ -53,20 +53,20 @@
 
 // Attempt is one delivery of a request to one backend server.
 type Attempt struct {
-	Request *Request
-	Server  *directory.Server
-	Left    time.Duration // how long the server may take
-	After   string        // id of the event to resume after; empty: from the start
+	Request     *Request
+	Server      *directory.Server
+	Timeout     time.Duration // how long the server may take
+	ResumeAfter string        // id of the event to resume after; empty: from the start
 	// CopyTo is where the server sends a running copy of the stream's KV cache; nil:
 	// nowhere.
 	CopyTo *directory.Server
-	// From is the copy to resume from instead of reading the prompt; nil: none.
-	From *Memory
+	// ResumeFrom is the copy to resume from instead of reading the prompt; nil: none.
+	ResumeFrom *KVCopy
 }
 
-// Memory is a copy of a running stream's KV cache.
-type Memory struct {
-	At *directory.Server // holder of the copy; only this server can resume from it
+// KVCopy is a copy of a running stream's KV cache.
+type KVCopy struct {
+	Server *directory.Server // holder of the copy; only this server can resume from it
 	// Source and Handle identify a copy made by Backend.Copy. Without a handle it is
 	// the one that the run itself sends there as it grows.
 	Source *directory.Server
@@ -92,15 +92,15 @@
 	Open(ctx context.Context, a *Attempt) (*Answer, error)
 	// Copy copies the KV cache of a running attempt to another server. The run
 	// continues.
-	Copy(ctx context.Context, req *Request, from, to *directory.Server) (*Memory, error)
+	Copy(ctx context.Context, req *Request, from, to *directory.Server) (*KVCopy, error)
 	// Free releases a copy that was made by Copy.
-	Free(ctx context.Context, m *Memory) error
+	Free(ctx context.Context, m *KVCopy) error
 	// Probe checks that a server is alive, bypassing its queue. It returns the start
 	// time of the process that answered (see directory.Start), 0 if the process did not
 	// report it.
 	Probe(ctx context.Context, s *directory.Server) (born int64, err error)
-	// Kept asks a server which prompt parts it has cached.
-	Kept(ctx context.Context, s *directory.Server) (promptcache.Contents, error)
+	// CachedPrompts asks a server which prompt parts it has cached.
+	CachedPrompts(ctx context.Context, s *directory.Server) (promptcache.Contents, error)
 }
 
 // Sink writes a stream's response to the caller.
--- a/exchange/restarts.go
+++ b/exchange/restarts.go
@@ -7,7 +7,7 @@
 	"github.com/pearyard/pearyard/directory"
 )
 
-// Restarts detects servers that crashed and were restarted while the store is
+// RestartDetector detects servers that crashed and were restarted while the store is
 // unavailable. A new start has a new id, or the id of the former one and a later start
 // time; only the store lists either. Without detection every crash during an outage
 // takes a server out of use until the outage is over, and the loss of two zones leaves
@@ -17,11 +17,11 @@
 // the server's end. A process that answers there within Reuse of the last proof of life
 // of the former one is therefore of the same service. Both clocks must say so: the
 // monotonic one stands still while this VM is suspended.
-type Restarts struct {
+type RestartDetector struct {
 	// Reuse is how long an address is not given to another service.
 	Reuse time.Duration
-	// Away reports whether the store is unavailable at the moment.
-	Away func() bool
+	// StoreUnavailable reports whether the store is unavailable at the moment.
+	StoreUnavailable func() bool
 	// Identify returns which start answers at a server's address.
 	Identify func(ctx context.Context, s *directory.Server) (directory.Start, error)
 	// Found is called with each restart that is detected.
@@ -38,7 +38,7 @@
 )
 
 // watchAddress polls the address of a server that has just been lost.
-func (r *Restarts) watchAddress(e *Exchange, s *directory.Server) {
+func (r *RestartDetector) watchAddress(e *Exchange, s *directory.Server) {
 	if r == nil || r.Reuse <= 0 {
 		return
 	}
@@ -47,7 +47,7 @@
 	go func() {
 		time.Sleep(time.Until(monotonic.Add(restartFirstDelay)))
 		for r.withinReuse(lastProof, monotonic) {
-			if r.Away() && r.poll(e, s, lastProof, monotonic) {
+			if r.StoreUnavailable() && r.poll(e, s, lastProof, monotonic) {
 				return
 			}
 			time.Sleep(restartPollInterval)
@@ -56,7 +56,7 @@
 }
 
 // withinReuse reports whether a process that answers now must be of the same service.
-func (r *Restarts) withinReuse(lastProof, monotonic time.Time) bool {
+func (r *RestartDetector) withinReuse(lastProof, monotonic time.Time) bool {
 	limit := r.Reuse - reuseMargin
 	return time.Since(monotonic) < limit && time.Now().Round(0).Sub(lastProof.Round(0)) < limit
 }
@@ -66,7 +66,7 @@
 // that was cut off from the store when it crashed is listed with its former start for
 // some seconds more, and would get nothing meanwhile. If it does not answer, it is used
 // once the list has it; its loss has been recorded already.
-func (r *Restarts) confirm(e *Exchange, s *directory.Server) {
+func (r *RestartDetector) confirm(e *Exchange, s *directory.Server) {
 	if r == nil {
 		return
 	}
@@ -80,12 +80,12 @@
 	}()
 }
 
-func (r *Restarts) report(e *Exchange, s *directory.Server, start directory.Start) {
+func (r *RestartDetector) report(e *Exchange, s *directory.Server, start directory.Start) {
 	e.opts.Recorder.Emit(EventRestarted, "server", s.Start, "now", start, "service", s.Service, "zone", s.Zone, "since", time.Since(s.LastSign()))
 	r.Found(s, start)
 }
 
-func (r *Restarts) poll(e *Exchange, s *directory.Server, lastProof, monotonic time.Time) bool {
+func (r *RestartDetector) poll(e *Exchange, s *directory.Server, lastProof, monotonic time.Time) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), e.opts.Timings.ProbeTimeout)
 	defer cancel()
 	e.metrics.probes.Inc()
--- a/exchange/restarts_test.go
+++ b/exchange/restarts_test.go
@@ -18,9 +18,9 @@
 	b = newTestbed(nil, "a1")
 	lost := time.Now()
 	got := make(chan string, 1)
-	b.opts.Restarts = &Restarts{
-		Reuse: 2 * time.Second,
-		Away:  func() bool { return away },
+	b.opts.Restarts = &RestartDetector{
+		Reuse:            2 * time.Second,
+		StoreUnavailable: func() bool { return away },
 		Identify: func(context.Context, *directory.Server) (directory.Start, error) {
 			if time.Since(lost) < backAfter {
 				return directory.Start{}, io.ErrClosedPipe
--- a/exchange/running.go
+++ b/exchange/running.go
@@ -70,8 +70,8 @@
 	return names
 }
 
-// TellRunning logs the streams in progress until ctx ends.
-func (e *Exchange) TellRunning(ctx context.Context) error {
+// LogRunning logs the streams in progress until ctx ends.
+func (e *Exchange) LogRunning(ctx context.Context) error {
 	for retry.Wait(ctx, runningLogInterval) == nil {
 		for names := range slices.Chunk(e.active.takeUnlogged(time.Now()), streamsPerLine) {
 			e.opts.Recorder.Emit(EventRunning, event.FieldRequests, strings.Join(names, event.BetweenRequests))
--- a/exchange/running_test.go
+++ b/exchange/running_test.go
@@ -22,7 +22,7 @@
 		b := newTestbed(everywhere(streams(130, eventInterval, nil)))
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		go func() { _ = b.TellRunning(ctx) }()
+		go func() { _ = b.LogRunning(ctx) }()
 		req := streamRequest()
 		req.ID = "long"
 		_, err := runStream(t, b, req)
@@ -47,7 +47,7 @@
 			b.active.add(fmt.Sprintf("r%03d", i))
 		}
 		ctx, cancel := context.WithCancel(t.Context())
-		go func() { _ = b.TellRunning(ctx) }()
+		go func() { _ = b.LogRunning(ctx) }()
 		time.Sleep(runningLogInterval + time.Millisecond)
 		cancel()
 		lines, all := 0, ""
--- a/exchange/start_test.go
+++ b/exchange/start_test.go
@@ -72,7 +72,7 @@
 				b := newTestbed(map[string][]script{"a1": {mute, streams(10, 30*time.Millisecond, nil)}}, "a1")
 				b.list(2, nil, "a1")
 				b.backend.born["a1"] = 200
-				b.opts.Restarts = &Restarts{
+				b.opts.Restarts = &RestartDetector{
 					Identify: func(context.Context, *directory.Server) (directory.Start, error) {
 						return directory.Start{ID: id, Born: 200}, nil
 					},
@@ -148,7 +148,7 @@
 		g.Expect(<-done).NotTo(gomega.HaveOccurred())
 		sent := b.backend.sent()
 		g.Expect(sent).To(gomega.HaveLen(2))
-		g.Expect(sent[1].From.At.Start).To(gomega.Equal(directory.Start{ID: "b1", Born: 200}))
+		g.Expect(sent[1].ResumeFrom.Server.Start).To(gomega.Equal(directory.Start{ID: "b1", Born: 200}))
 		time.Sleep(crashConfirmDelay)
 	})
 }
@@ -230,9 +230,9 @@
 				b := newTestbed(nil, "a1")
 				b.list(2, map[string]int64{"a1": c.listed}, "a1")
 				var found []directory.Start
-				b.opts.Restarts = &Restarts{
-					Reuse: 2 * time.Second,
-					Away:  func() bool { return true },
+				b.opts.Restarts = &RestartDetector{
+					Reuse:            2 * time.Second,
+					StoreUnavailable: func() bool { return true },
 					Identify: func(context.Context, *directory.Server) (directory.Start, error) {
 						return directory.Start{ID: "a1", Born: c.answers}, nil
 					},
--- a/exchange/stream.go
+++ b/exchange/stream.go
@@ -203,7 +203,7 @@
 
 // chooseServer returns the server for the next attempt: the one that holds a copy of
 // the stream's KV cache, or else the one that is expected to start soonest.
-func (s *stream) chooseServer(ctx context.Context) (*directory.Server, *Memory, error) {
+func (s *stream) chooseServer(ctx context.Context) (*directory.Server, *KVCopy, error) {
 	if !s.req.hasTime(time.Now()) {
 		return nil, nil, ErrNoTime
 	}
@@ -218,7 +218,7 @@
 	}
 	if s.hasCopy() {
 		m := s.current.copies.take()
-		return m.At, m, nil
+		return m.Server, m, nil
 	}
 	if s.current != nil {
 		s.current.copies.close()
--- a/exchange/stream_test.go
+++ b/exchange/stream_test.go
@@ -62,8 +62,8 @@
 		g.Expect(sent).To(gomega.HaveLen(2))
 		g.Expect(sent[0].CopyTo.Zone).NotTo(gomega.Equal(sent[0].Server.Zone))
 		g.Expect(sent[1].Server).To(gomega.Equal(sent[0].CopyTo))
-		g.Expect(sent[1].From.At).To(gomega.Equal(sent[0].CopyTo))
-		g.Expect(sent[1].After).To(gomega.Equal("50"))
+		g.Expect(sent[1].ResumeFrom.Server).To(gomega.Equal(sent[0].CopyTo))
+		g.Expect(sent[1].ResumeAfter).To(gomega.Equal("50"))
 		g.Expect(sink.header.Get("Server-Id")).To(gomega.Equal(sent[0].Server.ID), "the head of the first run stays")
 		g.Expect(sink.longest).To(gomega.BeNumerically("<", 100*time.Millisecond))
 	})
@@ -142,7 +142,7 @@
 			if tries == 1 {
 				return streams(50, eventInterval, io.ErrUnexpectedEOF)(ctx, a)
 			}
-			if a.From != nil {
+			if a.ResumeFrom != nil {
 				return nil, &NotRunError{Reason: Busy, Err: io.ErrClosedPipe}
 			}
 			return streams(130, eventInterval, nil)(ctx, a)
@@ -163,7 +163,7 @@
 		_, err := runStream(t, b, streamRequest())
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		for _, a := range b.backend.sent() {
-			g.Expect(a.From).To(gomega.BeNil())
+			g.Expect(a.ResumeFrom).To(gomega.BeNil())
 		}
 	})
 }
@@ -181,7 +181,7 @@
 				return streams(50, eventInterval, io.ErrUnexpectedEOF)(ctx, a)
 			case 2:
 				wrong := *a
-				wrong.After = "20"
+				wrong.ResumeAfter = "20"
 				return streams(130, eventInterval, nil)(ctx, &wrong)
 			default:
 				return streams(130, eventInterval, nil)(ctx, a)
@@ -311,8 +311,8 @@
 		sent := b.backend.sent()
 		g.Expect(sent).To(gomega.HaveLen(2))
 		g.Expect(sent[1].Server).To(gomega.Equal(b.backend.copies[0]))
-		g.Expect(sent[1].From.Handle).To(gomega.Equal("h"))
-		g.Expect(sent[1].From.Source).To(gomega.Equal(sent[0].Server))
+		g.Expect(sent[1].ResumeFrom.Handle).To(gomega.Equal("h"))
+		g.Expect(sent[1].ResumeFrom.Source).To(gomega.Equal(sent[0].Server))
 		g.Expect(sink.longest).To(gomega.BeNumerically("<", 100*time.Millisecond))
 	})
 }
@@ -334,7 +334,7 @@
 		g.Expect(sink.ids).To(gomega.Equal(consecutive(1, 130)))
 		sent := b.backend.sent()
 		g.Expect(sent).To(gomega.HaveLen(2))
-		g.Expect(sent[1].From).NotTo(gomega.BeNil(), "it resumes from a copy")
+		g.Expect(sent[1].ResumeFrom).NotTo(gomega.BeNil(), "it resumes from a copy")
 		g.Expect(b.backend.copyPlaces()).To(gomega.HaveLen(2))
 		g.Expect(sent[1].Server).NotTo(gomega.Equal(b.backend.copies[0]), "the one that refused")
 		g.Expect(sink.longest).To(gomega.BeNumerically("<", 100*time.Millisecond))
@@ -357,7 +357,7 @@
 	})
 }
 
-// stingy is a Lender that allows nothing until a given time.
+// stingy is a SharedBudget that allows nothing until a given time.
 type stingy struct{ until time.Time }
 
 func (l *stingy) Allow(string, *retry.Window) bool { return time.Now().After(l.until) }
@@ -375,7 +375,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				g := gomega.NewWithT(t)
 				b := newTestbed(inOrder(streams(50, eventInterval, io.ErrUnexpectedEOF), streams(130, eventInterval, nil)))
-				b.opts.Lender = &stingy{until: time.Now().Add(50*eventInterval + c.spent)}
+				b.opts.SharedBudget = &stingy{until: time.Now().Add(50*eventInterval + c.spent)}
 				sink, err := runStream(t, b, streamRequest())
 				if !c.served {
 					g.Expect(errors.Is(err, ErrBudget)).To(gomega.BeTrue())
@@ -389,7 +389,7 @@
 	}
 }
 
-// counting is a Lender that allows and counts every retry.
+// counting is a SharedBudget that allows and counts every retry.
 type counting struct{ taken int }
 
 func (l *counting) Allow(string, *retry.Window) bool { l.taken++; return true }
@@ -404,7 +404,7 @@
 		g := gomega.NewWithT(t)
 		b := newTestbed(inOrder(streams(50, eventInterval, io.ErrUnexpectedEOF), refuses(Refused), refuses(Unreachable), streams(130, eventInterval, nil)))
 		lender := &counting{}
-		b.opts.Lender = lender
+		b.opts.SharedBudget = lender
 		sink, err := runStream(t, b, streamRequest())
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(sink.ids).To(gomega.Equal(consecutive(1, 130)))
@@ -421,14 +421,14 @@
 		g := gomega.NewWithT(t)
 		b := newTestbed(inOrder(breaks(), streams(130, eventInterval, nil)))
 		lender := &counting{}
-		b.opts.Lender = lender
+		b.opts.SharedBudget = lender
 		sink, err := runStream(t, b, streamRequest())
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(sink.ids).To(gomega.Equal(consecutive(1, 130)))
 		sent := b.backend.sent()
 		g.Expect(sent).To(gomega.HaveLen(2))
 		g.Expect(sent[0].CopyTo).NotTo(gomega.BeNil())
-		g.Expect(sent[1].From).To(gomega.BeNil())
+		g.Expect(sent[1].ResumeFrom).To(gomega.BeNil())
 		g.Expect(lender.taken).To(gomega.Equal(1))
 	})
 }
--- a/exchange/takeover.go
+++ b/exchange/takeover.go
@@ -248,7 +248,7 @@
 
 // chooseTakeover returns the server that is to take over the stream of a silent one;
 // nil and the reason, if there is none now.
-func (s *stream) chooseTakeover() (*directory.Server, *Memory, error) {
+func (s *stream) chooseTakeover() (*directory.Server, *KVCopy, error) {
 	if !s.req.hasTime(time.Now()) {
 		return nil, nil, ErrNoTime
 	}
@@ -262,7 +262,7 @@
 		}
 		s.current.copyState.Store(copyOffered)
 		m := s.current.copies.take()
-		return m.At, m, nil
+		return m.Server, m, nil
 	}
 	server, err := s.pickInTime()
 	switch {
--- a/exchange/takeover_bounds_test.go
+++ b/exchange/takeover_bounds_test.go
@@ -17,7 +17,7 @@
 	for name, change := range map[string]func(*testbed, *Request){
 		"the route allows one server": func(_ *testbed, r *Request) { r.Route.MaxAttempts = 1 },
 		"it can't be resumed":         func(_ *testbed, r *Request) { r.Route.Resumable = false },
-		"the retry budget is spent":   func(b *testbed, _ *Request) { b.opts.Lender = &stingy{until: time.Now().Add(time.Hour)} },
+		"the retry budget is spent":   func(b *testbed, _ *Request) { b.opts.SharedBudget = &stingy{until: time.Now().Add(time.Hour)} },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -43,7 +43,7 @@
 				g := gomega.NewWithT(t)
 				b := newTestbed(inOrder(pausing(preemption), next))
 				lender := &counting{}
-				b.opts.Lender = lender
+				b.opts.SharedBudget = lender
 				_, err := runStream(t, b, streamRequest())
 				g.Expect(err).NotTo(gomega.HaveOccurred())
 				g.Expect(lender.taken).To(gomega.Equal(1))
@@ -60,7 +60,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		b := newTestbed(inOrder(streams(50, eventInterval, errMute), streams(130, eventInterval, nil)))
-		b.opts.Lender = &stingy{until: time.Now().Add(50*eventInterval + DefaultSilence + 150*time.Millisecond)}
+		b.opts.SharedBudget = &stingy{until: time.Now().Add(50*eventInterval + DefaultSilence + 150*time.Millisecond)}
 		for id := range b.backend.scripts {
 			b.backend.probes[id] = errMute
 		}
--- a/exchange/takeover_latecopy_test.go
+++ b/exchange/takeover_latecopy_test.go
@@ -17,7 +17,7 @@
 	after time.Duration
 }
 
-func (b lateCopies) Copy(ctx context.Context, r *Request, from, to *directory.Server) (*Memory, error) {
+func (b lateCopies) Copy(ctx context.Context, r *Request, from, to *directory.Server) (*KVCopy, error) {
 	time.Sleep(b.after)
 	return b.fakeBackend.Copy(ctx, r, from, to)
 }
--- a/exchange/takeover_log_test.go
+++ b/exchange/takeover_log_test.go
@@ -15,7 +15,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		b := newTestbed(inOrder(pausing(3 * time.Second)))
-		b.opts.Lender = &stingy{until: time.Now().Add(time.Hour)}
+		b.opts.SharedBudget = &stingy{until: time.Now().Add(time.Hour)}
 		_, err := runStream(t, b, streamRequest())
 		g.Expect(err).NotTo(gomega.HaveOccurred(), "the server went on")
 		var logged []string
--- a/exchange/takeover_offer_test.go
+++ b/exchange/takeover_offer_test.go
@@ -32,6 +32,6 @@
 		g.Expect(sink.ids).To(gomega.Equal(consecutive(1, 400)))
 		sent := b.backend.sent()
 		g.Expect(sent).To(gomega.HaveLen(3))
-		g.Expect(sent[2].From).NotTo(gomega.BeNil(), "resumes from a copy")
+		g.Expect(sent[2].ResumeFrom).NotTo(gomega.BeNil(), "resumes from a copy")
 	})
 }
--- a/exchange/takeover_order_test.go
+++ b/exchange/takeover_order_test.go
@@ -12,7 +12,7 @@
 // after.
 func startOver(ctx context.Context, a *Attempt) (*Answer, error) {
 	from := *a
-	from.After = ""
+	from.ResumeAfter = ""
 	return streams(130, eventInterval, nil)(ctx, &from)
 }
 
--- a/exchange/takeover_test.go
+++ b/exchange/takeover_test.go
@@ -204,7 +204,7 @@
 		return nil, &BrokenError{Err: io.ErrUnexpectedEOF}
 	}
 	from := 0
-	_, _ = fmt.Sscan(a.After, &from)
+	_, _ = fmt.Sscan(a.ResumeAfter, &from)
 	breakAt := c.chance(3 * c.last)
 	r, w := io.Pipe()
 	go func() {
