--- a/httpconn/body.go
+++ b/httpconn/body.go
@@ -7,21 +7,22 @@
 	"time"
 )
 
-// Body is an answer's body. Read to its end, it gives the connection back.
+// Body is the body of a response. Once it has been read to its end, the connection
+// goes back to the pool.
 type Body struct {
-	conn     *Conn
-	raw      io.ReadCloser
-	reusable bool
-	keepFor  time.Duration
-	done     bool
+	conn             *Conn
+	raw              io.ReadCloser
+	reusable         bool
+	keepAliveTimeout time.Duration
+	done             bool
 }
 
-// Read implements io.Reader; io.EOF is returned only after the whole body.
+// Read implements io.Reader. It returns io.EOF only after the complete body.
 func (b *Body) Read(p []byte) (int, error) {
 	n, err := b.raw.Read(p)
 	if err == io.EOF && !b.done {
 		b.done = true
-		b.conn.finish(b)
+		b.conn.finishResponse(b)
 	}
 	return n, err
 }
@@ -35,33 +36,35 @@
 	return nil
 }
 
-func (c *Conn) finish(b *Body) {
-	stopped := c.stop == nil || c.stop()
-	if !stopped || !b.reusable || !c.wroteAll() || c.reader.Buffered() > 0 {
+// finishResponse returns the connection to the pool, or closes it if it can't be reused.
+func (c *Conn) finishResponse(b *Body) {
+	stopped := c.stopWatch == nil || c.stopWatch()
+	if !stopped || !b.reusable || !c.requestWritten() || c.reader.Buffered() > 0 {
 		_ = c.Conn.Close()
 		return
 	}
-	c.keepFor = b.keepFor
-	c.pool.put(c)
+	c.keepAliveTimeout = b.keepAliveTimeout
+	c.pool.release(c)
 }
 
-// wroteAll tells whether the request was written to its end. If the answer
-// came before, the rest of the request would run into the next one.
-func (c *Conn) wroteAll() bool {
-	if c.written == nil {
+// requestWritten reports whether the request was written completely. If the response
+// came before that, the rest of the request would run into the next one.
+func (c *Conn) requestWritten() bool {
+	if c.writeResult == nil {
 		return true
 	}
 	select {
-	case err := <-c.written:
-		c.written = nil
+	case err := <-c.writeResult:
+		c.writeResult = nil
 		return err == nil
 	default:
 		return false
 	}
 }
 
-// keepAlive returns the idle time that the server stated, 0 if none.
-func keepAlive(h http.Header) time.Duration {
+// parseKeepAlive returns the idle timeout that the server announced, or 0 if it
+// announced none.
+func parseKeepAlive(h http.Header) time.Duration {
 	for _, field := range h.Values("Keep-Alive") {
 		for _, part := range splitComma(field) {
 			if s, ok := cutPrefixFold(part, "timeout="); ok {
--- a/httpconn/httpconn.go
+++ b/httpconn/httpconn.go
@@ -13,34 +13,34 @@
 	"github.com/pkg/errors"
 )
 
-// Options of a Pool; zero fields take the defaults.
+// Options configure a Pool; zero fields take the defaults.
 type Options struct {
 	ConnectTimeout time.Duration
-	MaxIdle        time.Duration // kept connections are dropped after it
+	MaxIdle        time.Duration // idle connections are dropped after it
 	MaxIdlePerAddr int
 }
 
-// Defaults of Options.
+// Defaults for Options.
 const (
-	// DefaultConnectTimeout is many times the round trip within a region; a VM
-	// without power doesn't answer at all.
+	// DefaultConnectTimeout is many times the round trip within a region. A VM
+	// that is powered off doesn't answer at all.
 	DefaultConnectTimeout = 250 * time.Millisecond
-	// DefaultMaxIdle is short: the longer a connection idles, the likelier it is
-	// that its other end has closed it just as the next request is sent.
+	// DefaultMaxIdle is short: the longer a connection is idle, the more likely
+	// it is that the peer closes it just as the next request is sent.
 	DefaultMaxIdle        = 2 * time.Second
 	DefaultMaxIdlePerAddr = 16
-	// readBuffer holds the head of an answer or several events.
-	readBuffer = 4096
-	// syncBody is the largest request that is written before the answer is
-	// read. A longer one is written beside it: a server may answer before it
-	// has read all, and neither end may then wait for the other.
-	syncBody = 2048
+	// readBufferSize fits the head of a response or several events.
+	readBufferSize = 4096
+	// maxSyncBody is the largest request body that is written before the response is
+	// read. A longer one is written concurrently: a server may respond before it
+	// has read the whole request, and if both ends only wrote they would deadlock.
+	maxSyncBody = 2048
 )
 
-// ErrGarbage: bytes arrived on a connection before a request was sent on it.
-var ErrGarbage = errors.New("httpconn: bytes on an idle connection")
+// ErrGarbage says that data arrived on a connection before a request was sent on it.
+var ErrGarbage = errors.New("httpconn: unexpected data on an idle connection")
 
-// ConnectError says that no connection could be made: nothing was sent.
+// ConnectError says that no connection could be established, so nothing was sent.
 type ConnectError struct{ Err error }
 
 // Error implements error.
@@ -49,12 +49,12 @@
 // Unwrap returns the cause.
 func (e *ConnectError) Unwrap() error { return e.Err }
 
-// Pool keeps connections by address.
+// Pool keeps idle connections by address.
 type Pool struct {
 	opts   Options
 	dialer net.Dialer
 
-	mu   sync.Mutex // guards idle; held for a few instructions only
+	mu   sync.Mutex // guards idle; held for a few instructions only, never during I/O
 	idle map[string][]*Conn
 }
 
@@ -75,32 +75,32 @@
 // Conn is one connection. It carries one request at a time.
 type Conn struct {
 	net.Conn
-	pool      *Pool
-	addr      string
-	reader    *bufio.Reader
-	Used      int           // requests sent before this one
-	idleSince time.Time     // set while kept
-	keepFor   time.Duration // what the server said; 0: nothing
-	stop      func() bool   // ends the watch of the request's context
-	written   chan error    // the outcome of a long request's writing
-	body      *Body
+	pool             *Pool
+	addr             string
+	reader           *bufio.Reader
+	Used             int           // requests completed before the current one
+	idleSince        time.Time     // set while in the pool
+	keepAliveTimeout time.Duration // idle timeout announced by the server; 0: none
+	stopWatch        func() bool   // stops watching the request's context
+	writeResult      chan error    // result of writing a long request concurrently
+	body             *Body
 }
 
-// Get returns a kept connection to addr that looks sound, or a new one.
+// Get returns an idle connection to addr that is usable, or a new one.
 func (p *Pool) Get(ctx context.Context, addr string) (*Conn, error) {
 	for {
-		c := p.take(addr)
+		c := p.takeIdle(addr)
 		if c == nil {
 			return p.dial(ctx, addr)
 		}
-		if c.sound() {
+		if c.isUsable() {
 			return c, nil
 		}
 		_ = c.Conn.Close()
 	}
 }
 
-func (p *Pool) take(addr string) *Conn {
+func (p *Pool) takeIdle(addr string) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[addr]
@@ -118,34 +118,36 @@
 	if err != nil {
 		return nil, &ConnectError{Err: err}
 	}
-	return &Conn{Conn: raw, pool: p, addr: addr, reader: bufio.NewReaderSize(raw, readBuffer)}, nil
+	return &Conn{Conn: raw, pool: p, addr: addr, reader: bufio.NewReaderSize(raw, readBufferSize)}, nil
 }
 
-// sound tells whether a kept connection may carry another request: it was not
-// idle for too long, not closed by the server, and nothing has arrived on it.
-// A late second answer would otherwise be read as that to the next request.
-func (c *Conn) sound() bool {
+// isUsable reports whether an idle connection may carry another request: it was not
+// idle for too long, the server hasn't closed it, and no data has arrived on it.
+// A late second response would otherwise be read as that to the next request. A
+// timeout that the server announced is used up to four fifths only, so that the
+// server doesn't close first.
+func (c *Conn) isUsable() bool {
 	limit := c.pool.opts.MaxIdle
-	if c.keepFor > 0 {
-		limit = min(limit, c.keepFor*4/5)
+	if c.keepAliveTimeout > 0 {
+		limit = min(limit, c.keepAliveTimeout*4/5)
 	}
 	if time.Since(c.idleSince) > limit || c.reader.Buffered() > 0 {
 		return false
 	}
-	state := look(c.Conn)
-	return state == idleQuiet || state == idleUnknown
+	state := peekState(c.Conn)
+	return state == stateOpen || state == stateUnknown
 }
 
-// Request is one request as it goes over the wire.
+// Request is a request as it is sent over the wire.
 type Request struct {
 	Method string
-	Target string // path and query as they came
+	Target string // path and query, sent unchanged
 	Host   string
 	Header http.Header
 	Body   []byte
 }
 
-// encode writes the head, and the body if it is short.
+// encode returns the encoded request line and header, without the body.
 func (r *Request) encode() []byte {
 	buf := make([]byte, 0, 1024)
 	buf = append(buf, r.Method...)
@@ -170,24 +172,24 @@
 	return append(buf, "\r\n"...)
 }
 
-// Send writes a request. The end of ctx closes the connection until the
-// answer's body is finished with, so that the server stops its work.
+// Send writes a request. Until the response body is finished, cancelling ctx
+// closes the connection, so that the server stops its work.
 func (c *Conn) Send(ctx context.Context, r *Request) error {
-	c.stop = context.AfterFunc(ctx, func() { _ = c.Conn.Close() })
+	c.stopWatch = context.AfterFunc(ctx, func() { _ = c.Conn.Close() })
 	head := r.encode()
-	if len(r.Body) <= syncBody {
+	if len(r.Body) <= maxSyncBody {
 		_, err := c.Conn.Write(append(head, r.Body...))
 		return errors.Wrap(err, "httpconn: write")
 	}
-	c.written = make(chan error, 1)
+	c.writeResult = make(chan error, 1)
 	go func() {
 		_, err := (&net.Buffers{head, r.Body}).WriteTo(c.Conn)
-		c.written <- err
+		c.writeResult <- err
 	}()
 	return nil
 }
 
-// Receive reads the head of the next answer.
+// Receive reads the head of the next response that isn't informational (1xx).
 func (c *Conn) Receive(method string) (*http.Response, error) {
 	resp, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 	for err == nil && resp.StatusCode >= 100 && resp.StatusCode < 200 {
@@ -196,37 +198,37 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "httpconn: read")
 	}
-	c.body = &Body{conn: c, raw: resp.Body, reusable: !resp.Close && (resp.ContentLength >= 0 || chunked(resp)), keepFor: keepAlive(resp.Header)}
+	c.body = &Body{conn: c, raw: resp.Body, reusable: !resp.Close && (resp.ContentLength >= 0 || isChunked(resp)), keepAliveTimeout: parseKeepAlive(resp.Header)}
 	resp.Body = c.body
 	return resp, nil
 }
 
-func chunked(resp *http.Response) bool {
+func isChunked(resp *http.Response) bool {
 	return len(resp.TransferEncoding) > 0 && resp.TransferEncoding[0] == "chunked"
 }
 
-// Skip reads past an answer that belongs to another request. It fails if that
-// answer's end can't be told.
+// Skip discards a response that belongs to another request. It fails if the end of
+// that response can't be determined.
 func (c *Conn) Skip() error {
 	if c.body == nil || !c.body.reusable {
-		return errors.New("httpconn: an answer without a length can't be skipped")
+		return errors.New("httpconn: cannot skip a response of unknown length")
 	}
-	_, err := io.Copy(io.Discard, io.LimitReader(c.body.raw, maxSkip+1))
+	_, err := io.Copy(io.Discard, io.LimitReader(c.body.raw, maxSkipBytes+1))
 	return errors.Wrap(err, "httpconn: skip")
 }
 
-// maxSkip bounds what is read of an answer that nobody wants.
-const maxSkip = 1 << 20
+// maxSkipBytes bounds how much of an unwanted response is read.
+const maxSkipBytes = 1 << 20
 
 // Abort closes the connection.
 func (c *Conn) Abort() {
-	if c.stop != nil {
-		c.stop()
+	if c.stopWatch != nil {
+		c.stopWatch()
 	}
 	_ = c.Conn.Close()
 }
 
-func (p *Pool) put(c *Conn) {
+func (p *Pool) release(c *Conn) {
 	c.Used++
 	c.idleSince = time.Now()
 	c.body = nil
@@ -241,15 +243,15 @@
 	_ = c.Conn.Close()
 }
 
-// Prune closes connections that have idled for too long.
+// Prune closes connections that have been idle for too long.
 func (p *Pool) Prune() {
 	p.mu.Lock()
-	var old []*Conn
+	var expired []*Conn
 	for addr, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
 			if time.Since(c.idleSince) > p.opts.MaxIdle {
-				old = append(old, c)
+				expired = append(expired, c)
 				continue
 			}
 			kept = append(kept, c)
@@ -261,7 +263,7 @@
 		p.idle[addr] = kept
 	}
 	p.mu.Unlock()
-	for _, c := range old {
+	for _, c := range expired {
 		_ = c.Conn.Close()
 	}
 }
--- a/httpconn/httpconn_test.go
+++ b/httpconn/httpconn_test.go
@@ -15,7 +15,7 @@
 	"github.com/onsi/gomega"
 )
 
-// rawServer accepts connections on loopback and plays conversation on each.
+// rawServer accepts connections on loopback and runs conversation on each.
 func rawServer(t *testing.T, conversation func(conn net.Conn, in *bufio.Reader)) (addr string, accepted *atomic.Int32) {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -40,7 +40,7 @@
 	return listener.Addr().String(), accepted
 }
 
-// readRequest reads a request with its body; false at the end.
+// readRequest reads a request with its body; false at the end of the connection.
 func readRequest(in *bufio.Reader) bool {
 	req, err := http.ReadRequest(in)
 	if err != nil {
@@ -70,16 +70,16 @@
 	return string(got), err
 }
 
-func sized(body string) string {
+func okResponse(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// A sound connection carries one request after the other.
-func TestConnectionIsKept(t *testing.T) {
+// Consecutive requests use the same connection.
+func TestConnectionIsReused(t *testing.T) {
 	g := gomega.NewWithT(t)
 	addr, accepted := rawServer(t, func(conn net.Conn, in *bufio.Reader) {
 		for readRequest(in) {
-			_, _ = io.WriteString(conn, sized("ok"))
+			_, _ = io.WriteString(conn, okResponse("ok"))
 		}
 	})
 	p := NewPool(Options{})
@@ -91,15 +91,15 @@
 	g.Expect(accepted.Load()).To(gomega.BeNumerically("==", 1))
 }
 
-// A faulty server sends more bytes after its whole answer. They would be read
-// as the answer to the next request, which is another caller's.
-func TestBytesAfterAnAnswerEndTheConnection(t *testing.T) {
+// A faulty server sends more data after its complete response. It would be read as
+// the response to the next request, which is another caller's.
+func TestDataAfterResponseClosesConnection(t *testing.T) {
 	g := gomega.NewWithT(t)
 	addr, accepted := rawServer(t, func(conn net.Conn, in *bufio.Reader) {
 		for readRequest(in) {
-			_, _ = io.WriteString(conn, sized("ok"))
+			_, _ = io.WriteString(conn, okResponse("ok"))
 			time.Sleep(20 * time.Millisecond)
-			_, _ = io.WriteString(conn, sized("stray"))
+			_, _ = io.WriteString(conn, okResponse("stray"))
 		}
 	})
 	p := NewPool(Options{})
@@ -112,13 +112,13 @@
 	g.Expect(accepted.Load()).To(gomega.BeNumerically("==", 3))
 }
 
-// A server closes a connection while it idles. The next request must not go out
-// on it: whether it ran could not be told.
-func TestConnectionThatWasClosedWhileIdleIsNotUsed(t *testing.T) {
+// A server closes an idle connection. The next request must not be sent on it:
+// nobody could tell whether it ran.
+func TestConnectionClosedWhileIdleIsNotReused(t *testing.T) {
 	g := gomega.NewWithT(t)
 	addr, accepted := rawServer(t, func(conn net.Conn, in *bufio.Reader) {
 		if readRequest(in) {
-			_, _ = io.WriteString(conn, sized("ok"))
+			_, _ = io.WriteString(conn, okResponse("ok"))
 			time.Sleep(10 * time.Millisecond)
 		}
 	})
@@ -131,8 +131,8 @@
 	g.Expect(accepted.Load()).To(gomega.BeNumerically("==", 3))
 }
 
-// An answer is cut short, with a length, in chunks: it must not look whole.
-func TestAnswerThatIsCutIsNotWhole(t *testing.T) {
+// A truncated response, with a length or chunked, must not look complete.
+func TestTruncatedResponseIsAnError(t *testing.T) {
 	for name, cut := range map[string]string{
 		"length": "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf",
 		"chunks": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
@@ -150,13 +150,13 @@
 	}
 }
 
-// A server answers a long request before it has read it all. The rest of the
-// request must not run into the next one: the connection ends.
-func TestEarlyAnswerEndsTheConnection(t *testing.T) {
+// A server responds to a long request before it has read all of it. The rest of
+// the request must not run into the next one, so the connection is closed.
+func TestEarlyResponseClosesConnection(t *testing.T) {
 	g := gomega.NewWithT(t)
 	addr, accepted := rawServer(t, func(conn net.Conn, in *bufio.Reader) {
 		if _, err := http.ReadRequest(in); err == nil {
-			_, _ = io.WriteString(conn, sized("no"))
+			_, _ = io.WriteString(conn, okResponse("no"))
 			time.Sleep(200 * time.Millisecond)
 		}
 	})
@@ -170,8 +170,9 @@
 	g.Expect(accepted.Load()).To(gomega.BeNumerically("==", 2))
 }
 
-// The caller leaves: the connection is closed at once, so that the server stops.
-func TestEndOfTheContextClosesTheConnection(t *testing.T) {
+// When the caller leaves, the connection is closed at once, so that the server
+// stops its work.
+func TestContextCancellationClosesConnection(t *testing.T) {
 	g := gomega.NewWithT(t)
 	closed := make(chan time.Time, 1)
 	addr, _ := rawServer(t, func(_ net.Conn, in *bufio.Reader) {
@@ -181,27 +182,27 @@
 		}
 	})
 	p := NewPool(Options{})
-	ctx, leave := context.WithCancel(t.Context())
+	ctx, cancel := context.WithCancel(t.Context())
 	conn, err := p.Get(ctx, addr)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(conn.Send(ctx, &Request{Method: http.MethodGet, Target: "/", Host: "h"})).To(gomega.Succeed())
-	time.AfterFunc(20*time.Millisecond, leave)
+	time.AfterFunc(20*time.Millisecond, cancel)
 	_, err = conn.Receive(http.MethodGet)
 	g.Expect(err).To(gomega.HaveOccurred())
 	g.Eventually(closed).Should(gomega.Receive())
 }
 
-// The server says how long it keeps an idle connection; ours are given up before.
-func TestStatedIdleTimeIsKept(t *testing.T) {
+// A server announces in Keep-Alive how long it keeps an idle connection.
+func TestKeepAliveTimeoutIsParsed(t *testing.T) {
 	g := gomega.NewWithT(t)
-	g.Expect(keepAlive(http.Header{"Keep-Alive": {"max=5, Timeout=3"}})).To(gomega.Equal(3 * time.Second))
-	g.Expect(keepAlive(http.Header{"Keep-Alive": {"timeout=x"}})).To(gomega.BeZero())
-	g.Expect(keepAlive(http.Header{})).To(gomega.BeZero())
+	g.Expect(parseKeepAlive(http.Header{"Keep-Alive": {"max=5, Timeout=3"}})).To(gomega.Equal(3 * time.Second))
+	g.Expect(parseKeepAlive(http.Header{"Keep-Alive": {"timeout=x"}})).To(gomega.BeZero())
+	g.Expect(parseKeepAlive(http.Header{})).To(gomega.BeZero())
 }
 
-// A connection is watched for its next request without taking any of it: what
-// has come is still there for the read, and the end of the connection ends the wait.
-func TestAwaitTakesNothing(t *testing.T) {
+// Waiting for data consumes none of it: what has arrived is still there for the
+// read. The end of the connection ends the wait too.
+func TestAwaitConsumesNothing(t *testing.T) {
 	g := gomega.NewWithT(t)
 	addr, _ := rawServer(t, func(conn net.Conn, in *bufio.Reader) {
 		_, _ = in.ReadByte()
@@ -217,9 +218,9 @@
 	got, err := io.ReadAll(conn)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(string(got)).To(gomega.Equal("answer"))
-	g.Expect(Await(conn)).To(gomega.BeTrue(), "it has ended")
+	g.Expect(Await(conn)).To(gomega.BeTrue(), "the connection has ended")
 	near, far := net.Pipe()
 	defer near.Close()
 	defer far.Close()
-	g.Expect(Await(near)).To(gomega.BeFalse(), "it can't be looked at")
+	g.Expect(Await(near)).To(gomega.BeFalse(), "a pipe can't be peeked at")
 }
--- a/httpconn/idle.go
+++ b/httpconn/idle.go
@@ -5,27 +5,27 @@
 	"syscall"
 )
 
-// idleState is what a look at an idle connection finds.
-type idleState int
+// connState is the state of a connection found by peeking at it.
+type connState int
 
 const (
-	idleQuiet   idleState = iota // open, nothing has arrived
-	idleBytes                    // bytes have arrived that nobody asked for
-	idleEnded                    // the other end has closed or reset it
-	idleUnknown                  // the connection doesn't allow the look
+	stateOpen    connState = iota // open, no unread data
+	stateUnread                   // unread data
+	stateClosed                   // closed or reset by the peer
+	stateUnknown                  // the connection can't be peeked at
 )
 
-// Ended reports whether the other end of a connection is known to have closed
-// or reset it. It doesn't wait, and may be called beside a pending read.
-func Ended(conn net.Conn) bool { return look(conn) == idleEnded }
+// Ended reports whether the peer is known to have closed or reset the connection.
+// It doesn't block, and may be called during a pending read.
+func Ended(conn net.Conn) bool { return peekState(conn) == stateClosed }
 
-// Unread reports whether bytes are known to have come on a connection that
-// nobody has read yet. It doesn't wait, and may be called beside a pending read.
-func Unread(conn net.Conn) bool { return look(conn) == idleBytes }
+// Unread reports whether the connection is known to have received data that has
+// not been read yet. It doesn't block, and may be called during a pending read.
+func Unread(conn net.Conn) bool { return peekState(conn) == stateUnread }
 
-// Await waits until a read of the connection would not wait: bytes have come, it
-// has ended, or its read deadline has passed. It takes nothing. It returns
-// false, at once, if the connection doesn't allow such a wait.
+// Await blocks until a read of the connection would not block: data has arrived,
+// the connection has ended, or its read deadline has passed. It consumes no data.
+// It returns false at once if the connection doesn't support such a wait.
 func Await(conn net.Conn) bool {
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
@@ -33,32 +33,34 @@
 	}
 	rc, err := sc.SyscallConn()
 	if err != nil {
-		return true // it is closed, as the read will say
+		return true // it is closed; the read will return the error
 	}
-	// An error says that it is closed or that its deadline has passed; so will the read.
-	_ = rc.Read(func(fd uintptr) bool { return peek(int(fd)) != idleQuiet })
+	// An error means that it is closed or its deadline has passed; the read will
+	// return the same.
+	_ = rc.Read(func(fd uintptr) bool { return peekSocket(int(fd)) != stateOpen })
 	return true
 }
 
-// look peeks at a connection's next byte without taking it. It goes by
-// Control, as Read would wait for a read that another goroutine has begun.
-func look(conn net.Conn) idleState {
+// peekState peeks at a connection's next byte without consuming it. It uses Control,
+// since Read would wait for a read that another goroutine has begun.
+func peekState(conn net.Conn) connState {
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
-		return idleUnknown
+		return stateUnknown
 	}
 	rc, err := sc.SyscallConn()
 	if err != nil {
-		return idleEnded
+		return stateClosed
 	}
-	state := idleEnded
-	if err := rc.Control(func(fd uintptr) { state = peek(int(fd)) }); err != nil {
-		return idleEnded
+	state := stateClosed
+	if err := rc.Control(func(fd uintptr) { state = peekSocket(int(fd)) }); err != nil {
+		return stateClosed
 	}
 	return state
 }
 
-func peek(fd int) idleState {
+// peekSocket does the same on a socket.
+func peekSocket(fd int) connState {
 	var b [1]byte
 	for {
 		n, _, err := syscall.Recvfrom(fd, b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
@@ -66,11 +68,11 @@
 		case err == syscall.EINTR:
 			continue
 		case err == syscall.EAGAIN:
-			return idleQuiet
+			return stateOpen
 		case err != nil || n == 0:
-			return idleEnded
+			return stateClosed
 		default:
-			return idleBytes
+			return stateUnread
 		}
 	}
 }
