--- a/entry/bodies_test.go
+++ b/entry/bodies_test.go
@@ -15,22 +15,22 @@
 	"github.com/pkg/errors"
 )
 
-// bodySizes are on both sides of what net/http reads of a body that the handler
-// has left, 256 KB, up to a few times what configurations allow.
+// bodySizes are on both sides of the 256 KB that net/http reads of a body that the
+// handler has not read, up to a few times what configurations allow.
 var bodySizes = []int{2_000, 200 << 10, 300 << 10, 1 << 20, 4 << 20, 12 << 20}
 
-// writeAllThenRead sends a request as many clients do: to its end before they
-// look at what comes. The socket holds little that the other end has not read.
-func (w *world) writeAllThenRead(head string, body []byte) (*http.Response, error) {
+// writeAllThenRead sends a complete request before it reads the response, as many
+// clients do. The socket buffers little that the other end has not read.
+func (w *testEnv) writeAllThenRead(head string, body []byte) (*http.Response, error) {
 	w.t.Helper()
-	conn, err := net.Dial("tcp4", w.callers)
+	conn, err := net.Dial("tcp4", w.callerAddr)
 	if err != nil {
 		w.t.Fatal(err)
 	}
 	w.t.Cleanup(func() { _ = conn.Close() })
 	_ = conn.SetDeadline(time.Now().Add(20 * time.Second))
 	if _, err := conn.Write(append([]byte(head), body...)); err != nil {
-		// Clients of this kind don't read any more.
+		// Such clients don't read a response after a write error.
 		return nil, errors.Wrap(err, "write")
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -41,7 +41,7 @@
 	return resp, errors.Wrap(err, "read")
 }
 
-// chunkedBody is a body in chunks of 32 KB.
+// chunkedBody returns a body encoded in chunks of 32 KB.
 func chunkedBody(size int) []byte {
 	const chunk = 32 << 10
 	var b bytes.Buffer
@@ -53,13 +53,12 @@
 	return b.Bytes()
 }
 
-// A caller sends a request that is refused for its head or its size, and writes
-// all of its body before it reads. The process answered at once, left the rest of
-// the body unread and closed: the close became a reset, which took the refusal
-// out of the caller's socket. The caller saw "connection reset by peer": neither
-// an answer nor a refusal.
-func TestRefusalOfABodyThatNobodyReadsReachesItsCaller(t *testing.T) {
-	w := serving(t, 1, nil)
+// A request is refused for its head or its size while its caller still writes the
+// body. If the process responds and closes with the rest of the body unread, the
+// close becomes a reset, which discards the response in the caller's socket: the
+// caller sees "connection reset by peer" instead of the refusal.
+func TestRefusalReachesCallerThatStillWritesItsBody(t *testing.T) {
+	w := startServing(t, 1, nil)
 	for name, c := range map[string]struct {
 		head   string
 		status int
@@ -86,17 +85,17 @@
 	}
 }
 
-// A process has just started and knows no configuration, hence no limit. A head
-// announces a body of many gigabytes: memory was set aside for all of it, which
-// ended the request in a panic or the process for want of memory. Without a
-// configuration every request is refused as not run, so the body isn't kept.
-func TestAnnouncedSizeTakesNoMemoryWithoutConfiguration(t *testing.T) {
-	w := newWorld(t, 1, nil)
+// Without a configuration there is no body limit yet. A request that announces a body
+// of many gigabytes must not make the process allocate memory for it, which ended the
+// request in a panic or the process out of memory. Every request is refused as not run
+// then, so the body isn't kept.
+func TestAnnouncedSizeAllocatesNothingWithoutConfiguration(t *testing.T) {
+	w := newTestEnv(t, 1, nil)
 	gomega.NewWithT(t).Eventually(w.listens).Should(gomega.BeTrue())
 	for _, length := range []string{"Content-Length: 9000000000000000000", "Transfer-Encoding: chunked"} {
 		t.Run(length, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			conn, err := net.Dial("tcp4", w.callers)
+			conn, err := net.Dial("tcp4", w.callerAddr)
 			g.Expect(err).NotTo(gomega.HaveOccurred())
 			defer conn.Close()
 			_, err = fmt.Fprintf(conn, "POST /once/1 HTTP/1.1\r\nHost: %s\r\nAttempt-Id: r1\r\nAuthorization: Token k0\r\n%s\r\n\r\n", testHost, length)
--- a/entry/changes_test.go
+++ b/entry/changes_test.go
@@ -28,19 +28,19 @@
 const (
 	changeEvents = 6
 	changeGap    = 100 * time.Millisecond
-	changeFirst  = 200 * time.Millisecond // until a stream's first event; calls take twice that
-	changeBreak  = 350 * time.Millisecond // when a server breaks off, if it does
+	changeFirst  = 200 * time.Millisecond // until a stream's first event; plain calls take twice that
+	changeBreak  = 350 * time.Millisecond // when a server breaks the connection, if it does
 	changeBody   = 250 * time.Millisecond // until a slow body is complete
 
 	waitForServer = exchange.DefaultWaitForServer
 )
 
-// changeBackend runs requests; the first attempt of those to /…/break and
-// /…/nocopy breaks off in the middle. A stream may go on from the copy of its
-// memory, but for /…/nocopy, whose copy the server says it doesn't have.
+// changeBackend serves requests; the first attempt of those to /…/break and
+// /…/nocopy breaks off in the middle. A stream may resume from the copy of its
+// memory, except for /…/nocopy, whose copy the server reports missing.
 type changeBackend struct {
 	modelServer
-	fromCopy *atomic.Int64 // attempts that went on from a copy
+	fromCopy *atomic.Int64 // attempts that resumed from a copy
 }
 
 // Open implements exchange.Backend.
@@ -107,23 +107,23 @@
 	_ = w.Close()
 }
 
-// siteState is what an operator and the list of servers say.
+// siteState is the configuration and the list of servers.
 type siteState struct {
 	target, second string // services; second is empty unless the route is split
 	timeout        time.Duration
 	removed        bool
-	keys           []string // of the organisation; nil: the organisation is gone
-	listed         bool     // servers of s
+	keys           []string // of the organisation; nil: the organisation is removed
+	listed         bool     // the servers of service s are listed
 	draining       bool
 	maxBody        int64
-	undescribed    bool // the services are not described any more: no copies are made
+	undescribed    bool // the configuration no longer describes the services: no copies are made
 }
 
-func firstState() siteState {
+func initialState() siteState {
 	return siteState{target: "s", timeout: 8 * time.Second, keys: []string{"k"}, listed: true, maxBody: 1000}
 }
 
-// siteChanges are what may happen beside a request.
+// siteChanges are what may change while a request runs.
 var siteChanges = map[string]func(*siteState){
 	"moved":      func(s *siteState) { s.target = "t" },
 	"split":      func(s *siteState) { s.second = "t" },
@@ -139,8 +139,8 @@
 	"no change":  func(*siteState) {},
 }
 
-// put puts a state in force.
-func (s siteState) put(e *Entry, version uint64) {
+// apply puts the state in force in the process.
+func (s siteState) apply(e *Entry, version uint64) {
 	targets := []site.Target{{Service: s.target, Weight: 1}}
 	if s.second != "" {
 		targets = append(targets, site.Target{Service: s.second, Weight: 1})
@@ -157,7 +157,7 @@
 	for i := range routes {
 		routes[i].Host, routes[i].Targets, routes[i].Timeout = "h", targets, s.timeout
 	}
-	// Another route and organisation stay, so that the site is never empty.
+	// Another route and organisation remain, so that the configuration is never empty.
 	routes = append(routes, site.Route{Name: "rest", Host: "h", Prefix: "/rest/", Targets: []site.Target{{Service: "t", Weight: 1}}})
 	organisations := []site.Keyed{{Organisation: site.Organisation{Name: "p"}, Keys: []string{"kp"}}}
 	if s.keys != nil {
@@ -167,7 +167,7 @@
 	if s.undescribed {
 		services = nil
 	}
-	e.holder.Offer(&site.Versioned{Position: version, Config: site.New(version, routes, services, organisations, site.ClientLimits{BodyBytes: s.maxBody})})
+	e.configHolder.Offer(&site.Versioned{Position: version, Config: site.New(version, routes, services, organisations, site.ClientLimits{BodyBytes: s.maxBody})})
 	list := []directory.Listing{{ID: "t1", Service: "t", Address: "t1:1", Zone: "a", Slots: 64}, {ID: "t2", Service: "t", Address: "t2:1", Zone: "b", Slots: 64}}
 	if s.listed {
 		list = append(list, directory.Listing{ID: "s1", Service: "s", Address: "s1:1", Zone: "a", Slots: 64, Draining: s.draining},
@@ -176,8 +176,8 @@
 	e.directory.Apply(version, list, false, time.Now())
 }
 
-// step is a change and when it happens after a request's head.
-type step struct {
+// changeStep is a change and its time after a request's head.
+type changeStep struct {
 	change string
 	at     time.Duration
 }
@@ -185,51 +185,51 @@
 // changeRequest is a caller's request.
 type changeRequest struct {
 	path string
-	slow bool // its body takes changeBody
-	// chunked: its body has no length.
+	slow bool // sending its body takes changeBody
+	// chunked says that its body is sent without a length.
 	chunked bool
 }
 
-// routedAt is when a request's last byte is there.
-func (r changeRequest) routedAt() time.Duration {
+// completeAt is when a request's last byte arrives, after which it is routed.
+func (r changeRequest) completeAt() time.Duration {
 	if r.slow {
 		return changeBody
 	}
 	return 0
 }
 
-// playChanges plays steps beside a request and returns what its caller got.
-func playChanges(t *testing.T, r changeRequest, steps []step, fromCopy *atomic.Int64) string {
+// runWithChanges makes changes while a request runs and returns what its caller got.
+func runWithChanges(t *testing.T, r changeRequest, steps []changeStep, fromCopy *atomic.Int64) string {
 	backend := changeBackend{modelServer{reached: &sync.Map{}}, fromCopy}
-	e := modelEntry(newStopping(), backend.modelServer)
-	e.holder, e.directory = site.NewHolder(), directory.New()
+	e := modelEntry(newShutdownState(), backend.modelServer)
+	e.configHolder, e.directory = site.NewHolder(), directory.New()
 	e.exchange = exchange.New(exchange.Options{
-		Directory: e.directory, Backend: backend, Services: e.service, Recorder: e.recorder, Metrics: prometheus.NewRegistry(),
+		Directory: e.directory, Backend: backend, Services: e.findService, Recorder: e.recorder, Metrics: prometheus.NewRegistry(),
 		Suspects: suspect.New(suspect.Options{Self: "m", Recorder: e.recorder}), RetryWindow: 10 * time.Second,
 		RetryExtra: func() float64 { return 10 },
 	})
-	state, version := firstState(), uint64(1)
-	state.put(e, version)
+	state, version := initialState(), uint64(1)
+	state.apply(e, version)
 	l := &pipeListener{conns: make(chan net.Conn), done: make(chan struct{})}
-	server := &http.Server{Handler: &handler{holder: e.holder, exchange: e.exchange, recorder: e.recorder, stop: e.stop, listed: e.listed}}
+	server := &http.Server{Handler: &handler{configHolder: e.configHolder, exchange: e.exchange, recorder: e.recorder, shutdown: e.shutdown, hasServers: e.anyServerListed}}
 	go func() { _ = server.Serve(l) }()
 	defer server.Close()
 	sent := time.Now().Add(100 * time.Millisecond)
 	got := make(chan string, 1)
-	go func() { got <- askBeside(l, r, sent) }()
+	go func() { got <- sendAt(l, r, sent) }()
 	for _, s := range steps {
 		time.Sleep(time.Until(sent.Add(s.at)))
 		siteChanges[s.change](&state)
 		version++
-		state.put(e, version)
+		state.apply(e, version)
 	}
 	result := <-got
-	time.Sleep(5 * time.Second) // what runs beside the request has ended
+	time.Sleep(5 * time.Second) // until background work of the request has ended
 	return result
 }
 
-// askBeside sends a request at a time and returns what its caller got.
-func askBeside(l *pipeListener, r changeRequest, at time.Time) string {
+// sendAt sends a request at the given time and returns what its caller got.
+func sendAt(l *pipeListener, r changeRequest, at time.Time) string {
 	conn := l.dial()
 	defer conn.Close()
 	time.Sleep(time.Until(at))
@@ -242,14 +242,14 @@
 		time.Sleep(changeBody)
 	}
 	_, _ = io.WriteString(conn, last)
-	return answered(conn)
+	return outcomeOf(conn)
 }
 
-// answered reads an answer and names it.
-func answered(conn net.Conn) string {
+// outcomeOf reads a response and classifies it.
+func outcomeOf(conn net.Conn) string {
 	answer, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
-		return closedUnread
+		return closedBeforeHead
 	}
 	body, err := io.ReadAll(answer.Body)
 	switch {
@@ -266,15 +266,15 @@
 	}
 }
 
-// expected returns what a caller may get: only what was in force when its
-// request was complete counts, but for servers that it needs once more.
-func expected(r changeRequest, steps []step) []string {
-	at := firstState()
+// expectedOutcomes returns the outcomes that a caller may see. Only what was in force when
+// its request was complete counts, except for servers that a later attempt needs.
+func expectedOutcomes(r changeRequest, steps []changeStep) []string {
+	at := initialState()
 	later, tooLarge := false, false
 	for _, s := range steps {
-		// The size is judged by what is in force at the head.
+		// The body limit is the one in force when the head arrives.
 		tooLarge = tooLarge || (s.change == "small body" && s.at < 0)
-		if s.at < r.routedAt() {
+		if s.at < r.completeAt() {
 			siteChanges[s.change](&at)
 			continue
 		}
@@ -291,20 +291,20 @@
 		return []string{"401"}
 	case at.target == "s" && (!at.listed || at.draining):
 		if at.second != "" {
-			return []string{"not run", "whole", "cut", "502", "504"} // by which service it went
+			return []string{"not run", "whole", "cut", "502", "504"} // depends on the service that was picked
 		}
-		if at.timeout-r.routedAt() < waitForServer && (kind == "stream" || kind == "resume") {
-			return []string{"not run", "504"} // its time is up before a server would be given up on
+		if at.timeout-r.completeAt() < waitForServer && (kind == "stream" || kind == "resume") {
+			return []string{"not run", "504"} // its deadline passes while it still waits for a server
 		}
 		return []string{"not run"}
 	}
 	if kind == "once" || kind == "again" {
-		return expectedOfCall(kind, breaks, later, at.timeout)
+		return expectedCallOutcomes(kind, breaks, later, at.timeout)
 	}
-	return expectedOfStream(kind, breaks, later, at.timeout-r.routedAt() < takes)
+	return expectedStreamOutcomes(kind, breaks, later, at.timeout-r.completeAt() < takes)
 }
 
-func expectedOfCall(kind string, breaks, later bool, timeout time.Duration) []string {
+func expectedCallOutcomes(kind string, breaks, later bool, timeout time.Duration) []string {
 	switch {
 	case timeout < 2*changeFirst:
 		return []string{"504"}
@@ -313,13 +313,13 @@
 	case kind == "once":
 		return []string{"502"}
 	case later:
-		return []string{"502", "whole"} // the server that is needed may be gone
+		return []string{"502", "whole"} // the server for the next attempt may be gone
 	default:
 		return []string{"whole"}
 	}
 }
 
-func expectedOfStream(kind string, breaks, later, short bool) []string {
+func expectedStreamOutcomes(kind string, breaks, later, short bool) []string {
 	switch {
 	case short || (breaks && kind == "stream"):
 		return []string{"cut", "504"}
@@ -330,8 +330,8 @@
 	}
 }
 
-// changeTimes are before the request, in its body, before the first event (or
-// in the call's run), between events, at the break and in the resume.
+// changeTimes are before the request, during its body, before the first event (or
+// during the call), between events, at the break and during the resume.
 var changeTimes = []time.Duration{
 	-time.Millisecond, time.Millisecond, 150 * time.Millisecond, 251 * time.Millisecond, changeBreak,
 	450 * time.Millisecond, 500 * time.Millisecond, 700 * time.Millisecond,
@@ -346,38 +346,37 @@
 	return append(all, changeRequest{path: "/resume/nocopy"})
 }
 
-// An operator moves, splits, removes a route or changes its time, revokes a key
-// or its organisation, lowers a limit, and servers leave, at each moment of a
-// request that decides something, and each two in both orders at some moments. What has been routed is
-// answered whole; what has not is answered by what is in force when it is
-// complete. Nobody is left with a closed connection.
-func TestChangesAmongAllMomentsOfARequest(t *testing.T) {
+// Runs every kind of request against every change of the configuration and the server
+// list at every decisive moment, and against pairs of changes at some moments. A request
+// that has been routed is answered completely; otherwise the configuration in force when
+// it is complete decides. No caller sees a connection closed without a response.
+func TestChangesAtAllMomentsOfARequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var broken []string
-		played := 0
+		runs := 0
 		var fromCopy atomic.Int64
-		play := func(r changeRequest, steps ...step) {
-			played++
-			got := playChanges(t, r, steps, &fromCopy)
-			if !slices.Contains(expected(r, steps), got) {
-				broken = append(broken, fmt.Sprintf("%+v beside %v: %s, expected %v", r, steps, got, expected(r, steps)))
+		run := func(r changeRequest, steps ...changeStep) {
+			runs++
+			got := runWithChanges(t, r, steps, &fromCopy)
+			if !slices.Contains(expectedOutcomes(r, steps), got) {
+				broken = append(broken, fmt.Sprintf("%+v with changes %v: %s, expected %v", r, steps, got, expectedOutcomes(r, steps)))
 			}
 		}
 		for _, r := range changeRequests() {
 			for change := range siteChanges {
 				for i, at := range changeTimes {
-					play(r, step{change, at})
+					run(r, changeStep{change, at})
 					for second := range siteChanges {
 						if at < changeBreak && second != "no change" {
-							play(r, step{change, at}, step{second, changeTimes[i+2]})
+							run(r, changeStep{change, at}, changeStep{second, changeTimes[i+2]})
 						}
 					}
 				}
 			}
 		}
-		t.Logf("%d plays, %d resumes from a copy", played, fromCopy.Load())
+		t.Logf("%d runs, %d resumes from a copy", runs, fromCopy.Load())
 		g := gomega.NewWithT(t)
 		g.Expect(broken).To(gomega.BeEmpty())
-		g.Expect(fromCopy.Load()).To(gomega.BeNumerically(">", 0), "copies are in play")
+		g.Expect(fromCopy.Load()).To(gomega.BeNumerically(">", 0), "some streams resumed from a copy")
 	})
 }
--- a/entry/drain.go
+++ b/entry/drain.go
@@ -15,32 +15,32 @@
 )
 
 const (
-	// rotationTime is how long callers still come after the process has said
-	// that it isn't ready: the platform asks once a second and believes the
-	// second miss. Closing earlier would turn away those on their way.
-	rotationTime = 2500 * time.Millisecond
-	// graceMargin is kept back from the grace period for the process's own end.
-	graceMargin = 300 * time.Millisecond
-	drainLook   = 50 * time.Millisecond
-	// refusalTime before the end of its grace a process takes no more connections
-	// and answers what has come, also if something still runs: a refusal takes a
-	// few ms, and without it callers in the queue see a reset.
+	// rotationDelay is how long callers still arrive after the process has reported
+	// itself not ready: the platform checks once a second and acts on the second
+	// failure. Closing earlier would refuse callers that are still sent here.
+	rotationDelay = 2500 * time.Millisecond
+	// graceMargin is reserved at the end of the grace period for the process to exit.
+	graceMargin       = 300 * time.Millisecond
+	drainPollInterval = 50 * time.Millisecond
+	// refusalTime is how long before the end of its grace period a process stops
+	// accepting connections and answers the ones in the queue, also if requests still
+	// run. A refusal takes a few ms; without it queued callers would see a reset.
 	refusalTime = 300 * time.Millisecond
 )
 
-// serveCallers adds the callers' server. The end of ctx begins a planned stop:
-// the process says that it isn't ready, goes on serving, and ends when nothing
-// runs any more or the grace period is over.
+// serveCallers adds the server for callers. The end of ctx begins a planned stop: the
+// process reports itself not ready, goes on serving, and ends when no request runs any
+// more or the grace period is over.
 func (e *Entry) serveCallers(ctx context.Context, group *run.Group) error {
 	listener, err := net.Listen("tcp4", e.settings.Callers)
 	if err != nil {
 		return errors.Wrap(err, "entry: listen")
 	}
-	h := &handler{holder: e.holder, exchange: e.exchange, recorder: e.recorder, stop: e.stop, listed: e.listed, unconfirmed: e.config.Age, allStop: e.election.AllStop, firstStop: e.election.FirstStop}
-	callers := e.callers(listener)
-	server := &http.Server{Handler: e.counted(h), BaseContext: e.cutter.base, MaxHeaderBytes: maxHeader}
+	h := &handler{configHolder: e.configHolder, exchange: e.exchange, recorder: e.recorder, shutdown: e.shutdown, hasServers: e.anyServerListed, configAge: e.configFollower.Age, allPeersStopping: e.election.AllStop, firstPeerStop: e.election.FirstStop}
+	callers := e.trackCallers(listener)
+	server := &http.Server{Handler: e.countRunning(h), BaseContext: e.canceller.baseContext, MaxHeaderBytes: maxHeaderBytes}
 	callers.Attach(server)
-	background(group, callers.Run)
+	addBackground(group, callers.Run)
 	serveUntilDrained(ctx, group, server, callers, func() { e.drain(server, callers) })
 	return nil
 }
@@ -49,7 +49,7 @@
 // drain has returned; drain shuts the server down.
 //
 // Serve returns as soon as the listener is closed, while Shutdown still waits for
-// requests that came in the same moment.
+// requests that arrived at that moment; the group must not end before those.
 func serveUntilDrained(ctx context.Context, group *run.Group, server *http.Server, l net.Listener, drain func()) {
 	stop, cancel := context.WithCancel(ctx)
 	drained := make(chan struct{})
@@ -68,8 +68,8 @@
 	}, func(error) { cancel() })
 }
 
-// callers keeps track of the callers' connections.
-func (e *Entry) callers(l net.Listener) *inbound.Listener {
+// trackCallers wraps the listener that callers connect to with connection tracking and limits.
+func (e *Entry) trackCallers(l net.Listener) *inbound.Listener {
 	return inbound.New(l, inbound.Options{
 		Limits: e.clientLimits, Recorder: e.recorder, Registerer: e.registry, Metrics: "pearyard_entry_callers",
 		Broken: func(err error) error {
@@ -81,11 +81,11 @@
 	})
 }
 
-// clientLimits returns those of the configuration in force; where it has none,
-// and before there is one, those of this program.
+// clientLimits returns the limits of the configuration in force. Where it sets none, and
+// before there is a configuration, the built-in ones apply.
 func (e *Entry) clientLimits() inbound.Limits {
 	limits := inbound.Limits{IdleTime: idleTimeout, HeaderTime: headerTimeout}
-	config := e.holder.Config()
+	config := e.configHolder.Config()
 	if config == nil {
 		return limits
 	}
@@ -98,36 +98,39 @@
 	return limits
 }
 
-func (e *Entry) counted(next http.Handler) http.Handler {
+// countRunning counts running requests.
+func (e *Entry) countRunning(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		e.running.Add(1)
-		defer e.running.Add(-1)
+		e.runningRequests.Add(1)
+		defer e.runningRequests.Add(-1)
 		next.ServeHTTP(w, r)
 	})
 }
 
+// drain runs a planned stop: it waits until nothing runs or little time is left, closes
+// the listener, and cancels what still runs.
 func (e *Entry) drain(server *http.Server, callers *inbound.Listener) {
 	began := time.Now()
 	end := began.Add(e.settings.Grace - graceMargin)
-	e.stop.begin(end)
+	e.shutdown.begin(end)
 	e.election.Stopping()
 	e.directory.Hasten()
-	e.recorder.Emit(EventDraining, "running", e.running.Load(), "grace", e.settings.Grace)
+	e.recorder.Emit(EventDraining, "running", e.runningRequests.Load(), "grace", e.settings.Grace)
 	ctx, cancel := context.WithDeadline(context.Background(), end)
 	defer cancel()
-	e.untilQuiet(end.Add(-refusalTime))
+	e.waitUntilIdle(end.Add(-refusalTime))
 	err := callers.Finish(ctx, server)
-	cut := e.cutter.cut(&e.running)
+	cut := e.canceller.cancelAll(&e.runningRequests)
 	e.recorder.Emit(EventStopped, "cut", cut, "took", time.Since(began), "err", err)
 }
 
-// untilQuiet returns when callers have stopped coming and nothing runs, at until
-// at the latest.
-func (e *Entry) untilQuiet(until time.Time) {
+// waitUntilIdle returns when callers no longer arrive and no request runs, but no later
+// than until.
+func (e *Entry) waitUntilIdle(until time.Time) {
 	ctx, cancel := context.WithDeadline(context.Background(), until)
 	defer cancel()
-	_ = retry.Wait(ctx, rotationTime)
-	for e.running.Load() > 0 && ctx.Err() == nil {
-		_ = retry.Wait(ctx, drainLook)
+	_ = retry.Wait(ctx, rotationDelay)
+	for e.runningRequests.Load() > 0 && ctx.Err() == nil {
+		_ = retry.Wait(ctx, drainPollInterval)
 	}
 }
--- a/entry/drain_test.go
+++ b/entry/drain_test.go
@@ -16,12 +16,11 @@
 	"github.com/pearyard/pearyard/site"
 )
 
-// A process that is stopping has nothing on its way for a moment and shuts its
-// server down. In that moment a caller's request is taken. Serving ended with
-// the listener, which ended the process's other parts and with them every
-// connection: the caller's was closed without an answer, seconds before the
-// grace period was over.
-func TestRequestTakenWhileTheServerShutsDownIsAnswered(t *testing.T) {
+// A request is accepted at the moment when an idle stopping process shuts its server
+// down. http.Server.Serve returns as soon as the listener is closed; if that ended the
+// run group, the caller's connection would be closed without a response, seconds before
+// the end of the grace period.
+func TestRequestAcceptedDuringShutdownIsAnswered(t *testing.T) {
 	g := gomega.NewWithT(t)
 	taken, release := make(chan struct{}), make(chan struct{})
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -60,15 +59,15 @@
 	g.Expect(<-ended).To(gomega.Succeed())
 }
 
-// A process that has no configuration yet, or one without limits, still closes
-// what nobody uses: nothing else does.
-func TestLimitsHoldWithoutAConfiguration(t *testing.T) {
+// Without a configuration, or with one that sets no limits, the built-in limits apply:
+// nothing else closes unused connections.
+func TestBuiltInLimitsWithoutConfiguration(t *testing.T) {
 	g := gomega.NewWithT(t)
-	e := &Entry{holder: site.NewHolder()}
+	e := &Entry{configHolder: site.NewHolder()}
 	own := inbound.Limits{IdleTime: idleTimeout, HeaderTime: headerTimeout}
 	g.Expect(e.clientLimits()).To(gomega.Equal(own))
-	e.holder.Offer(&site.Versioned{Config: site.New(1, nil, nil, nil, site.ClientLimits{BodyBytes: 9}), Position: 1})
+	e.configHolder.Offer(&site.Versioned{Config: site.New(1, nil, nil, nil, site.ClientLimits{BodyBytes: 9}), Position: 1})
 	g.Expect(e.clientLimits()).To(gomega.Equal(own))
-	e.holder.Offer(&site.Versioned{Config: site.New(2, nil, nil, nil, site.ClientLimits{IdleTime: time.Second}), Position: 2})
+	e.configHolder.Offer(&site.Versioned{Config: site.New(2, nil, nil, nil, site.ClientLimits{IdleTime: time.Second}), Position: 2})
 	g.Expect(e.clientLimits().IdleTime).To(gomega.Equal(time.Second))
 }
--- a/entry/durations.go
+++ b/entry/durations.go
@@ -6,39 +6,39 @@
 )
 
 const (
-	// durationSamples is how many requests the longest is taken from.
-	durationSamples = 32
-	// enoughSamples is how many requests have to have ended before they stand for
-	// the next one: of eight the longest is in the longest fifth five times in six.
-	enoughSamples = 8
-	// durationMargin is for a request that takes longer than all of the last ones:
-	// a stop of several processes puts their streams on the others, and each
-	// prompt that is read beside a stream holds it up by a twentieth.
+	// maxSamples is how many of the last requests are kept as samples.
+	maxSamples = 32
+	// minSamples is how many requests must have ended for an estimate. The longest
+	// of eight is among the longest fifth of all requests in five cases of six.
+	minSamples = 8
+	// durationMargin allows for a request that takes longer than the recent ones: when
+	// several processes stop, their streams move to the others, and each prompt that
+	// is read beside a stream slows it down by a twentieth.
 	durationMargin = 1.1
 )
 
-// durations knows how long requests of a sort take, to tell whether one that
+// durationStats records how long the requests of a route take, to estimate whether one that
 // begins now can be finished by a certain time.
 //
-// What has ended is a sample of the short ones, the more so the younger the process is.
-// So requests that still run count with the time that they have taken, and the longest
-// stands for the next.
-type durations struct {
-	unknown time.Duration // what one may take while too few have ended
+// Requests that have ended are biased towards short ones, the more so the younger the
+// process is. So running requests count with the time that they have taken so far, and
+// the estimate is the longest of all.
+type durationStats struct {
+	fallback time.Duration // lower bound of the estimate while too few have ended
 
-	mu      sync.Mutex
-	ended   [durationSamples]time.Duration
-	count   int
-	running map[*time.Time]struct{}
+	mu        sync.Mutex
+	completed [maxSamples]time.Duration
+	count     int
+	running   map[*time.Time]struct{}
 }
 
-func newDurations(unknown time.Duration) *durations {
-	return &durations{unknown: unknown, running: map[*time.Time]struct{}{}}
+func newDurationStats(fallback time.Duration) *durationStats {
+	return &durationStats{fallback: fallback, running: map[*time.Time]struct{}{}}
 }
 
-// begin notes a request that has arrived; the function returned notes its end,
-// and whether it came to a good one: others don't show how long one takes.
-func (d *durations) begin(arrived time.Time) (end func(served bool)) {
+// begin records a request that has arrived. The function returned records its end and
+// whether it was served; the durations of others say nothing about the next one.
+func (d *durationStats) begin(arrived time.Time) (end func(served bool)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.running[&arrived] = struct{}{}
@@ -47,34 +47,35 @@
 		defer d.mu.Unlock()
 		delete(d.running, &arrived)
 		if served {
-			d.took(time.Since(arrived))
+			d.record(time.Since(arrived))
 		}
 	}
 }
 
-func (d *durations) took(length time.Duration) {
-	d.ended[d.count%durationSamples] = length
+// record adds a sample in the place of the oldest one.
+func (d *durationStats) record(length time.Duration) {
+	d.completed[d.count%maxSamples] = length
 	d.count++
 }
 
-// enough tells whether as many requests have ended as stand for the next one.
-func (d *durations) enough() bool {
+// hasEnough reports whether enough requests have ended for an estimate.
+func (d *durationStats) hasEnough() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.count >= enoughSamples
+	return d.count >= minSamples
 }
 
-// need returns the time that the next request may take.
-func (d *durations) need(now time.Time) time.Duration {
-	need, count := d.known(now)
-	if count < enoughSamples {
-		return max(need, d.unknown)
+// estimate returns how long the next request may take.
+func (d *durationStats) estimate(now time.Time) time.Duration {
+	need, count := d.longest(now)
+	if count < minSamples {
+		return max(need, d.fallback)
 	}
 	return need
 }
 
-// lastArrival returns when the newest request came that still runs; zero if none does.
-func (d *durations) lastArrival() (newest time.Time) {
+// lastArrival returns when the newest running request arrived; zero if none runs.
+func (d *durationStats) lastArrival() (newest time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for arrived := range d.running {
@@ -85,13 +86,13 @@
 	return newest
 }
 
-// known returns the longest that is known, with its margin, and of how many
-// requests that have ended.
-func (d *durations) known(now time.Time) (need time.Duration, count int) {
+// longest returns the longest duration among the samples and the running requests, with
+// the margin, and how many requests have ended.
+func (d *durationStats) longest(now time.Time) (need time.Duration, count int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	longest := time.Duration(0)
-	for _, length := range d.ended[:min(d.count, durationSamples)] {
+	for _, length := range d.completed[:min(d.count, maxSamples)] {
 		longest = max(longest, length)
 	}
 	for arrived := range d.running {
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -27,95 +27,99 @@
 )
 
 const (
-	// ringSize keeps the newest events for a state dump; at most 1 MB.
-	ringSize = 1024
-	// memoryShare of the process's limit is what the garbage collector keeps to.
-	memoryShare = 0.7
-	// crashLimit is how many backend servers one request may crash.
+	// eventRingSize is how many of the newest events a state dump has; at most 1 MB.
+	eventRingSize = 1024
+	// memoryLimitRatio is the fraction of the process's memory limit that is set as the
+	// garbage collector's soft limit.
+	memoryLimitRatio = 0.7
+	// crashLimit is how many backend servers a request may crash before it is
+	// quarantined.
 	crashLimit = 3
-	// crashWindow is how long a crash is held against a request.
+	// crashWindow is how long a crash counts against a request.
 	crashWindow = 2 * time.Minute
-	// quarantine is how long a request that crashed that many is refused.
-	quarantine = 10 * time.Minute
-	// retryShare is the part of the retry budget that is used: the first tries
-	// and retries of a moment may fall into different spans when counted.
-	retryShare = 0.85
-	// idleTimeout and headerTimeout hold for connections that the configuration's
-	// limits don't bound: of other processes, and of callers while there is none.
-	// They are longer than any limit that operators set.
-	idleTimeout   = 2 * time.Minute
-	headerTimeout = 10 * time.Second
-	maxHeader     = 64 << 10
-	peerTimeout   = 2 * time.Second
-	pruneEvery    = time.Second
-	keepIdle      = 1500 * time.Millisecond
+	// quarantineTime is how long a request that reached crashLimit is refused.
+	quarantineTime = 10 * time.Minute
+	// retryBudgetShare is the fraction of the retry budget that is used. The rest is a
+	// margin: whoever counts retries may assign a retry and the first tries that
+	// allowed it to different windows.
+	retryBudgetShare = 0.85
+	// idleTimeout and headerTimeout apply to connections without a configured limit:
+	// those of other processes, and callers' until a configuration sets limits. They
+	// are longer than any limit that operators set.
+	idleTimeout    = 2 * time.Minute
+	headerTimeout  = 10 * time.Second
+	maxHeaderBytes = 64 << 10
+	peerTimeout    = 2 * time.Second
+	pruneInterval  = time.Second
+	maxConnIdle    = 1500 * time.Millisecond
 )
 
-// Options of an Entry.
+// Options configure an Entry.
 type Options struct {
 	Settings platform.Settings
 	Logger   log.Logger
 	Dropped  func() int64 // log lines dropped so far; may be nil
 }
 
-// Entry is the program on an entry VM.
+// Entry is the entry process: it serves callers on an entry VM.
 type Entry struct {
-	settings  platform.Settings
-	recorder  *event.Recorder
-	registry  *prometheus.Registry
-	holder    *site.Holder
-	directory *directory.Directory
-	config    *site.Follower
-	servers   *directory.Follower
-	fleet     *fleet.Fleet
-	socket    *fleet.Socket
-	loads     *fleet.Loads
-	readTimes *fleet.ReadTimes
-	election  *fleet.Election
-	budgets   *fleet.Budgets
-	suspects  *suspect.Ledger
-	news      *suspect.Spreader
-	exchange  *exchange.Exchange
-	pool      *httpconn.Pool
-	inspect   *inspect.Registry
-	started   time.Time
-	stop      *stopping
-	cutter    *cutter
-	ready     atomic.Bool
-	running   atomic.Int64
+	settings        platform.Settings
+	recorder        *event.Recorder
+	registry        *prometheus.Registry
+	configHolder    *site.Holder
+	directory       *directory.Directory
+	configFollower  *site.Follower
+	serverFollower  *directory.Follower
+	fleet           *fleet.Fleet
+	socket          *fleet.Socket
+	loads           *fleet.Loads
+	readTimes       *fleet.ReadTimes
+	election        *fleet.Election
+	budgets         *fleet.Budgets
+	suspects        *suspect.Ledger
+	suspectSpreader *suspect.Spreader
+	exchange        *exchange.Exchange
+	pool            *httpconn.Pool
+	inspect         *inspect.Registry
+	startedAt       time.Time
+	shutdown        *shutdownState
+	canceller       *requestCanceller
+	wasReady        atomic.Bool
+	runningRequests atomic.Int64
 }
 
 // New assembles an Entry.
 func New(opts Options) (*Entry, error) {
 	s := opts.Settings
 	if s.MemoryLimit > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(s.MemoryLimit)))
+		debug.SetMemoryLimit(int64(memoryLimitRatio * float64(s.MemoryLimit)))
 	}
-	e := &Entry{settings: s, registry: prometheus.NewRegistry(), started: time.Now(), stop: newStopping(), cutter: newCutter(), holder: site.NewHolder(), directory: directory.New()}
-	e.recorder = event.NewRecorder(log.With(opts.Logger, "ts", log.DefaultTimestampUTC, "process", s.Name), ringSize)
+	e := &Entry{settings: s, registry: prometheus.NewRegistry(), startedAt: time.Now(), shutdown: newShutdownState(), canceller: newRequestCanceller(), configHolder: site.NewHolder(), directory: directory.New()}
+	e.recorder = event.NewRecorder(log.With(opts.Logger, "ts", log.DefaultTimestampUTC, "process", s.Name), eventRingSize)
 	store := platform.NewStore(s.Store, e.registry)
-	e.config = &site.Follower{Holder: e.holder, Source: store, Recorder: e.recorder, Failed: e.askPeers}
-	e.servers = &directory.Follower{Directory: e.directory, Source: store, Recorder: e.recorder, Failed: e.askPeers}
+	e.configFollower = &site.Follower{Holder: e.configHolder, Source: store, Recorder: e.recorder, Failed: e.askPeers}
+	e.serverFollower = &directory.Follower{Directory: e.directory, Source: store, Recorder: e.recorder, Failed: e.askPeers}
 	client := &http.Client{Timeout: peerTimeout}
 	e.newFleet(store, client)
-	e.newLoads()
+	e.newPeerState()
 	e.newSuspects(client)
 	e.newExchange()
-	e.newGauges(opts.Dropped)
+	e.registerGauges(opts.Dropped)
 	return e, e.newInspect()
 }
 
-// newGauges exports how old what is known here is, and how much of the log is missing.
-func (e *Entry) newGauges(dropped func() int64) {
+// registerGauges registers metrics of how stale the configuration and the server list
+// are, of entries dropped or invalid, and of log lines dropped.
+func (e *Entry) registerGauges(dropped func() int64) {
 	gauge := func(name, help string, value func() float64) {
 		e.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, value))
 	}
 	gauge("pearyard_config_age_seconds", "Time since the store or a reader confirmed the configuration, seconds.",
-		func() float64 { return e.config.Age().Seconds() })
+		func() float64 { return e.configFollower.Age().Seconds() })
 	gauge("pearyard_server_list_age_seconds", "Time since the store or a reader confirmed the list of backend servers, seconds.",
-		func() float64 { return e.servers.Age().Seconds() })
+		func() float64 { return e.serverFollower.Age().Seconds() })
 	gauge("pearyard_config_position", "Place of the configuration in force in the store's history.",
-		func() float64 { return float64(e.holder.Position()) })
+		func() float64 { return float64(e.configHolder.Position()) })
 	e.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
 		Name: "pearyard_server_words_dropped_total",
 		Help: "Entries of backend servers and losses told of them that were dropped, as another start is the known one.",
@@ -127,56 +131,62 @@
 	}
 }
 
+// newFleet connects the configuration and the server list to the other entry VMs.
 func (e *Entry) newFleet(store *platform.Store, client *http.Client) {
 	e.fleet = fleet.New(fleet.Options{
 		Name: e.settings.Name, Address: e.settings.Peers, Seeds: e.settings.Seeds, Registry: store,
-		Holder: e.holder, Directory: e.directory, Decode: platform.DecodeConfig,
-		OfferConfig: e.config.Offer, OfferList: e.servers.Take, OfferChanges: e.servers.TakeChanges, Settled: e.servers.Settled, Client: client, Recorder: e.recorder,
+		Holder: e.configHolder, Directory: e.directory, Decode: platform.DecodeConfig,
+		OfferConfig: e.configFollower.Offer, OfferList: e.serverFollower.Take, OfferChanges: e.serverFollower.TakeChanges, Settled: e.serverFollower.Settled, Client: client, Recorder: e.recorder,
 	})
 }
 
-// newLoads ties this process to the other entry VMs: what they know of load, and
-// who of them reads the store for all.
-func (e *Entry) newLoads() {
+// newPeerState sets up what entry VMs exchange by datagrams: load, read times, retry
+// budgets, and the election of the one that reads the store for all.
+func (e *Entry) newPeerState() {
 	e.socket = fleet.NewSocket(e.settings.Peers, e.fleet.Peers, e.registry)
 	e.socket.Report(e.recorder)
 	e.loads = fleet.NewLoads(fleet.LoadsOptions{Socket: e.socket, Near: e.fleet.Near, Directory: e.directory})
 	e.readTimes = fleet.NewReadTimes(e.socket, e.fleet.Near, e.directory)
 	e.election = fleet.NewElection(fleet.ElectionOptions{
-		Address: e.settings.Peers, Socket: e.socket, Position: e.position, Reached: e.reached, Size: e.fleet.Size, Fetch: e.fleet.AskChanges, Recorder: e.recorder,
+		Address: e.settings.Peers, Socket: e.socket, Position: e.position, Reached: e.checkedPosition, Size: e.fleet.Size, Fetch: e.fleet.AskChanges, Recorder: e.recorder,
 	})
 	e.budgets = fleet.NewBudgets(fleet.BudgetsOptions{
 		Socket: e.socket, Near: e.fleet.Near, Size: e.fleet.Size,
-		Ratio: retryShare * e.settings.RetryRatio, Extra: retryShare * e.settings.RetryExtra, Window: e.settings.RetryWindow,
+		Ratio: retryBudgetShare * e.settings.RetryRatio, Extra: retryBudgetShare * e.settings.RetryExtra, Window: e.settings.RetryWindow,
 	})
 	e.fleet.UseElection(e.election)
-	e.config.Applied = e.fleet.Applied
+	e.configFollower.Applied = e.fleet.Applied
 	turns := follow.NewTurns()
-	e.config.Turns, e.servers.Turns = turns, turns
-	e.config.Share, e.servers.Share = e.election.For(fleet.Config), e.election.For(fleet.List)
+	e.configFollower.Turns, e.serverFollower.Turns = turns, turns
+	e.configFollower.Share, e.serverFollower.Share = e.election.For(fleet.Config), e.election.For(fleet.List)
 }
 
+// position returns the version, as a position in the store's history, of what is
+// known of a subject.
 func (e *Entry) position(s fleet.Subject) uint64 {
 	if s == fleet.Config {
-		return e.holder.Position()
+		return e.configHolder.Position()
 	}
 	return e.directory.View().From
 }
 
-// reached returns the place in the store's history up to which there is nothing newer.
-func (e *Entry) reached(s fleet.Subject) uint64 {
+// checkedPosition returns the position in the store's history up to which a subject is known
+// to have no newer version.
+func (e *Entry) checkedPosition(s fleet.Subject) uint64 {
 	if s == fleet.Config {
-		return e.holder.Position()
+		return e.configHolder.Position()
 	}
-	return e.servers.Reached()
+	return e.serverFollower.Reached()
 }
 
+// newSuspects sets up the ledger of requests that crash backend servers, and its
+// distribution to the other entry VMs.
 func (e *Entry) newSuspects(client *http.Client) {
 	e.suspects = suspect.New(suspect.Options{
-		Self: types.ProcessID(e.settings.Name), Limit: crashLimit, Quarantine: quarantine, Window: crashWindow,
+		Self: types.ProcessID(e.settings.Name), Limit: crashLimit, Quarantine: quarantineTime, Window: crashWindow,
 		Recorder: e.recorder, Registerer: e.registry,
 	})
-	e.news = suspect.NewSpreader(e.suspects, suspect.SpreaderOptions{
+	e.suspectSpreader = suspect.NewSpreader(e.suspects, suspect.SpreaderOptions{
 		Self: e.settings.Peers, Peers: e.fleet.Peers,
 		Dial: func(peer string) suspectpb.Suspects {
 			return suspectpb.NewSuspectsProtobufClient("http://"+peer, client)
@@ -185,27 +195,28 @@
 }
 
 func (e *Entry) newExchange() {
-	e.pool = httpconn.NewPool(httpconn.Options{MaxIdle: keepIdle})
+	e.pool = httpconn.NewPool(httpconn.Options{MaxIdle: maxConnIdle})
 	s := e.settings
 	backend := platform.NewBackend(e.pool)
 	e.exchange = exchange.New(exchange.Options{
-		Restarts: e.restarts(backend), Lender: e.budgets,
-		Zone: s.Zone, Directory: e.directory, Backend: &guardedBackend{backend, e.recorder}, Services: e.service,
+		Restarts: e.newRestarts(backend), Lender: e.budgets,
+		Zone: s.Zone, Directory: e.directory, Backend: &guardedBackend{backend, e.recorder}, Services: e.findService,
 		Suspects: e.suspects, Recorder: e.recorder, Metrics: e.registry,
-		RetryWindow: s.RetryWindow, RetryRatio: retryShare * s.RetryRatio,
+		RetryWindow: s.RetryWindow, RetryRatio: retryBudgetShare * s.RetryRatio,
 		RetryExtra: func() float64 {
-			return retryShare * s.RetryExtra * fleet.FixedShare(e.started, s.RetryWindow) / float64(e.fleet.Size())
+			return retryBudgetShare * s.RetryExtra * fleet.FixedShare(e.startedAt, s.RetryWindow) / float64(e.fleet.Size())
 		},
 	})
 }
 
-// restarts finds backend servers that come back while the store is away.
-func (e *Entry) restarts(backend *platform.Backend) *exchange.Restarts {
+// newRestarts returns how to find backend servers that restart while the store is
+// unreachable.
+func (e *Entry) newRestarts(backend *platform.Backend) *exchange.Restarts {
 	found := fleet.NewRestarts(e.socket, e.directory)
 	return &exchange.Restarts{
-		Reuse: e.settings.AddressReuse, Away: e.servers.Failing, Found: found.Found,
+		Reuse: e.settings.AddressReuse, Away: e.serverFollower.Failing, Found: found.Found,
 		Identify: func(ctx context.Context, s *directory.Server) (directory.Start, error) {
-			service, ok := e.service(s.Service)
+			service, ok := e.findService(s.Service)
 			if !ok || service.HealthPath == "" {
 				return directory.Start{}, errors.Errorf("entry: service %q has no health path", s.Service)
 			}
@@ -214,8 +225,9 @@
 	}
 }
 
-func (e *Entry) service(name string) (site.Service, bool) {
-	config := e.holder.Config()
+// findService returns a service of the configuration in force.
+func (e *Entry) findService(name string) (site.Service, bool) {
+	config := e.configHolder.Config()
 	if config == nil {
 		return site.Service{}, false
 	}
@@ -226,7 +238,7 @@
 func (e *Entry) newInspect() error {
 	registry, err := inspect.New(inspect.Options{
 		Identity: inspect.Identity{Process: types.ProcessID(e.settings.Name), Role: types.RoleRouter, Zone: types.Zone(e.settings.Zone)},
-		Revision: func() types.Revision { return types.Revision(e.holder.Position()) }, Recorder: e.recorder, Gatherer: e.registry, Registerer: e.registry,
+		Revision: func() types.Revision { return types.Revision(e.configHolder.Position()) }, Recorder: e.recorder, Gatherer: e.registry, Registerer: e.registry,
 	})
 	if err != nil {
 		return errors.Wrap(err, "entry: inspect")
@@ -235,27 +247,29 @@
 	return nil
 }
 
-// askPeers is called when the store doesn't answer.
+// askPeers fetches what is newer from the other entry VMs; it is called when the
+// store doesn't answer.
 func (e *Entry) askPeers(ctx context.Context) { e.fleet.Ask(ctx) }
 
-// Run serves until ctx ends, then drains and returns.
+// Run serves until ctx ends, then drains and returns. All parts end together: if
+// one fails, the others are stopped.
 func (e *Entry) Run(ctx context.Context) error {
 	s := e.settings
 	e.recorder.Emit(EventStarted, "callers", s.Callers, "ready", s.Ready, "peers", s.Peers, "store", s.Store,
 		"zone", s.Zone, "grace", s.Grace, "leave_within", s.LeaveWithin, "config_within", s.ConfigWithin)
 	var group run.Group
-	background(&group, e.config.Run)
-	background(&group, e.servers.Run)
-	background(&group, e.fleet.Run)
-	background(&group, e.socket.Run)
-	background(&group, e.loads.Run)
-	background(&group, e.readTimes.Run)
-	background(&group, e.election.Run)
-	background(&group, e.budgets.Run)
-	background(&group, e.suspects.Run)
-	background(&group, e.news.Run)
-	background(&group, e.exchange.TellRunning)
-	background(&group, e.prune)
+	addBackground(&group, e.configFollower.Run)
+	addBackground(&group, e.serverFollower.Run)
+	addBackground(&group, e.fleet.Run)
+	addBackground(&group, e.socket.Run)
+	addBackground(&group, e.loads.Run)
+	addBackground(&group, e.readTimes.Run)
+	addBackground(&group, e.election.Run)
+	addBackground(&group, e.budgets.Run)
+	addBackground(&group, e.suspects.Run)
+	addBackground(&group, e.suspectSpreader.Run)
+	addBackground(&group, e.exchange.TellRunning)
+	addBackground(&group, e.prunePool)
 	if err := e.serveReady(&group); err != nil {
 		return err
 	}
@@ -271,8 +285,8 @@
 	return group.Run()
 }
 
-// background adds a function that runs until its context ends.
-func background(group *run.Group, f func(context.Context) error) {
+// addBackground adds a function to the group that runs until its context ends.
+func addBackground(group *run.Group, f func(context.Context) error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	group.Add(func() error {
 		if err := f(ctx); ctx.Err() == nil {
@@ -282,8 +296,9 @@
 	}, func(error) { cancel() })
 }
 
-func (e *Entry) prune(ctx context.Context) error {
-	tick := time.NewTicker(pruneEvery)
+// prunePool closes expired connections to backend servers from time to time.
+func (e *Entry) prunePool(ctx context.Context) error {
+	tick := time.NewTicker(pruneInterval)
 	defer tick.Stop()
 	for {
 		select {
--- a/entry/world_test.go
+++ b/entry/env_test.go
@@ -24,24 +24,24 @@
 	"github.com/pearyard/pearyard/standin/nursery"
 )
 
-// world is one entry process before stand-ins: a proxy in front of it, one in
-// front of each backend server.
-type world struct {
-	t       *testing.T
-	store   *nursery.Store
-	cloud   *nursery.Cloud
-	servers []*nursery.Server
-	links   []*soak.Proxy // to the servers
-	front   *soak.Proxy   // to the process
-	entry   *entry.Entry
-	callers string
-	ready   string
-	logs    lockedBuffer
-	stop    context.CancelFunc // what SIGTERM does
-	ended   chan struct{}
+// testEnv is an entry process with simulated backend servers and store. There is a proxy
+// in front of the process and one in front of each server.
+type testEnv struct {
+	t             *testing.T
+	store         *nursery.Store
+	cloud         *nursery.Cloud
+	servers       []*nursery.Server
+	serverProxies []*soak.Proxy // in front of the servers
+	entryProxy    *soak.Proxy   // in front of the process
+	entry         *entry.Entry
+	callerAddr    string
+	readyAddr     string
+	logs          lockedBuffer
+	stop          context.CancelFunc // begins a planned stop, as SIGTERM does
+	ended         chan struct{}
 }
 
-// lockedBuffer is a process's standard output.
+// lockedBuffer collects the standard output of the process.
 type lockedBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -60,8 +60,8 @@
 	return b.buf.String()
 }
 
-// slowGap makes a stream last for two seconds, longer than what a test does
-// with it takes on a busy machine; fastGap makes it a fifth of one.
+// Times between events. With slowGap a stream takes two seconds, longer than what a test
+// does with it takes on a busy machine; with fastGap it takes a fifth of a second.
 const (
 	slowGap = 50 * time.Millisecond
 	fastGap = 4 * time.Millisecond
@@ -69,7 +69,7 @@
 
 const testHost = "reasons.example"
 
-// testRoute is a route of the world's configuration.
+// testRoute returns a route in the format of the configuration.
 func testRoute(path, kind, more string) string {
 	return fmt.Sprintf(`{"name":%q,"host":%q,"pathPrefix":%q,"routeType":%q,"service":"s","targetLatencyMs":300,%s}`, path, testHost, path, kind, more)
 }
@@ -82,33 +82,33 @@
 	testRoute("/large/", "idempotent", `"maxAttempts":1,"timeoutMs":8000`),
 }
 
-// configure writes a version of the configuration.
-func (w *world) configure(version int, keys string, routes ...string) {
+// configure writes a version of the configuration to the store.
+func (w *testEnv) configure(version int, keys string, routes ...string) {
 	w.store.Put("op", "config", fmt.Appendf(nil,
 		`{"version":%d,"routes":[%s],"services":[{"name":"s","healthPath":"/healthz"}],"limits":{"maxBodyBytes":1000},"tenants":[{"name":"o","apiKeys":[%s]}]}`,
 		version, strings.Join(routes, ","), keys))
 }
 
-// newWorld starts a world with servers of the service; configured or not.
-func newWorld(t *testing.T, servers int, change func(*platform.Settings)) *world {
+// newTestEnv starts an environment with servers of service s and without a configuration.
+func newTestEnv(t *testing.T, servers int, change func(*platform.Settings)) *testEnv {
 	t.Helper()
 	t.Parallel()
 	g := gomega.NewWithT(t)
 	store, err := nursery.NewStore()
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	t.Cleanup(store.Close)
-	w := &world{t: t, store: store, cloud: nursery.NewCloud(store), ended: make(chan struct{})}
+	w := &testEnv{t: t, store: store, cloud: nursery.NewCloud(store), ended: make(chan struct{})}
 	for range servers {
 		w.addServer("s")
 	}
-	ip := fmt.Sprintf("127.0.93.%d", worlds.Add(1))
-	addresses := free(t, ip, 3)
-	w.callers, w.ready = addresses[0], addresses[1]
-	w.front, err = soak.NewProxy(w.callers)
+	ip := fmt.Sprintf("127.0.93.%d", envCount.Add(1))
+	addresses := freeAddresses(t, ip, 3)
+	w.callerAddr, w.readyAddr = addresses[0], addresses[1]
+	w.entryProxy, err = soak.NewProxy(w.callerAddr)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	t.Cleanup(w.front.Close)
+	t.Cleanup(w.entryProxy.Close)
 	settings := platform.Settings{
-		Name: "edge-1", Zone: "a", IP: ip, Callers: w.callers, Ready: w.ready, Peers: addresses[2], Store: store.Address,
+		Name: "edge-1", Zone: "a", IP: ip, Callers: w.callerAddr, Ready: w.readyAddr, Peers: addresses[2], Store: store.Address,
 		Grace: 2 * time.Second, LeaveWithin: 2 * time.Second, ConfigWithin: 2 * time.Second,
 		RetryRatio: 0.8, RetryExtra: 150, RetryWindow: 10 * time.Second, AddressReuse: 2 * time.Second,
 	}
@@ -129,17 +129,17 @@
 	return w
 }
 
-// serving starts a world that is ready to serve.
-func serving(t *testing.T, servers int, change func(*platform.Settings)) *world {
+// startServing starts an environment with a configuration and waits until it is ready.
+func startServing(t *testing.T, servers int, change func(*platform.Settings)) *testEnv {
 	t.Helper()
-	w := newWorld(t, servers, change)
+	w := newTestEnv(t, servers, change)
 	w.configure(1, `"k0","k1"`, testRoutes...)
 	gomega.NewWithT(t).Eventually(w.isReady, "10s", "10ms").Should(gomega.BeTrue())
 	return w
 }
 
-func (w *world) isReady() bool {
-	resp, err := http.Get("http://" + w.ready + platform.ReadyPath)
+func (w *testEnv) isReady() bool {
+	resp, err := http.Get("http://" + w.readyAddr + platform.ReadyPath)
 	if err != nil {
 		return false
 	}
@@ -147,9 +147,9 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// listens tells whether callers can connect.
-func (w *world) listens() bool {
-	conn, err := net.Dial("tcp4", w.callers)
+// listens reports whether callers can connect.
+func (w *testEnv) listens() bool {
+	conn, err := net.Dial("tcp4", w.callerAddr)
 	if err != nil {
 		return false
 	}
@@ -157,7 +157,8 @@
 	return true
 }
 
-func (w *world) addServer(service string) {
+// addServer starts a backend server with a proxy in front of it.
+func (w *testEnv) addServer(service string) {
 	var link *soak.Proxy
 	server, err := w.cloud.NewServer(service, "a", func(own string) string {
 		var err error
@@ -171,16 +172,16 @@
 	}
 	w.t.Cleanup(func() { link.Close(); server.Crash() })
 	server.EventGap.Store(int64(slowGap))
-	w.servers, w.links = append(w.servers, server), append(w.links, link)
+	w.servers, w.serverProxies = append(w.servers, server), append(w.serverProxies, link)
 }
 
-// worlds numbers the worlds: each has an address of its own on loopback, so
-// that those beside each other take no port from one another.
-var worlds atomic.Int64
+// envCount numbers the environments. Each has a loopback address of its own, so that
+// parallel tests don't take ports from one another.
+var envCount atomic.Int64
 
-// free returns addresses that are free on ip. They are held until all are
-// found: one that is given back may be found again.
-func free(t *testing.T, ip string, n int) []string {
+// freeAddresses returns n free addresses on ip. All listeners stay open until the last one is
+// found; otherwise the same port might be returned twice.
+func freeAddresses(t *testing.T, ip string, n int) []string {
 	var found []string
 	for range n {
 		l, err := net.Listen("tcp4", ip+":0")
@@ -193,54 +194,54 @@
 	return found
 }
 
-// caller is one request as its caller sees it.
-type caller struct {
+// testCaller is a request and what its caller receives.
+type testCaller struct {
 	id     string
 	conn   net.Conn
 	reader *bufio.Reader
 	Status int
 	Header http.Header
-	Lines  int   // of the body
-	Bytes  int64 // of the rest
-	Err    error // nil: the answer came whole
+	Lines  int   // read of the body by lines
+	Bytes  int64 // read of the body after those
+	Err    error // nil if the response is complete
 	body   *bufio.Reader
 }
 
-// ask is a request to send.
-type ask struct {
+// testRequest is a request to send.
+type testRequest struct {
 	id, path, key string
-	wait          time.Duration
+	timeout       time.Duration
 	body          int
-	direct        bool   // past the proxy in front of the process
-	more          string // further lines of the head
+	direct        bool   // bypasses the proxy in front of the process
+	extraHeader   string // further header lines
 }
 
-// send sends a request through the proxy in front of the process.
-func (w *world) send(a ask) *caller {
+// send sends a request without reading the response.
+func (w *testEnv) send(a testRequest) *testCaller {
 	w.t.Helper()
-	address := w.front.Address
+	address := w.entryProxy.Address
 	if a.direct {
-		address = w.callers
+		address = w.callerAddr
 	}
 	conn, err := net.Dial("tcp4", address)
 	if err != nil {
 		w.t.Fatal(err)
 	}
 	w.t.Cleanup(func() { _ = conn.Close() })
-	c := &caller{id: a.id, conn: conn, reader: bufio.NewReader(conn)}
+	c := &testCaller{id: a.id, conn: conn, reader: bufio.NewReader(conn)}
 	if a.key == "" {
 		a.key = "k0"
 	}
-	if a.wait == 0 {
-		a.wait = 20 * time.Second
+	if a.timeout == 0 {
+		a.timeout = 20 * time.Second
 	}
 	_, c.Err = fmt.Fprintf(conn, "POST %s HTTP/1.1\r\nHost: %s\r\nAttempt-Id: %s\r\nDeadline-Ms: %d\r\nAuthorization: Token %s\r\n%sContent-Length: %d\r\n\r\n%s",
-		a.path, testHost, a.id, a.wait.Milliseconds(), a.key, a.more, a.body, strings.Repeat("b", a.body))
+		a.path, testHost, a.id, a.timeout.Milliseconds(), a.key, a.extraHeader, a.body, strings.Repeat("b", a.body))
 	return c
 }
 
-// head reads the head of the answer.
-func (c *caller) head() *caller {
+// readHead reads the head of the response.
+func (c *testCaller) readHead() *testCaller {
 	if c.Err != nil {
 		return c
 	}
@@ -253,8 +254,8 @@
 	return c
 }
 
-// events reads n lines of the body.
-func (c *caller) events(n int) *caller {
+// readLines reads n lines of the body.
+func (c *testCaller) readLines(n int) *testCaller {
 	for ; n > 0 && c.Err == nil; n-- {
 		if _, c.Err = c.body.ReadString('\n'); c.Err == nil {
 			c.Lines++
@@ -263,13 +264,13 @@
 	return c
 }
 
-// rest reads to the end of the answer.
-func (c *caller) rest() *caller {
+// readRest reads to the end of the response.
+func (c *testCaller) readRest() *testCaller {
 	if c.Err != nil {
 		return c
 	}
 	if c.body == nil {
-		c.head()
+		c.readHead()
 	}
 	if c.Err == nil {
 		c.Bytes, c.Err = c.body.WriteTo(discard{})
@@ -282,8 +283,9 @@
 // Write implements io.Writer.
 func (discard) Write(p []byte) (int, error) { return len(p), nil }
 
-// lastLine waits for a line about a request that names what ended it.
-func (w *world) lastLine(id string) explain.Line {
+// lastLine waits until the last log line of a request names what ended it, and returns
+// the line.
+func (w *testEnv) lastLine(id string) explain.Line {
 	w.t.Helper()
 	var last explain.Line
 	gomega.NewWithT(w.t).Eventually(func() string {
@@ -297,7 +299,8 @@
 	return last
 }
 
-func (w *world) lines() []explain.Line {
+// lines returns the log of the process.
+func (w *testEnv) lines() []explain.Line {
 	lines, err := explain.Read(strings.NewReader(w.logs.text()))
 	if err != nil {
 		w.t.Fatal(err)
@@ -305,8 +308,8 @@
 	return lines
 }
 
-// count returns how many requests the metrics say were ended by a side.
-func (w *world) count(by string) int {
+// endedCount returns how many requests were ended for a reason, by the metrics.
+func (w *testEnv) endedCount(by string) int {
 	families, err := w.entry.Metrics().Gather()
 	if err != nil {
 		w.t.Fatal(err)
@@ -327,7 +330,7 @@
 	return int(n)
 }
 
-// startOf is how lines name the process that a server runs as.
-func startOf(s *nursery.Server) string {
+// startName returns the name that log lines give to the running process of a server.
+func startName(s *nursery.Server) string {
 	return directory.Start{ID: s.ID(), Born: s.Born()}.String()
 }
--- a/entry/handler.go
+++ b/entry/handler.go
@@ -1,6 +1,6 @@
-// Package entry is pearyard's program on the platform's entry VMs: it takes
-// callers' requests, finds their routes by the configuration in force and hands
-// them to package exchange.
+// Package entry is pearyard's program on the platform's entry VMs: it receives
+// callers' requests, matches them to routes of the configuration in force and
+// passes them to package exchange.
 package entry
 
 import (
@@ -16,86 +16,87 @@
 	"github.com/pearyard/pearyard/site"
 )
 
-// defaultWait is for a request that states no time of its own and whose route has none.
-const defaultWait = 30 * time.Second
+// defaultTimeout is the timeout of a request that states none and whose route has none.
+const defaultTimeout = 30 * time.Second
 
-// handler serves callers.
+// handler serves callers' requests.
 type handler struct {
-	holder   *site.Holder
-	exchange *exchange.Exchange
-	recorder *event.Recorder
-	stop     *stopping
-	listed   func() bool // the backend servers are known
-	// allStop tells whether the other entry VMs stop as well; may be nil.
-	allStop func() bool
-	// firstStop returns when the first of the other entry VMs that stop began to;
-	// zero if none does. It may be nil.
-	firstStop func() time.Time
-	// unconfirmed tells for how long nobody has confirmed the configuration in
-	// force; may be nil.
-	unconfirmed func() time.Duration
+	configHolder *site.Holder
+	exchange     *exchange.Exchange
+	recorder     *event.Recorder
+	shutdown     *shutdownState
+	hasServers   func() bool // reports whether servers of any route are listed
+	// allPeersStopping reports whether all other entry VMs are stopping as well; may be nil.
+	allPeersStopping func() bool
+	// firstPeerStop returns when the first of the other stopping entry VMs began its
+	// stop; zero if none is stopping. It may be nil.
+	firstPeerStop func() time.Time
+	// configAge returns the time since the configuration in force was last
+	// confirmed by the store or a peer; may be nil.
+	configAge func() time.Duration
 }
 
 // ServeHTTP implements http.Handler.
 func (h *handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	a := &httpanswer.Writer{ResponseWriter: w}
-	defer h.answerPanic(a, r)
-	h.take(a, r)
+	defer h.recoverPanic(a, r)
+	h.handle(a, r)
 }
 
-// take serves a caller's request, or refuses it.
-func (h *handler) take(w *httpanswer.Writer, r *http.Request) {
-	if h.stop.begun() {
+// handle serves a request or refuses it.
+func (h *handler) handle(w *httpanswer.Writer, r *http.Request) {
+	if h.shutdown.begun() {
 		w.Header().Set("Connection", "close")
 	}
-	config := h.holder.Config()
+	config := h.configHolder.Config()
 	call, err := platform.ReadCall(r)
 	if err != nil {
 		defer httpanswer.ReadOff(w, r)()
-		h.turnAway(w, r, nil, err, config)
+		h.reject(w, r, nil, err, config)
 		return
 	}
 	if config == nil {
 		defer httpanswer.ReadOff(w, r)()
-		h.notYet(w, call, "configuration", comeBack(call.Wait))
+		h.refuseNotReady(w, call, "configuration", retryDelay(call.Wait))
 		return
 	}
 	if err := call.ReadBody(w.ResponseWriter, r, config.Limits.BodyBytes); err != nil {
 		defer httpanswer.ReadOff(w, r)()
-		h.turnAway(w, r, call, err, config)
+		h.reject(w, r, call, err, config)
 		return
 	}
-	// The body may have taken a while: go by what is in force now.
-	config = h.holder.Config()
-	if err := route(call, config); err != nil {
-		h.turnAway(w, r, call, err, config)
+	// Reading the body may have taken a while; the configuration in force now counts.
+	config = h.configHolder.Config()
+	if err := resolveRoute(call, config); err != nil {
+		h.reject(w, r, call, err, config)
 		return
 	}
 	if call.Route.Refused != "" {
-		h.refuseRoute(w, call)
+		h.refuseInvalidRoute(w, call)
 		return
 	}
-	if !h.listed() {
-		h.notYet(w, call, "list of servers", min(comeBack(call.Wait), spreadOut(listWait)))
+	if !h.hasServers() {
+		h.refuseNotReady(w, call, "list of servers", min(retryDelay(call.Wait), withJitter(listRetryDelay)))
 		return
 	}
 	if !time.Now().Before(call.Until) {
-		h.refuseLate(w, call)
+		h.refuseExpired(w, call)
 		return
 	}
-	defer endWrites(w, r)()
+	defer stopWritesOnCancel(w, r)()
 	h.serve(w, r, call)
 }
 
-// route finds the request's route, service and organisation.
-func route(call *platform.Call, config *site.Config) error {
+// resolveRoute sets the request's route, service, organisation and deadline, and checks its
+// key.
+func resolveRoute(call *platform.Call, config *site.Config) error {
 	call.Route = config.Match(call.Host, call.Path)
 	if call.Route == nil {
 		return &platform.RequestError{Status: http.StatusNotFound, By: exchange.EndedByConfiguration, Err: errors.New("entry: no route for this host and path")}
 	}
 	call.Version = config.Version
 	if call.Route.Refused != "" {
-		// Whether the route is public can't be read either: no key is asked for.
+		// Whether the route is public can't be read either, so the key isn't checked.
 		return nil
 	}
 	if config.Keys() && !call.Route.Public {
@@ -106,26 +107,29 @@
 		call.Organisation = owner.Name
 	}
 	call.Service = call.Route.Pick()
-	length, by := wait(call.Wait, call.Route.Timeout)
+	length, by := requestTimeout(call.Wait, call.Route.Timeout)
 	call.Until, call.UntilBy = call.Arrived.Add(length), by
 	return nil
 }
 
-// wait returns how long a request may take, and whose time that is.
-func wait(asked, allowed time.Duration) (time.Duration, exchange.EndedBy) {
+// requestTimeout returns how long a request may take, and what a request ended by that timeout
+// is ended by: the caller's deadline or the route's timeout.
+func requestTimeout(asked, allowed time.Duration) (time.Duration, exchange.EndedBy) {
 	switch {
 	case asked > 0 && (allowed <= 0 || asked <= allowed):
 		return asked, exchange.EndedByDeadline
 	case allowed > 0:
 		return allowed, exchange.EndedByRouteTimeout
 	default:
-		return defaultWait, exchange.EndedByRouteTimeout
+		return defaultTimeout, exchange.EndedByRouteTimeout
 	}
 }
 
+// serve forwards a request to a backend server, unless the process is stopping and
+// can't finish it.
 func (h *handler) serve(w http.ResponseWriter, r *http.Request, call *platform.Call) {
-	if h.stop.begun() && !h.mayTake(call) {
-		h.refuse(w, call)
+	if h.shutdown.begun() && !h.canAccept(call) {
+		h.refuseStopping(w, call)
 		return
 	}
 	if call.Route.Kind == site.Stream {
@@ -135,57 +139,60 @@
 	h.servePlain(w, r, call)
 }
 
-// mayTake tells whether a stopping process can finish a request.
-func (h *handler) mayTake(call *platform.Call) bool {
+// canAccept reports whether a stopping process can finish a request. Late in the stop a
+// stream is accepted only if its deadline is before the process's end.
+func (h *handler) canAccept(call *platform.Call) bool {
 	now := time.Now()
-	need := h.stop.need(call.Route, now)
-	if !h.stop.leavesTime(now, need) {
+	need := h.shutdown.estimate(call.Route, now)
+	if !h.shutdown.canFinish(now, need) {
 		return false
 	}
 	if call.Route.Kind != site.Stream {
 		return true
 	}
-	if h.stop.late(now) && call.Until.After(h.stop.endsAt()) {
+	if h.shutdown.pastEstimateWindow(now) && call.Until.After(h.shutdown.endsAt()) {
 		return false
 	}
-	h.recorder.Emit(EventTakenInStop, event.FieldRequest, call.ID, "route", call.Route.Name, "need", need, "left", h.stop.endsAt().Sub(now))
+	h.recorder.Emit(EventTakenInStop, event.FieldRequest, call.ID, "route", call.Route.Name, "need", need, "left", h.shutdown.endsAt().Sub(now))
 	return true
 }
 
+// servePlain serves a request that isn't a stream.
 func (h *handler) servePlain(w http.ResponseWriter, r *http.Request, call *platform.Call) {
-	if last := h.stop.bound(call.Until); last.Before(call.Until) {
+	if last := h.shutdown.capDeadline(call.Until); last.Before(call.Until) {
 		call.Until, call.UntilBy = last, exchange.EndedByStop
 	}
 	served := false
-	end := h.stop.of(call.Route).begin(call.Arrived)
+	end := h.shutdown.durationsOf(call.Route).begin(call.Arrived)
 	defer func() { end(served) }()
 	reply, err := h.exchange.Call(r.Context(), &call.Request)
 	if err != nil {
-		fail(w, call.ID, err)
+		writeError(w, call.ID, err)
 		return
 	}
 	copyHeader(w, reply.Header)
 	if reply.Rest == nil {
-		setLength(w, len(reply.Body))
+		setContentLength(w, len(reply.Body))
 	}
 	w.WriteHeader(reply.Status)
 	_, err = w.Write(reply.Body)
 	if reply.Rest != nil {
-		passRest(w, r, reply.Rest, err)
+		copyRest(w, r, reply.Rest, err)
 	}
 	served = true
 }
 
+// serveStream serves a streaming request.
 func (h *handler) serveStream(w http.ResponseWriter, r *http.Request, call *platform.Call) {
-	end := h.stop.of(call.Route).begin(call.Arrived)
-	begun, err := h.exchange.Stream(r.Context(), &call.Request, &sink{w: w, flush: http.NewResponseController(w)})
+	end := h.shutdown.durationsOf(call.Route).begin(call.Arrived)
+	begun, err := h.exchange.Stream(r.Context(), &call.Request, &streamWriter{w: w, controller: http.NewResponseController(w)})
 	end(err == nil)
 	switch {
 	case err == nil:
 	case begun:
-		// Ended in an orderly way, the answer would look complete.
-		cut(r)
+		// Returning normally would make the response look complete.
+		abortResponse(r)
 	default:
-		fail(w, call.ID, err)
+		writeError(w, call.ID, err)
 	}
 }
--- a/entry/handler_test.go
+++ b/entry/handler_test.go
@@ -14,17 +14,16 @@
 	"github.com/pearyard/pearyard/site"
 )
 
-// All entry VMs of a large site were killed. Each has its configuration again
-// at once, but the list of thousands of servers a second later. Callers were
-// told that no server takes their request and to come back in 0.4 s, and had no
-// retry left when the list was there. They are told when it will be.
-func TestCallersAreToldWhenTheListWillBeThere(t *testing.T) {
+// After a restart, a process of a large site has its configuration at once but the list
+// of thousands of servers only a second later. With a Retry-After of 0.4 s, callers had
+// no retries left when the list arrived. The Retry-After covers that time.
+func TestRetryAfterCoversTransferOfServerList(t *testing.T) {
 	g := gomega.NewWithT(t)
 	holder := site.NewHolder()
 	route := site.Route{Name: "r", Host: "h", Prefix: "/x/", Kind: site.Stream, Public: true, Targets: []site.Target{{Service: "s", Weight: 1}}}
 	holder.Offer(&site.Versioned{Config: site.New(1, []site.Route{route}, nil, nil, site.ClientLimits{}), Position: 1})
 	recorder := event.Discard()
-	h := &handler{holder: holder, exchange: exchange.New(exchange.Options{}), recorder: recorder, stop: newStopping(), listed: func() bool { return false }}
+	h := &handler{configHolder: holder, exchange: exchange.New(exchange.Options{}), recorder: recorder, shutdown: newShutdownState(), hasServers: func() bool { return false }}
 	send := func(path string) *httptest.ResponseRecorder {
 		r := httptest.NewRequest(http.MethodPost, path, strings.NewReader("body"))
 		r.Host = "h"
@@ -38,22 +37,22 @@
 	g.Expect(answer.Code).To(gomega.Equal(http.StatusServiceUnavailable))
 	wait, err := strconv.ParseFloat(answer.Header().Get("Retry-After"), 64)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(wait).To(gomega.BeNumerically(">=", listWait.Seconds()*(1-spread)))
-	g.Expect(wait).To(gomega.BeNumerically("<=", listWait.Seconds()))
+	g.Expect(wait).To(gomega.BeNumerically(">=", listRetryDelay.Seconds()*(1-jitter)))
+	g.Expect(wait).To(gomega.BeNumerically("<=", listRetryDelay.Seconds()))
 	g.Expect(recorder.Entries("a1")[0].Fields).To(gomega.HaveKeyWithValue("missing", "list of servers"))
-	g.Expect(send("/none/1").Code).To(gomega.Equal(http.StatusNotFound), "what the configuration alone decides is said at once")
+	g.Expect(send("/none/1").Code).To(gomega.Equal(http.StatusNotFound), "what the configuration alone decides doesn't wait for the list")
 }
 
-// A version has a route that can't be read. Its requests get a refusal that says
-// they have not run, not that they are unknown: the operator may write it anew.
-// The key isn't asked for, as the route may be public.
-func TestRequestsOfARouteThatCannotBeReadAreRefused(t *testing.T) {
+// A configuration has a route that can't be read. Requests to it are refused as not run
+// rather than as unknown, since the operator may correct the route. The key isn't
+// checked, as the route may be public.
+func TestRequestsToInvalidRouteAreRefused(t *testing.T) {
 	g := gomega.NewWithT(t)
 	holder := site.NewHolder()
 	routes := []site.Route{{Host: "h", Prefix: "/x/odd/", Refused: "kind is unknown"}, {Host: "h", Prefix: "/x/", Targets: []site.Target{{Service: "s", Weight: 1}}}}
 	holder.Offer(&site.Versioned{Config: site.New(1, routes, nil, []site.Keyed{{}}, site.ClientLimits{}), Position: 1})
 	recorder := event.Discard()
-	h := &handler{holder: holder, exchange: exchange.New(exchange.Options{}), recorder: recorder, stop: newStopping(), listed: func() bool { return true }}
+	h := &handler{configHolder: holder, exchange: exchange.New(exchange.Options{}), recorder: recorder, shutdown: newShutdownState(), hasServers: func() bool { return true }}
 	r := httptest.NewRequest(http.MethodPost, "/x/odd/1", strings.NewReader("body"))
 	r.Host = "h"
 	r.Header.Set("Attempt-Id", "a1")
--- a/entry/old_test.go
+++ b/entry/http10_test.go
@@ -12,15 +12,14 @@
 	"github.com/onsi/gomega"
 )
 
-// A caller speaks HTTP/1.0, in which an answer without a length ends with its
-// connection. Its server crashes in the middle of a draft, or of a large answer:
-// the connection was closed in order, and half an answer looked whole. A reset
-// tells the two apart.
-func TestCutAnswerToAnOldCallerDoesNotLookWhole(t *testing.T) {
+// In HTTP/1.0 the end of the connection ends a response without a length. If the backend
+// server crashes in the middle of a response and the connection is closed normally, half
+// a response looks complete. A reset tells the two apart.
+func TestTruncatedHTTP10ResponseIsReset(t *testing.T) {
 	for _, path := range []string{"/stream/1", "/large/1"} {
 		t.Run(path, func(t *testing.T) {
-			g, w := gomega.NewWithT(t), serving(t, 1, nil)
-			conn, err := net.Dial("tcp4", w.callers)
+			g, w := gomega.NewWithT(t), startServing(t, 1, nil)
+			conn, err := net.Dial("tcp4", w.callerAddr)
 			g.Expect(err).NotTo(gomega.HaveOccurred())
 			defer conn.Close()
 			_, err = fmt.Fprintf(conn, "POST %s HTTP/1.0\r\nHost: %s\r\nAttempt-Id: r1\r\nAuthorization: Token k0\r\nContent-Length: 0\r\n\r\n", path, testHost)
@@ -31,16 +30,16 @@
 			g.Expect(answer.StatusCode).To(gomega.Equal(200))
 			w.servers[0].Crash()
 			_, err = io.Copy(io.Discard, answer.Body)
-			g.Expect(err).To(gomega.HaveOccurred(), "looks whole")
+			g.Expect(err).To(gomega.HaveOccurred(), "looks complete")
 		})
 	}
 }
 
-// The same caller's whole answer ends in order.
-func TestWholeAnswerToAnOldCaller(t *testing.T) {
-	g, w := gomega.NewWithT(t), serving(t, 1, nil)
+// A complete response to an HTTP/1.0 caller ends without an error.
+func TestCompleteHTTP10Response(t *testing.T) {
+	g, w := gomega.NewWithT(t), startServing(t, 1, nil)
 	w.servers[0].EventGap.Store(int64(fastGap))
-	conn, err := net.Dial("tcp4", w.callers)
+	conn, err := net.Dial("tcp4", w.callerAddr)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	defer conn.Close()
 	_, err = fmt.Fprintf(conn, "POST /stream/1 HTTP/1.0\r\nHost: %s\r\nAttempt-Id: r1\r\nAuthorization: Token k0\r\nContent-Length: 0\r\n\r\n", testHost)
--- a/entry/rest_test.go
+++ b/entry/largeresponse_test.go
@@ -20,12 +20,13 @@
 	"github.com/pearyard/pearyard/suspect"
 )
 
-// slowRest answers with 300 KB at once and the rest a while later.
-type slowRest struct {
+// slowBackend responds with 300 KB at once and the rest later.
+type slowBackend struct {
 	modelServer
 	rest time.Duration
 }
 
+// restBody is the body of such a response.
 type restBody struct {
 	io.Reader
 	wait time.Duration
@@ -45,25 +46,25 @@
 
 func (*restBody) Close() error { return nil }
 
-func (s slowRest) Open(ctx context.Context, _ *exchange.Attempt) (*exchange.Answer, error) {
+func (s slowBackend) Open(ctx context.Context, _ *exchange.Attempt) (*exchange.Answer, error) {
 	return &exchange.Answer{Status: http.StatusOK, Header: http.Header{}, Body: &restBody{Reader: strings.NewReader(strings.Repeat("x", 300<<10)), wait: s.rest, ctx: ctx}}, nil
 }
 
-// Large answers take three seconds to pass on. Their time counted until their
-// first 256 KB were there: what is unfinished was missing from the sample again. A
-// stopping process took such a call with 1.5 s left and cut it.
-func TestTimeOfACallHasTheRestOfItsAnswer(t *testing.T) {
+// The duration of a large response counts until all of it has been passed on. When it
+// counted only until the first 256 KB were there, a stopping process accepted a call of
+// three seconds with 1.5 s left and cut it.
+func TestCallDurationIncludesRestOfResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		stop := newStopping()
+		stop := newShutdownState()
 		e := modelEntry(stop, modelServer{reached: &sync.Map{}})
 		e.exchange = exchange.New(exchange.Options{
-			Directory: e.directory, Backend: slowRest{modelServer{reached: &sync.Map{}}, 3 * time.Second}, Services: e.service, Recorder: e.recorder,
+			Directory: e.directory, Backend: slowBackend{modelServer{reached: &sync.Map{}}, 3 * time.Second}, Services: e.findService, Recorder: e.recorder,
 			Suspects: suspect.New(suspect.Options{Self: "m", Recorder: e.recorder}), Metrics: prometheus.NewRegistry(),
 			RetryWindow: 10 * time.Second, RetryExtra: func() float64 { return 10 },
 		})
-		h := &handler{holder: e.holder, exchange: e.exchange, recorder: e.recorder, stop: e.stop, listed: e.listed}
-		for i := range durationSamples {
+		h := &handler{configHolder: e.configHolder, exchange: e.exchange, recorder: e.recorder, shutdown: e.shutdown, hasServers: e.anyServerListed}
+		for i := range maxSamples {
 			r := httptest.NewRequest(http.MethodPost, "/call/60ms", strings.NewReader(""))
 			r.Host = "h"
 			r.Header.Set("Attempt-Id", fmt.Sprint("a", i))
@@ -74,6 +75,6 @@
 			g.Expect(w.Code).To(gomega.Equal(http.StatusOK))
 			g.Expect(time.Since(began)).To(gomega.BeNumerically(">=", 3*time.Second))
 		}
-		g.Expect(stop.need(&site.Route{Name: "call", Kind: site.AtMostOnce}, time.Now())).To(gomega.BeNumerically(">=", 3*time.Second))
+		g.Expect(stop.estimate(&site.Route{Name: "call", Kind: site.AtMostOnce}, time.Now())).To(gomega.BeNumerically(">=", 3*time.Second))
 	})
 }
--- a/entry/late_test.go
+++ b/entry/late_test.go
@@ -18,14 +18,14 @@
 	"github.com/pearyard/pearyard/site"
 )
 
-// askLate sends a call that allows itself some time and whose body takes longer,
-// and returns the answer and whether it reached a backend server.
-func askLate(t *testing.T, wait, body time.Duration, stops bool) (status int, after string, reached bool) {
+// sendSlowBody sends a call with the deadline wait whose body takes the time body to arrive.
+// It returns the status, the Retry-After and whether the call reached a backend server.
+func sendSlowBody(t *testing.T, wait, body time.Duration, stops bool) (status int, after string, reached bool) {
 	backend := modelServer{&sync.Map{}}
-	stop := newStopping()
+	stop := newShutdownState()
 	e := modelEntry(stop, backend)
 	l := &pipeListener{conns: make(chan net.Conn), done: make(chan struct{})}
-	server := &http.Server{Handler: &handler{holder: e.holder, exchange: e.exchange, recorder: e.recorder, stop: stop, listed: e.listed}}
+	server := &http.Server{Handler: &handler{configHolder: e.configHolder, exchange: e.exchange, recorder: e.recorder, shutdown: stop, hasServers: e.anyServerListed}}
 	go func() { _ = server.Serve(l) }()
 	defer server.Close()
 	if stops {
@@ -45,14 +45,13 @@
 	return answer.StatusCode, answer.Header.Get("Retry-After"), reached
 }
 
-// A caller's link is so slow that its request is complete only when its time is
-// over. It was sent to a backend server all the same, with a millisecond to go,
-// and its caller was told that it may have run: a call that must not run twice
-// was lost for good. It is refused as not run, which it is.
-func TestRequestThatIsCompleteTooLateHasNotRun(t *testing.T) {
+// A request is complete only after its deadline. If it were sent to a backend server
+// all the same, its caller would be told that it may have run, and a call that must not
+// run twice would be lost. It is refused as not run.
+func TestRequestCompleteAfterDeadlineIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		status, after, reached := askLate(t, time.Second, 1100*time.Millisecond, false)
+		status, after, reached := sendSlowBody(t, time.Second, 1100*time.Millisecond, false)
 		g.Expect(reached).To(gomega.BeFalse())
 		g.Expect(status).To(gomega.Equal(http.StatusServiceUnavailable))
 		wait, err := strconv.ParseFloat(after, 64)
@@ -61,24 +60,24 @@
 	})
 }
 
-// The same in a planned stop, and on a route whose own time is over.
-func TestRequestThatIsCompleteTooLateInAStop(t *testing.T) {
+// The same during a planned stop.
+func TestRequestCompleteAfterDeadlineIsRefusedDuringStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		status, after, reached := askLate(t, time.Second, 7600*time.Millisecond, true)
+		status, after, reached := sendSlowBody(t, time.Second, 7600*time.Millisecond, true)
 		g.Expect(reached).To(gomega.BeFalse())
 		g.Expect(status).To(gomega.Equal(http.StatusServiceUnavailable))
-		g.Expect(after).NotTo(gomega.HavePrefix("-"), "no time is below zero")
+		g.Expect(after).NotTo(gomega.HavePrefix("-"), "Retry-After is not negative")
 	})
 }
 
-// A stream is refused by a process that stops with all others, after its own
-// time is over: what it was told to wait was a time below zero.
-func TestNobodyIsToldToComeBackInThePast(t *testing.T) {
+// A stream whose deadline has passed is refused while all processes are stopping. Its
+// Retry-After must not be negative.
+func TestRetryAfterIsNotNegative(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Now()
-	h := &handler{stop: newStopping(), allStop: func() bool { return true }}
-	h.stop.begin(now.Add(time.Second))
+	h := &handler{shutdown: newShutdownState(), allPeersStopping: func() bool { return true }}
+	h.shutdown.begin(now.Add(time.Second))
 	call := &platform.Call{Request: exchange.Request{Route: &site.Route{Kind: site.Stream}, Until: now.Add(-time.Second)}}
-	g.Expect(h.afterStop(call, now)).To(gomega.BeNumerically(">=", 0))
+	g.Expect(h.retryAfterStop(call, now)).To(gomega.BeNumerically(">=", 0))
 }
--- a/entry/listen.go
+++ b/entry/listen.go
@@ -14,38 +14,41 @@
 	suspectpb "github.com/pearyard/pearyard/rpc/suspect"
 )
 
-// Ready tells whether callers should come: there is a configuration, there are
-// backend servers to send to, and no stop has begun. Once it has been ready, a
-// process stays so while servers that leave are all that is left: others come,
-// and out of rotation it would have its callers back two questions later only.
+// Ready reports whether the process should receive callers: it has a configuration and
+// backend servers to send to, and no stop has begun. Once ready, it stays ready while
+// all remaining servers are draining: others will join, and a process out of rotation
+// gets its callers back only two health checks later.
 func (e *Entry) Ready() bool {
-	if e.stop.begun() || !e.listed() || (!e.ready.Load() && !e.usable()) {
+	if e.shutdown.begun() || !e.anyServerListed() || (!e.wasReady.Load() && !e.anyServerUsable()) {
 		return false
 	}
-	if e.ready.CompareAndSwap(false, true) {
-		e.recorder.Emit(EventReady, "version", e.holder.Config().Version, "servers", e.directory.View().Len(), "after", time.Since(e.started))
+	if e.wasReady.CompareAndSwap(false, true) {
+		e.recorder.Emit(EventReady, "version", e.configHolder.Config().Version, "servers", e.directory.View().Len(), "after", time.Since(e.startedAt))
 	}
 	return true
 }
 
-// listed tells whether a server is listed of a service that a route leads to.
+// anyServerListed reports whether a server is listed for any service that a route leads to.
 //
-// Servers of services without routes do not make a process ready: it would refuse all
-// callers.
-func (e *Entry) listed() bool {
-	return e.serves(func(*directory.Server) bool { return true })
+// Servers of services without a route don't count: with only those, the process would
+// be ready and refuse all callers.
+func (e *Entry) anyServerListed() bool {
+	return e.anyRoutedServer(func(*directory.Server) bool { return true })
 }
 
-// usable is listed for servers that take new work.
-func (e *Entry) usable() bool {
-	return e.serves(func(s *directory.Server) bool { return !s.Draining() })
+// anyServerUsable is like anyServerListed for servers that accept new work.
+func (e *Entry) anyServerUsable() bool {
+	return e.anyRoutedServer(func(s *directory.Server) bool { return !s.Draining() })
 }
 
-func (e *Entry) serves(counts func(*directory.Server) bool) bool {
-	config, view := e.holder.Config(), e.directory.View()
+// anyRoutedServer reports whether a service that a route leads to has a server that
+// counts.
+func (e *Entry) anyRoutedServer(counts func(*directory.Server) bool) bool {
+	config, view := e.configHolder.Config(), e.directory.View()
 	return config != nil && config.Goes(func(service string) bool { return slices.ContainsFunc(view.Service(service), counts) })
 }
 
+// serveReady adds the server of the platform's readiness check.
 func (e *Entry) serveReady(group *run.Group) error {
 	mux := http.NewServeMux()
 	mux.HandleFunc(platform.ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
@@ -53,32 +56,33 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
-	return serve(group, e.settings.Ready, mux)
+	return addServer(group, e.settings.Ready, mux)
 }
 
+// servePeers adds the server on the internal port: other entry VMs and the state dump.
 func (e *Entry) servePeers(group *run.Group) error {
 	mux := http.NewServeMux()
 	mux.Handle("/twirp/pearyard.fleet.Fleet/", e.fleet.Handler())
 	mux.Handle(suspectpb.SuspectsPathPrefix, e.suspects.Handler())
 	mux.Handle("/", e.inspect.Handler())
-	return serve(group, e.settings.Peers, mux)
+	return addServer(group, e.settings.Peers, mux)
 }
 
-// MetricsPort is where metrics are served, as the deploy file says.
+// MetricsPort is the port that metrics are served on, as the deployment file states.
 const MetricsPort = "9464"
 
-// serveMetrics serves metrics where the platform collects them. They are worth
-// less than the callers: if the port is taken, the process goes on without.
+// serveMetrics adds the server that the platform collects metrics from. Serving callers
+// matters more: if the port is in use, the process goes on without it.
 func (e *Entry) serveMetrics(group *run.Group) error {
-	err := serve(group, net.JoinHostPort(e.settings.IP, MetricsPort), e.inspect.Handler())
+	err := addServer(group, net.JoinHostPort(e.settings.IP, MetricsPort), e.inspect.Handler())
 	if err != nil {
 		e.recorder.Emit(EventNoMetrics, "port", MetricsPort, "err", err)
 	}
 	return nil
 }
 
-// serve adds a server that ends with the group.
-func serve(group *run.Group, address string, handler http.Handler) error {
+// addServer adds an HTTP server that ends with the group.
+func addServer(group *run.Group, address string, handler http.Handler) error {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
 		return errors.Wrap(err, "entry: listen")
--- a/entry/main.go
+++ b/entry/main.go
@@ -22,7 +22,7 @@
 	flagCheckConfig = "check-configuration"
 )
 
-// Exit codes.
+// Exit codes: exitFindings means that what was checked has errors.
 const (
 	exitFailed   = 1
 	exitFindings = 3
@@ -30,23 +30,23 @@
 
 // Main runs the program and returns its exit code.
 func Main(args []string, stdout, stderr io.Writer) int {
-	// The platform tells of changed settings by SIGHUP. Nothing in them changes
-	// while a process lives, and the signal's default would end it. It may come
-	// in a process's first moments: this comes before all else.
+	// The platform announces changed settings by SIGHUP. Settings don't change while
+	// a process runs, and the default action of the signal would end it. It may come
+	// right after the process has started, so it is ignored before all else.
 	signal.Ignore(syscall.SIGHUP)
 	code := 0
 	app := &cli.App{
 		Name:  "pearyard-entry",
 		Usage: "serves callers on an entry VM of the platform; settings come from the file named by " + platform.SettingsVariable,
 		Flags: []cli.Flag{
-			&cli.BoolFlag{Name: flagCheck, Aliases: []string{"print-settings"}, Usage: "check the settings, print them as JSON and exit: 0 if they are good, 3 if not"},
+			&cli.BoolFlag{Name: flagCheck, Aliases: []string{"print-settings"}, Usage: "check the settings, print them as JSON and exit: 0 if they are valid, 3 if not"},
 			&cli.StringFlag{Name: flagSettings, Usage: "settings `FILE` in place of the one that " + platform.SettingsVariable + " names"},
-			&cli.StringFlag{Name: flagCheckConfig, Usage: "check the configuration in `FILE` before it is written to the store and exit: 0 if entry VMs take it, 3 if not"},
+			&cli.StringFlag{Name: flagCheckConfig, Usage: "check the configuration in `FILE` before it is written to the store and exit: 0 if entry VMs accept it, 3 if not"},
 		},
 		Writer: stdout, ErrWriter: stderr,
 		Action: func(c *cli.Context) error {
 			var err error
-			code, err = start(c, stdout, stderr)
+			code, err = runCommand(c, stdout, stderr)
 			return err
 		},
 	}
@@ -57,7 +57,7 @@
 	return code
 }
 
-// checkConfig prints what is wrong with a configuration.
+// checkConfig prints the errors and warnings of a configuration file.
 func checkConfig(path string, stdout io.Writer) (int, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -73,7 +73,8 @@
 	return 0, nil
 }
 
-func start(c *cli.Context, stdout, stderr io.Writer) (int, error) {
+// runCommand checks a configuration or the settings, as the flags say, or serves.
+func runCommand(c *cli.Context, stdout, stderr io.Writer) (int, error) {
 	if path := c.String(flagCheckConfig); path != "" {
 		return checkConfig(path, stdout)
 	}
--- a/entry/main_test.go
+++ b/entry/main_test.go
@@ -11,6 +11,7 @@
 	"github.com/pearyard/pearyard/platform"
 )
 
+// check runs --check on settings.
 func check(t *testing.T, settings string) (code int, stdout, stderr string) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "local.yaml")
@@ -23,9 +24,9 @@
 	return code, out.String(), errs.String()
 }
 
-// An operator checks a VM's settings before it serves: good ones are shown as
-// they were understood, faulty ones are told all at once with their places.
-func TestCheckOfSettings(t *testing.T) {
+// --check prints valid settings as they were parsed, and reports all errors of invalid
+// ones together, with their paths.
+func TestCheckSettings(t *testing.T) {
 	g := gomega.NewWithT(t)
 	code, out, _ := check(t, `{nodeName: e, ip: 10.0.0.1, zone: z, listen: {frontend: "10.0.0.1:1", ready: "10.0.0.1:2"}, internalPortRange: [7, 9],
 platform: {address: "10.0.0.2:3"}, bounds: {drainTimeoutMs: 2000, gracePeriodS: 8, configApplyMs: 2000, retryWindowS: 10}}`)
@@ -46,7 +47,8 @@
 	g.Expect(Main([]string{"pearyard-entry", "--check"}, &bytes.Buffer{}, &bytes.Buffer{})).To(gomega.Equal(exitFailed))
 }
 
-func checkConfiguration(t *testing.T, config string) (code int, told string) {
+// checkConfiguration runs --check-configuration on a configuration.
+func checkConfiguration(t *testing.T, config string) (code int, output string) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "configuration.json")
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
@@ -57,18 +59,18 @@
 	return code, out.String()
 }
 
-// An operator is about to write a configuration. What entry VMs would refuse,
-// and what they would take though requests fail by it, is told beforehand, all
-// at once and with its place; keys are not shown.
-func TestCheckOfConfiguration(t *testing.T) {
+// --check-configuration reports everything that entry VMs would refuse, and what they
+// would accept although requests fail because of it, together and with positions. Keys
+// are not shown.
+func TestCheckConfiguration(t *testing.T) {
 	g := gomega.NewWithT(t)
 	good := `{"version":7,"routes":[{"name":"r","host":"a.example","pathPrefix":"/x/","routeType":"streaming","timeoutMs":25000,
 "targetLatencyMs":4500,"maxAttempts":5,"service":"s"}],"services":[{"name":"s","healthPath":"/healthz"}],"tenants":[{"name":"o","apiKeys":["secret"]}]}`
-	code, told := checkConfiguration(t, good)
+	code, output := checkConfiguration(t, good)
 	g.Expect(code).To(gomega.BeZero())
-	g.Expect(told).To(gomega.BeEmpty())
+	g.Expect(output).To(gomega.BeEmpty())
 
-	code, told = checkConfiguration(t, `{"version":7,
+	code, output = checkConfiguration(t, `{"version":7,
 "routes":[{"host":"a","pathPrefix":"/x/","routeType":"odd","service":"s","timeoutMs":1000},
 {"host":"A","pathPrefix":"/x/","routeType":"idempotent","backends":[{"service":"t","weight":0}],"targetLatencyMs":9}],
 "services":[{"name":"s"}],"tenants":[{"name":"o","apiKeys":["secret"]},{"name":"p","apiKeys":["secret"]}]}`)
@@ -80,11 +82,11 @@
 		`/routes/1/backends: no weight is over 0`, `/routes/1/timeoutMs: not over 0`, `/routes/1/maxAttempts: under 1`,
 		`/services/0/healthPath: missing`, `/tenants/1/apiKeys/0: is also a key of "o"`,
 	} {
-		g.Expect(told).To(gomega.ContainSubstring(line))
+		g.Expect(output).To(gomega.ContainSubstring(line))
 	}
-	g.Expect(told).NotTo(gomega.ContainSubstring("secret"))
+	g.Expect(output).NotTo(gomega.ContainSubstring("secret"))
 
-	code, told = checkConfiguration(t, `{"version":7,`)
+	code, output = checkConfiguration(t, `{"version":7,`)
 	g.Expect(code).To(gomega.Equal(exitFindings))
-	g.Expect(told).To(gomega.ContainSubstring("not JSON"))
+	g.Expect(output).To(gomega.ContainSubstring("not JSON"))
 }
--- a/entry/model_test.go
+++ b/entry/model_test.go
@@ -35,28 +35,30 @@
 	modelCall   = 60 * time.Millisecond
 )
 
-// modelSends are the times of requests after the signal.
-var modelSends = []time.Duration{
+// modelSendTimes are the times of requests, relative to the signal.
+var modelSendTimes = []time.Duration{
 	-3 * time.Second, -time.Millisecond, 0, time.Millisecond, 650 * time.Millisecond, 800 * time.Millisecond, 2500 * time.Millisecond,
 	2501 * time.Millisecond, 4 * time.Second, 5500 * time.Millisecond, 6850 * time.Millisecond, 7350 * time.Millisecond,
 	modelGrace - graceMargin - time.Millisecond, modelGrace - graceMargin,
 }
 
-// modelRequest is a caller's request; docs/design/machines.md has the states.
+// modelRequest is a caller's request; docs/design/machines.md describes the states.
 type modelRequest struct {
-	path string
-	at   time.Duration // after the signal
-	kept bool          // on a connection that has carried a request before
+	path   string
+	at     time.Duration // after the signal
+	reused bool          // sent on a connection that has carried a request before
 }
 
-func (r modelRequest) String() string { return fmt.Sprintf("%s at %v kept %v", r.path, r.at, r.kept) }
+func (r modelRequest) String() string {
+	return fmt.Sprintf("%s at %v reused %v", r.path, r.at, r.reused)
+}
 
-// modelServer is a backend server whose answers take what the path says.
+// modelServer is a backend server whose responses take the time at the end of the path.
 type modelServer struct {
-	reached *sync.Map // ids of the requests that it was sent
+	reached *sync.Map // ids of the requests that were sent to it
 }
 
-func lengthOf(path string) time.Duration {
+func pathDuration(path string) time.Duration {
 	d, err := time.ParseDuration(path[strings.LastIndexByte(path, '/')+1:])
 	if err != nil {
 		panic(err)
@@ -67,7 +69,7 @@
 // Open implements exchange.Backend.
 func (s modelServer) Open(ctx context.Context, a *exchange.Attempt) (*exchange.Answer, error) {
 	s.reached.Store(a.Request.ID, true)
-	length := lengthOf(a.Request.Target)
+	length := pathDuration(a.Request.Target)
 	if a.Request.Route.Kind != site.Stream {
 		select {
 		case <-time.After(length):
@@ -108,7 +110,7 @@
 	return nil, io.ErrClosedPipe
 }
 
-// pipeListener hands out the ends of pipes, so that connections run in virtual time.
+// pipeListener accepts in-memory pipes, so that connections work in virtual time.
 type pipeListener struct {
 	conns chan net.Conn
 	done  chan struct{}
@@ -142,61 +144,62 @@
 	}
 }
 
-// modelEntry is a process that serves callers, without what it doesn't need here.
-func modelEntry(stop *stopping, server modelServer) *Entry {
+// modelEntry is an Entry with only the parts that serving callers needs.
+func modelEntry(stop *shutdownState, server modelServer) *Entry {
 	e := &Entry{
 		settings: platform.Settings{Grace: modelGrace}, recorder: event.Discard(), registry: prometheus.NewRegistry(),
-		holder: site.NewHolder(), directory: directory.New(), stop: stop, cutter: newCutter(),
+		configHolder: site.NewHolder(), directory: directory.New(), shutdown: stop, canceller: newRequestCanceller(),
 	}
-	e.config = &site.Follower{Holder: e.holder, Recorder: e.recorder}
+	e.configFollower = &site.Follower{Holder: e.configHolder, Recorder: e.recorder}
 	e.election = fleet.NewElection(fleet.ElectionOptions{
 		Socket: fleet.NewSocket("", func() []string { return nil }, nil), Recorder: e.recorder,
 		Position: func(fleet.Subject) uint64 { return 1 }, Size: func() int { return 1 },
 	})
 	target := []site.Target{{Service: "s", Weight: 1}}
-	e.holder.Offer(&site.Versioned{Position: 1, Config: site.New(1, []site.Route{
+	e.configHolder.Offer(&site.Versioned{Position: 1, Config: site.New(1, []site.Route{
 		{Name: "stream", Host: "h", Prefix: "/stream/", Kind: site.Stream, Public: true, Targets: target},
 		{Name: "call", Host: "h", Prefix: "/call/", Kind: site.AtMostOnce, Public: true, Targets: target},
 	}, nil, nil, site.ClientLimits{})})
 	e.directory.Apply(1, []directory.Listing{{ID: "a1", Service: "s", Address: "a1", Zone: "a", Slots: 64}}, false, time.Now())
 	e.exchange = exchange.New(exchange.Options{
-		Directory: e.directory, Backend: server, Services: e.service, Recorder: e.recorder, Metrics: e.registry,
+		Directory: e.directory, Backend: server, Services: e.findService, Recorder: e.recorder, Metrics: e.registry,
 		Suspects: suspect.New(suspect.Options{Self: "m", Recorder: e.recorder}), RetryWindow: 10 * time.Second,
 		RetryExtra: func() float64 { return 10 },
 	})
 	return e
 }
 
-// closedUnread is a connection that ends before anything of its answer. It may
-// happen to a request that crosses the close of a kept connection, which nobody
-// has used for a second.
-const closedUnread = "cut before its head"
+// closedBeforeHead is the outcome of a connection that is closed before any part of a
+// response. It may happen to a request that is sent while the process closes a
+// keep-alive connection that has been idle for a second.
+const closedBeforeHead = "cut before its head"
 
-// ask sends a request and returns what the caller got.
-func ask(l *pipeListener, r modelRequest, id string) string {
+// sendModelRequest sends a request on a connection of its own and returns what the caller got.
+func sendModelRequest(l *pipeListener, r modelRequest, id string) string {
 	conn := l.dial()
 	if conn == nil {
 		return "no connection"
 	}
 	defer conn.Close()
 	answers := bufio.NewReader(conn)
-	if r.kept {
-		if got := exchangeOn(conn, answers, "/call/"+modelCall.String(), id+"k"); got != "whole" {
+	if r.reused {
+		if got := roundTripOn(conn, answers, "/call/"+modelCall.String(), id+"k"); got != "whole" {
 			return "no connection"
 		}
 		time.Sleep(time.Second)
 	}
-	return exchangeOn(conn, answers, r.path, id)
+	return roundTripOn(conn, answers, r.path, id)
 }
 
-func exchangeOn(conn net.Conn, answers *bufio.Reader, path, id string) string {
+// roundTripOn sends a request on a connection and returns what the caller got.
+func roundTripOn(conn net.Conn, answers *bufio.Reader, path, id string) string {
 	_, err := fmt.Fprintf(conn, "POST %s HTTP/1.1\r\nHost: h\r\nAttempt-Id: %s\r\nDeadline-Ms: 25000\r\nContent-Length: 0\r\n\r\n", path, id)
 	if err != nil {
 		return "no connection"
 	}
 	answer, err := http.ReadResponse(answers, nil)
 	if err != nil {
-		return closedUnread
+		return closedBeforeHead
 	}
 	body, err := io.ReadAll(answer.Body)
 	switch {
@@ -211,14 +214,14 @@
 	}
 }
 
-// playStop stops a process among some requests and returns what each caller got.
-func playStop(t *testing.T, stop *stopping, requests []modelRequest) []string {
+// runStop stops a process while requests arrive and returns what each caller got.
+func runStop(t *testing.T, stop *shutdownState, requests []modelRequest) []string {
 	backend := modelServer{reached: &sync.Map{}}
 	e := modelEntry(stop, backend)
 	l := &pipeListener{conns: make(chan net.Conn), done: make(chan struct{})}
-	h := &handler{holder: e.holder, exchange: e.exchange, recorder: e.recorder, stop: e.stop, listed: e.listed}
-	callers := e.callers(l)
-	server := &http.Server{Handler: e.counted(h)}
+	h := &handler{configHolder: e.configHolder, exchange: e.exchange, recorder: e.recorder, shutdown: e.shutdown, hasServers: e.anyServerListed}
+	callers := e.trackCallers(l)
+	server := &http.Server{Handler: e.countRunning(h)}
 	callers.Attach(server)
 	ctx, signal := context.WithCancel(t.Context())
 	var group run.Group
@@ -230,13 +233,13 @@
 	for i, r := range requests {
 		asking.Go(func() {
 			wait := modelSignal + r.at
-			if r.kept {
+			if r.reused {
 				wait -= time.Second + modelCall
 			}
 			time.Sleep(wait)
 			id := fmt.Sprint("r", i)
-			got[i] = ask(l, r, id)
-			if _, ran := backend.reached.Load(id); got[i] == closedUnread && !ran && r.kept {
+			got[i] = sendModelRequest(l, r, id)
+			if _, ran := backend.reached.Load(id); got[i] == closedBeforeHead && !ran && r.reused {
 				got[i] = "not run"
 			}
 		})
@@ -250,69 +253,70 @@
 	return got
 }
 
-// modelRequests are all requests of some paths.
+// modelRequests returns the requests to some paths at all times, on new and reused
+// connections.
 func modelRequests(paths ...string) []modelRequest {
 	var all []modelRequest
 	for _, path := range paths {
-		for _, at := range modelSends {
-			all = append(all, modelRequest{path: path, at: at}, modelRequest{path: path, at: at, kept: at > -time.Second})
+		for _, at := range modelSendTimes {
+			all = append(all, modelRequest{path: path, at: at}, modelRequest{path: path, at: at, reused: at > -time.Second})
 		}
 	}
 	return all
 }
 
-// playPairs stops a process among each two of some requests.
-func playPairs(t *testing.T, stop func() *stopping, requests []modelRequest) (broken []string, played int) {
+// runStopPairs stops a process once for each pair of requests.
+func runStopPairs(t *testing.T, stop func() *shutdownState, requests []modelRequest) (broken []string, runs int) {
 	for i := range requests {
 		for j := i; j < len(requests); j++ {
 			pair := []modelRequest{requests[i], requests[j]}
-			played++
-			for k, got := range playStop(t, stop(), pair) {
+			runs++
+			for k, got := range runStop(t, stop(), pair) {
 				if got != "whole" && got != "not run" && got != "no connection" && len(broken) < 5 {
 					broken = append(broken, fmt.Sprintf("%v and %v: %s", pair[k], pair[1-k], got))
 				}
 			}
 		}
 	}
-	return broken, played
+	return broken, runs
 }
 
-// young has seen no request end.
-func young() *stopping { return newStopping() }
+// withoutHistory is the state of a process in which no request has ended yet.
+func withoutHistory() *shutdownState { return newShutdownState() }
 
-// old has seen streams of two seconds only.
-func old() *stopping {
-	s := newStopping()
-	for range durationSamples {
-		s.of(&site.Route{Name: "stream", Kind: site.Stream}).took(2 * time.Second)
+// withShortStreams is the state of a process in which only streams of two seconds have ended.
+func withShortStreams() *shutdownState {
+	s := newShutdownState()
+	for range maxSamples {
+		s.durationsOf(&site.Route{Name: "stream", Kind: site.Stream}).record(2 * time.Second)
 	}
 	return s
 }
 
-// A process is stopped while long and short streams and calls come, on new and
-// on kept connections, at every moment of its stop that decides something. What
-// it takes is answered whole; what it does not take is told that it has not run,
-// or finds no connection.
-func TestStopAmongAllRequests(t *testing.T) {
+// A process is stopped while long and short streams and calls arrive, on new and on
+// reused connections, at every decisive moment of the stop. Requests that it accepts are
+// answered completely; the others are refused as not run or can't connect.
+func TestStopDuringAllPairsOfRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		broken, played := playPairs(t, young, modelRequests("/stream/6.5s", "/call/60ms"))
+		broken, runs := runStopPairs(t, withoutHistory, modelRequests("/stream/6.5s", "/call/60ms"))
 		g.Expect(broken).To(gomega.BeEmpty())
-		g.Expect(played).To(gomega.BeNumerically(">", 1000))
-		broken, _ = playPairs(t, old, modelRequests("/stream/2s", "/call/700ms"))
+		g.Expect(runs).To(gomega.BeNumerically(">", 1000))
+		broken, _ = runStopPairs(t, withShortStreams, modelRequests("/stream/2s", "/call/700ms"))
 		g.Expect(broken).To(gomega.BeEmpty())
 	})
 }
 
-// The test above can fail: it finds a process that takes what it can't finish.
-func TestModelFindsAStreamThatIsCut(t *testing.T) {
+// Checks that the test above can fail: it detects a process that accepts streams that it
+// can't finish.
+func TestModelDetectsCutStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		careless := func() *stopping {
-			s := newStopping()
-			s.byRoute[routeKind{"stream", site.Stream}] = newDurations(0)
+		withoutEstimate := func() *shutdownState {
+			s := newShutdownState()
+			s.byRoute[routeKey{"stream", site.Stream}] = newDurationStats(0)
 			return s
 		}
-		broken, _ := playPairs(t, careless, modelRequests("/stream/6.5s"))
+		broken, _ := runStopPairs(t, withoutEstimate, modelRequests("/stream/6.5s"))
 		gomega.NewWithT(t).Expect(broken).NotTo(gomega.BeEmpty())
 	})
 }
--- a/entry/panics.go
+++ b/entry/panics.go
@@ -13,36 +13,35 @@
 	"github.com/pearyard/pearyard/platform"
 )
 
-// errFault is what the caller of a request is told that met a fault of this program.
-var errFault = errors.New("entry: a fault of this program ended the request")
+// errInternal is the error reported to the caller of a request whose handler panicked.
+var errInternal = errors.New("entry: an internal error ended the request")
 
-// maxStack bounds the stack in a line: a dozen calls.
-const maxStack = 2048
+// maxStackBytes bounds the stack trace in a log line; it fits about a dozen frames.
+const maxStackBytes = 2048
 
-// answerPanic ends a request on whose path the program panicked; it is to be
-// deferred. http.ErrAbortHandler goes on to the server: with it handlers cut
-// answers.
+// recoverPanic answers a request whose handler panicked; it must be deferred. The
+// recovery in net/http would close the connection without a response.
 //
-// The server's own recovery closes the connection without an answer.
-func (h *handler) answerPanic(w *httpanswer.Writer, r *http.Request) {
-	why := recover()
-	if why == nil {
+// http.ErrAbortHandler is passed on to the server: handlers abort responses with it.
+func (h *handler) recoverPanic(w *httpanswer.Writer, r *http.Request) {
+	recovered := recover()
+	if recovered == nil {
 		return
 	}
-	if why == http.ErrAbortHandler {
-		panic(why)
+	if recovered == http.ErrAbortHandler {
+		panic(recovered)
 	}
 	id := platform.RequestID(r)
 	stack := debug.Stack()
-	if fault, ok := why.(*exchange.Fault); ok {
+	if fault, ok := recovered.(*exchange.Fault); ok {
 		stack = fault.Stack
 	}
-	h.recorder.Emit(EventPanicked, event.FieldRequest, id, "panic", fmt.Sprint(why), "answered", !w.Begun, "stack", string(stack[:min(len(stack), maxStack)]))
+	h.recorder.Emit(EventPanicked, event.FieldRequest, id, "panic", fmt.Sprint(recovered), "answered", !w.Begun, "stack", string(stack[:min(len(stack), maxStackBytes)]))
 	if w.Begun {
-		cut(r)
+		abortResponse(r)
 	}
-	// What has been set belongs to an answer that isn't given.
+	// The header fields set so far belong to a response that isn't sent.
 	clear(w.Header())
 	w.Header().Set("Connection", "close")
-	platform.WriteFailure(w, id, &exchange.Failure{Ran: true, Err: errFault})
+	platform.WriteFailure(w, id, &exchange.Failure{Ran: true, Err: errInternal})
 }
--- a/entry/panics_test.go
+++ b/entry/panics_test.go
@@ -21,80 +21,79 @@
 	"github.com/pearyard/pearyard/suspect"
 )
 
-// faultyBackend panics where it is told to.
+// faultyBackend panics at the given place.
 type faultyBackend struct {
 	modelServer
 	at string
 }
 
-// faultyBody panics after its first event.
+// faultyBody panics at the end of its reader.
 type faultyBody struct{ io.Reader }
 
 func (b faultyBody) Read(p []byte) (int, error) {
 	n, err := b.Reader.Read(p)
 	if err != nil {
-		panicOnNil()
+		panicOnNilMap()
 	}
 	return n, err
 }
 
 func (faultyBody) Close() error { return nil }
 
-// panicOnNil makes a fault of the kind that programs have.
-func panicOnNil() { noMap["x"]++ }
+// panicOnNilMap panics with a runtime error.
+func panicOnNilMap() { nilMap["x"]++ }
 
-var noMap map[string]int
+var nilMap map[string]int
 
 // Open implements exchange.Backend.
 func (b faultyBackend) Open(context.Context, *exchange.Attempt) (*exchange.Answer, error) {
 	if b.at == "open" {
-		panicOnNil()
+		panicOnNilMap()
 	}
 	header := http.Header{"Response-Signature": {"x"}, "Content-Type": {"text/event-stream"}}
 	return &exchange.Answer{Status: http.StatusOK, Header: header, Body: faultyBody{strings.NewReader("id: 1\ndata: x\n\n")}}, nil
 }
 
-// faulty returns a handler with a fault in it, and its recorder.
-func faulty(at string) (*handler, *event.Recorder) {
-	return faultyWith(func(*event.Recorder) exchange.Backend { return faultyBackend{at: at} }, at)
+// faultyHandler returns a handler that panics at the given place, and its recorder.
+func faultyHandler(at string) (*handler, *event.Recorder) {
+	return faultyHandlerWith(func(*event.Recorder) exchange.Backend { return faultyBackend{at: at} }, at)
 }
 
-// faultyWith returns such a handler over a backend.
-func faultyWith(backend func(*event.Recorder) exchange.Backend, at string) (*handler, *event.Recorder) {
-	e := modelEntry(newStopping(), modelServer{reached: &sync.Map{}})
+// faultyHandlerWith returns such a handler with another backend.
+func faultyHandlerWith(backend func(*event.Recorder) exchange.Backend, at string) (*handler, *event.Recorder) {
+	e := modelEntry(newShutdownState(), modelServer{reached: &sync.Map{}})
 	e.exchange = exchange.New(exchange.Options{
-		Directory: e.directory, Backend: backend(e.recorder), Services: e.service, Recorder: e.recorder,
+		Directory: e.directory, Backend: backend(e.recorder), Services: e.findService, Recorder: e.recorder,
 		Suspects: suspect.New(suspect.Options{Self: "m", Recorder: e.recorder}), Metrics: prometheus.NewRegistry(),
 		RetryWindow: time.Second, RetryExtra: func() float64 { return 10 },
 	})
-	listed := e.listed
+	listed := e.anyServerListed
 	if at == "listed" {
-		listed = func() bool { panicOnNil(); return true }
+		listed = func() bool { panicOnNilMap(); return true }
 	}
-	return &handler{holder: e.holder, exchange: e.exchange, recorder: e.recorder, stop: e.stop, listed: listed}, e.recorder
+	return &handler{configHolder: e.configHolder, exchange: e.exchange, recorder: e.recorder, shutdown: e.shutdown, hasServers: listed}, e.recorder
 }
 
-// The program has a fault on a request's path: it writes to a nil map. The
-// request's caller saw a closed connection, and the only trace was a stack on
-// standard error that named no request. Whoever hasn't got any of an answer gets
-// one that says that the request may have run; a begun answer is cut; both have a
-// line.
-func TestPanicOnARequestsPathIsAnsweredAndLogged(t *testing.T) {
+// A handler panics. With net/http's recovery the caller sees a closed connection, and
+// the stack on standard error names no request. A caller that has received no part of a
+// response gets one that says that the request may have run; a response that has begun
+// is aborted. Both are logged.
+func TestHandlerPanicIsAnsweredAndLogged(t *testing.T) {
 	for at, status := range map[string]int{"listed": http.StatusBadGateway, "open": http.StatusBadGateway, "read": http.StatusOK} {
 		t.Run(at, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			h, recorder := faulty(at)
+			h, recorder := faultyHandler(at)
 			server := httptest.NewServer(h)
 			defer server.Close()
 			answer, body, err := post(server, "/stream/1s", "a1")
 			g.Expect(answer).NotTo(gomega.BeNil(), "%v", err)
 			g.Expect(answer.StatusCode).To(gomega.Equal(status))
 			if status == http.StatusOK {
-				g.Expect(err).To(gomega.HaveOccurred(), "cut, got %q", body)
+				g.Expect(err).To(gomega.HaveOccurred(), "aborted, got %q", body)
 			} else {
 				g.Expect(err).NotTo(gomega.HaveOccurred())
 				g.Expect(answer.Header.Get("Attempt-Id")).To(gomega.Equal("a1"))
-				g.Expect(answer.Header).NotTo(gomega.HaveKey("Response-Signature"), "no server gave this answer")
+				g.Expect(answer.Header).NotTo(gomega.HaveKey("Response-Signature"), "this response is not from a server")
 			}
 			lines := recorder.Entries("a1")
 			g.Expect(lines).NotTo(gomega.BeEmpty())
@@ -103,8 +102,8 @@
 	}
 }
 
-// post sends a request on a connection of its own; the answer is nil if its
-// head didn't come.
+// post sends a request on a connection of its own. The response is nil if its head
+// didn't arrive.
 func post(server *httptest.Server, path, id string) (answer *http.Response, body string, err error) {
 	conn, err := net.Dial("tcp4", server.Listener.Addr().String())
 	if err != nil {
@@ -123,11 +122,11 @@
 	return answer, string(raw), err
 }
 
-// A handler that means to cut an answer does so: that is no fault of the program.
-func TestCutAnswersAreNoPanics(t *testing.T) {
+// A handler that aborts a response with http.ErrAbortHandler does so without an event.
+func TestAbortedHandlerEmitsNoEvent(t *testing.T) {
 	g := gomega.NewWithT(t)
-	h, recorder := faulty("none")
-	h.listed = func() bool { panic(http.ErrAbortHandler) }
+	h, recorder := faultyHandler("none")
+	h.hasServers = func() bool { panic(http.ErrAbortHandler) }
 	server := httptest.NewServer(h)
 	defer server.Close()
 	answer, _, err := post(server, "/stream/1s", "a1")
@@ -136,14 +135,13 @@
 	g.Expect(recorder.Entries("a1")).To(gomega.BeEmpty())
 }
 
-// The same fault where plain calls meet their servers, which is beside the
-// request's own path: it ended the whole process, with every stream that ran
-// through it. It costs one attempt, and says so.
-func TestPanicBesideARequestsPathCostsOneAttempt(t *testing.T) {
+// A panic on a goroutine that talks to a backend server would end the process with all
+// its streams. It costs one attempt instead, and is logged.
+func TestBackendPanicCostsOneAttempt(t *testing.T) {
 	for _, at := range []string{"open", "read"} {
 		t.Run(at, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			h, recorder := faultyWith(func(r *event.Recorder) exchange.Backend {
+			h, recorder := faultyHandlerWith(func(r *event.Recorder) exchange.Backend {
 				return &guardedBackend{faultyBackend{at: at}, r}
 			}, at)
 			server := httptest.NewServer(h)
--- a/entry/wired_test.go
+++ b/entry/peers_test.go
@@ -15,14 +15,14 @@
 	"github.com/pearyard/pearyard/standin/nursery"
 )
 
-// besideAnother starts a world of two entry VMs; the other one only says
-// whether it stops, and hears whether the process does.
-func besideAnother(t *testing.T) (*world, *fleet.Election) {
+// startWithPeer starts an environment with a second entry VM that only takes part in the
+// election: it announces its own stop and learns of the process's.
+func startWithPeer(t *testing.T) (*testEnv, *fleet.Election) {
 	t.Helper()
 	g := gomega.NewWithT(t)
 	other, own := "", ""
-	w := serving(t, 1, func(s *platform.Settings) {
-		other, own = free(t, s.IP, 1)[0], s.Peers
+	w := startServing(t, 1, func(s *platform.Settings) {
+		other, own = freeAddresses(t, s.IP, 1)[0], s.Peers
 		rows := platform.NewStore(s.Store, prometheus.NewRegistry())
 		g.Expect(rows.Put(t.Context(), "entry_vms", "edge-2", []byte(other))).To(gomega.Succeed())
 	})
@@ -36,11 +36,12 @@
 	ended := make(chan error, 1)
 	go func() { ended <- socket.Run(ctx) }()
 	t.Cleanup(func() { cancel(); <-ended })
-	g.Eventually(func() float64 { return received(t, metrics) }, "10s", "10ms").Should(gomega.BeNumerically(">", 0), "each hears the other")
+	g.Eventually(func() float64 { return datagramsReceived(t, metrics) }, "10s", "10ms").Should(gomega.BeNumerically(">", 0), "datagrams arrive")
 	return w, election
 }
 
-func received(t *testing.T, metrics prometheus.Gatherer) float64 {
+// datagramsReceived returns how many datagrams were received.
+func datagramsReceived(t *testing.T, metrics prometheus.Gatherer) float64 {
 	families, err := metrics.Gather()
 	if err != nil {
 		t.Fatal(err)
@@ -53,45 +54,45 @@
 	return 0
 }
 
-// A process is stopped. It says so to the others at the beginning of the stop:
-// those that are stopped as well would send their callers here otherwise.
-func TestStopIsToldAtItsBeginning(t *testing.T) {
+// A process announces its stop to the others at the beginning of the stop. Otherwise
+// other stopping processes would send their callers here.
+func TestStopIsAnnouncedAtItsBeginning(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w, other := besideAnother(t)
+	w, other := startWithPeer(t)
 	g.Expect(other.AllStop()).To(gomega.BeFalse())
 	w.stop()
 	g.Eventually(other.AllStop, "1s", "5ms").Should(gomega.BeTrue())
-	g.Expect(w.listens()).To(gomega.BeTrue(), "at the beginning")
+	g.Expect(w.listens()).To(gomega.BeTrue(), "the stop has only begun")
 }
 
-// Both entry VMs are stopped. A caller that one refuses is told when they are
-// back: sent on at once, it would be refused by the other too.
-func TestCallersAreToldWhenAllAreBack(t *testing.T) {
+// Both entry VMs are stopped. The Retry-After of a refusal is the time until they are
+// back: a caller that retried at once would be refused by the other one too.
+func TestRetryAfterWhenBothVMsStop(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w, other := besideAnother(t)
+	w, other := startWithPeer(t)
 	other.Stopping()
 	w.stop()
 	g.Eventually(w.logs.text).Should(gomega.ContainSubstring("event=PY2754"))
-	answer := w.send(ask{id: "r1", path: "/stream/1"}).head()
+	answer := w.send(testRequest{id: "r1", path: "/stream/1"}).readHead()
 	g.Expect(answer.Status).To(gomega.Equal(503))
 	wait, err := strconv.ParseFloat(answer.Header.Get("Retry-After"), 64)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(wait).To(gomega.BeNumerically(">", 0.5))
 }
 
-// All entry VMs were killed in a mass loss. What they had sent again is
-// forgotten with them; if they used all the fixed retries anew, backend servers
-// would get more repeats in a window than allowed. A process that is as old as
-// the window uses them.
-func TestYoungProcessKeepsMostFixedRetriesBack(t *testing.T) {
+// After all entry VMs were killed, the retries that they had sent are forgotten. If new
+// processes used the whole fixed part of the retry budget at once, backend servers would
+// get more retries within a window than allowed. A process that is older than the window
+// uses all of it.
+func TestYoungProcessReservesFixedRetries(t *testing.T) {
 	for name, c := range map[string]struct {
 		window time.Duration
 		whole  bool
 	}{"young": {time.Hour, false}, "old": {200 * time.Millisecond, true}} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			w := serving(t, 2, func(s *platform.Settings) { s.RetryRatio, s.RetryExtra, s.RetryWindow = 0, 10, c.window })
-			answer := w.send(ask{id: "r1", path: "/stream/again/1"}).head().events(9)
+			w := startServing(t, 2, func(s *platform.Settings) { s.RetryRatio, s.RetryExtra, s.RetryWindow = 0, 10, c.window })
+			answer := w.send(testRequest{id: "r1", path: "/stream/again/1"}).readHead().readLines(9)
 			ran := w.cloud.Ledger.Runs()[0].Server
 			for _, s := range w.servers {
 				if s.ID() == ran {
@@ -99,12 +100,12 @@
 				}
 			}
 			if c.whole {
-				g.Expect(answer.rest().Err).NotTo(gomega.HaveOccurred())
-				w.sawServers("r1", nursery.BrokeOff, nursery.Whole)
+				g.Expect(answer.readRest().Err).NotTo(gomega.HaveOccurred())
+				w.expectServerEnds("r1", nursery.BrokeOff, nursery.Whole)
 				return
 			}
-			g.Expect(answer.rest().Err).To(gomega.HaveOccurred())
-			w.holds("r1", verdict{"limit", "PY2722", "A limit ended it after"})
+			g.Expect(answer.readRest().Err).To(gomega.HaveOccurred())
+			w.expectEnd("r1", requestEnd{"limit", "PY2722", "A limit ended it after"})
 		})
 	}
 }
--- a/entry/exits_test.go
+++ b/entry/rawserver_test.go
@@ -15,19 +15,19 @@
 	"github.com/pearyard/pearyard/platform"
 )
 
-// rawServing starts a world whose one backend server plays conversation with
-// each request, its head and body read.
-func rawServing(t *testing.T, conversation func(conn net.Conn, r *http.Request)) *world {
+// startWithRawServer starts an environment with a single backend server that runs
+// conversation for each request, after it has read its head and body.
+func startWithRawServer(t *testing.T, conversation func(conn net.Conn, r *http.Request)) *testEnv {
 	t.Helper()
-	w := newWorld(t, 0, nil)
-	w.addRaw(conversation)
+	w := newTestEnv(t, 0, nil)
+	w.addRawServer(conversation)
 	w.configure(1, `"k0"`, testRoutes...)
 	gomega.NewWithT(t).Eventually(w.isReady, "10s", "10ms").Should(gomega.BeTrue())
 	return w
 }
 
-// addRaw lists a backend server that answers by hand.
-func (w *world) addRaw(conversation func(conn net.Conn, r *http.Request)) {
+// addRawServer adds a backend server that runs conversation for each request.
+func (w *testEnv) addRawServer(conversation func(conn net.Conn, r *http.Request)) {
 	w.t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -40,14 +40,15 @@
 			if err != nil {
 				return
 			}
-			go playRaw(conn, conversation)
+			go serveRaw(conn, conversation)
 		}
 	}()
 	w.store.Put("servers", "i-raw-"+strings.ReplaceAll(listener.Addr().String(), ":", "-"), fmt.Appendf(nil,
 		`{"service":"s","address":%q,"zone":"a","version":"v1","slots":64,"state":"ready","coldRemainingMs":0,"seq":1,"born":1}`, listener.Addr()))
 }
 
-func playRaw(conn net.Conn, conversation func(conn net.Conn, r *http.Request)) {
+// serveRaw serves the requests of a connection with conversation.
+func serveRaw(conn net.Conn, conversation func(conn net.Conn, r *http.Request)) {
 	defer conn.Close()
 	in := bufio.NewReader(conn)
 	for {
@@ -62,33 +63,33 @@
 	}
 }
 
-// A faulty backend server answers with a status that HTTP doesn't have, signed
-// like any other. The program that hands it on can't write such a status and
-// gave up in the middle: the caller's connection was closed without a word, for
-// streams and plain calls alike, and no line said why.
-func TestStatusThatHTTPDoesNotHaveIsAFailure(t *testing.T) {
+// A faulty backend server responds with a status code that HTTP doesn't have, signed
+// like any other. net/http panics when such a status is written, so the caller's
+// connection was closed without a response and without a log line. It is a failure of
+// the server.
+func TestInvalidStatusCodeIsAFailure(t *testing.T) {
 	for _, status := range []string{"000", "001", "099"} {
 		for _, path := range []string{"/once/1", "/large/1", "/stream/1"} {
 			t.Run(status+path, func(t *testing.T) {
 				g := gomega.NewWithT(t)
-				w := rawServing(t, func(conn net.Conn, r *http.Request) {
+				w := startWithRawServer(t, func(conn net.Conn, r *http.Request) {
 					_, _ = fmt.Fprintf(conn, "HTTP/1.1 %s Odd\r\nAttempt-Id: %s\r\nResponse-Signature: x\r\nContent-Length: 2\r\n\r\nab", status, r.Header.Get("Attempt-Id"))
 				})
-				c := w.send(ask{id: "r1", path: path}).head()
-				g.Expect(c.Err).NotTo(gomega.HaveOccurred(), "a closed connection is no answer")
+				c := w.send(testRequest{id: "r1", path: path}).readHead()
+				g.Expect(c.Err).NotTo(gomega.HaveOccurred(), "closed without a response")
 				g.Expect(c.Status).To(gomega.Equal(502))
-				g.Expect(c.Header).NotTo(gomega.HaveKey("Response-Signature"), "no server gave this answer")
-				w.holds("r1", verdict{"server", "PY2722", "Its backend server "})
+				g.Expect(c.Header).NotTo(gomega.HaveKey("Response-Signature"), "this response is not from a server")
+				w.expectEnd("r1", requestEnd{"server", "PY2722", "Its backend server "})
 			})
 		}
 	}
 }
 
-// A caller's link takes longer for a request than the caller waits. What the
-// process says of it: refused, has not run, and why.
-func TestEndedByItsLateBody(t *testing.T) {
-	g, w := gomega.NewWithT(t), serving(t, 1, nil)
-	conn, err := net.Dial("tcp4", w.callers)
+// A request takes longer to arrive than its caller waits. It is refused as not run, by
+// its deadline.
+func TestEndedByDeadlineBeforeBodyIsComplete(t *testing.T) {
+	g, w := gomega.NewWithT(t), startServing(t, 1, nil)
+	conn, err := net.Dial("tcp4", w.callerAddr)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	defer conn.Close()
 	_, err = fmt.Fprintf(conn, "POST /once/1 HTTP/1.1\r\nHost: %s\r\nAttempt-Id: r1\r\nDeadline-Ms: 200\r\nAuthorization: Token k0\r\nContent-Length: 2\r\n\r\na", testHost)
@@ -99,34 +100,33 @@
 	answer, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(answer.StatusCode).To(gomega.Equal(503))
-	w.sawServers("r1")
-	w.holds("r1", verdict{"deadline", "PY2761", "It was refused and has not run: its last byte came after"})
+	w.expectServerEnds("r1")
+	w.expectEnd("r1", requestEnd{"deadline", "PY2761", "It was refused and has not run: its last byte came after"})
 }
 
-// A planned stop's grace period ends while calls run that must not run twice.
-// Their callers saw a closed connection, as if the process had been killed:
-// nothing of an answer was on its way, so they are told that the call may have
-// run. Streams that have not begun are told so too.
-func TestStopAnswersWhatItCutsBeforeItsHead(t *testing.T) {
+// The grace period of a planned stop ends while calls run that must not run twice, or
+// streams that have not begun. No part of a response has been sent, so the callers get
+// one that says that the request may have run, instead of a closed connection.
+func TestStopAnswersRequestsWithoutResponse(t *testing.T) {
 	for _, path := range []string{"/once/1", "/large/1", "/stream/1"} {
 		t.Run(path, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			w := newWorld(t, 0, func(s *platform.Settings) { s.Grace = 500 * time.Millisecond })
+			w := newTestEnv(t, 0, func(s *platform.Settings) { s.Grace = 500 * time.Millisecond })
 			reached := make(chan struct{}, 1)
-			w.addRaw(func(_ net.Conn, r *http.Request) {
+			w.addRawServer(func(_ net.Conn, r *http.Request) {
 				if r.Header.Get("Attempt-Id") == "r1" {
-					reached <- struct{}{} // and never answers
+					reached <- struct{}{} // and never responds
 				}
 			})
 			w.configure(1, `"k0"`, testRoutes...)
 			g.Eventually(w.isReady, "10s", "10ms").Should(gomega.BeTrue())
-			c := w.send(ask{id: "r1", path: path})
+			c := w.send(testRequest{id: "r1", path: path})
 			g.Eventually(reached, "5s").Should(gomega.Receive())
 			w.stop()
-			g.Expect(c.head().Err).NotTo(gomega.HaveOccurred(), "a closed connection is no answer")
+			g.Expect(c.readHead().Err).NotTo(gomega.HaveOccurred(), "closed without a response")
 			g.Expect(c.Status).To(gomega.Equal(502))
-			g.Expect(c.rest().Err).NotTo(gomega.HaveOccurred())
-			w.holds("r1", verdict{"stop", "PY2734", "The planned stop of edge-1 cut it after"})
+			g.Expect(c.readRest().Err).NotTo(gomega.HaveOccurred())
+			w.expectEnd("r1", requestEnd{"stop", "PY2734", "The planned stop of edge-1 cut it after"})
 		})
 	}
 }
--- a/entry/writers_test.go
+++ b/entry/ready_test.go
@@ -12,6 +12,7 @@
 	"github.com/pearyard/pearyard/site"
 )
 
+// newEntry returns an Entry that isn't running.
 func newEntry(t *testing.T) *Entry {
 	t.Helper()
 	e, err := New(Options{Settings: platform.Settings{Name: "e", Zone: "z", Peers: "127.0.0.1:1", Store: "127.0.0.1:2", RetryWindow: time.Second}, Logger: log.NewNopLogger()})
@@ -21,15 +22,16 @@
 	return e
 }
 
-func offer(e *Entry, version uint64, service string) {
+// offerConfig applies a configuration with a single route to a service.
+func offerConfig(e *Entry, version uint64, service string) {
 	route := site.Route{Host: "h", Prefix: "/x/", Targets: []site.Target{{Service: service, Weight: 1}}}
-	e.holder.Offer(&site.Versioned{Config: site.New(version, []site.Route{route}, nil, nil, site.ClientLimits{}), Position: version})
+	e.configHolder.Offer(&site.Versioned{Config: site.New(version, []site.Route{route}, nil, nil, site.ClientLimits{}), Position: version})
 }
 
-// An entry VM starts while the list holds nothing that it can send to: entries
-// of other writers, of a service that no route leads to, of servers that leave.
-// It used to report itself ready, got callers, and refused all of them.
-func TestNotReadyOnAListThatNamesNoServerToUse(t *testing.T) {
+// An entry VM starts while the list has no server that it can use: entries without a
+// service, of a service that no route leads to, of draining servers. If it reported
+// itself ready, it would get callers and refuse all of them.
+func TestNotReadyWithoutUsableServer(t *testing.T) {
 	entry := func(id, service string, draining bool) directory.Listing {
 		return directory.Listing{ID: id, Service: service, Address: "10.0.0.1:80", Slots: 1, Draining: draining}
 	}
@@ -42,7 +44,7 @@
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			e := newEntry(t)
-			offer(e, 1, "s")
+			offerConfig(e, 1, "s")
 			e.directory.Apply(1, list, false, time.Now())
 			g.Expect(e.Ready()).To(gomega.BeFalse())
 			e.directory.Apply(2, append(list, entry("c", "s", false)), false, time.Now())
@@ -51,12 +53,12 @@
 	}
 }
 
-// All servers of a VM that serves begin to leave at once, and others will join.
-// Out of rotation, it would get its callers back only two questions later.
-func TestReadyVMStaysReadyWhileItsServersLeave(t *testing.T) {
+// A ready VM stays ready when all of its servers begin to drain at once, since others will
+// join. Out of rotation, it would get its callers back only two health checks later.
+func TestReadyVMStaysReadyWhileServersDrain(t *testing.T) {
 	g := gomega.NewWithT(t)
 	e := newEntry(t)
-	offer(e, 1, "s")
+	offerConfig(e, 1, "s")
 	server := directory.Listing{ID: "a", Service: "s", Address: "10.0.0.1:80"}
 	e.directory.Apply(1, []directory.Listing{server}, false, time.Now())
 	g.Expect(e.Ready()).To(gomega.BeTrue())
--- a/entry/kept_test.go
+++ b/entry/reconnect_test.go
@@ -7,19 +7,19 @@
 	"github.com/onsi/gomega"
 )
 
-// A caller's connection breaks in the middle of a draft. She comes back with another
-// attempt for the rest of it. The draft goes on at the server that read her prompt,
-// of five that might take it, and what she gets follows her last event.
-func TestCallerThatComesBackMeetsTheServerThatKeepsHerPrompt(t *testing.T) {
+// A caller's connection breaks in the middle of a stream, and the caller requests the
+// rest with a new attempt. The stream resumes at the server that has the prompt cached,
+// of five that could serve it, with the event that follows the caller's last one.
+func TestReconnectingCallerReachesServerWithCachedPrompt(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w := serving(t, 5, nil)
-	for i := range 4 { // by chance alone she would meet it four times in a row in one of 625 runs
+	w := startServing(t, 5, nil)
+	for i := range 4 { // random choice would pick the same server four times in a row in one run of 625
 		prompt := fmt.Sprintf("Token-Usage: 8000,200\r\nPrefix-Hash: shared:200,own%d:7800\r\n", i)
 		path := fmt.Sprintf("/stream/again/%d", i)
-		first := w.send(ask{id: fmt.Sprint("first-", i), path: path, more: prompt}).head().events(9)
+		first := w.send(testRequest{id: fmt.Sprint("first-", i), path: path, extraHeader: prompt}).readHead().readLines(9)
 		g.Expect(first.Err).NotTo(gomega.HaveOccurred())
 		g.Expect(first.conn.Close()).To(gomega.Succeed())
-		again := w.send(ask{id: fmt.Sprint("again-", i), path: path, more: prompt + "Last-Event-Id: 3\r\n"}).head()
+		again := w.send(testRequest{id: fmt.Sprint("again-", i), path: path, extraHeader: prompt + "Last-Event-Id: 3\r\n"}).readHead()
 		g.Expect(again.Err).NotTo(gomega.HaveOccurred())
 		line, err := again.body.ReadString('\n')
 		g.Expect(err).NotTo(gomega.HaveOccurred())
--- a/entry/refusal.go
+++ b/entry/refusal.go
@@ -15,77 +15,82 @@
 )
 
 const (
-	// comeBackShare of the time that a caller will wait is when it may come
-	// back to a process that knows no configuration yet. Callers come back once
-	// or twice only, and the store may be away for seconds.
-	comeBackShare = 0.25
-	maxComeBack   = 2500 * time.Millisecond
-	// listWait is when a caller may come back to a process that knows its
-	// configuration but no servers yet. It covers a long list over a slow link:
-	// sooner, callers would use up their retries before the list is there.
-	listWait = 1300 * time.Millisecond
-	// elsewhere is told to callers of a process that is about to stop: their
-	// next connection goes to another one.
-	elsewhere = 150 * time.Millisecond
-	// restartTime is how long after its end a process serves again: it is started,
-	// and reads what it needs from the store.
+	// retryDelayRatio is the Retry-After of a process without configuration, as a
+	// fraction of the time that the caller waits in all. Callers retry only once or
+	// twice, and the store may be unreachable for seconds.
+	retryDelayRatio = 0.25
+	maxRetryDelay   = 2500 * time.Millisecond
+	// listRetryDelay is the Retry-After of a process that has a configuration but no list
+	// of servers yet. It covers the transfer of a long list over a slow link; if it
+	// were shorter, callers would use up their retries before the list is there.
+	listRetryDelay = 1300 * time.Millisecond
+	// otherProcessDelay is the Retry-After of a process that is stopping: the caller's next
+	// connection goes to another process.
+	otherProcessDelay = 150 * time.Millisecond
+	// restartTime is how long after its end a process serves again. In that time it
+	// is started and reads its configuration and server list from the store.
 	restartTime = 1200 * time.Millisecond
-	// returnsOver is the time over which callers are spread that come back to
-	// processes that were all stopped together.
-	returnsOver = time.Second
-	// honouredShare of the time that it has left is what a caller waits at most
-	// when it is told to come back later.
-	honouredShare = 1.0 / 3
-	// spread of what callers are told, so that they don't come back together.
-	spread = 0.25
+	// restartSpread is the time over which the retries of callers are spread when all
+	// processes were stopped together.
+	restartSpread = time.Second
+	// maxRetryAfterShare is the fraction of its remaining time up to which a caller
+	// honours a Retry-After.
+	maxRetryAfterShare = 1.0 / 3
+	// jitter is the random fraction of Retry-After, so that callers don't retry all at
+	// once.
+	jitter = 0.25
 )
 
-// comeBack returns when a caller may come back that waits so long in all.
-func comeBack(wait time.Duration) time.Duration {
+// retryDelay returns the Retry-After for a caller that waits that long in all; wait is 0
+// if it stated no time.
+func retryDelay(wait time.Duration) time.Duration {
 	if wait <= 0 {
-		wait = defaultWait
+		wait = defaultTimeout
 	}
-	return spreadOut(min(maxComeBack, time.Duration(comeBackShare*float64(wait))))
+	return withJitter(min(maxRetryDelay, time.Duration(retryDelayRatio*float64(wait))))
 }
 
-func spreadOut(d time.Duration) time.Duration {
-	return time.Duration(float64(d) * (1 - spread*rand.Float64()))
+// withJitter shortens a duration by a random fraction of it, up to jitter.
+func withJitter(d time.Duration) time.Duration {
+	return time.Duration(float64(d) * (1 - jitter*rand.Float64()))
 }
 
-// notYet refuses a request because the process has just started and lacks
-// something; the request has not run.
-func (h *handler) notYet(w http.ResponseWriter, call *platform.Call, missing string, wait time.Duration) {
+// refuseNotReady refuses a request because the process has just started and lacks its
+// configuration or list of servers. The request has not run.
+func (h *handler) refuseNotReady(w http.ResponseWriter, call *platform.Call, missing string, wait time.Duration) {
 	h.exchange.Refused(call.Route, exchange.EndedByStart)
 	h.recorder.Emit(EventNotYet, event.FieldRequest, call.ID, "missing", missing, event.FieldEndedBy, exchange.EndedByStart)
 	platform.WriteFailure(w, call.ID, &exchange.Failure{By: exchange.EndedByStart, RetryAfter: wait, Err: errors.Errorf("entry: no %s yet", missing)})
 }
 
-// refuseLate refuses a request that was complete only after its time; it has not
-// run.
+// refuseExpired refuses a request that was completely received only after its deadline.
+// It has not run.
 //
-// Sent to a backend server with no time left it could only be answered that it may have
-// run.
-func (h *handler) refuseLate(w http.ResponseWriter, call *platform.Call) {
+// Had it been sent to a backend server with no time left, the caller could only be told
+// that it may have run.
+func (h *handler) refuseExpired(w http.ResponseWriter, call *platform.Call) {
 	h.exchange.Refused(call.Route, call.UntilBy)
 	h.recorder.Emit(EventLate, event.FieldRequest, call.ID, "route", call.Route.Name, "version", call.Version,
 		"took", time.Since(call.Arrived), event.FieldEndedBy, call.UntilBy)
 	platform.WriteFailure(w, call.ID, &exchange.Failure{
-		By: call.UntilBy, RetryAfter: spreadOut(elsewhere), Err: errors.New("entry: its time was over when the request was complete"),
+		By: call.UntilBy, RetryAfter: withJitter(otherProcessDelay), Err: errors.New("entry: the deadline passed before the request was complete"),
 	})
 }
 
-// refuseRoute refuses a request whose route can't be read; the request has not
-// run. The operator may write the route anew, so the caller may come back.
-func (h *handler) refuseRoute(w http.ResponseWriter, call *platform.Call) {
+// refuseInvalidRoute refuses a request whose route has an invalid configuration. The request
+// has not run, and the caller may retry, since the operator may correct the route.
+func (h *handler) refuseInvalidRoute(w http.ResponseWriter, call *platform.Call) {
 	h.exchange.Refused(call.Route, exchange.EndedByConfiguration)
 	h.recorder.Emit(EventRouteRefused, event.FieldRequest, call.ID, "why", call.Route.Refused, "version", call.Version,
 		event.FieldEndedBy, exchange.EndedByConfiguration)
 	platform.WriteFailure(w, call.ID, &exchange.Failure{
-		By: exchange.EndedByConfiguration, RetryAfter: comeBack(call.Wait), Err: errors.New("entry: the configuration of this route can't be read"),
+		By: exchange.EndedByConfiguration, RetryAfter: retryDelay(call.Wait), Err: errors.New("entry: the configuration of this route can't be read"),
 	})
 }
 
-func (h *handler) turnAway(w http.ResponseWriter, r *http.Request, call *platform.Call, err error, config *site.Config) {
+// reject rejects a malformed or unauthorized request, or one without a route. call is
+// nil if its head could not be read.
+func (h *handler) reject(w http.ResponseWriter, r *http.Request, call *platform.Call, err error, config *site.Config) {
 	var id string
 	var version uint64
 	var age time.Duration
@@ -95,8 +100,8 @@
 	if config != nil {
 		version = config.Version
 	}
-	if h.unconfirmed != nil {
-		age = h.unconfirmed()
+	if h.configAge != nil {
+		age = h.configAge()
 	}
 	status, by := http.StatusBadRequest, exchange.EndedByCaller
 	var known *platform.RequestError
@@ -106,7 +111,7 @@
 			id = known.ID
 		}
 	}
-	// A body that ended early was cut by what ended its connection.
+	// If the body was truncated, what ended the connection is the reason.
 	var end *exchange.End
 	if errors.As(context.Cause(r.Context()), &end) {
 		by = end.By
@@ -116,41 +121,40 @@
 	platform.WriteStatus(w, id, status, err.Error())
 }
 
-// refuse turns a request away that the process could not finish any more.
-func (h *handler) refuse(w http.ResponseWriter, call *platform.Call) {
+// refuseStopping refuses a request that the stopping process could not finish.
+func (h *handler) refuseStopping(w http.ResponseWriter, call *platform.Call) {
 	now := time.Now()
-	need := h.stop.need(call.Route, now)
+	need := h.shutdown.estimate(call.Route, now)
 	h.exchange.Refused(call.Route, exchange.EndedByStop)
-	h.recorder.Emit(EventStopping, event.FieldRequest, call.ID, "route", call.Route.Name, "need", need, "left", h.stop.endsAt().Sub(now),
+	h.recorder.Emit(EventStopping, event.FieldRequest, call.ID, "route", call.Route.Name, "need", need, "left", h.shutdown.endsAt().Sub(now),
 		event.FieldEndedBy, exchange.EndedByStop)
 	platform.WriteFailure(w, call.ID, &exchange.Failure{
-		By: exchange.EndedByStop, RetryAfter: h.afterStop(call, now), Err: errors.New("entry: this process is about to stop"),
+		By: exchange.EndedByStop, RetryAfter: h.retryAfterStop(call, now), Err: errors.New("entry: this process is about to stop"),
 	})
 }
 
-// afterStop returns when a caller may come back whom a stopping process refuses.
+// retryAfterStop returns the Retry-After for a caller that a stopping process refuses.
 //
 // If every peer is draining too, that is when the first of them is back: retrying sooner
-// would only use up the caller's retries. Plain calls go on at once, since stopping
-// processes take them nearly to the end.
-func (h *handler) afterStop(call *platform.Call, now time.Time) time.Duration {
-	if call.Route.Kind != site.Stream || h.allStop == nil || !h.allStop() {
-		return spreadOut(elsewhere)
+// would only use up the caller's retries. Plain calls may be retried at once, since
+// stopping processes accept them until shortly before their end.
+func (h *handler) retryAfterStop(call *platform.Call, now time.Time) time.Duration {
+	if call.Route.Kind != site.Stream || h.allPeersStopping == nil || !h.allPeersStopping() {
+		return withJitter(otherProcessDelay)
 	}
-	back := h.firstBack(now).Sub(now) + time.Duration(rand.Float64()*float64(returnsOver))
+	back := h.firstRestart(now).Sub(now) + time.Duration(rand.Float64()*float64(restartSpread))
 	left := max(0, call.Until.Sub(now))
-	return min(back, time.Duration(honouredShare*float64(left)))
+	return min(back, time.Duration(maxRetryAfterShare*float64(left)))
 }
 
-// firstBack returns when the first of the VMs that all stop serves again: this one
-// when what runs here has ended, another one at the end of its grace.
-//
-// VMs that are stopped one after another are back in that order.
-func (h *handler) firstBack(now time.Time) time.Time {
-	back := h.stop.drainedBy(now)
-	if h.firstStop != nil {
-		if first := h.firstStop(); !first.IsZero() {
-			back = earlier(back, first.Add(h.stop.length()))
+// firstRestart returns when the first of the VMs serves again if all of them are stopping.
+// This one is back after its running requests have ended, another one after the end of
+// its grace period. VMs that are stopped one after another come back in that order.
+func (h *handler) firstRestart(now time.Time) time.Time {
+	back := h.shutdown.drainedBy(now)
+	if h.firstPeerStop != nil {
+		if first := h.firstPeerStop(); !first.IsZero() {
+			back = earlier(back, first.Add(h.shutdown.maxDuration()))
 		}
 	}
 	return later(back, now).Add(restartTime)
@@ -170,8 +174,9 @@
 	return b
 }
 
-// fail answers a request that was not served. The caller that has left hears nothing.
-func fail(w http.ResponseWriter, id string, err error) {
+// writeError answers a request that was not served. If the caller has left, it aborts the
+// handler instead.
+func writeError(w http.ResponseWriter, id string, err error) {
 	var failure *exchange.Failure
 	if errors.As(err, &failure) {
 		platform.WriteFailure(w, id, failure)
@@ -179,17 +184,18 @@
 	}
 	var end *exchange.End
 	if errors.As(err, &end) && end.By == exchange.EndedByStop {
-		sayCut(w, id, end)
+		writeStopped(w, id, end)
 		return
 	}
 	panic(http.ErrAbortHandler)
 }
 
-// sayCut answers a request that this process's stop cuts before its head.
+// writeStopped answers a request that this process's stop ended before the response had
+// begun.
 //
 // The flush is needed since the process ends as soon as the last handler has returned.
-func sayCut(w http.ResponseWriter, id string, end *exchange.End) {
+func writeStopped(w http.ResponseWriter, id string, end *exchange.End) {
 	platform.WriteFailure(w, id, &exchange.Failure{Ran: true, By: end.By, Err: end})
-	// An error is a caller's that doesn't read, or that has left meanwhile.
+	// The error means that the caller doesn't read or has left meanwhile.
 	_ = http.NewResponseController(w).Flush()
 }
--- a/entry/samples_test.go
+++ b/entry/samples_test.go
@@ -15,42 +15,44 @@
 	"github.com/pearyard/pearyard/site"
 )
 
-// A stopping process takes what the longest request of a route could finish. What
-// it goes by has to come from the requests that it serves: each that was served,
-// from its arrival to its end, none that was not, and those that run now.
-func TestWhatIsServedIsTheSample(t *testing.T) {
+// A stopping process estimates the duration of a route's requests by the longest one.
+// The samples are all requests that were served, from arrival to end, and those that
+// run; requests that were not served don't count.
+func TestServedRequestsAreSampled(t *testing.T) {
 	for _, route := range []*site.Route{{Name: "stream", Kind: site.Stream}, {Name: "call", Kind: site.AtMostOnce}} {
 		t.Run(route.Name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := gomega.NewWithT(t)
-				stop := newStopping()
+				stop := newShutdownState()
 				e := modelEntry(stop, modelServer{reached: &sync.Map{}})
-				h := &handler{holder: e.holder, exchange: e.exchange, recorder: e.recorder, stop: e.stop, listed: e.listed}
-				longest := func() time.Duration { return time.Duration(float64(stop.of(route).need(time.Now())) / durationMargin) }
-				for range enoughSamples {
-					sendTo(t.Context(), h, "/"+route.Name+"/9s")
+				h := &handler{configHolder: e.configHolder, exchange: e.exchange, recorder: e.recorder, shutdown: e.shutdown, hasServers: e.anyServerListed}
+				longest := func() time.Duration {
+					return time.Duration(float64(stop.durationsOf(route).estimate(time.Now())) / durationMargin)
 				}
-				g.Expect(longest()).To(gomega.BeNumerically("~", 9*time.Second, 200*time.Millisecond), "those that were served")
+				for range minSamples {
+					runHandler(t.Context(), h, "/"+route.Name+"/9s")
+				}
+				g.Expect(longest()).To(gomega.BeNumerically("~", 9*time.Second, 200*time.Millisecond), "served requests")
 
 				ctx, cancel := context.WithCancel(t.Context())
 				left := make(chan struct{})
 				go func() {
 					defer close(left)
-					sendTo(ctx, h, "/"+route.Name+"/20s")
+					runHandler(ctx, h, "/"+route.Name+"/20s")
 				}()
 				time.Sleep(15 * time.Second)
-				g.Expect(longest()).To(gomega.BeNumerically("~", 15*time.Second, 200*time.Millisecond), "one that runs")
+				g.Expect(longest()).To(gomega.BeNumerically("~", 15*time.Second, 200*time.Millisecond), "a running request")
 				cancel()
 				<-left
-				g.Expect(longest()).To(gomega.BeNumerically("~", 9*time.Second, 200*time.Millisecond), "its caller left")
+				g.Expect(longest()).To(gomega.BeNumerically("~", 9*time.Second, 200*time.Millisecond), "a request whose caller left doesn't count")
 			})
 		})
 	}
 }
 
-// sendTo sends a request and returns when its handler has ended.
-func sendTo(ctx context.Context, h *handler, path string) {
-	// A stream that was cut ends its handler by this panic.
+// runHandler runs the handler for a request.
+func runHandler(ctx context.Context, h *handler, path string) {
+	// The handler of an aborted stream panics with http.ErrAbortHandler.
 	defer func() {
 		if err := recover(); err != nil && err != http.ErrAbortHandler {
 			panic(err)
--- a/entry/write.go
+++ b/entry/write.go
@@ -13,46 +13,46 @@
 	"github.com/pearyard/pearyard/inbound"
 )
 
-// sink writes a stream's answer.
-type sink struct {
-	w     http.ResponseWriter
-	flush *http.ResponseController
+// streamWriter writes the response of a stream.
+type streamWriter struct {
+	w          http.ResponseWriter
+	controller *http.ResponseController
 }
 
 // Begin implements exchange.Sink.
-func (s *sink) Begin(status int, header http.Header) error {
+func (s *streamWriter) Begin(status int, header http.Header) error {
 	copyHeader(s.w, header)
 	s.w.WriteHeader(status)
 	return nil
 }
 
 // Event implements exchange.Sink.
-func (s *sink) Event(raw []byte) error {
+func (s *streamWriter) Event(raw []byte) error {
 	if _, err := s.w.Write(raw); err != nil {
 		return err
 	}
-	return s.flush.Flush()
+	return s.controller.Flush()
 }
 
-// endWrites ends writes to a caller once its request has been ended by its
-// leaving or by this process's stop; the function returned calls that off.
+// stopWritesOnCancel sets a write deadline as soon as the request's context ends because the
+// caller left or this process stops. The function returned revokes that.
 //
-// A write to a caller that has stopped reading would never end, and neither would its
-// request.
-func endWrites(w http.ResponseWriter, r *http.Request) (stop func() bool) {
+// Otherwise a write to a caller that has stopped reading would block forever, and its
+// request with it.
+func stopWritesOnCancel(w http.ResponseWriter, r *http.Request) (stop func() bool) {
 	control := http.NewResponseController(w)
 	return context.AfterFunc(r.Context(), func() {
 		deadline := time.Now()
 		if errors.Is(context.Cause(r.Context()), errGraceOver) {
-			deadline = deadline.Add(sayTime)
+			deadline = deadline.Add(finalWriteTimeout)
 		}
-		// Without support for deadlines, as in tests, there is no connection either.
+		// Writers without deadlines occur only in tests, without a connection.
 		_ = control.SetWriteDeadline(deadline)
 	})
 }
 
-// copyHeader hands a backend server's headers on. net/http would guess a
-// content type where the server named none.
+// copyHeader copies a backend server's header. A nil Content-Type keeps net/http from
+// guessing one if the server sent none.
 func copyHeader(w http.ResponseWriter, from http.Header) {
 	to := w.Header()
 	for name, values := range from {
@@ -63,27 +63,28 @@
 	}
 }
 
-func setLength(w http.ResponseWriter, n int) {
+func setContentLength(w http.ResponseWriter, n int) {
 	w.Header().Set("Content-Length", strconv.Itoa(n))
 }
 
-// passRest copies the rest of a large answer, unless its beginning could not be
-// written; a break in it must not look like an end.
-func passRest(w http.ResponseWriter, r *http.Request, rest exchange.Body, err error) {
+// copyRest copies the rest of a large response, unless its beginning could not be
+// written. If it breaks off, the response is aborted so that it doesn't look complete.
+func copyRest(w http.ResponseWriter, r *http.Request, rest exchange.Body, err error) {
 	defer rest.Close()
 	if err == nil {
 		_, err = io.Copy(w, rest)
 	}
 	if err != nil {
-		cut(r)
+		abortResponse(r)
 	}
 }
 
-// cut ends an answer that has begun so that it doesn't look whole. It doesn't return.
+// abortResponse aborts a response that has begun so that it doesn't look complete. It
+// panics with http.ErrAbortHandler and doesn't return.
 //
-// To a caller of HTTP/1.0 an answer without a length ends with its connection: closed in
-// order, half an answer would look whole.
-func cut(r *http.Request) {
+// In HTTP/1.0 the end of the connection ends a response without a length; if the
+// connection were closed normally, half a response would look complete.
+func abortResponse(r *http.Request) {
 	if !r.ProtoAtLeast(1, 1) {
 		inbound.ResetAtClose(r)
 	}
