--- a/entry/events.go
+++ b/entry/events.go
@@ -7,15 +7,15 @@
 	EventTurnedAway = event.Define(2750, "entry_turned_away", event.Warn,
 		"a request was rejected without being forwarded: it is malformed, its host and path match no route, or its key is unknown",
 		"compare the request with the configuration version in the line")
-	EventNotYet = event.Define(2751, "entry_no_config", event.Warn,
+	EventNoConfig = event.Define(2751, "entry_no_config", event.Warn,
 		"a request was refused because this process has just started and has not received its configuration or its list of servers yet", "see the log lines about the store")
-	EventStopping = event.Define(2756, "entry_stop_refused", event.Info,
+	EventStopRefused = event.Define(2756, "entry_stop_refused", event.Info,
 		"a request was refused because the process is stopping and could not finish it in time", "nothing")
 )
 
-// EventTakenInStop is emitted for a stream that a stopping process accepts, with the
+// EventStopTaken is emitted for a stream that a stopping process accepts, with the
 // estimate that it was accepted by.
-var EventTakenInStop = event.Define(2758, "entry_stop_taken", event.Info,
+var EventStopTaken = event.Define(2758, "entry_stop_taken", event.Info,
 	"a stream was accepted during a planned stop: by the estimated duration of streams, it can be finished in time", "nothing")
 
 // EventRouteRefused is emitted for a request whose route has an invalid configuration.
--- a/entry/handler.go
+++ b/entry/handler.go
@@ -153,7 +153,7 @@
 	if h.shutdown.pastEstimateWindow(now) && call.Until.After(h.shutdown.endsAt()) {
 		return false
 	}
-	h.recorder.Emit(EventTakenInStop, event.FieldRequest, call.ID, "route", call.Route.Name, "need", need, "left", h.shutdown.endsAt().Sub(now))
+	h.recorder.Emit(EventStopTaken, event.FieldRequest, call.ID, "route", call.Route.Name, "need", need, "left", h.shutdown.endsAt().Sub(now))
 	return true
 }
 
--- a/entry/refusal.go
+++ b/entry/refusal.go
@@ -59,7 +59,7 @@
 // configuration or list of servers. The request has not run.
 func (h *handler) refuseNotReady(w http.ResponseWriter, call *platform.Call, missing string, wait time.Duration) {
 	h.exchange.Refused(call.Route, exchange.EndedByStart)
-	h.recorder.Emit(EventNotYet, event.FieldRequest, call.ID, "missing", missing, event.FieldEndedBy, exchange.EndedByStart)
+	h.recorder.Emit(EventNoConfig, event.FieldRequest, call.ID, "missing", missing, event.FieldEndedBy, exchange.EndedByStart)
 	platform.WriteFailure(w, call.ID, &exchange.Failure{By: exchange.EndedByStart, RetryAfter: wait, Err: errors.Errorf("entry: no %s yet", missing)})
 }
 
@@ -126,7 +126,7 @@
 	now := time.Now()
 	need := h.shutdown.estimate(call.Route, now)
 	h.exchange.Refused(call.Route, exchange.EndedByStop)
-	h.recorder.Emit(EventStopping, event.FieldRequest, call.ID, "route", call.Route.Name, "need", need, "left", h.shutdown.endsAt().Sub(now),
+	h.recorder.Emit(EventStopRefused, event.FieldRequest, call.ID, "route", call.Route.Name, "need", need, "left", h.shutdown.endsAt().Sub(now),
 		event.FieldEndedBy, exchange.EndedByStop)
 	platform.WriteFailure(w, call.ID, &exchange.Failure{
 		By: exchange.EndedByStop, RetryAfter: h.retryAfterStop(call, now), Err: errors.New("entry: this process is about to stop"),
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -73,7 +73,7 @@
 var ends = map[string]bool{
 	exchange.EventServed.ID(): true, exchange.EventRefused.ID(): true, exchange.EventFailed.ID(): true, exchange.EventCallerLeft.ID(): true,
 	exchange.EventCallerLost.ID(): true, exchange.EventCut.ID(): true, exchange.EventQuarantined.ID(): true,
-	entry.EventTurnedAway.ID(): true, entry.EventNotYet.ID(): true, entry.EventStopping.ID(): true,
+	entry.EventTurnedAway.ID(): true, entry.EventNoConfig.ID(): true, entry.EventStopRefused.ID(): true,
 	entry.EventPanicked.ID(): true, entry.EventLate.ID(): true,
 }
 
@@ -107,9 +107,9 @@
 		return "It was refused because the same request had crashed several backend servers."
 	case entry.EventTurnedAway.ID():
 		return turnedAway(s, last, all)
-	case entry.EventNotYet.ID():
+	case entry.EventNoConfig.ID():
 		return "It was refused because " + last.Process + " had just started and knew no " + last.Fields["missing"] + " yet" + storeLost(s) + "."
-	case entry.EventStopping.ID():
+	case entry.EventStopRefused.ID():
 		return "It was refused because " + last.Process + " was about to stop and could not have finished it."
 	case entry.EventPanicked.ID():
 		return "A fault of the program on " + last.Process + " ended it: " + last.Fields["panic"] + "; it may have run."
--- a/httpconn/httpconn.go
+++ b/httpconn/httpconn.go
@@ -37,8 +37,9 @@
 	maxSyncBody = 2048
 )
 
-// ErrGarbage says that data arrived on a connection before a request was sent on it.
-var ErrGarbage = errors.New("httpconn: unexpected data on an idle connection")
+// ErrUnexpectedData says that data arrived on a connection before a request was sent on
+// it.
+var ErrUnexpectedData = errors.New("httpconn: unexpected data on an idle connection")
 
 // ConnectError says that no connection could be established, so nothing was sent.
 type ConnectError struct{ Err error }
@@ -78,7 +79,7 @@
 	pool             *Pool
 	addr             string
 	reader           *bufio.Reader
-	Used             int           // requests completed before the current one
+	PriorRequests    int           // requests completed before the current one
 	idleSince        time.Time     // set while in the pool
 	keepAliveTimeout time.Duration // idle timeout announced by the server; 0: none
 	stopWatch        func() bool   // stops watching the request's context
@@ -229,7 +230,7 @@
 }
 
 func (p *Pool) release(c *Conn) {
-	c.Used++
+	c.PriorRequests++
 	c.idleSince = time.Now()
 	c.body = nil
 	p.mu.Lock()
--- a/httpconn/httpconn_test.go
+++ b/httpconn/httpconn_test.go
@@ -202,7 +202,7 @@
 
 // Waiting for data consumes none of it: what has arrived is still there for the
 // read. The end of the connection ends the wait too.
-func TestAwaitConsumesNothing(t *testing.T) {
+func TestWaitReadableConsumesNothing(t *testing.T) {
 	g := gomega.NewWithT(t)
 	addr, _ := rawServer(t, func(conn net.Conn, in *bufio.Reader) {
 		_, _ = in.ReadByte()
@@ -211,16 +211,16 @@
 	conn, err := net.Dial("tcp4", addr)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	defer conn.Close()
-	g.Expect(Unread(conn)).To(gomega.BeFalse())
+	g.Expect(HasUnreadData(conn)).To(gomega.BeFalse())
 	_, _ = io.WriteString(conn, "x")
-	g.Expect(Await(conn)).To(gomega.BeTrue())
-	g.Expect(Unread(conn)).To(gomega.BeTrue())
+	g.Expect(WaitReadable(conn)).To(gomega.BeTrue())
+	g.Expect(HasUnreadData(conn)).To(gomega.BeTrue())
 	got, err := io.ReadAll(conn)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(string(got)).To(gomega.Equal("answer"))
-	g.Expect(Await(conn)).To(gomega.BeTrue(), "the connection has ended")
+	g.Expect(WaitReadable(conn)).To(gomega.BeTrue(), "the connection has ended")
 	near, far := net.Pipe()
 	defer near.Close()
 	defer far.Close()
-	g.Expect(Await(near)).To(gomega.BeFalse(), "a pipe can't be peeked at")
+	g.Expect(WaitReadable(near)).To(gomega.BeFalse(), "a pipe can't be peeked at")
 }
--- a/httpconn/idle.go
+++ b/httpconn/idle.go
@@ -15,18 +15,18 @@
 	stateUnknown                  // the connection can't be peeked at
 )
 
-// Ended reports whether the peer is known to have closed or reset the connection.
+// PeerClosed reports whether the peer is known to have closed or reset the connection.
 // It doesn't block, and may be called during a pending read.
-func Ended(conn net.Conn) bool { return peekState(conn) == stateClosed }
+func PeerClosed(conn net.Conn) bool { return peekState(conn) == stateClosed }
 
-// Unread reports whether the connection is known to have received data that has
-// not been read yet. It doesn't block, and may be called during a pending read.
-func Unread(conn net.Conn) bool { return peekState(conn) == stateUnread }
+// HasUnreadData reports whether the connection is known to have received data that
+// has not been read yet. It doesn't block, and may be called during a pending read.
+func HasUnreadData(conn net.Conn) bool { return peekState(conn) == stateUnread }
 
-// Await blocks until a read of the connection would not block: data has arrived,
-// the connection has ended, or its read deadline has passed. It consumes no data.
-// It returns false at once if the connection doesn't support such a wait.
-func Await(conn net.Conn) bool {
+// WaitReadable blocks until a read of the connection would not block: data has
+// arrived, the connection has ended, or its read deadline has passed. It consumes no
+// data. It returns false at once if the connection doesn't support such a wait.
+func WaitReadable(conn net.Conn) bool {
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
 		return false
--- a/inbound/conn.go
+++ b/inbound/conn.go
@@ -58,7 +58,7 @@
 		return c.read(b)
 	}
 	c.waits()
-	if !httpconn.Await(c.Conn) {
+	if !httpconn.WaitReadable(c.Conn) {
 		n, err := c.read(b)
 		if !c.arrived() {
 			return 0, net.ErrClosed
@@ -178,7 +178,7 @@
 	case clientReading, clientTaken:
 		return true
 	case clientIdle, clientHead:
-		return httpconn.Unread(c.Conn)
+		return httpconn.HasUnreadData(c.Conn)
 	default:
 		return false
 	}
--- a/inbound/late_test.go
+++ b/inbound/late_test.go
@@ -96,7 +96,7 @@
 func (l *lateListener) unread() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.accepted) > 0 && httpconn.Unread(inner(l.accepted[len(l.accepted)-1]))
+	return len(l.accepted) > 0 && httpconn.HasUnreadData(inner(l.accepted[len(l.accepted)-1]))
 }
 
 // inner returns the socket's own connection.
@@ -435,7 +435,7 @@
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	send := func() {
 		_, _ = io.WriteString(client, wholeRequest)
-		g.Eventually(func() bool { return httpconn.Unread(raw) }).Should(gomega.BeTrue())
+		g.Eventually(func() bool { return httpconn.HasUnreadData(raw) }).Should(gomega.BeTrue())
 	}
 	lines := &bytes.Buffer{}
 	l := New(listener, Options{Recorder: event.NewRecorder(log.NewLogfmtLogger(lines), 1)})
--- a/node/unread_test.go
+++ b/node/unread_test.go
@@ -59,7 +59,7 @@
 
 func (l *lateListener) unread() bool {
 	conn := l.accepted.Load()
-	return conn != nil && httpconn.Unread(*conn)
+	return conn != nil && httpconn.HasUnreadData(*conn)
 }
 
 func (l *lateListener) read() {
--- a/peer/sent.go
+++ b/peer/sent.go
@@ -68,7 +68,7 @@
 
 // Write implements net.Conn.
 func (c *keptConn) Write(b []byte) (int, error) {
-	if c.starting.CompareAndSwap(true, false) && httpconn.Ended(c.Conn) {
+	if c.starting.CompareAndSwap(true, false) && httpconn.PeerClosed(c.Conn) {
 		c.refused.Store(true)
 	}
 	if c.refused.Load() {
--- a/peer/sent_test.go
+++ b/peer/sent_test.go
@@ -39,7 +39,7 @@
 			g := NewWithT(t)
 			client, server := connect(t)
 			end(server)
-			g.Eventually(func() bool { return httpconn.Ended(client.(*keptConn).Conn) }).Should(BeTrue())
+			g.Eventually(func() bool { return httpconn.PeerClosed(client.(*keptConn).Conn) }).Should(BeTrue())
 			var guard SentGuard
 			guard.gotConn(httptrace.GotConnInfo{Conn: client, Reused: true})
 			for range 2 {
@@ -61,7 +61,7 @@
 	guard.gotConn(httptrace.GotConnInfo{Conn: client, Reused: true})
 	g.Expect(client.Write([]byte("ca"))).To(Equal(2))
 	g.Expect(server.Close()).To(Succeed())
-	g.Eventually(func() bool { return httpconn.Ended(client.(*keptConn).Conn) }).Should(BeTrue())
+	g.Eventually(func() bool { return httpconn.PeerClosed(client.(*keptConn).Conn) }).Should(BeTrue())
 	_, _ = client.Write([]byte("ll"))
 	g.Expect(guard.MayHaveLeft()).To(BeTrue())
 }
