--- a/directory/candidate.go
+++ b/directory/candidate.go
@@ -2,105 +2,109 @@
 
 import "time"
 
-// candidate is what is known of a server at the moment of a choice. The choice
-// itself reads nothing else: no clock, no lock, nothing that changes meanwhile.
+// candidate holds what is known of a server at the moment of a choice. Scoring reads
+// nothing else: no clock, no lock and no value that may change meanwhile.
 type candidate struct {
-	unread   int64   // prompt tokens ahead of a new one
-	streams  int64   // that run there; one that must end soon counts several times
-	copies   int64   // of streams that run elsewhere
-	calls    int64   // plain calls of this process
-	told     float64 // calls of others by the server's own word, less the older that is
-	faults   float64 // recent ones, see Server.Faults
-	distrust float64 // crashes of earlier starts, see Server.distrust
-	kept     int     // tokens of the prompt that need not be read there
-	slowness float64 // how much longer it takes for prompts and streams than the median server
+	queuedTokens  int64   // prompt tokens queued ahead of a new prompt
+	streams       int64   // running there; streams of a stopping process count several times
+	copies        int64   // of streams that run elsewhere
+	calls         int64   // plain calls of this process
+	reportedCalls float64 // calls of other processes as reported by the server, weighted down by age
+	faults        float64 // recent ones, see Server.Faults
+	excessCrashes float64 // recent crashes of earlier starts, see Server.excessCrashes
+	cachedTokens  int     // prompt tokens in the server's cache, which need no prefill there
+	slowness      float64 // prefill and decode time relative to the median server
 
-	cold       bool // slow after its start
-	otherZone  bool // not in the zone of this process
-	otherRange bool // not of this process's portion, where that counts
-	passedOver bool // in the zone that the query passes over
-	doubted    bool // in a zone that has lost many servers
-	down       bool // believed lost
+	cold             bool // still slow after its start
+	otherZone        bool // not in the zone of this process
+	outsidePartition bool // not in this process's partition, where that counts
+	inAvoidedZone    bool // in the zone that the query avoids
+	inSuspectZone    bool // in a zone that has lost many servers
+	down             bool // considered lost
 }
 
 // candidate returns what is known of the server now.
-func (s *Server) candidate(q Query, zones losses, now time.Time) candidate {
+func (s *Server) candidate(q Query, zones lossesByZone, now time.Time) candidate {
 	return candidate{
-		unread:     s.prefill.Load() + s.otherPrefill.Load(),
-		streams:    weightOfStreams(s.streams.Load(), q.urgent) + s.otherStreams.Load(),
-		copies:     s.copies.Load() + s.otherCopies.Load(),
-		calls:      s.calls.Load(),
-		told:       s.reportedLoad(q, now),
-		faults:     s.Faults(now),
-		distrust:   s.distrust(now),
-		kept:       q.Kept[s.Start],
-		slowness:   s.Slowness(),
-		cold:       now.UnixNano() < s.warmAt.Load(),
-		otherZone:  s.Zone != q.Zone,
-		otherRange: q.Again && q.Kept[s.Start] == 0 && !q.hashRange.has(s),
-		passedOver: q.NotZone != "" && s.Zone == q.NotZone,
-		doubted:    zones.doubted(s),
-		down:       s.IsDown(now),
+		queuedTokens:     s.queuedTokens.Load() + s.peerQueuedTokens.Load(),
+		streams:          weightedStreams(s.streams.Load(), q.stopping) + s.peerStreams.Load(),
+		copies:           s.copies.Load() + s.peerCopies.Load(),
+		calls:            s.calls.Load(),
+		reportedCalls:    s.reportedLoad(q, now),
+		faults:           s.Faults(now),
+		excessCrashes:    s.excessCrashes(now),
+		cachedTokens:     q.Kept[s.Start],
+		slowness:         s.Slowness(),
+		cold:             now.UnixNano() < s.warmAt.Load(),
+		otherZone:        s.Zone != q.Zone,
+		outsidePartition: q.Again && q.Kept[s.Start] == 0 && !q.hashRange.contains(s),
+		inAvoidedZone:    q.NotZone != "" && s.Zone == q.NotZone,
+		inSuspectZone:    zones.suspects(s),
+		down:             s.IsDown(now),
 	}
 }
 
-// reportedLoad returns what a server's own word on others' calls counts now. It does so
-// for plain calls alone: of streams entry VMs tell each other something newer.
+// reportedLoad returns the server's own report of other processes' calls, weighted down
+// linearly by its age. It counts for plain calls only: for streams, the load that entry
+// VMs exchange is more recent.
 func (s *Server) reportedLoad(q Query, now time.Time) float64 {
-	age := now.UnixNano() - s.toldAt.Load()
-	if q.Prompt != 0 || age >= int64(toldFresh) {
+	age := now.UnixNano() - s.reportedAt.Load()
+	if q.Prompt != 0 || age >= int64(reportedLoadTTL) {
 		return 0
 	}
-	return float64(s.told.Load()) * (1 - float64(age)/float64(toldFresh))
+	return float64(s.reportedCalls.Load()) * (1 - float64(age)/float64(reportedLoadTTL))
 }
 
 // Weights of load, in prompt tokens.
 const (
-	// streamWeight makes a stream that runs count like a sixth of a long prompt: a prompt
-	// is read nearly as fast beside it, but holds it up. With less, servers that are twice
-	// as fast as others get so many prompts that their streams stand still.
+	// streamWeight makes a running stream count like a sixth of a long prompt: prefill is
+	// hardly slower beside it, but delays its tokens. With a lower weight, servers twice
+	// as fast as others get so many prompts that their streams stall.
 	streamWeight = 1300.0
-	// tieWeight is how far chance may reorder servers.
-	tieWeight = 100.0
-	// copyWeight: a copy takes memory but no time until it is used.
+	// tieBreakJitter is the range within which the order of servers is random.
+	tieBreakJitter = 100.0
+	// copyWeight: a copy takes memory but no processing time until it is used.
 	copyWeight = 200.0
-	// copyBesideCopy keeps copies apart: those of a zone that fails are all used
-	// at once, and a server full of them has no room for the next.
-	copyBesideCopy = 1500.0
-	// callWeight makes one plain call count like a small prompt.
+	// copySpreadWeight spreads copies over servers: when a zone fails, all of its
+	// streams' copies are used at once, and a server that holds many has no room for the
+	// last ones.
+	copySpreadWeight = 1500.0
+	// callWeight makes one plain call count like a short prompt.
 	callWeight = 1000.0
-	// toldFresh is how long a load told by a server counts.
-	toldFresh = time.Second
-	// faultWeight keeps a server that failed lately out of the way of one that is a
-	// prompt busier: calls that run at most once fail with it for good. It does not
-	// count for streams that can be resumed: a fault costs them little, most are of
-	// connections that were reset, and a stream that comes back would have its
-	// prompt read anew because of the very break that sent it back.
+	// reportedLoadTTL is how long a load reported by a server counts.
+	reportedLoadTTL = time.Second
+	// faultWeight makes a server that failed recently less attractive than one with
+	// another prompt queued: at-most-once calls that fail there can't be retried. It does
+	// not apply to streams that can be resumed: a fault costs them little and most faults
+	// are reset connections, and a stream that returns after such a reset would have its
+	// prompt prefilled again on another server.
 	faultWeight = 8000.0
-	// coldWeight is that of a server that is slow after its start.
+	// coldWeight applies to a server that is still slow after its start.
 	coldWeight = 2000.0
 	// otherZoneWeight breaks ties in favour of the process's own zone.
 	otherZoneWeight = 150.0
-	// maxFaults is where a server gets work only if there is no other.
+	// maxFaults is the number of recent faults above which a server is used only if no
+	// other is available.
 	maxFaults = 2.5
-	// otherRangeWeight keeps processes apart that place again at the same time: as
-	// much as a long prompt, which takes a second to be read.
-	otherRangeWeight = 8000.0
+	// outsidePartitionWeight keeps processes that place streams at the same moment away
+	// from each other's partitions. It equals a long prompt, whose prefill takes a
+	// second.
+	outsidePartitionWeight = 8000.0
 )
 
-// score is the load of a candidate for what is looked for, in prompt tokens.
+// score returns the load of a candidate for a query in prompt tokens; the lowest wins.
 func (c candidate) score(q Query) float64 {
-	score := float64(c.unread - int64(c.kept))
+	score := float64(c.queuedTokens - int64(c.cachedTokens))
 	score += streamWeight * float64(c.streams)
-	score += q.weightOfCopies() * float64(c.copies)
+	score += q.perCopyWeight() * float64(c.copies)
 	if !q.Copy {
 		score += float64(q.Prompt)
 	}
 	if q.Prompt > 0 {
 		score *= c.slowness
 	}
-	score += callWeight * (float64(c.calls) + c.told)
-	score += faultWeight * c.distrust
+	score += callWeight * (float64(c.calls) + c.reportedCalls)
+	score += faultWeight * c.excessCrashes
 	if !q.Resumes {
 		score += faultWeight * c.faults
 	}
@@ -110,16 +114,16 @@
 	if c.otherZone {
 		score += otherZoneWeight
 	}
-	if c.otherRange {
-		score += otherRangeWeight
+	if c.outsidePartition {
+		score += outsidePartitionWeight
 	}
 	return score
 }
 
-// weightOfCopies is that of the copies which a server holds already.
-func (q Query) weightOfCopies() float64 {
+// perCopyWeight returns the weight of each copy that a server holds already.
+func (q Query) perCopyWeight() float64 {
 	if q.Copy {
-		return copyBesideCopy
+		return copySpreadWeight
 	}
 	return copyWeight
 }
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -9,56 +9,56 @@
 // View is an immutable list of servers.
 type View struct {
 	Position  uint64 // of the list in the store's history
-	From      uint64 // position from which on the list says what it says
+	From      uint64 // the oldest position at which the list had the same content
 	byService map[string][]*Server
-	byID      map[string]*Server // the one start that is known of each
+	byID      map[string]*Server // the one known start of each
 	byHash    map[uint32]*Server // by the hash of that start
-	Listings  []Listing          // as the store gave them, late entries replaced; servers that are kept are not among them
-	invalid   int                // how many of the listings name no server
+	Listings  []Listing          // as read from the store, with entries of earlier starts replaced; without retained servers
+	invalid   int                // number of invalid listings
 }
 
 // Service returns the servers of a service.
 func (v *View) Service(name string) []*Server { return v.byService[name] }
 
-// Invalid returns how many entries of the list name no server.
+// Invalid returns the number of invalid entries in the list.
 func (v *View) Invalid() int { return v.invalid }
 
-// Len returns how many servers are listed.
+// Len returns the number of known servers.
 func (v *View) Len() int { return len(v.byID) }
 
-// Directory keeps the view. Requests read it without a lock; only a choice just
-// after others have told of their load waits for the sums to be made.
+// Directory holds the current view. Requests read it without a lock, except that a choice
+// made shortly after a peer's report waits for the load totals to be computed.
 type Directory struct {
 	view atomic.Pointer[View]
 
 	loadChanged chan struct{} // holds one token after a change of load
 
-	mu        sync.Mutex // one Apply at a time; guards the fields below
-	history   []diff
-	readTimes map[string]*readTimes // by address
+	mu      sync.Mutex // serialises Apply; guards the fields below
+	history []listDiff
+	samples map[string]*prefillSamples // by address
 
-	cell, cells atomic.Int32 // of this process, and how many there are
-	portion     atomic.Pointer[portion]
-	urgent      atomic.Bool  // the streams of this process must end soon
-	firstListed atomic.Int64 // Unix nanoseconds of the first list with servers
-	medians     sync.Map     // service -> speedAt
-	comparedAt  sync.Map     // service -> time.Time of the newest comparison of its servers' speeds
+	cell, cells  atomic.Int32 // of this process, and how many there are
+	partition    atomic.Pointer[partition]
+	stopping     atomic.Bool  // this process is stopping, so its streams must end soon
+	firstListAt  atomic.Int64 // Unix nanoseconds of the first list with servers
+	medianSpeeds sync.Map     // service -> cachedMedian
+	comparedAt   sync.Map     // service -> time.Time of the newest comparison of its servers' speeds
 
-	untoldMu sync.Mutex
-	untold   []ReadTime // measured here since UntoldReadTimes was last called
+	unsentMu    sync.Mutex
+	unsentTimes []ReadTime // measured here since UntoldReadTimes was last called
 
-	othersMu sync.Mutex
-	others   map[string][]Load // what other processes told last
-	summed   map[uint32]Load   // the sums as they stand, by server's hash
-	summedAt time.Time
-	unsummed atomic.Bool // others have told something since the sums were made
+	peerLoadsMu sync.Mutex
+	peerLoads   map[string][]Load // newest report of each peer
+	peerTotals  map[uint32]Load   // totals over all peers, by start hash
+	totalsAt    time.Time
+	totalsStale atomic.Bool // a peer has reported since the totals were computed
 
-	dropped atomic.Uint64 // words on starts that are not the known ones
+	droppedReports atomic.Uint64 // reports dropped because they name a start that is not the known one
 }
 
 // New returns an empty directory.
 func New() *Directory {
-	d := &Directory{loadChanged: make(chan struct{}, 1), others: map[string][]Load{}, readTimes: map[string]*readTimes{}}
+	d := &Directory{loadChanged: make(chan struct{}, 1), peerLoads: map[string][]Load{}, samples: map[string]*prefillSamples{}}
 	d.view.Store(emptyView(0))
 	return d
 }
@@ -67,11 +67,11 @@
 	return &View{Position: position, From: position, byService: map[string][]*Server{}, byID: map[string]*Server{}, byHash: map[uint32]*Server{}}
 }
 
-// LoadChanged returns a channel that holds a token after the load that this
-// process puts on servers has changed.
+// LoadChanged returns a channel that holds a token after the load that this process puts
+// on servers has changed.
 func (d *Directory) LoadChanged() <-chan struct{} { return d.loadChanged }
 
-func (d *Directory) touch() {
+func (d *Directory) notifyLoadChanged() {
 	select {
 	case d.loadChanged <- struct{}{}:
 	default:
@@ -81,28 +81,29 @@
 // View returns the servers known now.
 func (d *Directory) View() *View { return d.view.Load() }
 
-// Change says what an Apply changed.
+// Change describes what a call of Apply changed.
 type Change struct {
 	Joined, Left, Draining, Kept []string // starts
-	Late                         []string // starts before the known ones, whose entries were dropped
-	// Older: the list was left aside, as one with a later place is in force.
+	Late                         []string // earlier starts of known servers, whose entries were dropped
+	// Older is set if the list was ignored because a newer one is in force.
 	Older bool
-	// Invalid are the entries that have begun to name no server, or do so for
-	// another reason than before.
+	// Invalid holds the entries that became invalid, or are invalid for another reason
+	// than before.
 	Invalid []Listing
 }
 
-// Any tells whether anything changed.
+// Any reports whether a server joined, left or began to drain.
 func (c Change) Any() bool { return len(c.Joined)+len(c.Left)+len(c.Draining) > 0 }
 
-// Apply takes in a list. With forgiving set, servers that are missing stay
-// known: entries lapse while the store is away although their servers live, and
-// dropping them all at its return would leave nothing to send requests to.
+// Apply puts a list in force. With retainMissing set, servers that are missing from the
+// list stay known: entries expire during an outage of the store although their servers
+// run, and dropping them all when the store returns would leave no server to send
+// requests to.
 //
-// An entry that names no server has not lapsed: it was written over, and the
-// store tells what it says now. Its server is gone at once, forgiving or not;
-// kept, it would get new work for seconds after another writer took its place.
-func (d *Directory) Apply(position uint64, list []Listing, forgiving bool, now time.Time) Change {
+// An invalid entry has not expired: it was overwritten, and the store returns its current
+// content. Its server is removed at once, whatever retainMissing is: otherwise it would
+// get new work for seconds after another writer replaced the entry.
+func (d *Directory) Apply(position uint64, list []Listing, retainMissing bool, now time.Time) Change {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	old := d.view.Load()
@@ -111,50 +112,50 @@
 		change.Older = true
 		return change
 	}
-	list, change.Late = old.current(list)
-	d.dropped.Add(uint64(len(change.Late)))
+	list, change.Late = old.replaceOutdated(list)
+	d.droppedReports.Add(uint64(len(change.Late)))
 	next := emptyView(position)
-	if !d.remember(old, position, list) {
+	if !d.recordChange(old, position, list) {
 		next.From = old.From
 	}
 	next.Listings = list
-	invalid := d.invalidIn(old, list, &change)
+	invalid := d.findInvalid(old, list, &change)
 	next.invalid = len(invalid)
 	for _, l := range list {
 		if l.Invalid == "" {
-			next.add(d.listed(old, l, now, &change))
+			next.add(d.applyListing(old, l, now, &change))
 		}
 	}
-	taken := addressesOf(list)
+	newest := newestStartsOf(list)
 	for id, s := range old.byID {
 		if _, still := next.byID[id]; still {
 			continue
 		}
-		if forgiving && !s.Draining() && !invalid[id] && !taken.fromServer(s) {
+		if retainMissing && !s.Draining() && !invalid[id] && !newest.replaced(s) {
 			change.Kept = append(change.Kept, s.String())
 			next.add(s)
 			continue
 		}
-		s.gone.Store(true)
+		s.removed.Store(true)
 		change.Left = append(change.Left, s.String())
 	}
 	d.view.Store(next)
 	if next.Len() > 0 {
-		d.firstListed.CompareAndSwap(0, now.UnixNano())
+		d.firstListAt.CompareAndSwap(0, now.UnixNano())
 	}
-	old.replacedBy(next, now)
-	d.forgetTimes(next, now)
-	d.othersMu.Lock()
-	defer d.othersMu.Unlock()
-	d.sumOthers(next)
+	old.markReplaced(next, now)
+	d.dropOldSamples(next, now)
+	d.peerLoadsMu.Lock()
+	defer d.peerLoadsMu.Unlock()
+	d.computePeerTotals(next)
 	return change
 }
 
-// addresses tells when the servers at them were born.
-type addresses map[string]int64
+// newestStarts holds the time of the newest start listed at each address.
+type newestStarts map[string]int64
 
-func addressesOf(list []Listing) addresses {
-	born := make(addresses, len(list))
+func newestStartsOf(list []Listing) newestStarts {
+	born := make(newestStarts, len(list))
 	for _, l := range list {
 		if l.Invalid == "" {
 			born[l.Address] = max(born[l.Address], l.Born)
@@ -163,16 +164,16 @@
 	return born
 }
 
-// fromServer tells whether a later start is listed at a server's address: then its
-// own entry has not lapsed, the server has ended.
-func (a addresses) fromServer(s *Server) bool {
-	born, listed := a[s.Address]
+// replaced reports whether a later start is listed at a server's address. If so, the
+// server has ended and its entry has not merely expired.
+func (n newestStarts) replaced(s *Server) bool {
+	born, listed := n[s.Address]
 	return listed && born >= s.Born
 }
 
-// invalidIn returns the entries of a list that name no server, and notes those
-// of which that is news.
-func (d *Directory) invalidIn(old *View, list []Listing, change *Change) map[string]bool {
+// findInvalid returns the ids of a list's invalid entries, and adds to change those that
+// are new or whose reason is new.
+func (d *Directory) findInvalid(old *View, list []Listing, change *Change) map[string]bool {
 	var invalid map[string]bool
 	for _, l := range list {
 		if l.Invalid == "" {
@@ -198,55 +199,54 @@
 	return invalid
 }
 
-// isNewReason tells whether a reason why an entry names no server is news. A peer
-// hands on no reason, so that one read from the store and one from a peer would
-// take turns in the log.
+// isNewReason reports whether the reason for which an entry is invalid has changed. Peers
+// don't pass reasons on, so FaultNoService equals any other reason: without this rule,
+// reading an entry from the store and from a peer in turn would log it every time.
 func isNewReason(known, reason string) bool {
 	return known == "" || (known != reason && known != FaultNoService && reason != FaultNoService)
 }
 
-func (d *Directory) listed(old *View, l Listing, now time.Time, change *Change) *Server {
+func (d *Directory) applyListing(old *View, l Listing, now time.Time, change *Change) *Server {
 	s := old.byID[l.ID]
 	if s == nil || s.Start != l.Start() {
 		if s != nil {
 			change.Left = append(change.Left, s.String())
 		}
-		s = d.joined(s, l, now)
+		s = d.newStart(s, l, now)
 		change.Joined = append(change.Joined, s.String())
 	}
 	if l.Draining && !s.draining.Load() {
 		change.Draining = append(change.Draining, s.String())
 	}
-	s.listed(l)
+	s.update(l)
 	s.warmAt.Store(now.Add(l.Cold).UnixNano())
 	return s
 }
 
-// joined returns the server of a start that was not known, in place of a former
-// one of its id; that is nil if there is none.
-func (d *Directory) joined(former *Server, l Listing, now time.Time) *Server {
-	s := newServer(l, now, d.touch)
-	s.times, s.measured = d.timesOf(l.Address), d.measuredHere
+// newStart returns the server for a start that was not known; former is the known start
+// of the same id, nil if there is none.
+func (d *Directory) newStart(former *Server, l Listing, now time.Time) *Server {
+	s := newServer(l, now, d.notifyLoadChanged)
+	s.samples, s.onSample = d.samplesAt(l.Address), d.queueUnsent
 	if former != nil {
-		s.after(former, now)
+		s.inheritCrash(former, now)
 	}
 	return s
 }
 
-// replacedBy notes the starts that others of their ids have taken the place of in
-// next, which must be the view by now.
-//
-// Whoever waits for the loss of such a start must find the new one in the view.
-func (v *View) replacedBy(next *View, now time.Time) {
+// markReplaced marks the servers whose id has another start in next. The caller must have
+// made next the current view: whoever waits for the loss of an old start must find the
+// new one there.
+func (v *View) markReplaced(next *View, now time.Time) {
 	for id, former := range v.byID {
 		if s := next.byID[id]; s != nil && s != former {
-			former.replace(now)
+			former.markReplaced(now)
 		}
 	}
 }
 
 func (v *View) add(s *Server) {
 	v.byID[s.ID] = s
-	v.byHash[s.hash] = s
+	v.byHash[s.startHash] = s
 	v.byService[s.Service] = append(v.byService[s.Service], s)
 }
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -31,9 +31,9 @@
 
 func (d *Directory) server(id string) *Server { return d.view.Load().byID[id] }
 
-// A server crashed and another start of it has its address. Its old id is
-// listed for some seconds more; requests that name it are refused each time.
-func TestServerThatEndedIsNotChosenAgain(t *testing.T) {
+// A server crashed and another start has its address. The old id stays listed for some
+// seconds, and each request that names it is refused.
+func TestEndedServerIsNotPicked(t *testing.T) {
 	g := gomega.NewWithT(t)
 	d := withServers("a1")
 	now := time.Now()
@@ -41,9 +41,9 @@
 	g.Expect(d.Pick(Query{Service: "s"}, now.Add(time.Minute))).To(gomega.BeNil())
 }
 
-// A server that can't be reached may be back: after a while it is tried again,
-// and at once if no other is left.
-func TestServerThatWasLostIsTriedAgain(t *testing.T) {
+// A server that can't be reached may be back: it is tried again after a while, and at
+// once if no other is left.
+func TestLostServerIsRetried(t *testing.T) {
 	g := gomega.NewWithT(t)
 	d := withServers("a1", "b1")
 	now := time.Now()
@@ -52,14 +52,13 @@
 		g.Expect(d.Pick(Query{Service: "s", Zone: "a"}, now).ID).To(gomega.Equal("b1"))
 	}
 	g.Expect(d.Pick(Query{Service: "s", Avoid: map[Start]bool{{ID: "b1"}: true}}, now).ID).To(gomega.Equal("a1"))
-	g.Expect(d.server("a1").IsDown(now.Add(revivedAfter))).To(gomega.BeFalse())
+	g.Expect(d.server("a1").IsDown(now.Add(lossRetryDelay))).To(gomega.BeFalse())
 }
 
-// A server was lost and nobody has tried it since; after a while it is usable
-// again. Streams that wait for its loss must not be woken by the old one: those
-// with a copy there went round and round, and entry VMs spent all of their
-// processor time on it.
-func TestOldLossWakesNobody(t *testing.T) {
+// A server was lost, nobody has tried it since, and after a while it is usable again.
+// Guards against streams with a copy there that are woken by the old loss over and over:
+// entry VMs spent all of their processor time on it.
+func TestPastLossWakesNoWaiter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		s := withServers("a1").server("a1")
@@ -73,7 +72,7 @@
 			}
 		}
 		g.Expect(woken()).To(gomega.BeTrue())
-		time.Sleep(revivedAfter)
+		time.Sleep(lossRetryDelay)
 		g.Expect(s.IsDown(time.Now())).To(gomega.BeFalse())
 		g.Expect(woken()).To(gomega.BeFalse())
 		s.Lost(time.Now())
@@ -81,9 +80,9 @@
 	})
 }
 
-// A server reports that it leaves. It gets nothing from the moment that this is
-// known, also if nothing else is left.
-func TestLeavingServerGetsNothing(t *testing.T) {
+// A server reports that it leaves. From then on it gets no work, even if no other server
+// is left.
+func TestDrainingServerGetsNoWork(t *testing.T) {
 	g := gomega.NewWithT(t)
 	d := withServers("a1", "a2")
 	list := listing("a1", "a2")
@@ -93,10 +92,10 @@
 	g.Expect(d.Pick(Query{Service: "s"}, time.Now())).To(gomega.BeNil())
 }
 
-// Several servers of a zone break off at once: the zone has failed, and its
-// other servers are as good as lost though nobody has asked them yet. One that
-// has answered since is not.
-func TestZoneThatFailsIsDoubtedAsAWhole(t *testing.T) {
+// Several servers of a zone are lost at once, so the zone has probably failed with its
+// other servers, though no request has failed there yet. A server that has responded
+// since is not suspected.
+func TestServersOfFailedZoneAreSuspected(t *testing.T) {
 	g := gomega.NewWithT(t)
 	d := withServers("a1", "a2", "a3", "a4", "b1")
 	now := time.Now().Add(time.Second)
@@ -111,13 +110,13 @@
 	g.Expect(d.Pick(Query{Service: "s", Zone: "a"}, now).ID).To(gomega.Equal("a3"))
 }
 
-// A zone's servers crash while the store is away, and nobody takes them off the
-// list. The VMs tell each other of the losses again and again. They used to tell
-// on what they had only been told, so that each loss stayed as new as the last
-// word of it: the servers that came back, the zone that they are in and servers
-// that had only been out of one VM's reach got nothing until the store returned.
-func TestLossIsNotToldOnForever(t *testing.T) {
-	const told, pace = time.Second, 20 * time.Millisecond
+// A zone's servers crash during an outage of the store, so nobody removes them from the
+// list, and the VMs report the losses to each other. Guards against VMs that pass on
+// reported losses: each loss then looked as recent as the last report, and servers that
+// came back, their zone, and servers that only one VM had failed to reach got no work
+// until the store returned.
+func TestPeerLossIsNotPassedOn(t *testing.T) {
+	const window, interval = time.Second, 20 * time.Millisecond
 	g := gomega.NewWithT(t)
 	a, b, c := withServers("a1", "a2", "b1"), withServers("a1", "a2", "b1"), withServers("a1", "a2", "b1")
 	vms := []*Directory{a, b, c}
@@ -125,10 +124,10 @@
 	a.server("a1").Lost(start)
 	a.server("a2").Dead(start)
 	now := start
-	tell := func(d time.Duration) {
-		for until := now.Add(d); now.Before(until); now = now.Add(pace) {
+	exchange := func(d time.Duration) {
+		for until := now.Add(d); now.Before(until); now = now.Add(interval) {
 			for _, from := range vms {
-				for _, lost := range from.LostHere(now, told) {
+				for _, lost := range from.LostHere(now, window) {
 					for _, to := range vms {
 						if to != from {
 							to.LostElsewhere(lost, now)
@@ -138,24 +137,24 @@
 			}
 		}
 	}
-	tell(pace)
+	exchange(interval)
 	for _, vm := range vms {
 		g.Expect(vm.server("a1").IsDown(now)).To(gomega.BeTrue())
 		g.Expect(vm.Adopt(vm.server("a2"), Start{ID: "a3"}, now)).To(gomega.BeTrue())
 	}
 	busy := b.server("b1").StreamBegun(8000)
 	defer busy.End()
-	tell(2 * time.Second)
-	g.Expect(b.Pick(Query{Service: "s", Zone: "a"}, now).ID).To(gomega.Equal("a3"), "the one that came back")
-	tell(revivedAfter)
+	exchange(2 * time.Second)
+	g.Expect(b.Pick(Query{Service: "s", Zone: "a"}, now).ID).To(gomega.Equal("a3"), "the server that came back")
+	exchange(lossRetryDelay)
 	for _, vm := range vms {
 		g.Expect(vm.server("a1").IsDown(now)).To(gomega.BeFalse())
 	}
 }
 
-// Two servers of a release leave one after the other and refuse connections at
-// their end. That says nothing about the rest of their zone.
-func TestServersThatLeaveAreNoLossOfTheirZone(t *testing.T) {
+// Two servers leave one after the other during a release and refuse connections at their
+// end. That says nothing about the rest of their zone.
+func TestDrainingServersAreNoZoneLoss(t *testing.T) {
 	g := gomega.NewWithT(t)
 	d := withServers("a1", "a2", "a3", "b1")
 	list := listing("a1", "a2", "a3", "b1")
@@ -170,7 +169,7 @@
 }
 
 // A copy in the zone of its stream would be lost with it.
-func TestCopyLiesInAnotherZone(t *testing.T) {
+func TestCopyGoesToAnotherZone(t *testing.T) {
 	g := gomega.NewWithT(t)
 	d := withServers("a1", "a2", "b1")
 	busy := d.server("b1").StreamBegun(8000)
@@ -180,9 +179,9 @@
 	}
 }
 
-// Copies of many streams lay on one idle server; when their zone failed, all
-// went on there at once, and it had no room for the last ones.
-func TestCopiesAreKeptApart(t *testing.T) {
+// Guards against copies of many streams on one idle server: when their zone failed, all
+// streams continued there at once, and it had no room for the last ones.
+func TestCopiesAreSpread(t *testing.T) {
 	g := gomega.NewWithT(t)
 	d := withServers("a1", "a2", "a3", "a4")
 	for range 12 {
@@ -193,25 +192,25 @@
 	}
 }
 
-// A server joins between two tellings of a peer. Sums kept up by differences
-// then went wrong for good, and idle servers looked busier than busy ones.
-func TestOthersLoadIsThatOfTheirNewestWord(t *testing.T) {
+// A server joins between two reports of a peer. Guards against totals updated by
+// differences: they stayed wrong for good, and idle servers looked busier than busy ones.
+func TestPeerLoadIsNewestReport(t *testing.T) {
 	g := gomega.NewWithT(t)
 	d := withServers("a1")
 	d.Others("peer", []Load{{Server: Hash("a2"), Streams: 2, Copies: 1, Prefill: 640}})
 	d.Apply(2, listing("a1", "a2"), false, time.Now())
-	g.Expect(d.server("a2").otherStreams.Load()).To(gomega.BeNumerically("==", 2))
+	g.Expect(d.server("a2").peerStreams.Load()).To(gomega.BeNumerically("==", 2))
 	d.Others("peer", []Load{{Server: Hash("a1"), Streams: 1}})
-	d.freshSums(time.Now().Add(time.Second))
-	g.Expect(d.server("a2").otherStreams.Load()).To(gomega.BeZero())
-	g.Expect(d.server("a2").otherPrefill.Load()).To(gomega.BeZero())
+	d.refreshPeerTotals(time.Now().Add(time.Second))
+	g.Expect(d.server("a2").peerStreams.Load()).To(gomega.BeZero())
+	g.Expect(d.server("a2").peerQueuedTokens.Load()).To(gomega.BeZero())
 	d.Others("peer", nil)
-	d.freshSums(time.Now().Add(2 * time.Second))
-	g.Expect(d.server("a1").otherStreams.Load()).To(gomega.BeZero())
+	d.refreshPeerTotals(time.Now().Add(2 * time.Second))
+	g.Expect(d.server("a1").peerStreams.Load()).To(gomega.BeZero())
 }
 
-// An old answer of the store, or a peer that lags, must not bring back a server
-// that is gone.
+// A late response of the store, or a peer that lags, must not bring back a server that is
+// gone.
 func TestListNeverGoesBack(t *testing.T) {
 	g := gomega.NewWithT(t)
 	d := withServers("a1", "a2")
@@ -229,7 +228,7 @@
 	tooOld   bool
 }
 
-// set changes what the store answers from now on.
+// set changes what the store responds from now on.
 func (s *fakeStore) set(position uint64, list []Listing, err error, tooOld bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -261,10 +260,10 @@
 	return after, nil, nil, nil
 }
 
-// The store is away for some seconds and the entries of all servers lapse. At
-// its return the servers write again within two seconds; until then they stay
-// in use, and one that is still missing then is gone.
-func TestEntriesThatLapsedAreForgivenForTwoSeconds(t *testing.T) {
+// The store has an outage of some seconds, and the entries of all servers expire. When it
+// returns, the servers write them again within two seconds. They stay in use until then;
+// one that is still missing afterwards is removed.
+func TestExpiredEntriesAreRetainedForTwoSeconds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		store := &fakeStore{position: 1, list: listing("a1", "a2")}
@@ -279,18 +278,18 @@
 		g.Expect(d.View().Len()).To(gomega.Equal(2))
 		store.set(9, nil, nil, false)
 		time.Sleep(time.Second)
-		g.Expect(d.View().Len()).To(gomega.Equal(2), "entries that lapsed")
+		g.Expect(d.View().Len()).To(gomega.Equal(2), "entries that expired")
 		store.set(10, listing("a1"), nil, false)
 		time.Sleep(4 * time.Second)
-		g.Expect(d.View().Len()).To(gomega.Equal(1), "gone after all")
+		g.Expect(d.View().Len()).To(gomega.Equal(1), "removed in the end")
 		stop()
 		<-done
 	})
 }
 
-// The store has dropped the history that a waiting process would go on from.
-// The whole list is read instead; that is no failure of the store.
-func TestHistoryThatIsGoneIsReadAnew(t *testing.T) {
+// The store has dropped the history after a process's position. The whole list is read
+// instead, which does not count as a failure of the store.
+func TestDroppedHistoryCausesWholeRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		store := &fakeStore{position: 1, list: listing("a1")}
@@ -309,11 +308,11 @@
 	})
 }
 
-// A process that the store turns away gets the list from a peer that the store
-// answers: what is missing from it is gone. After an outage for all, the first
-// list that a peer has lacks every server whose entry lapsed: dropping them left
-// two thirds of the servers idle for two seconds.
-func TestListOfAPeer(t *testing.T) {
+// A process that the store rejects gets the list from a peer that is served by the store:
+// servers missing from it are removed. After an outage that affects all, the first list
+// of a peer lacks each server whose entry expired: removing those left two thirds of the
+// servers idle for two seconds.
+func TestPeerListRemovesServersIfSettled(t *testing.T) {
 	g := gomega.NewWithT(t)
 	d := withServers("a1", "a2", "a3")
 	f := &Follower{Directory: d, Recorder: event.Discard()}
@@ -321,13 +320,13 @@
 	g.Expect(d.View().Len()).To(gomega.Equal(2))
 	f.Take(3, listing("a1"), false, "peer")
 	g.Expect(d.View().Len()).To(gomega.Equal(2))
-	g.Expect(f.Settled()).To(gomega.BeFalse(), "a2 is awaited")
+	g.Expect(f.Settled()).To(gomega.BeFalse(), "a2 is retained")
 }
 
-// The store is away; a server crashes, is started again, and is found under its
-// new id. It is used at once: the loss of its former start is older than it, and
-// its zone's loss says nothing about it.
-func TestServerThatIsFoundAgainIsUsed(t *testing.T) {
+// During an outage of the store a server crashes, is started again and found under its
+// new id. It is used at once: the loss of its previous start is older, and the loss of
+// its zone says nothing about it.
+func TestRestartedServerIsUsed(t *testing.T) {
 	g := gomega.NewWithT(t)
 	d := withServers("a1", "a2", "b1")
 	lost := time.Now()
@@ -347,9 +346,9 @@
 	g.Expect(d.server("a1-again").Address).To(gomega.Equal("a1"))
 }
 
-// With hundreds of processes each chooses among the servers of its cell first;
-// where the cell has none to offer, any will do.
-func TestCells(t *testing.T) {
+// With hundreds of processes each prefers the servers of its cell; if the cell has none
+// available, it uses any.
+func TestPickPrefersOwnCell(t *testing.T) {
 	g := gomega.NewWithT(t)
 	g.Expect(Cells(28)).To(gomega.Equal(1))
 	g.Expect(Cells(300)).To(gomega.Equal(10))
@@ -360,33 +359,33 @@
 	d := withServers(ids...)
 	d.SetCells(1, 2)
 	for range 50 {
-		g.Expect(int(d.Pick(Query{Service: "s"}, time.Now()).hash) % 2).To(gomega.Equal(1))
+		g.Expect(int(d.Pick(Query{Service: "s"}, time.Now()).startHash) % 2).To(gomega.Equal(1))
 	}
 	now := time.Now()
 	for _, s := range d.View().Service("s") {
-		if s.hash%2 == 1 {
+		if s.startHash%2 == 1 {
 			s.Dead(now)
 		}
 	}
 	g.Expect(d.Pick(Query{Service: "s"}, now)).NotTo(gomega.BeNil())
 }
 
-// The log line of a list of thousands stays short, and says how many it is about.
+// The log line of a list of thousands stays short and gives their number.
 func TestLogLineOfManyServersIsShort(t *testing.T) {
 	g := gomega.NewWithT(t)
 	ids := make([]string, 3000)
 	for i := range ids {
 		ids[i] = fmt.Sprintf("i-%010d", i)
 	}
-	g.Expect(some(ids)).To(gomega.HaveSuffix(",+2960"))
-	g.Expect(len(some(ids))).To(gomega.BeNumerically("<", 600))
-	g.Expect(some(ids[:2])).To(gomega.Equal("i-0000000000,i-0000000001"))
+	g.Expect(joinIDs(ids)).To(gomega.HaveSuffix(",+2960"))
+	g.Expect(len(joinIDs(ids))).To(gomega.BeNumerically("<", 600))
+	g.Expect(joinIDs(ids[:2])).To(gomega.Equal("i-0000000000,i-0000000001"))
 }
 
-// A zone is lost, and 28 entry VMs place a stream of it again in the same
-// moment. All of them see one idle server; they used to send it 28 prompts, and
-// the last stream's caller waited for half a minute.
-func TestMassLossIsSpread(t *testing.T) {
+// A zone is lost, and 28 entry VMs place its streams at the same moment, all with the
+// same idle server in sight. Guards against all of them choosing it: with 28 prompts
+// there, the last caller waited for half a minute.
+func TestStreamsOfLostZoneAreSpread(t *testing.T) {
 	const vms = 28
 	g := gomega.NewWithT(t)
 	var ids []string
@@ -397,11 +396,11 @@
 	for vm := range vms {
 		d := withServers(ids...)
 		d.SetHashRange(vm, vms)
-		var told []Load
+		var reported []Load
 		for _, id := range ids[1:] {
-			told = append(told, Load{Server: Hash(id), Streams: 2})
+			reported = append(reported, Load{Server: Hash(id), Streams: 2})
 		}
-		d.Others("another", told)
+		d.Others("another", reported)
 		now := time.Now().Add(time.Second)
 		for range 2 {
 			s := d.Pick(Query{Service: "s", Zone: "a", Prompt: 8000, Again: true}, now)
@@ -417,10 +416,10 @@
 	g.Expect(len(prompts)).To(gomega.BeNumerically(">=", 30))
 }
 
-// Another program writes over 3,000 entries. Each look at the list used to be a
-// failure of its own; now they are told once, in a line that names a few of them,
-// and again only when an entry is invalid for another reason.
-func TestInvalidEntriesAreToldOnceInOneLine(t *testing.T) {
+// Another program overwrites 3,000 entries. Guards against a log line for each entry and
+// each list: they are logged once, in a line that names a few, and again only when an
+// entry is invalid for another reason.
+func TestInvalidEntriesAreLoggedOnceInOneLine(t *testing.T) {
 	g := gomega.NewWithT(t)
 	recorder := event.Discard()
 	f := &Follower{Directory: New(), Recorder: recorder}
@@ -429,7 +428,7 @@
 		list = append(list, Listing{ID: fmt.Sprintf("i-%d", i), Invalid: "its state is \"odd\""})
 	}
 	list = append(list, Listing{ID: "good", Service: "s", Address: "10.0.0.1:80"})
-	told := func() (lines []string) {
+	logged := func() (lines []string) {
 		for _, e := range recorder.Entries("") {
 			if e.ID == EventInvalid.ID() {
 				lines = append(lines, e.Fields["entries"])
@@ -440,23 +439,23 @@
 	for position := range uint64(50) {
 		f.Take(position+1, list, true, "store")
 	}
-	g.Expect(told()).To(gomega.HaveLen(1))
-	g.Expect(told()[0]).To(gomega.ContainSubstring(`"i-0": its state is "odd"`))
-	g.Expect(told()[0]).To(gomega.HaveSuffix("+2992"))
-	g.Expect(len(told()[0])).To(gomega.BeNumerically("<", 2000))
+	g.Expect(logged()).To(gomega.HaveLen(1))
+	g.Expect(logged()[0]).To(gomega.ContainSubstring(`"i-0": its state is "odd"`))
+	g.Expect(logged()[0]).To(gomega.HaveSuffix("+2992"))
+	g.Expect(len(logged()[0])).To(gomega.BeNumerically("<", 2000))
 	g.Expect(f.Directory.View().Invalid()).To(gomega.Equal(3000))
 	g.Expect(f.Directory.View().Len()).To(gomega.Equal(1))
 	list = slices.Clone(list) // views keep the list that they were given
 	list[5].Invalid = FaultNoService
 	f.Take(60, list, true, "peer")
-	g.Expect(told()).To(gomega.HaveLen(1), "a peer hands on no reason")
+	g.Expect(logged()).To(gomega.HaveLen(1), "a peer passes on no reason")
 	list = slices.Clone(list)
 	list[6].Invalid = "its address is not ip:port"
 	f.Take(61, list, true, "store")
-	g.Expect(told()).To(gomega.HaveLen(2))
+	g.Expect(logged()).To(gomega.HaveLen(2))
 }
 
-// Guards against an older list that replaces a newer one which says the same as the
+// Guards against an older list that replaces a newer one with the same content as the
 // list before both.
 func TestUnchangedListIsNotReplacedByAnOlderOne(t *testing.T) {
 	g := gomega.NewWithT(t)
--- a/directory/follow.go
+++ b/directory/follow.go
@@ -15,57 +15,58 @@
 	"github.com/pearyard/pearyard/follow"
 )
 
-// Source lists the backend servers.
+// Source provides the list of backend servers.
 type Source interface {
-	// List returns all of them, with the list's place in the store's history.
+	// List returns the whole list and its position in the store's history.
 	List(ctx context.Context) (position uint64, list []Listing, err error)
-	// Changes waits up to wait for changes after a position. Without any it
-	// returns the position it has reached and nothing else. The error is
-	// ErrTooOld if the store no longer knows all changes since then.
+	// Changes waits up to wait for changes after a position. Without any it returns the
+	// position reached and nothing else. It returns ErrTooOld if the store no longer has
+	// all changes since then.
 	Changes(ctx context.Context, after uint64, wait time.Duration) (position uint64, changed []Listing, gone []string, err error)
 }
 
-// ErrTooOld: the changes since a position are no longer known.
-var ErrTooOld = errors.New("directory: the position is too old for changes")
+// ErrTooOld is returned when the changes since a position are no longer available.
+var ErrTooOld = errors.New("directory: changes since the position are no longer available")
 
 const (
-	// longPoll is how long one question waits at the store.
+	// longPoll is how long one request waits at the store for changes.
 	longPoll = 2 * time.Second
-	// pace is the time between two questions while changes come: many servers
-	// change in the same moments, and one answer carries them all. It must be well
-	// under the time in which a leaving server must get no new work.
-	pace = 400 * time.Millisecond
-	// relistEvery bounds how long a list is kept up by changes alone.
-	relistEvery = 10 * time.Second
-	// forgiveFor is how long after the store's return an entry that is missing
-	// is kept: entries that lapsed meanwhile are back about two seconds after it.
-	forgiveFor = 2200 * time.Millisecond
+	// minInterval is the shortest time between two requests while changes arrive: servers
+	// often change together, and one response carries them all. It must be well below the
+	// time within which a leaving server must stop getting new work.
+	minInterval = 400 * time.Millisecond
+	// relistInterval is the longest time for which the list is updated by changes alone.
+	relistInterval = 10 * time.Second
+	// retainPeriod is how long after the store's return a missing entry is retained:
+	// servers whose entries expired during the outage write them again within about two
+	// seconds.
+	retainPeriod = 2200 * time.Millisecond
 )
 
-// Follower keeps a Directory up with a Source.
+// Follower keeps a Directory up to date with a Source.
 type Follower struct {
 	Directory *Directory
 	Source    Source
 	Recorder  *event.Recorder
-	Failed    func(ctx context.Context) // called after each failure; it may ask peers
+	Failed    func(ctx context.Context) // called after each failure; may ask peers
 	Share     follow.Share              // may be nil
-	Turns     *follow.Turns             // of all that ask the same store; may be nil
+	Turns     *follow.Turns             // shared by all followers of the same store; may be nil
 
 	loop     atomic.Pointer[follow.Loop]
 	listedAt time.Time
 	position atomic.Uint64 // up to which changes are known
-	kept     atomic.Bool   // servers are in use that the newest list does not have
+	retained atomic.Bool   // servers are in use that are missing from the newest list
 }
 
-// Run follows until ctx ends.
+// Run follows the source until ctx ends.
 func (f *Follower) Run(ctx context.Context) error { return f.newLoop().Run(ctx) }
 
 func (f *Follower) newLoop() *follow.Loop {
 	loop := &follow.Loop{
-		Read: f.list, Next: f.changes, Wait: longPoll, Pace: pace, Share: f.Share, Turns: f.Turns, Failed: f.Failed,
-		MustRead: func() bool { return f.forgiving() || f.kept.Load() || time.Since(f.listedAt) > relistEvery },
-		// A peer's word does not tell which of the entries that are awaited are gone.
-		MayDelegate: func() bool { return !f.kept.Load() },
+		Read: f.list, Next: f.changes, Wait: longPoll, Pace: minInterval, Share: f.Share, Turns: f.Turns, Failed: f.Failed,
+		MustRead: func() bool { return f.retaining() || f.retained.Load() || time.Since(f.listedAt) > relistInterval },
+		// A peer's list does not tell which of the retained servers are gone.
+		MayDelegate: func() bool { return !f.retained.Load() },
 		Lost:        func(err error) { f.Recorder.Emit(EventListLost, "err", err, "age", time.Since(f.listedAt)) },
 		Regained: func(o follow.Outage) {
 			f.Recorder.Emit(EventListRegained, "failures", o.Failures, "away", o.Away, "longest_wait", o.Longest)
@@ -75,7 +76,7 @@
 	return loop
 }
 
-// Age returns for how long nobody has confirmed the list; 0 before Run.
+// Age returns the time since the list was last confirmed; 0 before Run.
 func (f *Follower) Age() time.Duration {
 	if loop := f.loop.Load(); loop != nil {
 		return loop.Age()
@@ -83,14 +84,14 @@
 	return 0
 }
 
-// Failing tells whether the store does not tell the list at the moment.
+// Failing reports whether the newest request to the store failed.
 func (f *Follower) Failing() bool {
 	loop := f.loop.Load()
 	return loop != nil && loop.Failing()
 }
 
-// forgiving tells whether entries that are missing may only have lapsed.
-func (f *Follower) forgiving() bool { return f.loop.Load().FailedWithin(forgiveFor) }
+// retaining reports whether missing entries may merely have expired during an outage.
+func (f *Follower) retaining() bool { return f.loop.Load().FailedWithin(retainPeriod) }
 
 func (f *Follower) changes(ctx context.Context, wait time.Duration) (follow.Update, error) {
 	position, changed, gone, err := f.Source.Changes(ctx, f.position.Load(), wait)
@@ -102,9 +103,9 @@
 	}
 	return func() {
 		if len(changed)+len(gone) > 0 {
-			f.take(position, merge(f.Directory.View().Listings, changed, gone), f.forgiving(), "store")
+			f.apply(position, merge(f.Directory.View().Listings, changed, gone), f.retaining(), "store")
 		}
-		f.reach(position)
+		f.advance(position)
 	}, nil
 }
 
@@ -115,8 +116,8 @@
 	}
 	return func() {
 		f.listedAt = time.Now()
-		f.take(position, list, f.forgiving(), "store")
-		f.reach(position)
+		f.apply(position, list, f.retaining(), "store")
+		f.advance(position)
 	}, nil
 }
 
@@ -135,8 +136,8 @@
 	return slices.Collect(maps.Values(byID))
 }
 
-// reach notes up to which position changes are known.
-func (f *Follower) reach(position uint64) {
+// advance records the position up to which changes are known.
+func (f *Follower) advance(position uint64) {
 	for {
 		known := f.position.Load()
 		if position <= known || f.position.CompareAndSwap(known, position) {
@@ -145,77 +146,78 @@
 	}
 }
 
-// Reached returns the position up to which there is nothing newer than what is in
-// force. Invariant: what came up to it is in the directory already; who asks for the
-// view's position as well asks for this one first.
+// Reached returns the position up to which all changes are in force. Invariant: the
+// directory already holds everything up to it. A caller that needs the view's position as
+// well must call Reached first.
 func (f *Follower) Reached() uint64 { return f.position.Load() }
 
-// Take puts a list in force that a peer had from the store. What is missing
-// from it is gone if the list is settled: the store had not been away for the peer.
+// Take puts in force a list that a peer read from the store. If the list is settled,
+// meaning that the peer had no outage of the store, servers missing from it are removed.
 func (f *Follower) Take(position uint64, list []Listing, settled bool, from string) {
-	f.take(position, list, !settled, from)
-	f.reach(position)
+	f.apply(position, list, !settled, from)
+	f.advance(position)
 }
 
-// TakeChanges is Take for what has changed since the list in force here.
+// TakeChanges is Take for the changes since the list in force here.
 func (f *Follower) TakeChanges(position uint64, changed []Listing, gone []string, settled bool, from string) {
-	f.take(position, merge(f.Directory.View().Listings, changed, gone), !settled, from)
-	f.reach(position)
+	f.apply(position, merge(f.Directory.View().Listings, changed, gone), !settled, from)
+	f.advance(position)
 }
 
-// Settled tells whether no entry of the newest list is awaited any more.
+// Settled reports whether the newest list is complete: no recent outage, and no server is
+// retained that is missing from it.
 func (f *Follower) Settled() bool {
 	loop := f.loop.Load()
-	return loop != nil && !loop.FailedWithin(forgiveFor) && !f.kept.Load()
+	return loop != nil && !loop.FailedWithin(retainPeriod) && !f.retained.Load()
 }
 
-// take puts a list in force and says what changed.
-func (f *Follower) take(position uint64, list []Listing, forgiving bool, from string) {
-	change := f.Directory.Apply(position, list, forgiving, time.Now())
+// apply puts a list in force and logs what changed.
+func (f *Follower) apply(position uint64, list []Listing, retainMissing bool, from string) {
+	change := f.Directory.Apply(position, list, retainMissing, time.Now())
 	if change.Older {
-		// It says nothing of the servers that the list in force keeps.
+		// An ignored list says nothing about the servers that are retained now.
 		return
 	}
-	f.kept.Store(len(change.Kept) > 0)
-	if f.kept.Load() {
-		f.Recorder.Emit(EventKept, "servers", some(change.Kept), "position", position)
+	f.retained.Store(len(change.Kept) > 0)
+	if f.retained.Load() {
+		f.Recorder.Emit(EventKept, "servers", joinIDs(change.Kept), "position", position)
 	}
 	if len(change.Late) > 0 {
-		f.Recorder.Emit(EventLate, "servers", some(change.Late), "position", position, "from", from)
+		f.Recorder.Emit(EventLate, "servers", joinIDs(change.Late), "position", position, "from", from)
 	}
 	if len(change.Invalid) > 0 {
-		f.Recorder.Emit(EventInvalid, "entries", someInvalid(change.Invalid), "position", position, "from", from)
+		f.Recorder.Emit(EventInvalid, "entries", joinInvalid(change.Invalid), "position", position, "from", from)
 	}
 	if change.Any() {
-		f.Recorder.Emit(EventChanged, "joined", some(change.Joined), "left", some(change.Left), "draining", some(change.Draining),
+		f.Recorder.Emit(EventChanged, "joined", joinIDs(change.Joined), "left", joinIDs(change.Left), "draining", joinIDs(change.Draining),
 			"listed", len(list), "position", position, "from", from)
 	}
 }
 
-// loggedIDs is how many ids a log line names: a zone's loss at a usual site. A
-// process's first list of thousands would make a line of 40 KB otherwise.
-const loggedIDs = 40
+// maxLoggedIDs is the number of ids in a log line, enough for the loss of a zone of a
+// typical site. Unbounded, a process's first list of thousands makes a line of 40 KB.
+const maxLoggedIDs = 40
 
-// some names the first ids and counts the others.
-func some(ids []string) string {
-	if len(ids) <= loggedIDs {
+// joinIDs joins the first ids and counts the rest.
+func joinIDs(ids []string) string {
+	if len(ids) <= maxLoggedIDs {
 		return strings.Join(ids, ",")
 	}
-	return fmt.Sprintf("%s,+%d", strings.Join(ids[:loggedIDs], ","), len(ids)-loggedIDs)
+	return fmt.Sprintf("%s,+%d", strings.Join(ids[:maxLoggedIDs], ","), len(ids)-maxLoggedIDs)
 }
 
-// loggedInvalid is how many entries that name no server a log line names with
-// their reasons, in at most 2 KB. Lists are taken 2.5 times a second at most,
-// and an entry is named once for a reason, so 3,000 of them are a few lines.
-const loggedInvalid = 8
+// maxLoggedInvalid is the number of invalid entries that a log line names with their
+// reasons, in at most 2 KB. At most 2.5 lists are applied per second and an entry is
+// logged once for a reason, so 3,000 invalid entries make only a few lines.
+const maxLoggedInvalid = 8
 
-// someInvalid names the first entries with their reasons and counts the others.
-func someInvalid(list []Listing) string {
+// joinInvalid joins the first entries with their reasons and counts the rest.
+func joinInvalid(list []Listing) string {
 	var named []string
-	for _, l := range list[:min(len(list), loggedInvalid)] {
+	for _, l := range list[:min(len(list), maxLoggedInvalid)] {
 		named = append(named, fmt.Sprintf("%.60q: %.120s", l.ID, l.Invalid))
 	}
-	if more := len(list) - loggedInvalid; more > 0 {
+	if more := len(list) - maxLoggedInvalid; more > 0 {
 		named = append(named, fmt.Sprintf("+%d", more))
 	}
 	return strings.Join(named, "; ")
--- a/directory/heavyload_test.go
+++ b/directory/heavyload_test.go
@@ -11,22 +11,22 @@
 
 func evenSpeed(int) float64 { return 1 }
 
-// expectServedInTime plays what is to come: no stream may miss its deadline, and one in 20
-// at most may begin late.
+// expectServedInTime runs the site to its end: no stream may miss its deadline, and at
+// most one in 20 may begin late.
 func expectServedInTime(t *testing.T, site *modelSite) {
 	t.Helper()
 	begun := time.Now()
 	site.run()
 	late, failed, all := site.outcomes(begun)
-	t.Logf("%d streams, %d late, %d not whole in time", all, late, failed)
+	t.Logf("%d streams, %d late, %d incomplete at the deadline", all, late, failed)
 	g := gomega.NewWithT(t)
 	g.Expect(failed).To(gomega.BeZero())
 	g.Expect(late).To(gomega.BeNumerically("<=", all/20))
 }
 
-// A zone of 60 servers loses 55 of them every 3.2 s, another one each time, and 103 VMs
-// decide at once where what ran there goes on. Guards against streams that pile up on the
-// same servers while others are idle.
+// Every 3.2 s another zone of 60 servers loses 55 of them, and 103 VMs choose at once
+// where its streams continue. Guards against streams that pile up on the same servers
+// while others are idle.
 func TestStreamsOfALostZoneAreServedElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const (
@@ -44,7 +44,7 @@
 	})
 }
 
-// All VMs were away; they know nothing when all callers come back within a second, two
+// All VMs were down; they know no load when all callers come back within a second, two
 // for each server. Guards against VMs that send them to the same servers.
 func TestAllCallersThatComeBackAreServedInTime(t *testing.T) {
 	for _, vms := range []int{18, 103, 400} {
--- a/directory/history.go
+++ b/directory/history.go
@@ -2,24 +2,23 @@
 
 import "maps"
 
-// historyLength is how many changes are kept for others that lag: each is a
-// list that was taken, at most one each 400 ms, so a minute's worth is a few
-// dozen kilobytes.
+// historyLength is how many changes are kept for peers that lag. Each is one applied
+// list, at most one every 400 ms, so they take a few dozen kilobytes per minute.
 const historyLength = 64
 
-// diff is what one list changed.
-type diff struct {
+// listDiff is the difference between two successive lists.
+type listDiff struct {
 	from, to uint64 // positions before and after
 	changed  []Listing
 	gone     []string
 }
 
-// remember keeps what a list changed; it is called under the lock of Apply. The
-// first list is no change: others that were restarted in the same moment, and
-// are behind by one position, would be handed thousands of servers as changes.
+// recordChange appends the difference to the previous list to the history; d.mu must be
+// held. The first list is not recorded: peers that restarted at the same moment and lag
+// by one position would otherwise get thousands of servers as changes.
 //
-// It reports false if the list says what the one before it said.
-func (d *Directory) remember(old *View, position uint64, list []Listing) bool {
+// It returns false if the list has the same content as the previous one.
+func (d *Directory) recordChange(old *View, position uint64, list []Listing) bool {
 	if old.Position == 0 {
 		return true
 	}
@@ -27,7 +26,7 @@
 	for _, l := range old.Listings {
 		before[l.ID] = l
 	}
-	change := diff{from: old.Position, to: position}
+	change := listDiff{from: old.Position, to: position}
 	for _, l := range list {
 		if before[l.ID] != l {
 			change.changed = append(change.changed, l)
@@ -49,10 +48,10 @@
 	return changes
 }
 
-// Since returns what has changed since a position, and the position that it
-// leads to. It reports false if the changes are no longer known: then the whole
-// list is needed. Changes from before the position may be among them, which
-// does no harm: each says how an entry is now.
+// Since returns what has changed since a position, and the position that it leads to. It
+// reports false if those changes are no longer known; then the whole list is needed. The
+// result may include changes from before the position. They do no harm, since each holds
+// the current state of an entry.
 func (d *Directory) Since(position uint64) (to uint64, changed []Listing, gone []string, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/directory/listing.go
+++ b/directory/listing.go
@@ -8,7 +8,7 @@
 // Listing is one entry of the list of backend servers.
 type Listing struct {
 	ID       string
-	Born     int64 // of the start that listed itself; see Start
+	Born     int64 // start time of the process that wrote the entry; see Start
 	Service  string
 	Address  string // ip:port
 	Zone     string
@@ -16,33 +16,33 @@
 	Draining bool
 	Cold     time.Duration // how much longer it is slow after its start
 
-	// Invalid says why the entry names no server; empty: it names one. Such an
-	// entry stays in lists, as it differs from one that is missing: see Apply.
+	// Invalid is the reason why the entry can't be used; empty if it can. Invalid entries
+	// stay in lists, since they are treated differently from missing ones; see Apply.
 	Invalid string
 }
 
-// Start returns the start that listed itself.
+// Start returns the start that wrote the entry.
 func (l Listing) Start() Start { return Start{ID: l.ID, Born: l.Born} }
 
 const (
-	// maxSlots is far above what one server runs. A larger figure is a mistake
-	// of its writer, and sums of load would overflow with it.
+	// maxSlots is far above what one server runs. A larger value is a mistake of its
+	// writer, and load totals could overflow with it.
 	maxSlots = 1 << 20
 	// maxCold is far above what a start takes.
 	maxCold = time.Hour
 	// maxID is the longest key of a row in the store.
 	maxID = 200
-	// maxReason bounds a reason in bytes: errors repeat what they could not read,
-	// which may be a number of 100 KB.
+	// maxReason is the length limit of a reason in bytes: errors quote the value that
+	// could not be parsed, which may be a number of 100 KB.
 	maxReason = 160
 )
 
-// Checked returns a listing with Invalid set if it names no server, and with
-// figures within bounds. Whoever decodes a listing calls it: entries may come
-// from any writer, and one without an address took requests that then failed.
+// Checked returns the listing with Invalid set if it can't be used, and otherwise with
+// its numbers within bounds. Every decoder of listings must call it: entries may come
+// from any writer, and requests sent to a server without an address would fail.
 func (l Listing) Checked() Listing {
 	if l.Invalid == "" {
-		l.Invalid = l.fault()
+		l.Invalid = l.invalidReason()
 	}
 	if l.Invalid != "" {
 		return Listing{ID: l.ID, Invalid: l.Invalid[:min(len(l.Invalid), maxReason)]}
@@ -52,8 +52,8 @@
 	return l
 }
 
-// fault says what a server can't be called without.
-func (l Listing) fault() string {
+// invalidReason returns the reason why a server of this listing can't be called, or "".
+func (l Listing) invalidReason() string {
 	switch {
 	case !ValidID(l.ID):
 		return "its id can't be a header's value"
@@ -68,13 +68,13 @@
 	}
 }
 
-// FaultNoService is why an entry without a service names no server. It is also
-// all that a peer hands on of an entry that names none for any reason.
+// FaultNoService is the reason of an entry without a service. Peers pass an invalid entry
+// on without its service and reason, so it is also the reason of every invalid entry that
+// comes from a peer.
 const FaultNoService = "it has no service"
 
-// ValidID tells whether an id can be sent as a header's value: printable ASCII.
-//
-// The rest of an id with a line break would be read as headers of the request.
+// ValidID reports whether an id can be sent as a header value, that is, whether it is
+// printable ASCII. An id with a line break could inject headers into the request.
 func ValidID(id string) bool {
 	if id == "" || len(id) > maxID {
 		return false
@@ -87,9 +87,9 @@
 	return true
 }
 
-// ValidAddress tells whether an address is ip:port of one host. A name would be
-// looked up on the path of requests, 0.0.0.0 is this VM itself, and a scope
-// (fe80::1%eth0) may hold any byte.
+// ValidAddress reports whether an address is the ip:port of one host. A host name would
+// need a lookup for each request, 0.0.0.0 is this VM itself, and an IPv6 scope
+// (fe80::1%eth0) may contain any byte.
 func ValidAddress(address string) bool {
 	a, err := netip.ParseAddrPort(address)
 	if err != nil || a.Port() == 0 {
--- a/directory/load.go
+++ b/directory/load.go
@@ -2,65 +2,64 @@
 
 import "time"
 
-// Load is what one process has put on a server.
+// Load is the load that one process has put on a server.
 type Load struct {
 	Server  uint32 // hash of its start
-	Streams int    // each that must end soon counts as urgentWeight
+	Streams int    // each stream of a stopping process counts as stoppingStreamWeight
 	Copies  int    // copies of streams that run elsewhere
-	Prefill int    // prompt tokens yet to be read
+	Prefill int    // prompt tokens that await prefill
 }
 
-// Own returns the load of streams that this process has put on servers, those
-// without any left out.
+// Own returns the stream load that this process has put on servers, without servers that
+// have none.
 func (d *Directory) Own() []Load {
 	var out []Load
 	for _, s := range d.view.Load().byID {
 		streams, copies := s.streams.Load(), s.copies.Load()
 		if streams+copies > 0 {
-			out = append(out, Load{Server: s.hash, Streams: int(weightOfStreams(streams, d.urgent.Load())), Copies: int(copies), Prefill: int(max(0, s.prefill.Load()))})
+			out = append(out, Load{Server: s.startHash, Streams: int(weightedStreams(streams, d.stopping.Load())), Copies: int(copies), Prefill: int(max(0, s.queuedTokens.Load()))})
 		}
 	}
 	return out
 }
 
-// Others replaces what one other process has told of its load; nil forgets it.
+// Others sets the load reported by one peer; an empty list removes it.
 func (d *Directory) Others(from string, loads []Load) {
-	d.othersMu.Lock()
-	defer d.othersMu.Unlock()
+	d.peerLoadsMu.Lock()
+	defer d.peerLoadsMu.Unlock()
 	if len(loads) == 0 {
-		delete(d.others, from)
+		delete(d.peerLoads, from)
 	} else {
-		d.others[from] = loads
+		d.peerLoads[from] = loads
 	}
-	d.unsummed.Store(true)
+	d.totalsStale.Store(true)
 }
 
-// sumEvery bounds how often sums are made anew: with hundreds of processes
-// that tell, each telling would otherwise cost as much as a choice.
-const sumEvery = 10 * time.Millisecond
+// totalsInterval is the shortest time between two computations of the totals: with
+// hundreds of peers, each report would otherwise cost as much as a choice.
+const totalsInterval = 10 * time.Millisecond
 
-// freshSums makes the sums of others' load anew if they have told something.
-func (d *Directory) freshSums(now time.Time) {
-	if !d.unsummed.Load() {
+// refreshPeerTotals computes the totals of the peers' load if any has reported since.
+func (d *Directory) refreshPeerTotals(now time.Time) {
+	if !d.totalsStale.Load() {
 		return
 	}
-	d.othersMu.Lock()
-	defer d.othersMu.Unlock()
-	if now.Sub(d.summedAt) < sumEvery {
+	d.peerLoadsMu.Lock()
+	defer d.peerLoadsMu.Unlock()
+	if now.Sub(d.totalsAt) < totalsInterval {
 		return
 	}
-	d.summedAt = now
-	d.unsummed.Store(false)
-	d.sumOthers(d.view.Load())
+	d.totalsAt = now
+	d.totalsStale.Store(false)
+	d.computePeerTotals(d.view.Load())
 }
 
-// sumOthers adds up what the others have told, always from their newest words:
-// sums that are kept up by differences go wrong for good once a server joins
-// between two of them. Only servers that somebody has loaded are touched, a few
-// hundred of thousands.
-func (d *Directory) sumOthers(view *View) {
-	sums := make(map[uint32]Load, len(d.summed))
-	for _, loads := range d.others {
+// computePeerTotals adds up the newest reports of all peers. It always starts from zero:
+// totals updated by differences stay wrong for good if a server joins between two
+// reports. Only servers with load are touched, a few hundred out of thousands.
+func (d *Directory) computePeerTotals(view *View) {
+	sums := make(map[uint32]Load, len(d.peerTotals))
+	for _, loads := range d.peerLoads {
 		for _, l := range loads {
 			sum := sums[l.Server]
 			sum.Streams += l.Streams
@@ -69,56 +68,56 @@
 			sums[l.Server] = sum
 		}
 	}
-	for hash := range d.summed {
+	for hash := range d.peerTotals {
 		if _, still := sums[hash]; !still {
-			view.byHash[hash].setOthers(Load{})
+			view.byHash[hash].setPeerLoad(Load{})
 		}
 	}
 	for hash, sum := range sums {
-		view.byHash[hash].setOthers(sum)
+		view.byHash[hash].setPeerLoad(sum)
 	}
-	d.summed = sums
+	d.peerTotals = sums
 }
 
-// setOthers notes what others have put on the server; nil is one that is gone.
-func (s *Server) setOthers(sum Load) {
+// setPeerLoad sets the total load of other processes; a nil server is one that is gone.
+func (s *Server) setPeerLoad(sum Load) {
 	if s == nil {
 		return
 	}
-	s.otherStreams.Store(int64(sum.Streams))
-	s.otherCopies.Store(int64(sum.Copies))
-	s.otherPrefill.Store(int64(sum.Prefill))
-	s.noteUnread()
+	s.peerStreams.Store(int64(sum.Streams))
+	s.peerCopies.Store(int64(sum.Copies))
+	s.peerQueuedTokens.Store(int64(sum.Prefill))
+	s.updateUtilization()
 }
 
-// LostElsewhere notes that another process found a server lost. A start that is
-// not known here is none of those that are: the word is dropped.
+// LostElsewhere records that a peer found a server lost, unless this process has streams
+// running there. Reports on a start that is not known here are dropped.
 func (d *Directory) LostElsewhere(server uint32, now time.Time) {
 	s := d.view.Load().byHash[server]
 	if s == nil {
-		d.dropped.Add(1)
+		d.droppedReports.Add(1)
 		return
 	}
 	if s.streams.Load() == 0 {
-		s.toldLost(now)
+		s.markDownByPeer(now)
 	}
 }
 
-// LostHere returns the servers that this process itself found lost within the
-// last while. What it was only told is not among them: two processes would tell
-// each other of a loss for good.
+// LostHere returns the servers that this process itself found lost within the given time.
+// Losses reported by peers are not included: otherwise two processes would report a loss
+// to each other forever.
 func (d *Directory) LostHere(now time.Time, within time.Duration) []uint32 {
 	var out []uint32
 	for _, s := range d.view.Load().byID {
-		if s.lostHere(now, within) {
-			out = append(out, s.hash)
+		if s.lostLocally(now, within) {
+			out = append(out, s.startHash)
 		}
 	}
 	return out
 }
 
-// LostBeside counts the other servers of a server's zone and service that were
-// lost within the last while.
+// LostBeside counts the other servers of a server's zone and service that were lost
+// within the given time.
 func (d *Directory) LostBeside(s *Server, now time.Time, within time.Duration) int {
 	count := 0
 	for _, other := range d.view.Load().Service(s.Service) {
--- a/directory/norace_test.go
+++ b/directory/norace_test.go
@@ -2,4 +2,4 @@
 
 package directory
 
-const raceDetector = false
+const raceEnabled = false
--- a/directory/outage_test.go
+++ b/directory/outage_test.go
@@ -13,13 +13,13 @@
 	"github.com/pearyard/pearyard/event"
 )
 
-// silentStore answers no question that is asked, or waits, while it is silent:
+// silentStore drops requests that arrive or wait while it is silent: it responds to them
 // neither then nor after its return.
 type silentStore struct {
 	mu       sync.Mutex
 	position uint64
 	list     []Listing
-	silences int // begun so far
+	silences int // started so far
 	silent   bool
 }
 
@@ -67,13 +67,13 @@
 	return 0, nil, nil, ctx.Err()
 }
 
-// leaveWithin is how soon after the store's word a leaving server gets no new work.
+// leaveWithin is how soon after a leaving server's entry changes it must get no new work.
 const leaveWithin = 2 * time.Second
 
-// A backend server told the store a second after an outage that it leaves, and
-// entry VMs sent it work until it was gone: the same wait for an answer that was
-// lost with the outage that kept a new route from being known.
-func TestLeavingServerIsKnownAfterAnOutageOfAnyLength(t *testing.T) {
+// A server reports to the store a second after an outage that it leaves. Guards against a
+// request whose response was lost in the outage and which is waited for too long: entry
+// VMs sent work to the server until it was gone.
+func TestDrainingServerIsKnownAfterOutageOfAnyLength(t *testing.T) {
 	for length := 500 * time.Millisecond; length <= 9*time.Second; length += 250 * time.Millisecond {
 		t.Run(fmt.Sprint(length), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/directory/portion_test.go
+++ b/directory/partition_test.go
@@ -10,7 +10,7 @@
 
 var tenServers = []string{"a0", "a1", "a2", "a3", "a4", "a5", "a6", "a7", "a8", "a9"}
 
-// chosenBy returns which servers a process chooses in 50 tries.
+// chosenBy returns the servers that a process chooses in 50 picks.
 func chosenBy(d *Directory, q Query) map[string]bool {
 	chosen := map[string]bool{}
 	for range 50 {
@@ -21,7 +21,7 @@
 
 // Guards against processes that know nothing of each other after a common start and send
 // all callers to the same servers.
-func TestProcessThatHasJustStartedKeepsToItsPortion(t *testing.T) {
+func TestStartingProcessKeepsToItsPartition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		prompt := Query{Service: "s", Zone: "a", Prompt: 8000, Resumes: true}
@@ -34,26 +34,26 @@
 		for id := range chosenBy(second, prompt) {
 			g.Expect(ofFirst).NotTo(gomega.HaveKey(id))
 		}
-		time.Sleep(startedFor)
+		time.Sleep(startupPeriod)
 		g.Expect(len(chosenBy(first, prompt))).To(gomega.BeNumerically(">", 5))
 	})
 }
 
-// Guards against a prompt that is read again, since the server that keeps it is of another
-// process's portion.
-func TestKeptPromptGoesBeforeThePortion(t *testing.T) {
+// Guards against a prompt that is prefilled again because the server that has it cached
+// is in another process's partition.
+func TestCachedPromptOverridesPartition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		d := withServers(tenServers...)
 		d.SetHashRange(0, 5)
 		var elsewhere *Server
-		portion := d.hashRangeOf(d.View().Service("s"), time.Now())
+		own := d.partitionRange(d.View().Service("s"), time.Now())
 		for _, s := range d.View().Service("s") {
-			if !portion.has(s) {
+			if !own.contains(s) {
 				elsewhere = s
 			}
 		}
-		kept := Query{Service: "s", Zone: "a", Prompt: 8000, Resumes: true, Again: true, Kept: map[Start]int{elsewhere.Start: 7000}}
-		g.Expect(chosenBy(d, kept)).To(gomega.Equal(map[string]bool{elsewhere.ID: true}))
+		cached := Query{Service: "s", Zone: "a", Prompt: 8000, Resumes: true, Again: true, Kept: map[Start]int{elsewhere.Start: 7000}}
+		g.Expect(chosenBy(d, cached)).To(gomega.Equal(map[string]bool{elsewhere.ID: true}))
 	})
 }
--- a/directory/pick.go
+++ b/directory/pick.go
@@ -5,43 +5,44 @@
 	"time"
 )
 
-// Query says what is looked for.
+// Query describes the request that a server is needed for.
 type Query struct {
 	Service string
-	Zone    string         // of this process; wins ties
-	Avoid   map[Start]bool // starts that were tried already
-	// NotZone is passed over while there are servers elsewhere: that of the
-	// run whose copy is placed, or that has just lost several servers.
+	Zone    string         // of this process; preferred among near-equal servers
+	Avoid   map[Start]bool // starts that have been tried already
+	// NotZone is a zone to avoid while other zones have servers: the zone of the stream
+	// whose copy is placed, or a zone that has just lost several servers.
 	NotZone string
 	Prompt  int // prompt tokens; 0 for plain calls
-	// Kept are the tokens of the prompt that servers keep: they need not be read there.
+	// Kept holds the number of the prompt's tokens in each server's cache, which need no
+	// prefill there.
 	Kept map[Start]int
-	// Resumes: what is placed goes on elsewhere if its server breaks it off.
+	// Resumes is set if the stream can go on at another server when this one fails.
 	Resumes bool
-	Copy    bool // a place for a copy of a stream's memory is looked for
-	// Again: what is placed was lost elsewhere. Others place theirs in the same
-	// moment, by the same words of load.
+	Copy    bool // the server is to hold a copy of a stream's state
+	// Again is set if the stream was lost at another server. Other processes then place
+	// theirs at the same moment, with the same knowledge of load.
 	Again bool
 
-	urgent    bool      // the streams of this process must end soon; set by Pick
-	hashRange hashRange // of this process; set by Pick for what is placed again
+	stopping  bool      // this process is stopping; set by Pick
+	hashRange hashRange // this process's partition; set by Pick if Again is set
 }
 
-// Pick returns the server that is expected to begin soonest, or nil. Among
-// near-equal ones it picks by chance: many processes read the same list, and
-// a strict order would send them all to the same server.
+// Pick returns the server that is expected to begin soonest, or nil. It chooses at random
+// among near-equal ones: many processes read the same list, and a strict order would send
+// all of them to the same server.
 func (d *Directory) Pick(q Query, now time.Time) *Server {
-	d.freshSums(now)
+	d.refreshPeerTotals(now)
 	list := d.view.Load().Service(q.Service)
-	zones := lossesOf(list, now)
-	q.urgent = d.urgent.Load()
+	zones := countZoneLosses(list, now)
+	q.stopping = d.stopping.Load()
 	if q.Prompt > 0 {
 		d.compareSpeeds(q.Service, list, now)
 	}
-	own := d.ownCell(list)
-	q.Again = q.Again || d.justStarted(now)
+	own := d.serversInOwnCell(list)
+	q.Again = q.Again || d.inStartup(now)
 	if q.Again {
-		q.hashRange = d.hashRangeOf(own, now)
+		q.hashRange = d.partitionRange(own, now)
 	}
 	if len(own) < len(list) {
 		if s := best(own, q, zones, grades[0], now); s != nil {
@@ -56,26 +57,27 @@
 	return nil
 }
 
-// grade is how picky a pass over the servers is. A server in a lost zone or one
-// that failed lately is better than none, so each later pass lets more through.
+// grade is the set of drawbacks that a pass over the servers accepts. A server in a
+// suspect zone or one that failed recently is better than none, so each pass accepts
+// more.
 type grade struct {
-	doubted, notZone, faulty, down bool // true: allowed
+	suspectZone, avoidedZone, faulty, down bool // true: allowed
 }
 
 var grades = []grade{
 	{},
-	{notZone: true},
-	{notZone: true, doubted: true},
-	{notZone: true, doubted: true, faulty: true},
-	{notZone: true, doubted: true, faulty: true, down: true},
+	{avoidedZone: true},
+	{avoidedZone: true, suspectZone: true},
+	{avoidedZone: true, suspectZone: true, faulty: true},
+	{avoidedZone: true, suspectZone: true, faulty: true, down: true},
 }
 
 func (g grade) allows(c candidate) bool {
-	return (g.notZone || !c.passedOver) && (g.doubted || !c.doubted) && (g.down || !c.down) && (g.faulty || c.faults <= maxFaults)
+	return (g.avoidedZone || !c.inAvoidedZone) && (g.suspectZone || !c.inSuspectZone) && (g.down || !c.down) && (g.faulty || c.faults <= maxFaults)
 }
 
-// best returns the candidate with the least score that a grade lets through.
-func best(list []*Server, q Query, zones losses, g grade, now time.Time) *Server {
+// best returns the candidate with the lowest score among those that a grade allows.
+func best(list []*Server, q Query, zones lossesByZone, g grade, now time.Time) *Server {
 	var found *Server
 	var least float64
 	for _, s := range list {
@@ -86,7 +88,7 @@
 		if !g.allows(c) {
 			continue
 		}
-		score := c.score(q) + rand.Float64()*tieWeight
+		score := c.score(q) + rand.Float64()*tieBreakJitter
 		if (found == nil || score < least) && !q.Avoid[s.Start] {
 			found, least = s, score
 		}
@@ -94,11 +96,10 @@
 	return found
 }
 
-// Sound returns the servers of this process's cell that may be asked for something:
-// they neither leave nor are lost.
+// Sound returns the servers of this process's cell that are neither draining nor lost.
 func (d *Directory) Sound(service string, now time.Time) []*Server {
 	var sound []*Server
-	for _, s := range d.ownCell(d.view.Load().Service(service)) {
+	for _, s := range d.serversInOwnCell(d.view.Load().Service(service)) {
 		if !s.Draining() && !s.IsDown(now) {
 			sound = append(sound, s)
 		}
@@ -106,11 +107,11 @@
 	return sound
 }
 
-// Usable tells whether a server that holds something may still be asked for it:
-// it neither leaves nor is lost, alone or with its zone.
+// Usable reports whether a server that holds state, such as a copy or a cached prompt,
+// may still be used: it is neither draining nor lost, alone or with its zone.
 func (d *Directory) Usable(s *Server, now time.Time) bool {
 	if s.Draining() || s.Ended() || s.IsDown(now) {
 		return false
 	}
-	return !lossesOf(d.view.Load().Service(s.Service), now).doubted(s)
+	return !countZoneLosses(d.view.Load().Service(s.Service), now).suspects(s)
 }
--- a/directory/pick_bench_test.go
+++ b/directory/pick_bench_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// A choice among the servers of a usual site and among those of the target's
-// size: 22.7 us and 681 us while each server's lock was taken several times,
-// 5.2 us and 157 us with locks for those only that something is held against.
+// Picks among the servers of a typical site and of a site of the target size. When each
+// server's lock was taken several times a choice took 22.7 us and 681 us; with locks only
+// for servers with issues it takes 5.2 us and 157 us.
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{100, 3000} {
 		for _, again := range []bool{false, true} {
--- a/directory/race_test.go
+++ b/directory/race_test.go
@@ -2,5 +2,5 @@
 
 package directory
 
-// raceDetector tells whether the race detector is on.
-const raceDetector = true
+// raceEnabled reports whether the race detector is on.
+const raceEnabled = true
--- a/directory/reached_test.go
+++ b/directory/reached_test.go
@@ -12,7 +12,7 @@
 	"github.com/pearyard/pearyard/event"
 )
 
-// countingSource has one server more with each change.
+// countingSource adds one server with each change.
 type countingSource struct{ position uint64 }
 
 func (s *countingSource) List(context.Context) (uint64, []Listing, error) {
@@ -25,9 +25,9 @@
 	return s.position, []Listing{{ID: id, Service: "s", Address: "10.0.0.1:" + id, Slots: 1}}, nil, nil
 }
 
-// Guards against a position that is reached before the list says what came up to it:
-// others that are told so in between never ask for the change.
-func TestWhatIsReachedIsInForce(t *testing.T) {
+// Guards against a position that is reported as reached before the list contains the
+// changes up to it: peers that learn it in between never ask for the change.
+func TestReachedPositionIsInForce(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := &Follower{Directory: New(), Source: &countingSource{}, Recorder: event.Discard()}
 	f.newLoop()
--- a/directory/adopt.go
+++ b/directory/restart.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// Adopt makes known that a server was started again at its address, under the
-// same id or another one, before the store tells it. It reports whether that is news.
-// An id that can't be sent is none: it comes from the server or from a datagram.
+// Adopt records that a server was restarted at its address, under the same id or another
+// one, before the store reports it. It reports whether that was new information. Starts
+// with an invalid id are ignored: the id comes from the server itself or from a peer's
+// datagram.
 func (d *Directory) Adopt(old *Server, start Start, now time.Time) bool {
 	if !ValidID(start.ID) {
 		return false
@@ -19,7 +20,7 @@
 	known := view.byID[start.ID]
 	if known != nil && !start.LaterThan(known.Start) {
 		if known.LaterThan(start) {
-			d.dropped.Add(1)
+			d.droppedReports.Add(1)
 		}
 		return false
 	}
@@ -33,24 +34,24 @@
 	}
 	next.remove(known)
 	listing := Listing{ID: start.ID, Born: start.Born, Service: old.Service, Address: old.Address, Zone: old.Zone, Slots: old.Slots}
-	next.add(d.joined(known, listing, now))
+	next.add(d.newStart(known, listing, now))
 	d.view.Store(next)
-	d.unsummed.Store(true) // others may have told of their load there already
+	d.totalsStale.Store(true) // peers may have reported load for it already
 	return true
 }
 
-// remove takes a server out of a view that is being made; nil is none.
+// remove takes a server out of a view under construction; nil is ignored.
 func (v *View) remove(s *Server) {
 	if s == nil {
 		return
 	}
 	delete(v.byID, s.ID)
-	delete(v.byHash, s.hash)
+	delete(v.byHash, s.startHash)
 	v.byService[s.Service] = slices.DeleteFunc(v.byService[s.Service], func(other *Server) bool { return other == s })
 }
 
-// AdoptAs is Adopt for a server whose start another process names by its hash. A
-// process that missed that start, and knows one before it, goes by the id.
+// AdoptAs is Adopt for a server whose previous start a peer names by its hash. If that
+// start is not known here, because this process missed it, the server is looked up by id.
 func (d *Directory) AdoptAs(old uint32, start Start, now time.Time) bool {
 	view := d.view.Load()
 	s := view.byHash[old]
@@ -58,7 +59,7 @@
 		s = view.byID[start.ID]
 	}
 	if s == nil {
-		d.dropped.Add(1)
+		d.droppedReports.Add(1)
 		return false
 	}
 	return d.Adopt(s, start, now)
--- a/directory/slowness.go
+++ b/directory/slowness.go
@@ -8,84 +8,89 @@
 )
 
 const (
-	// readTimesKept is of how many prompts a server's time is the median. A part that is
-	// cached makes one of them too short, a prompt of another process one too long.
-	readTimesKept = 5
-	// readTimeLife is how long a measure counts. A server without any is taken for an
-	// ordinary one: one that has recovered gets prompts again.
-	readTimeLife = 30 * time.Second
-	// keptShare of what its server or the median one usually takes is too short for a
-	// prompt to have been read: the server kept it, unknown to this process. One that
-	// really reads so fast counts as an ordinary server.
-	keptShare = 0.5
-	// untoldKept bounds the measures that wait to be told: more go into no datagram.
-	untoldKept = 160
-	// leastMeasured is the shortest prompt whose time says how fast a server reads; that
-	// of a shorter one goes into other things.
-	leastMeasured = 1000 // prompt tokens
-	// slownessFor is how long servers are compared by the same measures: a comparison
-	// costs a pass over all of them.
-	slownessFor = 250 * time.Millisecond
+	// samplesPerServer is the number of prompts whose median is a server's time. The
+	// median tolerates a prompt that is partly cached, which makes a sample too short,
+	// and one that waited for another process's prompt, which makes it too long.
+	samplesPerServer = 5
+	// sampleTTL is how long a sample counts. A server without samples counts as an
+	// average one, so one that has recovered gets prompts again.
+	sampleTTL = 30 * time.Second
+	// cachedTimeRatio is the fraction of the server's own or the median server's usual
+	// time up to which a prompt is taken to have been in the server's cache, unknown to
+	// this process. A server that is really that fast counts as an average one.
+	cachedTimeRatio = 0.5
+	// maxUnsentTimes bounds the samples that wait to be sent to peers: a datagram has no
+	// room for more.
+	maxUnsentTimes = 160
+	// minSampleTokens is the shortest prompt that is a sample of a server's speed; the
+	// time of a shorter one is mostly spent on other work.
+	minSampleTokens = 1000 // prompt tokens
+	// slownessInterval is the shortest time between two comparisons of a service's
+	// servers; each takes a pass over all of them.
+	slownessInterval = 250 * time.Millisecond
 )
 
-// ReadTime is how long one server has taken for a prompt that found nothing ahead of it.
+// ReadTime is the prefill time that one server took for a prompt with no other prompt
+// ahead of it.
 type ReadTime struct {
 	Server uint32        // hash of its start
-	Token  time.Duration // a prompt token
+	Token  time.Duration // per prompt token
 }
 
-// readTimes are the newest measures of one server, by whichever process.
-type readTimes struct {
-	mu    sync.Mutex
-	list  [readTimesKept]measuredAt
-	next  int
-	least time.Duration // what the median server makes too short
+// prefillSamples holds the newest prefill times of one server, measured by any process.
+type prefillSamples struct {
+	mu         sync.Mutex
+	samples    [samplesPerServer]prefillSample
+	next       int
+	cachedTime time.Duration // times up to this suggest a cached prompt, by the median server's usual time
 }
 
-type measuredAt struct {
-	token time.Duration
-	at    time.Time
+type prefillSample struct {
+	perToken time.Duration
+	at       time.Time
 }
 
-// add reports whether the measure counts.
-func (r *readTimes) add(token time.Duration, now time.Time) bool {
+// add reports whether the sample was accepted.
+func (r *prefillSamples) add(token time.Duration, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if token <= max(r.least, tooShort(r.typicalLocked(now))) {
+	if token <= max(r.cachedTime, maxCachedTime(r.medianLocked(now))) {
 		return false
 	}
-	r.list[r.next] = measuredAt{token, now}
-	r.next = (r.next + 1) % readTimesKept
+	r.samples[r.next] = prefillSample{token, now}
+	r.next = (r.next + 1) % samplesPerServer
 	return true
 }
 
-// tooShort returns the longest time of a prompt token that tells of a kept prompt.
-func tooShort(usual time.Duration) time.Duration { return time.Duration(keptShare * float64(usual)) }
+// maxCachedTime returns the longest time per prompt token that suggests a cached prompt.
+func maxCachedTime(usual time.Duration) time.Duration {
+	return time.Duration(cachedTimeRatio * float64(usual))
+}
 
-func (r *readTimes) setLeast(least time.Duration) {
+func (r *prefillSamples) setCachedTime(cachedTime time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.least = least
+	r.cachedTime = cachedTime
 }
 
-// typical returns the median time of a prompt token, the lesser one of two; 0 without a measure.
-func (r *readTimes) typical(now time.Time) time.Duration {
+// median returns the median time per prompt token, 0 without samples.
+func (r *prefillSamples) median(now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.typicalLocked(now)
+	return r.medianLocked(now)
 }
 
-func (r *readTimes) typicalLocked(now time.Time) time.Duration {
+func (r *prefillSamples) medianLocked(now time.Time) time.Duration {
 	var live []time.Duration
-	for _, m := range r.list {
-		if m.token > 0 && now.Sub(m.at) < readTimeLife {
-			live = append(live, m.token)
+	for _, m := range r.samples {
+		if m.perToken > 0 && now.Sub(m.at) < sampleTTL {
+			live = append(live, m.perToken)
 		}
 	}
 	return median(live)
 }
 
-// median returns the lesser one of two in the middle, 0 of none.
+// median returns the median of times, the lesser of the two middle ones; 0 without any.
 func median(times []time.Duration) time.Duration {
 	if len(times) == 0 {
 		return 0
@@ -94,103 +99,104 @@
 	return times[(len(times)-1)/2]
 }
 
-// timesOf returns the measures of the server at an address. They outlive its starts,
-// which are of the same machine.
-func (d *Directory) timesOf(address string) *readTimes {
-	times := d.readTimes[address]
-	if times == nil {
-		times = &readTimes{}
-		d.readTimes[address] = times
+// samplesAt returns the samples of the server at an address. They outlive its starts,
+// which run on the same machine.
+func (d *Directory) samplesAt(address string) *prefillSamples {
+	samples := d.samples[address]
+	if samples == nil {
+		samples = &prefillSamples{}
+		d.samples[address] = samples
 	}
-	return times
+	return samples
 }
 
-// forgetTimes drops the measures of addresses that nothing is known of any more.
-func (d *Directory) forgetTimes(next *View, now time.Time) {
-	if len(d.readTimes) <= 2*next.Len() {
+// dropOldSamples drops the samples of addresses that have neither a server nor a recent
+// sample.
+func (d *Directory) dropOldSamples(next *View, now time.Time) {
+	if len(d.samples) <= 2*next.Len() {
 		return
 	}
 	known := make(map[string]bool, next.Len())
 	for _, s := range next.byID {
 		known[s.Address] = true
 	}
-	for address, times := range d.readTimes {
-		if !known[address] && times.typical(now) == 0 {
-			delete(d.readTimes, address)
+	for address, samples := range d.samples {
+		if !known[address] && samples.median(now) == 0 {
+			delete(d.samples, address)
 		}
 	}
 }
 
-// readIn notes how long a prompt took that found nothing ahead of it.
-func (s *Server) readIn(tokens int64, took time.Duration) {
-	if tokens < leastMeasured || took <= 0 {
+// recordPrefill records the time of a prompt with no other prompt ahead of it.
+func (s *Server) recordPrefill(tokens int64, took time.Duration) {
+	if tokens < minSampleTokens || took <= 0 {
 		return
 	}
 	token := took / time.Duration(tokens)
-	if s.times.add(token, time.Now()) && s.measured != nil {
-		s.measured(ReadTime{Server: s.hash, Token: token})
+	if s.samples.add(token, time.Now()) && s.onSample != nil {
+		s.onSample(ReadTime{Server: s.startHash, Token: token})
 	}
 }
 
-func (d *Directory) measuredHere(t ReadTime) {
-	d.untoldMu.Lock()
-	defer d.untoldMu.Unlock()
-	if len(d.untold) < untoldKept {
-		d.untold = append(d.untold, t)
+func (d *Directory) queueUnsent(t ReadTime) {
+	d.unsentMu.Lock()
+	defer d.unsentMu.Unlock()
+	if len(d.unsentTimes) < maxUnsentTimes {
+		d.unsentTimes = append(d.unsentTimes, t)
 	}
 }
 
 // UntoldReadTimes returns what this process has measured since the last call.
 func (d *Directory) UntoldReadTimes() []ReadTime {
-	d.untoldMu.Lock()
-	defer d.untoldMu.Unlock()
-	out := d.untold
-	d.untold = nil
+	d.unsentMu.Lock()
+	defer d.unsentMu.Unlock()
+	out := d.unsentTimes
+	d.unsentTimes = nil
 	return out
 }
 
-// MeasuredElsewhere notes what another process has measured. A start that is not known
-// here is none of those that are: the word is dropped.
+// MeasuredElsewhere records a measurement of a peer. Reports on a start that is not known
+// here are dropped.
 func (d *Directory) MeasuredElsewhere(t ReadTime, now time.Time) {
 	s := d.view.Load().byHash[t.Server]
 	if s == nil {
-		d.dropped.Add(1)
+		d.droppedReports.Add(1)
 		return
 	}
-	s.times.add(t.Token, now)
+	s.samples.add(t.Token, now)
 }
 
-// compareSpeeds notes for each server of a service how slow it is beside the others.
+// compareSpeeds updates the slowness of a service's servers relative to their median.
 func (d *Directory) compareSpeeds(service string, list []*Server, now time.Time) {
-	if last, ok := d.comparedAt.Load(service); ok && now.Sub(last.(time.Time)) < slownessFor {
+	if last, ok := d.comparedAt.Load(service); ok && now.Sub(last.(time.Time)) < slownessInterval {
 		return
 	}
 	d.comparedAt.Store(service, now)
 	typical := make([]time.Duration, len(list))
 	var measured []time.Duration
 	for i, s := range list {
-		typical[i] = s.times.typical(now)
+		typical[i] = s.samples.median(now)
 		if typical[i] > 0 {
 			measured = append(measured, typical[i])
 		}
 	}
-	middle := median(measured)
+	medianTime := median(measured)
 	for i, s := range list {
-		s.setSlowness(typical[i], middle)
-		s.times.setLeast(tooShort(middle))
+		s.setSlowness(typical[i], medianTime)
+		s.samples.setCachedTime(maxCachedTime(medianTime))
 	}
 }
 
-func (s *Server) setSlowness(typical, middle time.Duration) {
+func (s *Server) setSlowness(typical, medianTime time.Duration) {
 	slowness := 1.0
 	if typical > 0 {
-		slowness = float64(typical) / float64(middle)
+		slowness = float64(typical) / float64(medianTime)
 	}
 	s.slowness.Store(math.Float64bits(slowness))
 }
 
-// Slowness returns by which factor the server takes longer than the median one of its
-// service; 1 for one that is not measured.
+// Slowness returns the ratio of the server's prefill time to that of the median server of
+// its service; 1 for a server without samples.
 func (s *Server) Slowness() float64 {
 	bits := s.slowness.Load()
 	if bits == 0 {
--- a/directory/speed_test.go
+++ b/directory/speed_test.go
@@ -8,64 +8,64 @@
 	"github.com/onsi/gomega"
 )
 
-func readIn(s *Server, tokens int, d time.Duration) {
+func prefillIn(s *Server, tokens int, d time.Duration) {
 	r := s.StreamBegun(tokens)
 	time.Sleep(d)
 	r.Read()
 	r.End()
 }
 
-// A server has never been sent a prompt. It is held as fast as the median of
-// those that have, and one that has been measured as fast as it was there.
+// A server that has had no prompt is assumed to have the median speed of the measured
+// servers; a measured one has the speed that was measured there.
 func TestUnmeasuredServerTakesTheMedian(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		d := withServers("a1", "a2", "b1", "b2")
 		g.Expect(d.ReadSpeed(d.server("b2"), time.Now())).To(gomega.BeZero())
-		readIn(d.server("a1"), 8000, time.Second)
-		readIn(d.server("a2"), 8000, 2*time.Second)
-		readIn(d.server("b1"), 8000, 4*time.Second)
-		time.Sleep(medianFor)
+		prefillIn(d.server("a1"), 8000, time.Second)
+		prefillIn(d.server("a2"), 8000, 2*time.Second)
+		prefillIn(d.server("b1"), 8000, 4*time.Second)
+		time.Sleep(medianTTL)
 		g.Expect(d.ReadSpeed(d.server("a1"), time.Now())).To(gomega.BeNumerically("~", 8000, 1))
 		g.Expect(d.ReadSpeed(d.server("b2"), time.Now())).To(gomega.BeNumerically("~", 4000, 1))
 	})
 }
 
-// A prompt lies behind two others. What was read until its first event is all
-// three, so the server is not held slow for being busy.
-func TestSpeedCountsWhatLayAhead(t *testing.T) {
+// A prompt waits behind two others, and all three are prefilled before its first event:
+// the server is not taken for slow because it is busy.
+func TestSpeedCountsPromptsAhead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := withServers("a1")
 		s := d.server("a1")
-		s.setOthers(Load{Streams: 2, Prefill: 16000})
-		readIn(s, 8000, 3*time.Second)
+		s.setPeerLoad(Load{Streams: 2, Prefill: 16000})
+		prefillIn(s, 8000, 3*time.Second)
 		gomega.NewWithT(t).Expect(d.ReadSpeed(s, time.Now())).To(gomega.BeNumerically("~", 8000, 1))
 	})
 }
 
-// One prompt was still kept and took no time at all. The next hundred must not
-// be expected so soon.
-func TestOneKeptPromptMakesNoFastServer(t *testing.T) {
+// One prompt was cached and took almost no time. The next ones must not be expected that
+// fast.
+func TestOneCachedPromptMakesNoFastServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := withServers("a1")
-		readIn(d.server("a1"), 8000, time.Second)
-		readIn(d.server("a1"), 8000, 20*time.Millisecond)
+		prefillIn(d.server("a1"), 8000, time.Second)
+		prefillIn(d.server("a1"), 8000, 20*time.Millisecond)
 		gomega.NewWithT(t).Expect(d.ReadSpeed(d.server("a1"), time.Now())).To(gomega.BeNumerically("<", 12000))
 	})
 }
 
-// Servers turn so slow that no prompt is read before its stream's deadline. No
-// answer ever tells; the prompts that were not read do.
-func TestPromptsNeverReadTellTheSpeed(t *testing.T) {
+// Servers become so slow that no prompt is prefilled before its stream's deadline. No
+// response shows that; the abandoned prompts do.
+func TestAbandonedPromptsLowerTheSpeed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		d := withServers("a1")
 		s := d.server("a1")
-		readIn(s, 8000, time.Second)
+		prefillIn(s, 8000, time.Second)
 		quick := s.StreamBegun(8000)
 		time.Sleep(100 * time.Millisecond)
 		quick.End()
-		g.Expect(d.ReadSpeed(s, time.Now())).To(gomega.BeNumerically("~", 8000, 1), "broken off early")
+		g.Expect(d.ReadSpeed(s, time.Now())).To(gomega.BeNumerically("~", 8000, 1), "ended early")
 		for range 6 {
 			r := s.StreamBegun(8000)
 			time.Sleep(25 * time.Second)
@@ -75,27 +75,26 @@
 	})
 }
 
-// The share of time spent with reading follows what this process and others
-// have sent there.
-func TestDutyFollowsUnreadPrompts(t *testing.T) {
+// The utilization follows the prompts of this process and of others.
+func TestUtilizationFollowsQueuedPrompts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		s := withServers("a1").server("a1")
 		g.Expect(s.Duty(time.Now())).To(gomega.BeNumerically("~", 0, 0.01))
 		for range 20 {
-			readIn(s, 8000, time.Second)
+			prefillIn(s, 8000, time.Second)
 			time.Sleep(time.Second)
 		}
 		g.Expect(s.Duty(time.Now())).To(gomega.BeNumerically("~", 0.5, 0.1))
-		s.setOthers(Load{Prefill: 8000})
-		time.Sleep(2 * dutySpan)
+		s.setPeerLoad(Load{Prefill: 8000})
+		time.Sleep(2 * utilizationWindow)
 		g.Expect(s.Duty(time.Now())).To(gomega.BeNumerically(">", 0.85))
 	})
 }
 
-// A zone has lost two of its three servers; nobody has noticed yet that the
-// third went with them. It looks idle and is not the soonest.
-func TestSoonestPassesOverALostZone(t *testing.T) {
+// A zone has lost two of its three servers, and no request has failed at the third yet.
+// It looks idle, but must not be chosen.
+func TestSoonestAvoidsALostZone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		d := withServers("a1", "a2", "a3", "b1")
--- a/directory/speedmodel_test.go
+++ b/directory/speedmodel_test.go
@@ -8,25 +8,25 @@
 	"time"
 )
 
-// The laws of a model engine: a step gives each stream a token and reads one chunk of the
-// oldest unread prompt.
+// The model of an engine: a step gives each stream a token and prefills one chunk of the
+// oldest queued prompt.
 const (
-	modelStep      = 5500 * time.Microsecond
-	modelChunk     = 200 // prompt tokens a step
-	modelChunkTime = 25 * time.Millisecond
-	modelTold      = 25 * time.Millisecond  // until a load is known to others
-	modelMeasured  = 200 * time.Millisecond // until a measure is
-	modelNoticed   = 30 * time.Millisecond  // until a loss is
-	modelZones     = 6
-	modelUncopied  = 60 // tokens that a copy of a stream lacks
+	modelStep        = 5500 * time.Microsecond
+	modelChunk       = 200 // prompt tokens per step
+	modelChunkTime   = 25 * time.Millisecond
+	modelLoadDelay   = 25 * time.Millisecond  // until a load is known to peers
+	modelSampleDelay = 200 * time.Millisecond // until a measurement is
+	modelLossDelay   = 30 * time.Millisecond  // until a loss is
+	modelZones       = 6
+	modelCopyLag     = 60 // tokens that a stream's copy lacks
 )
 
-// modelSite is entry VMs and engines in virtual time, driven by one goroutine. Each VM
-// has a Directory of its own and hears the others of its cell.
+// modelSite consists of entry VMs and engines in virtual time, driven by one goroutine.
+// Each VM has its own Directory and receives the reports of the others of its cell.
 type modelSite struct {
 	vms     []*modelVM
 	engines map[string]*modelEngine
-	queue   events
+	queue   eventQueue
 	random  *rand.Rand
 	streams []*modelStream
 	list    []Listing
@@ -36,8 +36,8 @@
 	directory *Directory
 	name      string
 	zone      string
-	near      []*modelVM
-	telling   bool
+	cellPeers []*modelVM
+	reporting bool
 }
 
 type modelEngine struct {
@@ -48,34 +48,34 @@
 }
 
 type modelStream struct {
-	vm             *modelVM
-	server, copyAt *Server
-	load           *Running
-	prompt         int
-	unread, tokens int // yet to be read, yet to be made
-	begun          time.Time
-	first, whole   time.Duration // 0: not yet
+	vm                    *modelVM
+	server, copyAt        *Server
+	load                  *Running
+	prompt                int
+	unread, tokens        int // prompt tokens yet to be prefilled, and tokens yet to be generated
+	begun                 time.Time
+	firstEvent, completed time.Duration // since begun; 0: not yet
 }
 
-// happening is something at a time.
-type happening struct {
+// modelEvent is an action at a time.
+type modelEvent struct {
 	at time.Time
 	do func()
 }
 
-type events []happening
+type eventQueue []modelEvent
 
-func (e events) Len() int           { return len(e) }
-func (e events) Less(i, j int) bool { return e[i].at.Before(e[j].at) }
-func (e events) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)        { *e = append(*e, x.(happening)) }
-func (e *events) Pop() any {
+func (e eventQueue) Len() int           { return len(e) }
+func (e eventQueue) Less(i, j int) bool { return e[i].at.Before(e[j].at) }
+func (e eventQueue) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
+func (e *eventQueue) Push(x any)        { *e = append(*e, x.(modelEvent)) }
+func (e *eventQueue) Pop() any {
 	last := (*e)[len(*e)-1]
 	*e = (*e)[:len(*e)-1]
 	return last
 }
 
-// newModelSite makes vms VMs with perVM servers each, in all zones.
+// newModelSite returns a site of vms VMs with perVM servers each, spread over all zones.
 func newModelSite(vms int, perVM float64, slowness func(i int) float64) *modelSite {
 	site := &modelSite{engines: map[string]*modelEngine{}, random: rand.New(rand.NewPCG(1, 2))}
 	for i := range int(perVM * float64(vms)) {
@@ -87,7 +87,7 @@
 	return site
 }
 
-// startVMs puts VMs that know the list of servers and nothing else in the place of all.
+// startVMs replaces all VMs by new ones that know only the list of servers.
 func (m *modelSite) startVMs(vms int) {
 	m.vms = nil
 	cells := Cells(vms)
@@ -101,26 +101,26 @@
 	for i, vm := range m.vms {
 		for j, other := range m.vms {
 			if i != j && i%cells == j%cells {
-				vm.near = append(vm.near, other)
+				vm.cellPeers = append(vm.cellPeers, other)
 			}
 		}
 	}
 }
 
 func (m *modelSite) after(wait time.Duration, do func()) {
-	heap.Push(&m.queue, happening{time.Now().Add(wait), do})
+	heap.Push(&m.queue, modelEvent{time.Now().Add(wait), do})
 }
 
-// run goes on until nothing is left to happen.
+// run processes events until none is left.
 func (m *modelSite) run() {
 	for m.queue.Len() > 0 {
-		next := heap.Pop(&m.queue).(happening)
+		next := heap.Pop(&m.queue).(modelEvent)
 		time.Sleep(time.Until(next.at))
 		next.do()
 	}
 }
 
-// arrive has streams arrive for some time, that many a second at each server.
+// arrive schedules the arrival of streams for some time, at a rate per second and server.
 func (m *modelSite) arrive(rate float64, during time.Duration) {
 	gap := float64(time.Second) / (rate * float64(len(m.engines)))
 	for at := 0.0; at < float64(during); at += gap * m.random.ExpFloat64() {
@@ -138,7 +138,7 @@
 	m.place(s, s.vm.directory.Pick(Query{Service: "s", Zone: s.vm.zone, Prompt: s.prompt, Resumes: true}, s.begun))
 }
 
-// place has a server run a stream, and another one hold its copy.
+// place starts a stream at a server and chooses another one for its copy.
 func (m *modelSite) place(s *modelStream, server *Server) {
 	s.server, s.load = server, server.StreamBegun(s.unread)
 	s.copyAt = s.vm.directory.Pick(Query{
@@ -146,11 +146,11 @@
 	}, time.Now())
 	e := m.engines[server.ID]
 	e.streams = append(e.streams, s)
-	m.work(e)
-	m.tell(s.vm)
+	m.schedule(e)
+	m.report(s.vm)
 }
 
-// lose has the first servers of a zone crash and start again after a time.
+// lose has the first servers of a zone crash and restart after a time.
 func (m *modelSite) lose(zone string, servers int, away time.Duration) {
 	var lost []*modelStream
 	for i, l := range m.list {
@@ -164,7 +164,7 @@
 		e.starts++
 		m.list[i].Born++
 	}
-	m.after(modelNoticed, func() {
+	m.after(modelLossDelay, func() {
 		for _, s := range lost {
 			s.server.Lost(time.Now())
 			s.load.End()
@@ -180,10 +180,10 @@
 	})
 }
 
-// placeAgain has a stream go on at its copy, or its prompt read anew.
+// placeAgain continues a stream at its copy, or prefills its prompt elsewhere.
 func (m *modelSite) placeAgain(s *modelStream, zone string) {
-	if s.first != 0 && s.copyAt != nil && !s.copyAt.IsDown(time.Now()) && !s.copyAt.Draining() {
-		s.unread = modelUncopied
+	if s.firstEvent != 0 && s.copyAt != nil && !s.copyAt.IsDown(time.Now()) && !s.copyAt.Draining() {
+		s.unread = modelCopyLag
 		m.place(s, s.copyAt)
 		return
 	}
@@ -191,14 +191,14 @@
 	m.place(s, s.vm.directory.Pick(Query{Service: "s", Zone: s.vm.zone, Prompt: s.prompt, Resumes: true, Again: true, NotZone: zone}, time.Now()))
 }
 
-// work makes the next step of an engine that has something to do.
-func (m *modelSite) work(e *modelEngine) {
+// work schedules the next step of an engine with streams.
+func (m *modelSite) schedule(e *modelEngine) {
 	if e.running || len(e.streams) == 0 {
 		return
 	}
 	e.running = true
 	took := modelStep
-	reading := e.reading()
+	reading := e.prefilling()
 	if reading != nil {
 		took += modelChunkTime
 	}
@@ -206,15 +206,15 @@
 	m.after(time.Duration(e.slowness*float64(took)), func() {
 		e.running = false
 		if e.starts != start {
-			m.work(e)
+			m.schedule(e)
 			return
 		}
 		m.step(e, reading)
-		m.work(e)
+		m.schedule(e)
 	})
 }
 
-func (e *modelEngine) reading() *modelStream {
+func (e *modelEngine) prefilling() *modelStream {
 	for _, s := range e.streams {
 		if s.unread > 0 {
 			return s
@@ -236,43 +236,43 @@
 	e.streams = left
 }
 
-// token makes one of a stream's tokens. It reports whether more are to come.
+// token generates one token of a stream. It reports whether more are to come.
 func (m *modelSite) token(s *modelStream) bool {
 	switch {
-	case s.first == 0:
-		s.first = time.Since(s.begun)
+	case s.firstEvent == 0:
+		s.firstEvent = time.Since(s.begun)
 		s.load.Read()
-		m.tell(s.vm)
+		m.report(s.vm)
 	case s.load.prompt != 0:
 		s.load.ReadAgain()
-		m.tell(s.vm)
+		m.report(s.vm)
 	}
 	s.tokens--
 	if s.tokens > 0 {
 		return true
 	}
-	s.whole = time.Since(s.begun)
+	s.completed = time.Since(s.begun)
 	s.load.End()
-	m.tell(s.vm)
+	m.report(s.vm)
 	return false
 }
 
-// tell has a VM's load, and what it has measured, known to the others a moment later.
-func (m *modelSite) tell(vm *modelVM) {
-	if vm.telling {
+// tell schedules the reports of a VM's load and measurements to the others of its cell.
+func (m *modelSite) report(vm *modelVM) {
+	if vm.reporting {
 		return
 	}
-	vm.telling = true
-	m.after(modelTold, func() {
-		vm.telling = false
+	vm.reporting = true
+	m.after(modelLoadDelay, func() {
+		vm.reporting = false
 		own := vm.directory.Own()
-		for _, other := range vm.near {
+		for _, other := range vm.cellPeers {
 			other.directory.Others(vm.name, own)
 		}
 	})
-	m.after(modelMeasured, func() {
+	m.after(modelSampleDelay, func() {
 		for _, t := range vm.directory.UntoldReadTimes() {
-			for _, other := range vm.near {
+			for _, other := range vm.cellPeers {
 				other.directory.MeasuredElsewhere(t, time.Now())
 			}
 		}
--- a/directory/start.go
+++ b/directory/start.go
@@ -7,65 +7,66 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Start is one start of a backend server. A server that crashed may be started
-// again under the id that it had: the new process holds and knows nothing of
-// the former one, and only the time of its start tells them apart. Whatever
-// means what a process holds (streams, copies of memory, its load, its loss) is
-// kept by Start, what means the place (address, zone, cell) by the id.
+// Start identifies one start of a backend server, that is, one process. A server that
+// crashed may start again under the same id; the new process has none of the former one's
+// state, and only the start time tells them apart. What concerns a process (its streams,
+// copies, load and loss) is kept by Start; what concerns the server (address, zone, cell)
+// is kept by id.
 type Start struct {
 	ID string
-	// Born is the Unix millisecond of the start by the server's own clock; 0 if
-	// it did not tell. It is compared with that of other starts of the same
-	// server only: this process's time of day says nothing about it.
+	// Born is the start time in Unix milliseconds by the server's own clock; 0 if the
+	// server did not report it. It is comparable only with other starts of the same
+	// server, not with this process's clock.
 	Born int64
 }
 
-// betweenIDAndBorn separates the two in a start's name. It differs from
-// event.AtServer, which stands before a server's name.
-const betweenIDAndBorn = "#"
+// startSeparator separates id and start time in a start's name. It differs from
+// event.AtServer, which precedes a server's name.
+const startSeparator = "#"
 
-// String names the start in log lines.
+// String returns the start's name in log lines.
 func (s Start) String() string {
 	if s.Born == 0 {
 		return s.ID
 	}
-	return s.ID + betweenIDAndBorn + strconv.FormatInt(s.Born, 10)
+	return s.ID + startSeparator + strconv.FormatInt(s.Born, 10)
 }
 
-// Hash is the start's short name among entry VMs. It differs for each start of a
-// server, so that a word on one start never meets another, also at a VM that
-// knows only one of them. Two servers with the same one would only be held
-// busier than they are, or be doubted for a moment.
+// Hash identifies the start among entry VMs. It differs for each start of a server, so
+// that a report on one start is never applied to another, even at a VM that knows only
+// one of them. A collision of two servers is harmless: they look busier than they are, or
+// are suspected for a moment.
 func (s Start) Hash() uint32 { return Hash(s.String()) }
 
-// Hash is a name's place among others of its kind: servers by id, entry VMs by address.
+// Hash returns the hash of a server's id or an entry VM's address, by which they are
+// ordered and divided.
 func Hash(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
-// LaterThan tells whether s is a later start of the server of t. Where one of them
-// did not tell its time, the id alone counts, and they are the same.
+// LaterThan reports whether s is a later start of the same server than t. If either start
+// time is unknown, starts with the same id count as the same.
 func (s Start) LaterThan(t Start) bool {
 	return s.ID == t.ID && t.Born != 0 && s.Born > t.Born
 }
 
-// EndedBy tells whether a process at this start's address that was born then shows
-// that this start has ended.
+// EndedBy reports whether a process with the given start time at this start's address
+// proves that this start has ended.
 func (s Start) EndedBy(born int64) bool { return Start{ID: s.ID, Born: born}.LaterThan(s) }
 
-// succeededBy tells whether an entry of another start of the server's id takes its
-// place. An entry of an earlier start is a late one, unless this start is known to
-// have ended: then the server's clock was set back between the two, and the server
-// would be out of use for as long as it runs.
+// succeededBy reports whether an entry of another start of the same id supersedes this
+// one. An entry with an earlier start time is outdated, unless this start is known to
+// have ended: then the server's clock was set back, and ignoring its entry would keep it
+// out of use for as long as it runs.
 func (s *Server) succeededBy(other Start) bool {
 	return other.Born > s.Born || (other.Born != 0 && s.Ended())
 }
 
-// replace notes that another start of the server's id has taken its place. Its
-// process has ended, and with it all streams and copies there: who waits for its
-// loss is woken. If it never told its start it may be the same process, of which
-// an entry VM of an older release had told first: it gets nothing more under its
-// old name, but its streams go on.
-func (s *Server) replace(now time.Time) {
-	s.gone.Store(true)
+// markReplaced records that another start of the server's id has taken its place. The
+// process has ended with all its streams and copies, so whoever waits for its loss is
+// woken. A server whose start time is unknown may be the same process, first reported by
+// an entry VM of an older release: it gets no new work under this Start, but its streams
+// continue.
+func (s *Server) markReplaced(now time.Time) {
+	s.removed.Store(true)
 	if s.Born == 0 {
 		return
 	}
@@ -73,33 +74,33 @@
 	s.Dead(now)
 }
 
-// Replaced tells whether another start of the server's id is known.
+// Replaced reports whether another start of the server's id is known.
 func (s *Server) Replaced() bool { return s.replaced.Load() }
 
-// after makes the server remember that the start before it crashed, and when it
-// was found lost. That counts for the loss of its zone, of which the first servers
-// are back before the others are missed, and for the trust in a server that
-// crashes again and again. One that left as planned was no loss, and one that
-// never told its start may be the same process.
-func (s *Server) after(old *Server, now time.Time) {
+// inheritCrash records that the previous start crashed, and when it was found lost. Both
+// matter later: a zone's first servers may be back before the loss of its others is
+// noticed, and a server that crashes repeatedly is avoided. A start that drained was no
+// crash, and one without a start time may be the same process.
+func (s *Server) inheritCrash(old *Server, now time.Time) {
 	if old.Draining() || old.Born == 0 {
 		return
 	}
 	old.mu.Lock()
 	defer old.mu.Unlock()
-	s.crashed = old.crashed.more(now)
-	s.formerLoss = old.formerLoss
-	if old.downAt.After(s.formerLoss) {
-		s.formerLoss = old.downAt
+	s.crashes = old.crashes.plusOne(now)
+	s.previousLossAt = old.previousLossAt
+	if old.downAt.After(s.previousLossAt) {
+		s.previousLossAt = old.downAt
 	}
-	s.settle()
+	s.updateHasIssues()
 }
 
-// current returns a list in which entries of starts before those known are
-// replaced by what is known, and the starts that were replaced so.
+// replaceOutdated returns the list with entries of earlier starts replaced by the known
+// ones, and the names of the starts that were replaced.
 //
-// Such a write may reach the store after the new start's, or come from a peer that lags.
-func (v *View) current(list []Listing) (current []Listing, late []string) {
+// A late write of an earlier start may reach the store after that of the new one, or come
+// from a peer that lags.
+func (v *View) replaceOutdated(list []Listing) (current []Listing, outdated []string) {
 	for i, l := range list {
 		s := v.byID[l.ID]
 		if s == nil || l.Invalid != "" || l.Born == s.Born || s.succeededBy(l.Start()) {
@@ -112,22 +113,22 @@
 			current[i].Born = s.Born
 			continue
 		}
-		current[i] = s.asListed()
-		late = append(late, l.Start().String())
+		current[i] = s.toListing()
+		outdated = append(outdated, l.Start().String())
 	}
 	if current == nil {
 		return list, nil
 	}
-	return current, late
+	return current, outdated
 }
 
-// asListed returns the server's entry as it is known here.
-func (s *Server) asListed() Listing {
+// toListing returns the server's entry as it is known here.
+func (s *Server) toListing() Listing {
 	return Listing{
 		ID: s.ID, Born: s.Born, Service: s.Service, Address: s.Address, Zone: s.Zone, Slots: s.Slots, Draining: s.draining.Load(),
 	}
 }
 
-// DroppedWords counts what was told of starts that are not the known ones: entries
-// of earlier starts, and losses of starts that are not listed here.
-func (d *Directory) DroppedWords() uint64 { return d.dropped.Load() }
+// DroppedWords returns the number of dropped reports: entries of earlier starts, and
+// reports on starts that are not known here.
+func (d *Directory) DroppedWords() uint64 { return d.droppedReports.Load() }
--- a/directory/start_test.go
+++ b/directory/start_test.go
@@ -10,7 +10,7 @@
 	"github.com/pearyard/pearyard/event"
 )
 
-// bornAt lists servers with the start that each has.
+// bornAt returns listings of the given starts.
 func bornAt(starts ...Start) []Listing {
 	var list []Listing
 	for _, s := range starts {
@@ -34,9 +34,9 @@
 	}
 }
 
-// A server crashes, refuses connections, and is started again under its id a
-// second later. Its callers found it dead, and as its id stayed listed it got
-// nothing any more.
+// A server crashes, refuses connections, and is started again under its id a second
+// later. Guards against a new start that gets no work because its id stayed listed and
+// callers had found it ended.
 func TestServerThatStartsAgainUnderItsIDIsUsed(t *testing.T) {
 	g := gomega.NewWithT(t)
 	d := withStarts(Start{"a1", 100})
@@ -50,9 +50,9 @@
 	g.Expect(s.Start).To(gomega.Equal(Start{"a1", 200}))
 }
 
-// A server leaves as planned, ends, and is started again under its id. It used
-// to be held leaving for good.
-func TestStartAfterALeavingOneIsUsed(t *testing.T) {
+// A server drains, ends, and is started again under its id. Guards against a new start
+// that counts as draining for good.
+func TestStartAfterADrainingOneIsUsed(t *testing.T) {
 	g := gomega.NewWithT(t)
 	d := withStarts(Start{"a1", 100})
 	leaving := bornAt(Start{"a1", 100})
@@ -62,9 +62,9 @@
 	g.Expect(d.Pick(Query{Service: "s"}, time.Now())).NotTo(gomega.BeNil())
 }
 
-// A server with streams and copies crashes and is back under its id. The new
-// process has none of them: it is idle, whatever this process and others had
-// put on the old one, and what waits for the old one's end is woken at once.
+// A server with streams and copies crashes and is back under its id. The new process has
+// none of them: it is idle, whatever load was put on the old one, and waiters for the
+// loss of the old one are woken at once.
 func TestNewStartHoldsNothing(t *testing.T) {
 	g := gomega.NewWithT(t)
 	d := withStarts(Start{"a1", 100}, Start{"b1", 100})
@@ -72,29 +72,28 @@
 	running := old.StreamBegun(8000)
 	defer old.CopyBegun()()
 	old.Fault(time.Now(), 5)
-	told := []Load{{Server: old.hash, Streams: 4, Copies: 2, Prefill: 8000}}
-	d.Others("peer", told)
+	reported := []Load{{Server: old.startHash, Streams: 4, Copies: 2, Prefill: 8000}}
+	d.Others("peer", reported)
 	d.Apply(2, bornAt(Start{"a1", 200}, Start{"b1", 100}), false, time.Now())
 
 	s := d.server("a1")
 	g.Expect(s.streams.Load()).To(gomega.BeZero())
 	g.Expect(s.copies.Load()).To(gomega.BeZero())
-	g.Expect(s.otherStreams.Load()).To(gomega.BeZero())
+	g.Expect(s.peerStreams.Load()).To(gomega.BeZero())
 	g.Expect(s.Faults(time.Now())).To(gomega.BeZero())
 	g.Expect(ended(old)).To(gomega.BeTrue())
 	g.Expect(old.Replaced()).To(gomega.BeTrue())
 	g.Expect(d.Usable(old, time.Now())).To(gomega.BeFalse())
 
-	d.Others("peer", told) // a peer that knows the old start alone
-	d.freshSums(time.Now().Add(time.Second))
-	g.Expect(s.otherStreams.Load()).To(gomega.BeZero())
+	d.Others("peer", reported) // a peer that knows only the old start
+	d.refreshPeerTotals(time.Now().Add(time.Second))
+	g.Expect(s.peerStreams.Load()).To(gomega.BeZero())
 	running.End()
 	g.Expect(s.streams.Load()).To(gomega.BeZero())
 }
 
-// Answers that were under way tell of the old start after the new one is known:
-// the old one stays ended, however its words are meant.
-func TestNothingRevivesAnOldStart(t *testing.T) {
+// Responses of the old start arrive after the new one is known: the old one stays ended.
+func TestLateResponseDoesNotReviveAnOldStart(t *testing.T) {
 	g := gomega.NewWithT(t)
 	d := withStarts(Start{"a1", 100})
 	old := d.server("a1")
@@ -105,9 +104,9 @@
 	g.Expect(old.IsDown(time.Now())).To(gomega.BeTrue())
 }
 
-// A VM that still knows the old start tells that it found it lost. The new one,
-// which a third VM knows already, isn't meant.
-func TestLossOfAnOldStartDoesNotCondemnTheNewOne(t *testing.T) {
+// A VM that still knows the old start reports its loss. The report must not apply to the
+// new start, which another VM knows already.
+func TestLossOfAnOldStartDoesNotAffectTheNewOne(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Now()
 	behind, ahead := withStarts(Start{"a1", 100}), withStarts(Start{"a1", 100})
@@ -119,7 +118,8 @@
 	g.Expect(ahead.server("a1").IsDown(now)).To(gomega.BeFalse())
 	g.Expect(ahead.DroppedWords()).To(gomega.BeNumerically("==", 1))
 
-	// And a loss of the new one is none of the old one, for whom knows that alone.
+	// A loss of the new start does not apply to the old one at a VM that knows only that
+	// one.
 	ahead.server("a1").Lost(now)
 	behind.server("a1").Alive(now)
 	for _, lost := range ahead.LostHere(now, time.Second) {
@@ -128,9 +128,8 @@
 	g.Expect(behind.server("a1").IsDown(now)).To(gomega.BeFalse())
 }
 
-// A write of the old start reaches the store late, after that of the new one;
-// or a peer that lags hands on its list. The new start stays, and what is handed
-// on names it.
+// A write of the old start reaches the store after that of the new one, or a lagging peer
+// passes its list on. The new start stays, also in the list passed on from here.
 func TestOlderStartNeverReplacesANewerOne(t *testing.T) {
 	g := gomega.NewWithT(t)
 	d := withStarts(Start{"a1", 200})
@@ -146,9 +145,9 @@
 	g.Expect(d.View().Position).To(gomega.BeNumerically("==", 4))
 }
 
-// The clock of a server is set back, and it starts again under its id with an
-// earlier time than the start before. That one is known to have ended: the entry
-// can't be a late one of it, and the server must not be out for good.
+// A server's clock is set back, and it starts again under its id with an earlier start
+// time than before. The previous start is known to have ended, so the entry is not
+// outdated and the server must not stay out of use.
 func TestStartAfterAClockThatWasSetBack(t *testing.T) {
 	g := gomega.NewWithT(t)
 	d := withStarts(Start{"a1", 200})
@@ -157,9 +156,9 @@
 	g.Expect(d.Pick(Query{Service: "s"}, time.Now()).Start).To(gomega.Equal(Start{"a1", 150}))
 }
 
-// Entries of an older writer don't tell the start. Then the id alone counts: the
-// server stays the one that it was, with its load.
-func TestEntryThatTellsNoStart(t *testing.T) {
+// Entries of an older writer have no start time. Then only the id counts: the server
+// stays the same one, with its load.
+func TestEntryWithoutStartTime(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for _, born := range []int64{0, 200} {
 		d := withStarts(Start{"a1", born})
@@ -171,9 +170,9 @@
 	}
 }
 
-// An entry VM of an older release told of a server without its start; the store
-// tells it a moment later. It may well be the same process: its streams go on.
-func TestStartThatIsToldLaterEndsNoStream(t *testing.T) {
+// An entry VM of an older release reports a server without its start time; the store adds
+// it a moment later. It may be the same process, so its streams continue.
+func TestLateStartTimeEndsNoStream(t *testing.T) {
 	g := gomega.NewWithT(t)
 	d := withStarts(Start{"a1", 0})
 	old := d.server("a1")
@@ -183,10 +182,10 @@
 	g.Expect(old.Replaced()).To(gomega.BeFalse())
 }
 
-// The store is away; two servers of a zone crash and are found again under
-// their ids at their addresses, one by this VM and one by another that tells of
-// it. Both are used at once, and later words of their old starts change nothing.
-func TestServerThatIsFoundAgainUnderItsID(t *testing.T) {
+// During an outage of the store two servers of a zone crash and are found again under
+// their ids at their addresses, one by this VM and one by a peer's report. Both are used
+// at once, and later reports on their old starts change nothing.
+func TestServerRestartedUnderItsIDIsUsed(t *testing.T) {
 	g := gomega.NewWithT(t)
 	d := withStarts(Start{"a1", 100}, Start{"a2", 100}, Start{"b1", 100})
 	now := time.Now()
@@ -197,7 +196,7 @@
 	defer busy.End()
 	found := now.Add(time.Second)
 	g.Expect(d.Adopt(old1, Start{"a1", 200}, found)).To(gomega.BeTrue())
-	g.Expect(d.AdoptAs(old2.hash, Start{"a2", 200}, found)).To(gomega.BeTrue())
+	g.Expect(d.AdoptAs(old2.startHash, Start{"a2", 200}, found)).To(gomega.BeTrue())
 	g.Expect(d.View().Len()).To(gomega.Equal(3))
 	g.Expect(d.View().Service("s")).To(gomega.HaveLen(3))
 	got := map[string]bool{}
@@ -206,22 +205,22 @@
 	}
 	g.Expect(got).To(gomega.Equal(map[string]bool{"a1#200": true, "a2#200": true}))
 
-	g.Expect(d.Adopt(old1, Start{"a1", 200}, found)).To(gomega.BeFalse(), "no news")
+	g.Expect(d.Adopt(old1, Start{"a1", 200}, found)).To(gomega.BeFalse(), "already known")
 	g.Expect(d.DroppedWords()).To(gomega.BeZero())
-	g.Expect(d.Adopt(old1, Start{"a1", 150}, found)).To(gomega.BeFalse(), "late")
+	g.Expect(d.Adopt(old1, Start{"a1", 150}, found)).To(gomega.BeFalse(), "outdated")
 	g.Expect(d.DroppedWords()).To(gomega.BeNumerically("==", 1))
 
-	// The store is back with the entries from before; the new ones come after.
+	// The store is back with entries from before; the new ones follow later.
 	list := bornAt(Start{"a1", 100}, Start{"a2", 100}, Start{"b1", 100})
 	d.Apply(2, list, true, found)
 	g.Expect(d.server("a1").Start).To(gomega.Equal(Start{"a1", 200}))
 }
 
-// A server crashes each second and is back under its id at once. Being idle it
-// was first choice each time, and what it ran was lost again. From the second
-// crash on it gets work only if the others are busy; when it stays, or after a
-// single crash, it is as good as any.
-func TestServerThatKeepsCrashingIsPassedOver(t *testing.T) {
+// A server crashes every second and is back under its id at once. Guards against a server
+// that is preferred after each crash because it is idle, and loses its streams again.
+// From the second crash on it gets work only if the others are busy; once it stays up, or
+// after a single crash, it counts as any other.
+func TestServerThatKeepsCrashingIsAvoided(t *testing.T) {
 	g := gomega.NewWithT(t)
 	d := withStarts(Start{"a1", 100}, Start{"a2", 100})
 	now := time.Now()
@@ -255,9 +254,8 @@
 	g.Expect(picked()).To(gomega.HaveLen(2))
 }
 
-// A zone fails, and its first servers are back under their ids. That they lost
-// their former starts stays known: the zone's other servers, of which nobody has
-// heard since, are doubted all the same.
+// A zone fails, and its first servers are back under their ids. Their losses still count:
+// the zone's other servers, which have given no sign of life since, are suspected.
 func TestLossOfAZoneOutlivesTheStarts(t *testing.T) {
 	g := gomega.NewWithT(t)
 	all := []Start{{"a1", 100}, {"a2", 100}, {"a3", 100}, {"a4", 100}, {"b1", 100}}
@@ -274,13 +272,13 @@
 		got[s.String()] = true
 	}
 	g.Expect(got).To(gomega.Equal(map[string]bool{"a1#200": true, "a2#200": true}))
-	g.Expect(d.LostBeside(d.server("a1"), back, 2*time.Second)).To(gomega.Equal(1), "a2's")
+	g.Expect(d.LostBeside(d.server("a1"), back, 2*time.Second)).To(gomega.Equal(1), "that of a2")
 }
 
-// A server starts again under its id. A stream that waits for the loss of the old
-// start, since its copy lies there, is woken and looks for another place at once:
-// the new start must be in the view by then.
-func TestNewStartIsKnownBeforeTheOldOneIsTold(t *testing.T) {
+// A server starts again under its id. A stream that waits for the loss of the old start,
+// because its copy is there, is woken and chooses another server at once: the new start
+// must be in the view by then.
+func TestNewStartIsInTheViewBeforeWaitersAreWoken(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for range 3000 {
 		d := New()
@@ -298,9 +296,9 @@
 	}
 }
 
-// Guards against a server that is kept while the store forgives missing entries though
-// its address is listed for a later start: each request sent there is answered 421.
-func TestServerWhoseAddressIsTakenIsNotKept(t *testing.T) {
+// Guards against retaining a server whose address is listed for a later start: each
+// request sent there got the response 421.
+func TestServerWhoseAddressIsTakenIsNotRetained(t *testing.T) {
 	listing := func(id string, born int64, address string) Listing {
 		return Listing{ID: id, Born: born, Service: "s", Address: address, Zone: "a", Slots: 8}
 	}
@@ -309,5 +307,5 @@
 	d.Apply(1, []Listing{listing("old", 100, "a:1"), listing("lapsed", 100, "a:2"), listing("newer", 300, "a:3"), listing("untold", 0, "a:4")}, false, time.Now())
 	change := d.Apply(2, []Listing{listing("next", 200, "a:1"), listing("late", 200, "a:3"), listing("other", 0, "a:4")}, true, time.Now())
 	g.Expect(change.Left).To(gomega.ConsistOf(Start{"old", 100}.String(), Start{"untold", 0}.String()))
-	g.Expect(change.Kept).To(gomega.ConsistOf(Start{"lapsed", 100}.String(), Start{"newer", 300}.String()), "nobody, or an earlier start, is listed there")
+	g.Expect(change.Kept).To(gomega.ConsistOf(Start{"lapsed", 100}.String(), Start{"newer", 300}.String()), "no start, or an earlier one, is listed at the address")
 }
--- a/directory/uneven_test.go
+++ b/directory/uneven_test.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	unevenLoad  = 0.3 // streams a second at each server, of which the slowest could not read a half
-	unevenFor   = 30 * time.Second
-	unevenLearn = 10 * time.Second // until the servers' speeds are known
-	objective   = 4500 * time.Millisecond
-	deadline    = 25 * time.Second
+	unevenLoad   = 0.3 // streams per second and server; the slowest servers could not prefill half of it
+	unevenFor    = 30 * time.Second
+	learningTime = 10 * time.Second // until the servers' speeds are known
+	objective    = 4500 * time.Millisecond
+	deadline     = 25 * time.Second
 )
 
-// Servers of three speeds serve a load that they can bear, at three sizes. Guards against
-// slow servers that get so much that their streams end at the deadline, beside fast ones
-// that have room.
+// Servers of three speeds get a load that they can bear, at three sizes. Guards against
+// slow servers that get so much work that their streams miss the deadline while fast ones
+// have room.
 func TestServersOfUnevenSpeedServeInTime(t *testing.T) {
 	uneven := []float64{1, 1.6, 2.2}
 	for name, slowness := range map[string]func(i int) float64{
@@ -28,7 +28,7 @@
 	} {
 		for _, vms := range []int{18, 103, 400} {
 			t.Run(fmt.Sprint(name, " speeds, ", vms, " VMs"), func(t *testing.T) {
-				if raceDetector && vms > 103 {
+				if raceEnabled && vms > 103 {
 					t.Skip("takes minutes under the race detector; .ci/run plays it without")
 				}
 				synctest.Test(t, func(t *testing.T) {
@@ -36,8 +36,8 @@
 					site.arrive(unevenLoad, unevenFor)
 					begun := time.Now()
 					site.run()
-					late, failed, all := site.outcomes(begun.Add(unevenLearn))
-					t.Logf("%d streams, %d late, %d not whole in time", all, late, failed)
+					late, failed, all := site.outcomes(begun.Add(learningTime))
+					t.Logf("%d streams, %d late, %d incomplete at the deadline", all, late, failed)
 					g := gomega.NewWithT(t)
 					g.Expect(failed).To(gomega.BeNumerically("<=", all/200))
 					g.Expect(late).To(gomega.BeNumerically("<=", all/20))
@@ -47,8 +47,8 @@
 	}
 }
 
-// outcomes counts the streams that began from a time on: those whose first event came
-// late, and those that were not whole at their deadline.
+// outcomes counts the streams that began since a time: all of them, those whose first
+// event came late, and those that were incomplete at their deadline.
 func (m *modelSite) outcomes(from time.Time) (late, failed, all int) {
 	for _, s := range m.streams {
 		if s.begun.Before(from) {
@@ -56,9 +56,9 @@
 		}
 		all++
 		switch {
-		case s.whole > deadline:
+		case s.completed > deadline:
 			failed++
-		case s.first > objective:
+		case s.firstEvent > objective:
 			late++
 		}
 	}
--- a/directory/zoneloss.go
+++ b/directory/zoneloss.go
@@ -3,34 +3,33 @@
 import "time"
 
 const (
-	// zoneLossWindow, zoneLosses and zoneShare: where a zone lost at least this
-	// many of its servers, and at least one in zoneShare, within the window, it
-	// is taken to have failed as a whole. Entries of crashed servers lapse
-	// within the window.
+	// A zone is considered lost as a whole if it lost at least minZoneLosses of its
+	// servers, and at least one in zoneLossShare, within zoneLossWindow. Entries of
+	// crashed servers expire within the window.
 	zoneLossWindow = 5 * time.Second
-	zoneLosses     = 2
-	zoneShare      = 4
+	minZoneLosses  = 2
+	zoneLossShare  = 4
 )
 
-// losses holds, by zone, when its servers were lost lately.
-type losses map[string]*zoneLoss
+// lossesByZone holds the recent losses of servers by zone.
+type lossesByZone map[string]*zoneLoss
 
 type zoneLoss struct {
 	count   int // servers lost
-	servers int // of all that are known there
+	servers int // servers known
 	last    time.Time
 }
 
-// lossesOf counts the servers of each zone that were lost lately.
-func lossesOf(list []*Server, now time.Time) losses {
-	var zones losses
+// countZoneLosses counts the recently lost servers of each zone.
+func countZoneLosses(list []*Server, now time.Time) lossesByZone {
+	var zones lossesByZone
 	for _, s := range list {
-		at, lost := s.lostSince(now, zoneLossWindow)
+		at, lost := s.recentLoss(now, zoneLossWindow)
 		if !lost || s.Draining() {
 			continue
 		}
 		if zones == nil {
-			zones = losses{}
+			zones = lossesByZone{}
 		}
 		if zones[s.Zone] == nil {
 			zones[s.Zone] = &zoneLoss{}
@@ -48,9 +47,9 @@
 	return zones
 }
 
-// doubted tells whether a server may be gone without anybody here having
-// noticed: its zone has lost many since its last sign of life.
-func (z losses) doubted(s *Server) bool {
+// suspects reports whether a server may be lost although no request has failed there yet:
+// its zone has lost many servers since its last sign of life.
+func (z lossesByZone) suspects(s *Server) bool {
 	zone := z[s.Zone]
-	return zone != nil && zone.count >= zoneLosses && zone.count*zoneShare >= zone.servers && !s.provenSince(zone.last)
+	return zone != nil && zone.count >= minZoneLosses && zone.count*zoneLossShare >= zone.servers && !s.heardSince(zone.last)
 }
