--- a/follow/doc.go
+++ b/follow/doc.go
@@ -1,7 +1,7 @@
-// Package follow keeps a process up with something that lies in the platform's
-// store: it reads it, waits for changes, notices a connection that has gone
-// silent, backs off from a store that fails, and lets a few processes read for
-// all. What is read is the caller's matter.
+// Package follow keeps a process up to date with a subject in the platform's store: it
+// reads the subject, waits for changes, detects connections that have gone silent, backs
+// off from a failing store, and lets a few processes read on behalf of all. The subject
+// itself is up to the caller.
 //
 // May import of pearyard: retry.
 package follow
--- a/follow/follow.go
+++ b/follow/follow.go
@@ -11,102 +11,103 @@
 )
 
 const (
-	// answerWithin is how long an answer of the store is waited for, on top of a wait
-	// there, before another question is put beside the one that is open.
-	answerWithin = 500 * time.Millisecond
-	// nextPage is how long the next part of an answer is waited for that has begun
-	// to come, also over a squeezed link. With the pause after it the next question
-	// must come within the time in which a change must be in force.
-	nextPage = 1200 * time.Millisecond
-	// retryPause is the shortest wait after a failure; with jitter it grows to
-	// retryPause + maxPause. With answerWithin it bounds how late the store's return
-	// is noticed, which must be well within the time in which a change must be in force.
-	retryPause = 150 * time.Millisecond
-	maxPause   = 400 * time.Millisecond
-	// lostAfter is how many failures in a row are told as the store's loss: one
-	// may be a connection that has gone silent.
-	lostAfter = 2
+	// responseTimeout is how long a response of the store may take, in addition to the
+	// request's wait there, before another request is sent beside the open one.
+	responseTimeout = 500 * time.Millisecond
+	// pageTimeout is how long the next page of a response that has begun to arrive may
+	// take, even over a congested link. Together with the delay after it, it must be less
+	// than the time within which a change must be in force.
+	pageTimeout = 1200 * time.Millisecond
+	// minRetryDelay is the shortest delay after a failure; it grows, with jitter, up to
+	// minRetryDelay + maxExtraDelay. Together with responseTimeout it limits how late the
+	// store's return is noticed, which must be well below the time within which a change
+	// must be in force.
+	minRetryDelay = 150 * time.Millisecond
+	maxExtraDelay = 400 * time.Millisecond
+	// failuresUntilLost is the number of consecutive failures after which the store is
+	// reported lost: a single one may be a connection that has gone silent.
+	failuresUntilLost = 2
 )
 
-// Share tells what other processes have read.
+// Share gives access to what other processes have read.
 type Share interface {
-	// Delegated returns for how long nothing needs to be read here.
+	// Delegated returns how long this process need not read.
 	Delegated() time.Duration
 	// Updates holds a token when another process has read something newer.
 	Updates() <-chan struct{}
-	// Wait returns how long a question waits at the store.
+	// Wait returns how long a request waits at the store; alone is the time for a process
+	// that reads by itself.
 	Wait(alone time.Duration) time.Duration
-	// Pause returns how long to wait after a failure, in place of the time given;
-	// others: another loop asks the same store.
+	// Pause returns the delay after a failure, given the default d; others is set if
+	// another loop sends requests to the same store.
 	Pause(d time.Duration, others bool) time.Duration
-	// Read notes an answer that may be so old, Failed the lack of one.
+	// Read records a response whose content may be as old as age, Failed a missing one.
 	Read(age time.Duration)
 	Failed()
 }
 
-// Outage is a time in which the store did not answer, as its return ends it.
+// Outage describes a period without responses of the store, reported at its end.
 type Outage struct {
 	Failures int
-	Away     time.Duration // since anybody confirmed what is known here
-	Longest  time.Duration // that one question was waited for
+	Away     time.Duration // since the subject was last confirmed
+	Longest  time.Duration // longest wait for one request
 }
 
-// ErrUnanswered: a question has had no answer in time; it stays open.
-var ErrUnanswered = errors.New("follow: the store has not answered in time")
+// ErrUnanswered is the failure of a request that got no response in time. It stays open.
+var ErrUnanswered = errors.New("follow: no response from the store in time")
 
-// Loop follows one subject. A question that has had no answer in time stays
-// open and another is put beside it.
+// Loop follows one subject. If a request gets no response in time it stays open, and
+// another one is sent beside it. Timeouts therefore need not grow: a slow store responds
+// to the older request, a store that is back responds to the newest.
 //
-// Questions beside each other need no patience that grows: a store that is slow answers
-// the older one, a store that is back answers the newest.
-//
-// All funcs but Read and Next may be nil.
+// All functions but Read and Next may be nil.
 type Loop struct {
-	// Read reads the subject whole; Next waits up to wait for a change. Several
-	// may be on their way at once; what they return is called by Run alone.
+	// Read reads the whole subject; Next waits up to wait for a change. Several calls may
+	// run at once. Only Run calls the updates that they return.
 	Read func(ctx context.Context) (Update, error)
 	Next func(ctx context.Context, wait time.Duration) (Update, error)
-	// MustRead tells whether a wait for changes would miss something.
+	// MustRead reports whether waiting for changes could miss one.
 	MustRead func() bool
 
-	// MayDelegate tells whether others' word can stand for a question of this process's own.
+	// MayDelegate reports whether a confirmation by other processes can replace a request
+	// of this process.
 	MayDelegate func() bool
 
-	// Wait is how long a question waits at the store. A connection that went
-	// silent is noticed this much later at most, plus half a second.
+	// Wait is how long a request waits at the store for changes. A connection that went
+	// silent is detected this much later at most, plus half a second.
 	Wait time.Duration
-	// Pace is the shortest time between two questions.
+	// Pace is the shortest time between two requests.
 	Pace time.Duration
 
 	Share Share
-	Turns *Turns // of all loops that ask the same store; may be nil
+	Turns *Turns // shared by all loops with the same store; may be nil
 	// Failed is called after each failure; it may ask peers.
 	Failed func(ctx context.Context)
-	// Lost and Regained tell of the store's loss and return.
+	// Lost and Regained report the loss and return of the store.
 	Lost     func(err error)
 	Regained func(o Outage)
 
-	confirmedAt atomic.Int64 // Unix nanoseconds of the newest answer or word of others
+	confirmedAt atomic.Int64 // Unix nanoseconds of the newest response or confirmation by others
 	failing     atomic.Bool
 	failedAt    atomic.Int64 // Unix nanoseconds of the newest failure; 0: none
 	failures    int
-	longest     time.Duration // that a question was waited for since the newest answer
-	open        *round        // the questions that may still be answered
-	begun       bool          // there has been an answer
-	stale       bool          // others have read since this process did
+	longestWait time.Duration // longest wait for one request since the newest response
+	group       *requestGroup // the requests that may still get a response
+	started     bool          // there has been a response
+	behind      bool          // others have read since this process did
 }
 
-// Run follows until ctx ends.
+// Run follows the subject until ctx ends.
 func (l *Loop) Run(ctx context.Context) error {
-	l.open = newRound(ctx)
+	l.group = newRequestGroup(ctx)
 	for ctx.Err() == nil {
-		if l.delegated(ctx) {
+		if l.waitDelegated(ctx) {
 			continue
 		}
 		began := time.Now()
 		err := l.step(ctx)
 		if err != nil {
-			l.failed(ctx, err, time.Since(began))
+			l.fail(ctx, err, time.Since(began))
 			continue
 		}
 		_ = retry.Wait(ctx, l.Pace-time.Since(began))
@@ -114,49 +115,50 @@
 	return ctx.Err()
 }
 
-// step asks a question and waits for an answer, to it or to an earlier one.
+// step sends a request and waits for a response, to it or to an earlier one.
 func (l *Loop) step(ctx context.Context) error {
-	q, patience := l.ask()
-	timer := time.NewTimer(patience)
+	req, timeout := l.send()
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-q.heard:
-			timer.Reset(nextPage)
+		case <-req.firstByte:
+			timer.Reset(pageTimeout)
 		case <-timer.C:
 			return ErrUnanswered
-		case a := <-l.open.answers:
-			l.open.over(a.question)
-			if a.err == nil {
-				l.answered(a)
+		case resp := <-l.group.responses:
+			l.group.remove(resp.request)
+			if resp.err == nil {
+				l.accept(resp)
 				return nil
 			}
-			if a.question == q {
-				return a.err
+			if resp.request == req {
+				return resp.err
 			}
 		}
 	}
 }
 
-// Age returns for how long neither the store nor others have confirmed what is
-// known here; it may be called from anywhere.
+// Age returns the time since the subject was last confirmed by the store or by others. It
+// is safe for concurrent use.
 func (l *Loop) Age() time.Duration { return time.Since(time.Unix(0, l.confirmedAt.Load())) }
 
-// Failing tells whether the newest question failed; it may be called from anywhere.
+// Failing reports whether the newest request failed. It is safe for concurrent use.
 func (l *Loop) Failing() bool { return l.failing.Load() }
 
-// FailedWithin tells whether the store has failed at most d ago; it may be
-// called from anywhere.
+// FailedWithin reports whether a request has failed at most d ago. It is safe for
+// concurrent use.
 func (l *Loop) FailedWithin(d time.Duration) bool {
 	at := l.failedAt.Load()
 	return l.Failing() || (at != 0 && time.Since(time.Unix(0, at)) < d)
 }
 
-// delegated waits while others' word stands for a question of this process's own.
-func (l *Loop) delegated(ctx context.Context) bool {
-	if l.Share == nil || !l.begun || (l.MayDelegate != nil && !l.MayDelegate()) {
+// waitDelegated waits while other processes read on behalf of this one. It returns false
+// at once if they don't.
+func (l *Loop) waitDelegated(ctx context.Context) bool {
+	if l.Share == nil || !l.started || (l.MayDelegate != nil && !l.MayDelegate()) {
 		return false
 	}
 	wait := l.Share.Delegated()
@@ -164,7 +166,7 @@
 		return false
 	}
 	l.Turns.leave(l)
-	l.stale = true
+	l.behind = true
 	l.confirmedAt.Store(time.Now().UnixNano())
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -176,72 +178,74 @@
 	return true
 }
 
-// ask puts the next question and returns how long to wait for it. The whole
-// subject is read where a wait for changes could sleep over one: at the start,
-// after a failure, and after others have read.
-func (l *Loop) ask() (q *question, patience time.Duration) {
-	if !l.begun || l.stale || l.failures > 0 || (l.MustRead != nil && l.MustRead()) {
-		return l.open.put(0, l.Read), answerWithin
+// send sends the next request and returns how long to wait for it. The whole subject is
+// read where waiting for changes could miss one: at the start, after a failure, and after
+// others have read.
+func (l *Loop) send() (req *request, timeout time.Duration) {
+	if !l.started || l.behind || l.failures > 0 || (l.MustRead != nil && l.MustRead()) {
+		return l.group.send(0, l.Read), responseTimeout
 	}
 	wait := l.Wait
 	if l.Share != nil {
 		wait = l.Share.Wait(wait)
 	}
 	next := func(ctx context.Context) (Update, error) { return l.Next(ctx, wait) }
-	return l.open.put(wait, next), wait + answerWithin
+	return l.group.send(wait, next), wait + responseTimeout
 }
 
-// answered takes an answer in; what else is asked is no longer needed.
-func (l *Loop) answered(a answer) {
-	l.open = l.open.renew()
-	l.Turns.answered()
-	a.take()
-	if l.failures >= lostAfter && l.Regained != nil {
-		l.Regained(Outage{Failures: l.failures, Away: l.Age(), Longest: l.longest})
+// accept applies a response and cancels the other open requests.
+func (l *Loop) accept(resp response) {
+	l.group = l.group.renew()
+	l.Turns.responded()
+	resp.update()
+	if l.failures >= failuresUntilLost && l.Regained != nil {
+		l.Regained(Outage{Failures: l.failures, Away: l.Age(), Longest: l.longestWait})
 	}
 	l.failing.Store(false)
 	l.confirmedAt.Store(time.Now().UnixNano())
-	l.failures, l.longest, l.begun, l.stale = 0, 0, true, false
+	l.failures, l.longestWait, l.started, l.behind = 0, 0, true, false
 	if l.Share != nil {
-		l.Share.Read(a.question.age(time.Now()))
+		l.Share.Read(resp.request.age(time.Now()))
 	}
 }
 
-// failed notes that a question failed or is unanswered, and waits before the next one.
-func (l *Loop) failed(ctx context.Context, err error, waited time.Duration) {
+// fail records that a request failed or got no response in time, and waits before the
+// next one.
+func (l *Loop) fail(ctx context.Context, err error, waited time.Duration) {
 	if ctx.Err() != nil {
 		return
 	}
 	l.failing.Store(true)
 	l.failures++
-	l.longest = max(l.longest, waited)
+	l.longestWait = max(l.longestWait, waited)
 	l.failedAt.Store(time.Now().UnixNano())
-	if l.failures == lostAfter && l.Lost != nil {
+	if l.failures == failuresUntilLost && l.Lost != nil {
 		l.Lost(err)
 	}
 	if l.Share != nil {
 		l.Share.Failed()
 	}
 	if l.Failed != nil {
-		// Beside the pause: peers that don't answer must not hold the next question up.
+		// Not during the delay: peers that don't respond must not hold up the next
+		// request.
 		go l.Failed(ctx)
 	}
-	l.pause(ctx, retry.BackoffBetween(retryPause, maxPause, l.failures))
+	l.delay(ctx, retry.BackoffBetween(minRetryDelay, maxExtraDelay, l.failures))
 }
 
-// pause waits, and until another loop that asks the same store has an answer, but not
-// longer than for an answer to a question that is still open.
-func (l *Loop) pause(ctx context.Context, d time.Duration) {
-	back := l.Turns.take(l)
+// delay waits for d, or until a request that is still open gets a response, other processes
+// have read something newer, or another loop that probes the same store is done.
+func (l *Loop) delay(ctx context.Context, d time.Duration) {
+	probed := l.Turns.join(l)
 	switch {
-	case back != nil:
-		d = turnTimeout
+	case probed != nil:
+		d = probeTimeout
 	case l.Turns != nil:
-		d = min(d, turnPause)
+		d = min(d, maxProbeDelay)
 	}
 	var updates <-chan struct{}
 	if l.Share != nil {
-		d, updates = l.Share.Pause(d, back != nil), l.Share.Updates()
+		d, updates = l.Share.Pause(d, probed != nil), l.Share.Updates()
 	}
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -251,14 +255,14 @@
 			return
 		case <-timer.C:
 			return
-		case <-back:
+		case <-probed:
 			return
 		case <-updates:
 			return
-		case a := <-l.open.answers:
-			l.open.over(a.question)
-			if a.err == nil {
-				l.answered(a)
+		case resp := <-l.group.responses:
+			l.group.remove(resp.request)
+			if resp.err == nil {
+				l.accept(resp)
 				_ = retry.Wait(ctx, l.Pace)
 				return
 			}
--- a/follow/probing.go
+++ b/follow/probing.go
@@ -5,42 +5,42 @@
 	"time"
 )
 
-// turnTimeout is how long a loop leaves the asking to another one: the store may
-// answer this one's questions and not the other's.
-const turnTimeout = time.Second
+// probeTimeout is how long a loop leaves probing to another one: the store may respond to
+// this loop's requests and not to the other's.
+const probeTimeout = time.Second
 
-// turnPause is the longest wait of the loop that asks for all.
-const turnPause = 300 * time.Millisecond
+// maxProbeDelay is the longest delay of the loop that probes for all.
+const maxProbeDelay = 300 * time.Millisecond
 
-// Turns has the loops that follow one store ask it in turn while it does not answer:
-// one asks, and the others follow as soon as it has an answer. The nil Turns is of
-// loops that ask by themselves.
+// Turns coordinates the loops that follow one store while it does not respond: one of
+// them probes it, and the others follow as soon as there is a response. With a nil Turns
+// each loop sends its own requests.
 type Turns struct {
 	mu     sync.Mutex
-	asking *Loop         // nil: the store answers
-	back   chan struct{} // closed when it does again
+	prober *Loop         // the loop that probes; nil: the store responds
+	done   chan struct{} // closed when the probing ends
 }
 
-// NewTurns returns Turns for the loops of one store.
-func NewTurns() *Turns { return &Turns{back: make(chan struct{})} }
+// NewTurns returns a Turns for the loops of one store.
+func NewTurns() *Turns { return &Turns{done: make(chan struct{})} }
 
-// take makes a loop the one that asks, unless another one is. Then it returns a
-// channel that is closed when the loop's turn has come.
-func (t *Turns) take(l *Loop) (back <-chan struct{}) {
+// join makes a loop the one that probes if there is none. Otherwise it returns a channel
+// that is closed when the probing ends: the store responds again, or the probing loop left.
+func (t *Turns) join(l *Loop) (done <-chan struct{}) {
 	if t == nil {
 		return nil
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.asking == nil || t.asking == l {
-		t.asking = l
+	if t.prober == nil || t.prober == l {
+		t.prober = l
 		return nil
 	}
-	return t.back
+	return t.done
 }
 
-// answered lets all loops ask again.
-func (t *Turns) answered() {
+// responded ends the probing: all loops send requests again.
+func (t *Turns) responded() {
 	if t == nil {
 		return
 	}
@@ -49,23 +49,24 @@
 	t.endLocked()
 }
 
-// leave is called by a loop that has no need to ask.
+// leave ends the probing if this loop does it; it is called by a loop that has no need for
+// requests.
 func (t *Turns) leave(l *Loop) {
 	if t == nil {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.asking == l {
+	if t.prober == l {
 		t.endLocked()
 	}
 }
 
 func (t *Turns) endLocked() {
-	if t.asking == nil {
+	if t.prober == nil {
 		return
 	}
-	t.asking = nil
-	close(t.back)
-	t.back = make(chan struct{})
+	t.prober = nil
+	close(t.done)
+	t.done = make(chan struct{})
 }
--- a/follow/probing_test.go
+++ b/follow/probing_test.go
@@ -12,15 +12,15 @@
 	"github.com/pearyard/pearyard/retry"
 )
 
-// silentStore counts questions, and answers once it is back.
+// silentStore counts requests, and responds once it is back.
 type silentStore struct {
-	asked atomic.Int32
-	back  time.Time
+	requests atomic.Int32
+	back     time.Time
 }
 
 func (s *silentStore) loop(turns *Turns) *Loop {
 	ask := func(ctx context.Context) (Update, error) {
-		s.asked.Add(1)
+		s.requests.Add(1)
 		if time.Now().Before(s.back) {
 			<-ctx.Done()
 			return nil, ctx.Err()
@@ -38,34 +38,34 @@
 	}
 }
 
-// Guards against loops that each ask a store that is away, and against one that is
-// late after its return because another one asked.
-func TestOneLoopAsksAStoreThatIsAway(t *testing.T) {
-	const away = 10 * time.Second
-	play := func(t *testing.T, turns *Turns) (asked int, late time.Duration) {
+// Guards against loops that each send requests to a store that is down, and against a
+// loop that is late after its return because another one probed.
+func TestOneLoopProbesAStoreThatIsDown(t *testing.T) {
+	const outage = 10 * time.Second
+	play := func(t *testing.T, turns *Turns) (requests int, late time.Duration) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		store := &silentStore{back: time.Now().Add(away)}
+		store := &silentStore{back: time.Now().Add(outage)}
 		loops := []*Loop{store.loop(turns), store.loop(turns), store.loop(turns)}
 		for _, l := range loops {
 			go func() { _ = l.Run(ctx) }()
 		}
-		time.Sleep(away)
+		time.Sleep(outage)
 		synctest.Wait()
-		asked = int(store.asked.Load())
+		requests = int(store.requests.Load())
 		for loops[0].Failing() || loops[1].Failing() || loops[2].Failing() {
 			time.Sleep(time.Millisecond)
 			late += time.Millisecond
 		}
 		cancel()
 		synctest.Wait()
-		return asked, late
+		return requests, late
 	}
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		alone, _ := play(t, nil)
-		asked, late := play(t, NewTurns())
-		g.Expect(asked).To(gomega.BeNumerically("<", alone))
-		g.Expect(late).To(gomega.BeNumerically("<", answerWithin+turnPause+50*time.Millisecond))
+		requests, late := play(t, NewTurns())
+		g.Expect(requests).To(gomega.BeNumerically("<", alone))
+		g.Expect(late).To(gomega.BeNumerically("<", responseTimeout+maxProbeDelay+50*time.Millisecond))
 	})
 }
--- a/follow/request.go
+++ b/follow/request.go
@@ -7,118 +7,120 @@
 	"time"
 )
 
-// Update puts in force what an answer said.
+// Update puts the content of a response in force.
 type Update func()
 
 const (
-	// questionLife is how long a question stays open after the last sign that an
-	// answer is coming, on top of its wait at the store. It is for a store that is
-	// slow but answers.
-	questionLife = 4 * time.Second
-	// openQuestions is how many questions are open at a time: one whose answer may
-	// be coming, and one to learn whether it is lost. More would share a link that
-	// is squeezed until no answer ever comes whole: of a list that takes 0.7 s a
-	// page alone none came in 30 s where each half second put another beside it.
-	openQuestions = 2
-	// waitingAnswers is above the number of questions that end in a round before
-	// Run looks: they are given up one at a time.
-	waitingAnswers = 8
+	// requestLifetime is how long a request stays open after the last sign of a response,
+	// in addition to its wait at the store. It allows for a store that is slow but
+	// responds.
+	requestLifetime = 4 * time.Second
+	// maxOpenRequests is the number of requests that may be open at a time: one whose
+	// response may be arriving, and one to find out whether that is lost. More would
+	// share a congested link until no response arrives whole: with another request each
+	// half second, none of a list's copies that take 0.7 s a page alone was complete
+	// after 30 s.
+	maxOpenRequests = 2
+	// responseBuffer exceeds the number of requests that end before Run looks: they are
+	// cancelled one at a time.
+	responseBuffer = 8
 )
 
-// question is one call to the store, or several that read one subject.
-type question struct {
-	began  time.Time
-	wait   time.Duration
-	heard  chan struct{} // holds a token after the first byte of an answer
-	coming atomic.Bool   // there has been such a byte
-	cancel context.CancelFunc
+// request is one call to the store, or several that read one subject.
+type request struct {
+	sentAt    time.Time
+	wait      time.Duration
+	firstByte chan struct{} // holds a token after the first byte of a response
+	arriving  atomic.Bool   // a response has begun to arrive
+	cancel    context.CancelFunc
 }
 
-// age returns how old what an answer says may be. While a question waits, the
-// store answers with the moment's state; after it, the answer was on its way.
-// Both clocks are asked: the steady one stands still while this VM is suspended.
-func (q *question) age(now time.Time) time.Duration {
-	taken := max(now.Sub(q.began), now.Round(0).Sub(q.began.Round(0)))
-	return max(0, taken-q.wait)
+// age returns how old the content of a response may be. While a request waits, the store
+// responds with its current state; after that the response was on its way. Both the
+// monotonic and the wall clock are used: the monotonic one stands still while this VM is
+// suspended.
+func (req *request) age(now time.Time) time.Duration {
+	taken := max(now.Sub(req.sentAt), now.Round(0).Sub(req.sentAt.Round(0)))
+	return max(0, taken-req.wait)
 }
 
-// answer is what came of a question.
-type answer struct {
-	question *question
-	take     Update
-	err      error
+// response is the result of a request.
+type response struct {
+	request *request
+	update  Update
+	err     error
 }
 
-// round holds the questions of which one answer is enough. Only Run uses it.
-type round struct {
-	parent  context.Context
-	ctx     context.Context
-	cancel  context.CancelFunc
-	open    []*question // oldest first
-	answers chan answer
+// requestGroup holds requests of which one response is enough. Only Run uses it.
+type requestGroup struct {
+	parent    context.Context
+	ctx       context.Context
+	cancel    context.CancelFunc
+	open      []*request // oldest first
+	responses chan response
 }
 
-func newRound(parent context.Context) *round {
-	r := &round{parent: parent, answers: make(chan answer, waitingAnswers)}
+func newRequestGroup(parent context.Context) *requestGroup {
+	r := &requestGroup{parent: parent, responses: make(chan response, responseBuffer)}
 	r.ctx, r.cancel = context.WithCancel(parent)
 	return r
 }
 
-// renew gives up the questions that are open.
-func (r *round) renew() *round {
+// renew cancels the open requests and returns an empty group.
+func (r *requestGroup) renew() *requestGroup {
 	r.cancel()
-	return newRound(r.parent)
+	return newRequestGroup(r.parent)
 }
 
-// over takes a question that has ended out of the open ones.
-func (r *round) over(q *question) {
+// remove removes a request that has ended from the open ones.
+func (r *requestGroup) remove(req *request) {
 	for i, open := range r.open {
-		if open == q {
+		if open == req {
 			r.open = append(r.open[:i], r.open[i+1:]...)
 			return
 		}
 	}
 }
 
-// makeRoom gives up a question if there are too many: the newest, unless its
-// answer is coming and the older one's is not.
-func (r *round) makeRoom() {
-	if len(r.open) < openQuestions {
+// makeRoom cancels a request if there are too many: the newest, unless its response is
+// arriving and the oldest one's is not.
+func (r *requestGroup) makeRoom() {
+	if len(r.open) < maxOpenRequests {
 		return
 	}
 	oldest, newest := r.open[0], r.open[len(r.open)-1]
-	given := newest
-	if newest.coming.Load() && !oldest.coming.Load() {
-		given = oldest
+	evicted := newest
+	if newest.arriving.Load() && !oldest.arriving.Load() {
+		evicted = oldest
 	}
-	given.cancel()
-	r.over(given)
+	evicted.cancel()
+	r.remove(evicted)
 }
 
-// put asks a question that waits up to wait at the store.
-func (r *round) put(wait time.Duration, ask func(context.Context) (Update, error)) *question {
+// send starts a request that waits up to wait at the store.
+func (r *requestGroup) send(wait time.Duration, call func(context.Context) (Update, error)) *request {
 	r.makeRoom()
-	q := &question{began: time.Now(), wait: wait, heard: make(chan struct{}, 1)}
+	req := &request{sentAt: time.Now(), wait: wait, firstByte: make(chan struct{}, 1)}
 	ctx, cancel := context.WithCancel(r.ctx)
-	q.cancel = cancel
-	life := time.AfterFunc(wait+questionLife, cancel)
+	req.cancel = cancel
+	lifetime := time.AfterFunc(wait+requestLifetime, cancel)
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotFirstResponseByte: func() {
-		life.Reset(questionLife)
-		q.coming.Store(true)
+		lifetime.Reset(requestLifetime)
+		req.arriving.Store(true)
 		select {
-		case q.heard <- struct{}{}:
+		case req.firstByte <- struct{}{}:
 		default:
 		}
 	}})
-	r.open = append(r.open, q)
+	r.open = append(r.open, req)
 	go func() {
-		take, err := ask(ctx)
-		life.Stop()
+		update, err := call(ctx)
+		lifetime.Stop()
 		cancel()
 		select {
-		case r.answers <- answer{q, take, err}:
+		case r.responses <- response{req, update, err}:
 		case <-r.ctx.Done():
 		}
 	}()
-	return q
+	return req
 }
