--- a/site/config.go
+++ b/site/config.go
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// Kind says what may be repeated of a request.
+// Kind says whether a request may be repeated.
 type Kind uint8
 
 // Kinds of requests.
 const (
-	// AtMostOnce is the zero value, so that a route whose kind is not
-	// understood is never repeated.
+	// AtMostOnce is the zero value, so that requests of a route whose kind is unknown are
+	// never repeated.
 	AtMostOnce Kind = iota
 	Idempotent
 	Stream
 )
 
-// String names the kind for logs and metrics.
+// String returns the kind's name in logs and metrics.
 func (k Kind) String() string {
 	switch k {
 	case Idempotent:
@@ -32,19 +32,19 @@
 	}
 }
 
-// Target is one of the services that a route may go to.
+// Target is one of the services that a route leads to.
 type Target struct {
 	Service string
 	Weight  int
 }
 
-// maxWeight is far above any weight that is meant. The sum of larger ones
-// overflows, and a draw from a sum below zero ends the process.
+// maxWeight is far above any sensible weight. A sum of larger ones could overflow, and
+// rand.IntN panics on a negative sum.
 const maxWeight = 1 << 30
 
-func (t Target) share() int { return min(max(0, t.Weight), maxWeight) }
+func (t Target) boundedWeight() int { return min(max(0, t.Weight), maxWeight) }
 
-// Route says where requests of one host and path prefix go, and how.
+// Route describes where requests of one host and path prefix go, and how.
 type Route struct {
 	Name   string
 	Host   string
@@ -52,25 +52,25 @@
 	Kind   Kind
 
 	Targets     []Target
-	Timeout     time.Duration // longest time without a final answer; 0: none
-	Objective   time.Duration // an answer (streams: the first event) within it is in time
-	MaxGap      time.Duration // longest pause between events of a stream in time; 0: none
+	Timeout     time.Duration // longest time without a final response; 0: no limit
+	Objective   time.Duration // time within which a response (of a stream: the first event) is in time
+	MaxGap      time.Duration // longest pause between events of a stream in time; 0: no limit
 	MaxAttempts int           // backend servers that may run one request
 	Priority    int           // 0 is the most urgent
 	Public      bool          // needs no key
-	Resumable   bool          // another backend server may go on from an event id
+	Resumable   bool          // another backend server can continue from an event id
 
-	// Refused says why no request of this route can be handed on: the part of the
-	// configuration that says how can't be read. Empty: they can.
+	// Refused is the reason why all requests of this route are refused: a part of its
+	// configuration can't be read. Empty if they are not.
 	Refused string
 }
 
-// Repeatable tells whether the request may run more than once.
+// Repeatable reports whether a request may run more than once.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Idempotent || (r.Kind == Stream && r.Resumable)
 }
 
-// Attempts returns how many backend servers may run one request, at least one.
+// Attempts returns the number of backend servers that may run one request, at least one.
 func (r *Route) Attempts() int {
 	if !r.Repeatable() {
 		return 1
@@ -78,26 +78,26 @@
 	return max(1, r.MaxAttempts)
 }
 
-// Pick returns the service for one request, by weight.
+// Pick returns the service for one request, chosen at random by weight.
 func (r *Route) Pick() string {
 	total := 0
 	for _, t := range r.Targets {
-		total += t.share()
+		total += t.boundedWeight()
 	}
 	if total == 0 {
-		return r.anyTarget()
+		return r.firstTarget()
 	}
 	n := rand.IntN(total)
 	for _, t := range r.Targets {
-		n -= t.share()
+		n -= t.boundedWeight()
 		if n < 0 {
 			return t.Service
 		}
 	}
-	return r.anyTarget()
+	return r.firstTarget()
 }
 
-func (r *Route) anyTarget() string {
+func (r *Route) firstTarget() string {
 	if len(r.Targets) == 0 {
 		return ""
 	}
@@ -107,21 +107,22 @@
 // Service is a kind of backend server.
 type Service struct {
 	Name       string
-	HealthPath string // answers with the id of the process; empty: none
+	HealthPath string // responds with the id of the process; empty: none
 	MaxConns   int    // connections that one backend server accepts from all callers
-	// Copies: a running stream's prompt memory can be copied to another backend server.
+	// Copies is set if a running stream's KV cache can be copied to another backend
+	// server.
 	Copies bool
-	// CopiesOnCall: such a copy can also be asked for while the stream runs.
+	// CopiesOnCall is set if such a copy can also be requested while the stream runs.
 	CopiesOnCall bool
 }
 
-// Organisation is the holder of keys.
+// Organisation is a holder of keys.
 type Organisation struct {
 	Name     string
-	Priority int // goes before the route's; negative: none
+	Priority int // overrides that of the route; negative: none
 }
 
-// ClientLimits bound what a client may send. Zero means no limit.
+// ClientLimits limit what a client may send. Zero means no limit.
 type ClientLimits struct {
 	HeaderBytes int
 	BodyBytes   int64
@@ -129,7 +130,7 @@
 	IdleTime    time.Duration
 }
 
-// Config is one accepted version. It is not changed after New.
+// Config is one accepted version of the configuration. It is immutable.
 type Config struct {
 	Version  uint64
 	Services map[string]Service
@@ -137,7 +138,7 @@
 	Faults   []string // parts that can't be read, with their places
 
 	routes  int
-	targets []string // services that routes lead to, each once
+	targets []string // services that routes lead to, without duplicates
 	byHost  map[string][]*Route
 	byKey   map[string]*Organisation
 }
@@ -148,7 +149,7 @@
 	Keys []string
 }
 
-// New indexes a version for the path of requests.
+// New returns a version with indexes for lookups on the request path.
 func New(version uint64, routes []Route, services []Service, organisations []Keyed, limits ClientLimits) *Config {
 	c := &Config{
 		Version: version, Limits: limits, routes: len(routes),
@@ -189,14 +190,14 @@
 	for _, o := range organisations {
 		owner := o.Organisation
 		for _, key := range o.Keys {
-			if key != "" { // a request without a key would have it
+			if key != "" { // it would match requests without a key
 				c.byKey[key] = &owner
 			}
 		}
 	}
 }
 
-// Goes tells whether a route that is in force leads to a service that passes.
+// Goes reports whether any route leads to a service that satisfies passes.
 func (c *Config) Goes(passes func(service string) bool) bool {
 	for _, service := range c.targets {
 		if passes(service) {
@@ -206,7 +207,7 @@
 	return false
 }
 
-// Routes returns how many routes the version has.
+// Routes returns the number of routes.
 func (c *Config) Routes() int { return c.routes }
 
 // Match returns the route of host with the longest prefix of path, or nil.
@@ -224,7 +225,7 @@
 	return nil
 }
 
-// Keys tells whether requests need a key at all.
+// Keys reports whether requests need a key at all.
 func (c *Config) Keys() bool { return c.byKey != nil }
 
 // Owner returns the organisation that holds a key, or nil.
--- a/site/follow.go
+++ b/site/follow.go
@@ -13,49 +13,49 @@
 	"github.com/pearyard/pearyard/follow"
 )
 
-// Source tells the configuration.
+// Source provides the configuration.
 type Source interface {
-	// Read returns the newest configuration, nil if there is none, and the place
-	// in the store's history that it was read at.
+	// Read returns the newest configuration, nil if there is none, and the position in
+	// the store's history at which it was read.
 	Read(ctx context.Context) (v *Versioned, reached uint64, err error)
-	// Next waits up to wait for one after a place in the history. It returns nil
-	// if none came, and the place up to which there is no other.
+	// Next waits up to wait for a configuration after a position. It returns nil if none
+	// came, and the position up to which there is no other.
 	Next(ctx context.Context, after uint64, wait time.Duration) (v *Versioned, reached uint64, err error)
 }
 
 const (
-	// longPoll is how long one question waits at the store. With the patience of
-	// package follow and one more question it stays under the three seconds
-	// after which a process whose connections went silent counts as in touch.
+	// longPoll is how long one request waits at the store for changes. With the response
+	// timeout of package follow and one more request it stays below the three seconds
+	// after which a process whose connections went silent counts as connected again.
 	longPoll = 1900 * time.Millisecond
-	// minPace is the time between two questions that are answered at once. It is
-	// a guard: a row that lies further back than the store's history once made
-	// each wait end at once, 600 times a second in all, until it was written again.
-	minPace = 100 * time.Millisecond
+	// minInterval is the shortest time between two requests. It limits the rate when
+	// waits end at once: an entry older than the store's history once caused 600 requests
+	// a second until it was written again.
+	minInterval = 100 * time.Millisecond
 )
 
-// loggedFaults is how many parts that can't be read a log line names.
-const loggedFaults = 8
+// maxLoggedFaults is the number of unreadable parts that a log line names.
+const maxLoggedFaults = 8
 
-// Follower keeps a Holder up with a Source.
+// Follower keeps a Holder up to date with a Source.
 type Follower struct {
 	Holder   *Holder
 	Source   Source
 	Recorder *event.Recorder
-	Failed   func(ctx context.Context) // called after each failure; it may ask peers
+	Failed   func(ctx context.Context) // called after each failure; may ask peers
 	Share    follow.Share              // may be nil
-	Turns    *follow.Turns             // of all that ask the same store; may be nil
+	Turns    *follow.Turns             // shared by all followers of the same store; may be nil
 	Applied  func(v *Versioned)        // called with each version that is put in force; may be nil
 
 	loop       atomic.Pointer[follow.Loop]
-	reached    atomic.Uint64 // place in the history up to which changes were read; written by Run alone
-	unreadable atomic.Uint64 // position of the newest version that can't be read
+	reached    atomic.Uint64 // position up to which changes were read; written by Run alone
+	unreadable atomic.Uint64 // position of the newest unreadable version
 }
 
-// Run follows until ctx ends.
+// Run follows the source until ctx ends.
 func (f *Follower) Run(ctx context.Context) error {
 	loop := &follow.Loop{
-		Read: f.read, Next: f.next, Wait: longPoll, Pace: minPace, Share: f.Share, Turns: f.Turns, Failed: f.Failed,
+		Read: f.read, Next: f.next, Wait: longPoll, Pace: minInterval, Share: f.Share, Turns: f.Turns, Failed: f.Failed,
 		MustRead: func() bool { return f.Holder.Position() == 0 },
 		Lost:     func(err error) { f.Recorder.Emit(EventStoreLost, "err", err, "position", f.Holder.Position()) },
 		Regained: func(o follow.Outage) {
@@ -66,7 +66,7 @@
 	return loop.Run(ctx)
 }
 
-// Age returns for how long nobody has confirmed the configuration; 0 before Run.
+// Age returns the time since the configuration was last confirmed; 0 before Run.
 func (f *Follower) Age() time.Duration {
 	if loop := f.loop.Load(); loop != nil {
 		return loop.Age()
@@ -76,57 +76,57 @@
 
 func (f *Follower) read(ctx context.Context) (follow.Update, error) {
 	v, reached, err := f.Source.Read(ctx)
-	return f.answer(v, reached, err)
+	return f.handleResponse(v, reached, err)
 }
 
 func (f *Follower) next(ctx context.Context, wait time.Duration) (follow.Update, error) {
 	v, reached, err := f.Source.Next(ctx, f.reached.Load(), wait)
-	return f.answer(v, reached, err)
+	return f.handleResponse(v, reached, err)
 }
 
-func (f *Follower) answer(v *Versioned, reached uint64, err error) (follow.Update, error) {
+func (f *Follower) handleResponse(v *Versioned, reached uint64, err error) (follow.Update, error) {
 	var bad *UnreadableError
 	if errors.As(err, &bad) {
-		f.tellUnreadable(bad, reached)
+		f.reportUnreadable(bad, reached)
 	}
 	if bad != nil && f.Holder.Position() > 0 {
-		// The last good version stays in force. The store answers, so this is no
-		// failure of it: asking again would bring the same. A row whose place can't
-		// be read either is passed over by the place of the answer, or each wait
-		// would end with it at once. Without a good one peers are asked, as after
-		// a failure.
-		return func() { f.reach(max(bad.Position, reached)) }, nil
+		// The last good version stays in force. The store responded, so this is not a
+		// failure of it: another request would return the same. A version whose own
+		// position can't be read is skipped by the position of the response, or each wait
+		// would end with it at once. Without a good version peers are asked, as after a
+		// failure.
+		return func() { f.advance(max(bad.Position, reached)) }, nil
 	}
 	if err != nil {
 		return nil, err
 	}
 	return func() {
-		f.reach(reached)
+		f.advance(reached)
 		f.Offer(v, "store")
 	}, nil
 }
 
-// reach notes up to which place changes were read. An answer to an earlier
-// question may come later than one to a newer question.
-func (f *Follower) reach(place uint64) { f.reached.Store(max(f.reached.Load(), place)) }
+// advance records the position up to which changes were read. A response to an earlier
+// request may arrive after one to a newer request.
+func (f *Follower) advance(position uint64) { f.reached.Store(max(f.reached.Load(), position)) }
 
-// tellUnreadable tells of a version that can't be read, once. Several questions
-// may have found it.
-func (f *Follower) tellUnreadable(bad *UnreadableError, reached uint64) {
-	place := cmp.Or(bad.Position, reached)
+// reportUnreadable logs an unreadable version once, although several requests may have
+// returned it.
+func (f *Follower) reportUnreadable(bad *UnreadableError, reached uint64) {
+	position := cmp.Or(bad.Position, reached)
 	for {
 		known := f.unreadable.Load()
-		if place <= known {
+		if position <= known {
 			return
 		}
-		if f.unreadable.CompareAndSwap(known, place) {
+		if f.unreadable.CompareAndSwap(known, position) {
 			break
 		}
 	}
 	f.Recorder.Emit(EventUnreadable, "position", bad.Position, "in_force", f.Holder.Position(), "err", bad.Err)
 }
 
-// Offer puts a version in force and says so.
+// Offer puts a version in force if it is newer, and logs it.
 func (f *Follower) Offer(v *Versioned, from string) {
 	if v == nil || !f.Holder.Offer(v) {
 		return
@@ -138,6 +138,6 @@
 		"routes", v.Config.Routes(), "from", from, "objectives", v.Config.Objectives())
 	if faults := v.Config.Faults; len(faults) > 0 {
 		f.Recorder.Emit(EventParts, "version", v.Config.Version, "position", v.Position,
-			"faults", strings.Join(faults[:min(len(faults), loggedFaults)], "; "), "count", len(faults), "from", from)
+			"faults", strings.Join(faults[:min(len(faults), maxLoggedFaults)], "; "), "count", len(faults), "from", from)
 	}
 }
--- a/site/holder.go
+++ b/site/holder.go
@@ -2,16 +2,16 @@
 
 import "sync/atomic"
 
-// Versioned is a configuration with its place in the history of the store.
+// Versioned is a configuration with its position in the store's history.
 type Versioned struct {
 	Config *Config
-	// Position is the store's number of the row; it grows with each change.
+	// Position is the store's revision of the entry; it grows with each change.
 	Position uint64
-	// Raw is the text as the store holds it, for handing on.
+	// Raw is the encoded configuration as stored, to be passed on to peers.
 	Raw []byte
 }
 
-// UnreadableError says that a version lies in the store that can't be read.
+// UnreadableError is returned for a version in the store that can't be read.
 type UnreadableError struct {
 	Position uint64
 	Err      error
@@ -23,12 +23,11 @@
 // Unwrap returns the cause.
 func (e *UnreadableError) Unwrap() error { return e.Err }
 
-// Holder keeps the configuration in force in this process. Requests read it
-// without a lock.
+// Holder keeps the configuration in force in this process. Requests read it without a
+// lock.
 //
-// Invariant: the position never falls. An answer of the store that was
-// overtaken by a newer one, or a peer that lags, would otherwise bring a
-// dropped route or a revoked key back.
+// Invariant: the position never decreases. A late response of the store, or a peer that
+// lags, could otherwise restore a deleted route or a revoked key.
 type Holder struct {
 	current atomic.Pointer[Versioned]
 }
--- a/site/model_test.go
+++ b/site/model_test.go
@@ -13,16 +13,16 @@
 	"github.com/pearyard/pearyard/event"
 )
 
-// What may happen to a process that follows the configuration. docs/design/machines.md
-// has the states and what each event does to them.
+// step is an event in the life of a process that follows the configuration.
+// docs/design/machines.md has the states and the effect of each event.
 type step byte
 
 const (
 	stepChange  step = 'C' // operators write a version; the store acknowledges it
-	stepLose    step = 'L' // the question that is open is never answered
-	stepSilence step = 'S' // the store falls silent, or answers again
-	stepNewest  step = 'N' // a peer tells the newest version
-	stepOlder   step = 'O' // a peer tells the version before
+	stepLose    step = 'L' // the open request never gets a response
+	stepSilence step = 'S' // the store falls silent, or responds again
+	stepNewest  step = 'N' // a peer offers the newest version
+	stepOlder   step = 'O' // a peer offers the version before
 	stepRestart step = 'R' // the process is killed and starts again
 	stepWait    step = 'W' // time passes
 )
@@ -30,25 +30,25 @@
 var steps = []step{stepChange, stepLose, stepSilence, stepNewest, stepOlder, stepRestart, stepWait}
 
 const (
-	// modelDepth is how many events follow each other in each run: all 16,807 sequences.
+	// modelDepth is the number of events in each run: all 16,807 sequences are run.
 	modelDepth = 5
-	// modelLook is how often the invariants are checked.
-	modelLook = 100 * time.Millisecond
+	// modelCheckInterval is the time between two checks of the invariants.
+	modelCheckInterval = 100 * time.Millisecond
 	// modelStep is the time after each event, modelWait that of a wait.
 	modelStep = 300 * time.Millisecond
 	modelWait = 1300 * time.Millisecond
-	// disturbed is how long after a silence, a lost answer or a start a process
-	// may still go by an older version.
+	// disturbed is how long after a silence, a lost response or a start a process may
+	// still use an older version.
 	disturbed = 3 * time.Second
 )
 
-// modelStore is the store; a question that is open when an answer is lost or the
-// store falls silent is never answered.
+// modelStore is the store; a request that is open when a response is lost or the store
+// falls silent never gets one.
 type modelStore struct {
 	mu      sync.Mutex
 	version uint64
-	lost    int           // losses of open questions so far
-	silent  bool          // new questions are lost, too
+	lost    int           // losses of open requests so far
+	silent  bool          // new requests are lost, too
 	moved   chan struct{} // closed at each change of the above
 }
 
@@ -98,22 +98,22 @@
 	}
 }
 
-// modelRun is one process, followed through a sequence of events.
+// modelRun runs one process through a sequence of events.
 type modelRun struct {
 	store    *modelStore
 	holder   *Holder
 	follower *Follower
 	end      func()
 
-	acked     time.Time // of the newest version
-	disturbed time.Time // newest silence, loss or start
-	highest   uint64    // position seen since the start
-	offer     func(h *Holder, v *Versioned)
-	source    func(*modelStore) Source
+	acknowledgedAt time.Time // of the newest version
+	disturbedAt    time.Time // newest silence, loss or start
+	highest        uint64    // position seen since the start
+	offer          func(h *Holder, v *Versioned)
+	source         func(*modelStore) Source
 }
 
 func (m *modelRun) start() {
-	m.holder, m.highest, m.disturbed = NewHolder(), 0, time.Now()
+	m.holder, m.highest, m.disturbedAt = NewHolder(), 0, time.Now()
 	m.follower = &Follower{Holder: m.holder, Source: m.source(m.store), Recorder: event.Discard()}
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -132,14 +132,14 @@
 	case stepChange:
 		if !m.store.silent {
 			m.store.move(func() { m.store.version++ })
-			m.acked = time.Now()
+			m.acknowledgedAt = time.Now()
 		}
 	case stepLose:
 		m.store.move(func() { m.store.lost++ })
-		m.disturbed = time.Now()
+		m.disturbedAt = time.Now()
 	case stepSilence:
 		m.store.move(func() { m.store.silent = !m.store.silent; m.store.lost++ })
-		m.disturbed = time.Now()
+		m.disturbedAt = time.Now()
 	case stepNewest:
 		m.offer(m.holder, at(m.store.version, m.store.version))
 	case stepOlder:
@@ -150,37 +150,37 @@
 	}
 }
 
-// check returns what is broken now.
+// check returns which invariant is violated, or "".
 func (m *modelRun) check() string {
 	position := m.holder.Position()
 	if position < m.highest {
 		return fmt.Sprintf("went back from %d to %d", m.highest, position)
 	}
 	m.highest = position
-	if m.store.silent || time.Since(m.acked) <= applyWithin || time.Since(m.disturbed) <= disturbed {
+	if m.store.silent || time.Since(m.acknowledgedAt) <= applyWithin || time.Since(m.disturbedAt) <= disturbed {
 		return ""
 	}
 	if position < m.store.version {
-		return fmt.Sprintf("%d is in force %v after %d was acknowledged", position, time.Since(m.acked), m.store.version)
+		return fmt.Sprintf("%d is in force %v after %d was acknowledged", position, time.Since(m.acknowledgedAt), m.store.version)
 	}
 	return ""
 }
 
-// pass lets time pass.
+// pass lets time pass and returns the first violation.
 func (m *modelRun) pass(d time.Duration) string {
-	for ; d > 0; d -= modelLook {
-		time.Sleep(modelLook)
-		if broken := m.check(); broken != "" {
-			return broken
+	for ; d > 0; d -= modelCheckInterval {
+		time.Sleep(modelCheckInterval)
+		if violation := m.check(); violation != "" {
+			return violation
 		}
 	}
 	return ""
 }
 
-// play runs one sequence and returns what it broke.
+// play runs one sequence and returns the first violation.
 func (m *modelRun) play(sequence []step) string {
 	m.store = &modelStore{version: 5, moved: make(chan struct{})}
-	m.acked = time.Now()
+	m.acknowledgedAt = time.Now()
 	m.start()
 	defer func() { m.end() }()
 	for _, s := range sequence {
@@ -189,8 +189,8 @@
 		if s == stepWait {
 			d = modelWait
 		}
-		if broken := m.pass(d); broken != "" {
-			return broken
+		if violation := m.pass(d); violation != "" {
+			return violation
 		}
 	}
 	if m.store.silent {
@@ -199,8 +199,9 @@
 	return m.pass(disturbed + modelStep)
 }
 
-// playAll runs all sequences of a length and returns the first few that break something.
-func playAll(depth int, run func() *modelRun) (broken []string, played int) {
+// playAll runs all sequences of a length and returns the first few that violate an
+// invariant.
+func playAll(depth int, run func() *modelRun) (violations []string, played int) {
 	sequence := make([]step, depth)
 	var extend func(i int)
 	extend = func(i int) {
@@ -212,12 +213,12 @@
 			return
 		}
 		played++
-		if what := run().play(sequence); what != "" && len(broken) < 5 {
-			broken = append(broken, string(sequenceText(sequence))+": "+what)
+		if violation := run().play(sequence); violation != "" && len(violations) < 5 {
+			violations = append(violations, string(sequenceText(sequence))+": "+violation)
 		}
 	}
 	extend(0)
-	return broken, played
+	return violations, played
 }
 
 func sequenceText(sequence []step) []byte {
@@ -228,53 +229,53 @@
 	return text
 }
 
-func soundRun() *modelRun {
+func correctRun() *modelRun {
 	return &modelRun{
 		offer:  func(h *Holder, v *Versioned) { h.Offer(v) },
 		source: func(s *modelStore) Source { return s },
 	}
 }
 
-// Changes, answers that are lost, silences of the store, words of peers that are
-// newer or older, and restarts come in every order. No process goes back, and
-// each change is in force within its bound wherever the store answers.
-func TestConfigurationThroughAllOrdersOfEvents(t *testing.T) {
+// Changes, lost responses, silences of the store, newer and older versions from peers,
+// and restarts come in every order. No process goes back, and each change is in force in
+// time whenever the store responds.
+func TestConfigurationInAllOrdersOfEvents(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		broken, played := playAll(modelDepth, soundRun)
-		g.Expect(broken).To(gomega.BeEmpty())
+		violations, played := playAll(modelDepth, correctRun)
+		g.Expect(violations).To(gomega.BeEmpty())
 		g.Expect(played).To(gomega.Equal(16807))
 	})
 }
 
-// The test above can fail: it finds a holder that takes whatever it is offered.
+// The model finds a holder that accepts any version that it is offered.
 func TestModelFindsAVersionThatGoesBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		broken, _ := playAll(2, func() *modelRun {
-			m := soundRun()
+		violations, _ := playAll(2, func() *modelRun {
+			m := correctRun()
 			m.offer = func(h *Holder, v *Versioned) { h.current.Store(v) }
 			return m
 		})
-		gomega.NewWithT(t).Expect(broken).NotTo(gomega.BeEmpty())
+		gomega.NewWithT(t).Expect(violations).NotTo(gomega.BeEmpty())
 	})
 }
 
-// It also finds a process that learns of a change too late.
+// The model finds a process that learns of a change too late.
 func TestModelFindsAChangeThatIsLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		broken, _ := playAll(2, func() *modelRun {
-			m := soundRun()
-			m.source = func(s *modelStore) Source { return sleepySource{s} }
+		violations, _ := playAll(2, func() *modelRun {
+			m := correctRun()
+			m.source = func(s *modelStore) Source { return unawareSource{s} }
 			return m
 		})
-		gomega.NewWithT(t).Expect(broken).NotTo(gomega.BeEmpty())
+		gomega.NewWithT(t).Expect(violations).NotTo(gomega.BeEmpty())
 	})
 }
 
-// sleepySource never tells of a change while it waits for one.
-type sleepySource struct{ *modelStore }
+// unawareSource never returns a change while it waits for one.
+type unawareSource struct{ *modelStore }
 
-func (s sleepySource) Next(ctx context.Context, after uint64, wait time.Duration) (*Versioned, uint64, error) {
+func (s unawareSource) Next(ctx context.Context, after uint64, wait time.Duration) (*Versioned, uint64, error) {
 	select {
 	case <-ctx.Done():
 		return nil, 0, ctx.Err()
--- a/site/objectives.go
+++ b/site/objectives.go
@@ -8,12 +8,13 @@
 // BetweenObjectives separates the objectives of a configuration in a log line.
 const BetweenObjectives = ","
 
-// maxObjectives bounds a log line: routes are many, their objectives are few.
-const maxObjectives = 12
+// maxLoggedObjectives bounds a log line: there are many routes, but few different
+// objectives.
+const maxLoggedObjectives = 12
 
-// Objectives returns the different objectives of the routes as KIND:ANSWER or
-// KIND:ANSWER/GAP, for the log: without them its lines say how long an answer
-// took, but not whether that was in time.
+// Objectives returns the different objectives of the routes as KIND:RESPONSE or
+// KIND:RESPONSE/GAP for the log: without them the log shows how long a response took, but
+// not whether that was in time.
 func (c *Config) Objectives() string {
 	seen := map[string]bool{}
 	for _, routes := range c.byHost {
@@ -28,7 +29,7 @@
 		words = append(words, word)
 	}
 	slices.Sort(words)
-	return strings.Join(words[:min(len(words), maxObjectives)], BetweenObjectives)
+	return strings.Join(words[:min(len(words), maxLoggedObjectives)], BetweenObjectives)
 }
 
 func (r *Route) objective() string {
--- a/site/objectives_test.go
+++ b/site/objectives_test.go
@@ -7,8 +7,8 @@
 	"github.com/onsi/gomega"
 )
 
-// Engineers read from a process's lines when an answer was in time. Routes are
-// many and share a few objectives; a log line names each once.
+// The log shows by which objectives a response was in time. Many routes share a few
+// objectives; a log line names each once.
 func TestObjectivesNameEachOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
 	config := New(1, []Route{
--- a/site/outage_test.go
+++ b/site/outage_test.go
@@ -13,15 +13,15 @@
 	"github.com/pearyard/pearyard/event"
 )
 
-// silentStore answers no question that is asked, or waits, while it is silent:
-// neither then nor after its return, as when its packets were dropped.
+// silentStore drops requests that arrive or wait while it is silent: it responds to them
+// neither then nor after its return, as if their packets were lost.
 type silentStore struct {
 	mu       sync.Mutex
 	version  uint64
-	silences int // begun so far
+	silences int // started so far
 	silent   bool
-	slow     time.Duration // what each answer takes
-	asked    int
+	slow     time.Duration // time that each response takes
+	requests int
 }
 
 func (s *silentStore) set(f func()) {
@@ -30,7 +30,7 @@
 	f()
 }
 
-// newest returns the version, and how many silences have begun; false while silent.
+// newest returns the version and the number of silences so far; false while silent.
 func (s *silentStore) newest() (version uint64, silences int, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -38,7 +38,7 @@
 }
 
 func (s *silentStore) Read(ctx context.Context) (*Versioned, uint64, error) {
-	s.set(func() { s.asked++ })
+	s.set(func() { s.requests++ })
 	version, _, ok := s.newest()
 	if !ok {
 		<-ctx.Done()
@@ -53,7 +53,7 @@
 }
 
 func (s *silentStore) Next(ctx context.Context, after uint64, wait time.Duration) (*Versioned, uint64, error) {
-	s.set(func() { s.asked++ })
+	s.set(func() { s.requests++ })
 	_, begun, ok := s.newest()
 	for end := time.Now().Add(wait + s.slow); ok; {
 		version, silences, _ := s.newest()
@@ -76,17 +76,14 @@
 	return nil, 0, ctx.Err()
 }
 
-// applyWithin is how soon after the store's word a change has to be in force.
+// applyWithin is how soon after the store has a change it must be in force.
 const applyWithin = 2 * time.Second
 
-// Operators added a route a second after an outage of the store was over, and
-// for two seconds more callers of the route got 404 from every entry VM.
-//
-// The store fell silent; each question that got no answer let the next one wait
-// twice as long. The fourth was asked just before the store's return and waited
-// four seconds for an answer that was lost with the outage. Nothing else was
-// asked meanwhile. Evidence: the first line after the outage told of four
-// failures and of one question that was waited for 4.0 s.
+// Operators add a route a second after the end of an outage. Guards against a timeout
+// that doubles with each failure: the fourth request was sent just before the store's
+// return and waited four seconds for a response that was lost in the outage, with no
+// other request beside it. Callers of the route got 404 from every entry VM for two more
+// seconds.
 func TestChangeIsInForceAfterAnOutageOfAnyLength(t *testing.T) {
 	for length := 500 * time.Millisecond; length <= 9*time.Second; length += 250 * time.Millisecond {
 		t.Run(fmt.Sprint(length), func(t *testing.T) {
@@ -113,8 +110,8 @@
 	}
 }
 
-// The store answers, but takes two seconds for each answer. What it says still
-// gets through, and it is not asked without end: calls are priced.
+// The store responds, but takes two seconds each time. Its content must still get
+// through, without an unlimited number of requests: calls are priced.
 func TestSlowStoreIsStillRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
@@ -132,6 +129,6 @@
 		<-done
 		g.Expect(first).To(gomega.BeNumerically("==", 1))
 		g.Expect(second).To(gomega.BeNumerically("==", 2))
-		g.Expect(store.asked).To(gomega.BeNumerically("<", 30))
+		g.Expect(store.requests).To(gomega.BeNumerically("<", 30))
 	})
 }
--- a/site/site_test.go
+++ b/site/site_test.go
@@ -18,7 +18,7 @@
 	return &Versioned{Config: New(version, nil, nil, nil, ClientLimits{}), Position: position}
 }
 
-// An answer that was overtaken by a newer one must not bring a revoked key back.
+// A late response of the store must not restore a revoked key.
 func TestHolderNeverGoesBack(t *testing.T) {
 	g := gomega.NewWithT(t)
 	h := NewHolder()
@@ -26,13 +26,13 @@
 	g.Expect(h.Offer(at(5, 3))).To(gomega.BeTrue())
 	g.Expect(h.Offer(at(4, 2))).To(gomega.BeFalse())
 	g.Expect(h.Offer(at(5, 3))).To(gomega.BeFalse())
-	g.Expect(h.Offer(at(6, 2))).To(gomega.BeFalse(), "an older version at a later place")
+	g.Expect(h.Offer(at(6, 2))).To(gomega.BeFalse(), "an older version at a later position")
 	g.Expect(h.Offer(at(9, 7))).To(gomega.BeTrue())
 	g.Expect(h.Position()).To(gomega.BeNumerically("==", 9))
 }
 
-// Many offers at once leave the newest in force.
-func TestHolderUnderManyOffers(t *testing.T) {
+// Concurrent offers leave the newest version in force.
+func TestHolderKeepsNewestOfConcurrentOffers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	h := NewHolder()
 	var wg sync.WaitGroup
@@ -43,20 +43,20 @@
 	g.Expect(h.Position()).To(gomega.BeNumerically("==", 100))
 }
 
-// hungSource answers, then its connection goes silent; a new one works.
+// hungSource responds until its connection goes silent; a new one works.
 type hungSource struct {
-	mu      sync.Mutex
-	version uint64
-	hung    bool
-	fail    error
-	dropped uint64 // history up to here is gone
-	reads   int
+	mu           sync.Mutex
+	version      uint64
+	silent       bool
+	err          error
+	historyStart uint64 // history up to here is gone
+	reads        int
 }
 
-func (s *hungSource) droppedNow() uint64 {
+func (s *hungSource) droppedHistory() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.dropped
+	return s.historyStart
 }
 
 func (s *hungSource) now() *Versioned { return at(s.version, s.version) }
@@ -65,33 +65,33 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.reads++
-	if s.fail != nil {
-		return nil, 0, s.fail
+	if s.err != nil {
+		return nil, 0, s.err
 	}
-	s.hung = false
-	return s.now(), max(s.version, s.dropped), nil
+	s.silent = false
+	return s.now(), max(s.version, s.historyStart), nil
 }
 
 func (s *hungSource) Next(ctx context.Context, after uint64, wait time.Duration) (*Versioned, uint64, error) {
-	if after < s.droppedNow() {
+	if after < s.droppedHistory() {
 		return s.Read(ctx)
 	}
 	end := time.After(wait)
 	for {
 		s.mu.Lock()
-		hung, v, fail := s.hung, s.now(), s.fail
+		silent, v, err := s.silent, s.now(), s.err
 		s.mu.Unlock()
-		if fail != nil {
-			return nil, 0, fail
+		if err != nil {
+			return nil, 0, err
 		}
-		if !hung && v.Position > after {
+		if !silent && v.Position > after {
 			return v, v.Position, nil
 		}
 		select {
 		case <-ctx.Done():
 			return nil, 0, ctx.Err()
 		case <-end:
-			if !hung {
+			if !silent {
 				return nil, after, nil
 			}
 			end = nil
@@ -100,13 +100,13 @@
 	}
 }
 
-func (s *hungSource) set(version uint64, hung bool, fail error) {
+func (s *hungSource) set(version uint64, silent bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.version, s.hung, s.fail = version, hung, fail
+	s.version, s.silent, s.err = version, silent, err
 }
 
-func followed(t *testing.T, source Source, lost func(context.Context)) *Holder {
+func startFollower(t *testing.T, source Source, lost func(context.Context)) *Holder {
 	f := &Follower{Holder: NewHolder(), Source: source, Recorder: event.Discard(), Failed: lost}
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -121,14 +121,14 @@
 	return f.Holder
 }
 
-// The connection to the store goes silent without a reset, and a change is made
-// in that very moment. It is in force within the three seconds after which a
-// process counts as in touch again.
+// The connection to the store goes silent without a reset, and a change is made at that
+// very moment. It is in force within the three seconds after which a process counts as
+// connected again.
 func TestSilentConnectionToTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		source := &hungSource{version: 1}
-		h := followed(t, source, nil)
+		h := startFollower(t, source, nil)
 		time.Sleep(100 * time.Millisecond)
 		g.Expect(h.Position()).To(gomega.BeNumerically("==", 1))
 		source.set(2, true, nil)
@@ -137,33 +137,33 @@
 	})
 }
 
-// The store is away: peers are asked, the version in force stays, and the store
-// isn't called in a tight loop, since each call is charged.
-func TestStoreIsAway(t *testing.T) {
+// The store is down: peers are asked, the version in force stays, and the store isn't
+// called in a tight loop, since each call is charged.
+func TestStoreIsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		source := &hungSource{version: 4}
-		var asked atomic.Int32
-		h := followed(t, source, func(context.Context) { asked.Add(1) })
+		var failures atomic.Int32
+		h := startFollower(t, source, func(context.Context) { failures.Add(1) })
 		time.Sleep(100 * time.Millisecond)
 		source.set(4, false, errors.New("away"))
 		time.Sleep(10 * time.Second)
 		g.Expect(h.Position()).To(gomega.BeNumerically("==", 4))
-		g.Expect(asked.Load()).To(gomega.And(gomega.BeNumerically(">", 10), gomega.BeNumerically("<", 60)))
+		g.Expect(failures.Load()).To(gomega.And(gomega.BeNumerically(">", 10), gomega.BeNumerically("<", 60)))
 		source.set(5, false, nil)
 		time.Sleep(time.Second)
 		g.Expect(h.Position()).To(gomega.BeNumerically("==", 5))
 	})
 }
 
-// The store drops its history, and the configuration was written long before
-// that. Each wait for changes ended at once and was followed by a read, 600
-// times a second; the store's rates and the price of calls forbid that.
-func TestHistoryThatIsGoneIsNotAskedForAgainAndAgain(t *testing.T) {
+// The store drops its history, and the configuration was written long before. Guards
+// against waits for changes that end at once and are each followed by a read, 600 times a
+// second: the store's rate limits and the price of calls forbid that.
+func TestDroppedHistoryIsNotRequestedAgainAndAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		source := &hungSource{version: 4, dropped: 90}
-		h := followed(t, source, nil)
+		source := &hungSource{version: 4, historyStart: 90}
+		h := startFollower(t, source, nil)
 		time.Sleep(10 * time.Second)
 		g.Expect(h.Position()).To(gomega.BeNumerically("==", 4))
 		source.mu.Lock()
@@ -172,9 +172,9 @@
 	})
 }
 
-// An operator's version can't be read by this release. The last good one stays
-// in force, one line says so, and the store is not asked for it again and again.
-func TestVersionThatCanNotBeRead(t *testing.T) {
+// This release can't read an operator's version. The last good one stays in force, one
+// line says so, and the store is not asked for it again and again.
+func TestUnreadableVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		source := &hungSource{version: 4}
@@ -203,10 +203,10 @@
 	})
 }
 
-// A process starts while the newest version can't be read. Nothing is in force, so
-// it asks its peers, which may have the version before; one line says at once why
-// it serves nobody. It used to say only that the store tells it nothing.
-func TestNewestVersionCanNotBeReadAtTheStart(t *testing.T) {
+// A process starts while the newest version can't be read. It has no configuration and
+// asks its peers, which may have the previous version; one line says at once why it
+// serves nobody. Guards against a log that only reports a lost store.
+func TestUnreadableNewestVersionAtStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		source := &hungSource{}
