--- a/directory/candidate_test.go
+++ b/directory/candidate_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// ofSpeed sets average speed for a candidate whose row leaves it open.
+// withDefaultSlowness sets average speed for a candidate whose row leaves it open.
 func (c candidate) withDefaultSlowness() candidate {
 	if c.slowness == 0 {
 		c.slowness = 1
--- a/directory/heavyload_test.go
+++ b/directory/heavyload_test.go
@@ -30,15 +30,15 @@
 func TestStreamsOfALostZoneAreServedElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const (
-			every   = 3200 * time.Millisecond
-			away    = 1200 * time.Millisecond
-			servers = 55
+			every    = 3200 * time.Millisecond
+			downtime = 1200 * time.Millisecond
+			servers  = 55
 		)
 		site := newModelSite(103, 3.5, evenSpeed)
 		site.arrive(unevenLoad, unevenFor)
 		for i := 1; time.Duration(i)*every < unevenFor; i++ {
 			zone := string(rune('a' + i%modelZones))
-			site.after(time.Duration(i)*every, func() { site.lose(zone, servers, away) })
+			site.after(time.Duration(i)*every, func() { site.lose(zone, servers, downtime) })
 		}
 		expectServedInTime(t, site)
 	})
--- a/directory/pick.go
+++ b/directory/pick.go
@@ -99,13 +99,13 @@
 
 // Healthy returns the servers of this process's cell that are neither draining nor lost.
 func (d *Directory) Healthy(service string, now time.Time) []*Server {
-	var sound []*Server
+	var healthy []*Server
 	for _, s := range d.serversInOwnCell(d.view.Load().Service(service)) {
 		if !s.Draining() && !s.IsDown(now) {
-			sound = append(sound, s)
+			healthy = append(healthy, s)
 		}
 	}
-	return sound
+	return healthy
 }
 
 // Usable reports whether a server that holds state, such as a copy or a cached prompt,
--- a/directory/pick_bench_test.go
+++ b/directory/pick_bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Picks among the servers of a typical site and of a site of the target size. When each
+// BenchmarkPick picks among the servers of a typical site and of a site of the target size. When each
 // server's lock was taken several times a choice took 22.7 us and 681 us; with locks only
 // for servers with issues it takes 5.2 us and 157 us.
 func BenchmarkPick(b *testing.B) {
--- a/directory/speedmodel_test.go
+++ b/directory/speedmodel_test.go
@@ -52,7 +52,7 @@
 	server, copyAt        *Server
 	load                  *StreamLoad
 	prompt                int
-	unread, tokens        int // prompt tokens yet to be prefilled, and tokens yet to be generated
+	toPrefill, tokens     int // prompt tokens yet to be prefilled, and tokens yet to be generated
 	begun                 time.Time
 	firstEvent, completed time.Duration // since begun; 0: not yet
 }
@@ -133,14 +133,14 @@
 		vm: m.vms[m.random.IntN(len(m.vms))], begun: time.Now(),
 		prompt: int(8000 * math.Exp(0.3*m.random.NormFloat64())), tokens: int(650 * math.Exp(0.2*m.random.NormFloat64())),
 	}
-	s.unread = s.prompt
+	s.toPrefill = s.prompt
 	m.streams = append(m.streams, s)
 	m.place(s, s.vm.directory.Pick(Query{Service: "s", Zone: s.vm.zone, Prompt: s.prompt, Resumable: true}, s.begun))
 }
 
 // place starts a stream at a server and chooses another one for its copy.
 func (m *modelSite) place(s *modelStream, server *Server) {
-	s.server, s.load = server, server.BeginStream(s.unread)
+	s.server, s.load = server, server.BeginStream(s.toPrefill)
 	s.copyAt = s.vm.directory.Pick(Query{
 		Service: "s", Zone: s.vm.zone, Prompt: s.prompt, Copy: true, AvoidZone: server.Zone, Exclude: map[Start]bool{server.Start: true},
 	}, time.Now())
@@ -151,7 +151,7 @@
 }
 
 // lose has the first servers of a zone crash and restart after a time.
-func (m *modelSite) lose(zone string, servers int, away time.Duration) {
+func (m *modelSite) lose(zone string, servers int, downtime time.Duration) {
 	var lost []*modelStream
 	for i, l := range m.list {
 		e := m.engines[l.ID]
@@ -173,7 +173,7 @@
 			m.placeAgain(s, zone)
 		}
 	})
-	m.after(away, func() {
+	m.after(downtime, func() {
 		for _, vm := range m.vms {
 			vm.directory.Apply(vm.directory.View().Position+1, m.list, false, time.Now())
 		}
@@ -183,23 +183,23 @@
 // placeAgain continues a stream at its copy, or prefills its prompt elsewhere.
 func (m *modelSite) placeAgain(s *modelStream, zone string) {
 	if s.firstEvent != 0 && s.copyAt != nil && !s.copyAt.IsDown(time.Now()) && !s.copyAt.Draining() {
-		s.unread = modelCopyLag
+		s.toPrefill = modelCopyLag
 		m.place(s, s.copyAt)
 		return
 	}
-	s.unread = s.prompt
+	s.toPrefill = s.prompt
 	m.place(s, s.vm.directory.Pick(Query{Service: "s", Zone: s.vm.zone, Prompt: s.prompt, Resumable: true, AfterDisruption: true, AvoidZone: zone}, time.Now()))
 }
 
-// work schedules the next step of an engine with streams.
+// schedule plans the next step of an engine with streams.
 func (m *modelSite) schedule(e *modelEngine) {
 	if e.running || len(e.streams) == 0 {
 		return
 	}
 	e.running = true
 	took := modelStep
-	reading := e.prefilling()
-	if reading != nil {
+	prefilling := e.prefilling()
+	if prefilling != nil {
 		took += modelChunkTime
 	}
 	start := e.starts
@@ -209,27 +209,27 @@
 			m.schedule(e)
 			return
 		}
-		m.step(e, reading)
+		m.step(e, prefilling)
 		m.schedule(e)
 	})
 }
 
 func (e *modelEngine) prefilling() *modelStream {
 	for _, s := range e.streams {
-		if s.unread > 0 {
+		if s.toPrefill > 0 {
 			return s
 		}
 	}
 	return nil
 }
 
-func (m *modelSite) step(e *modelEngine, reading *modelStream) {
-	if reading != nil {
-		reading.unread -= min(modelChunk, reading.unread)
+func (m *modelSite) step(e *modelEngine, prefilling *modelStream) {
+	if prefilling != nil {
+		prefilling.toPrefill -= min(modelChunk, prefilling.toPrefill)
 	}
 	var left []*modelStream
 	for _, s := range e.streams {
-		if s.unread > 0 || m.token(s) {
+		if s.toPrefill > 0 || m.token(s) {
 			left = append(left, s)
 		}
 	}
@@ -257,7 +257,7 @@
 	return false
 }
 
-// tell schedules the reports of a VM's load and measurements to the others of its cell.
+// report schedules the reports of a VM's load and measurements to the others of its cell.
 func (m *modelSite) report(vm *modelVM) {
 	if vm.reporting {
 		return
--- a/directory/start_test.go
+++ b/directory/start_test.go
@@ -304,8 +304,8 @@
 	}
 	g := gomega.NewWithT(t)
 	d := New()
-	d.Apply(1, []Listing{listing("old", 100, "a:1"), listing("lapsed", 100, "a:2"), listing("newer", 300, "a:3"), listing("untold", 0, "a:4")}, false, time.Now())
+	d.Apply(1, []Listing{listing("old", 100, "a:1"), listing("expired", 100, "a:2"), listing("newer", 300, "a:3"), listing("unknown", 0, "a:4")}, false, time.Now())
 	change := d.Apply(2, []Listing{listing("next", 200, "a:1"), listing("late", 200, "a:3"), listing("other", 0, "a:4")}, true, time.Now())
-	g.Expect(change.Left).To(gomega.ConsistOf(Start{"old", 100}.String(), Start{"untold", 0}.String()))
-	g.Expect(change.Retained).To(gomega.ConsistOf(Start{"lapsed", 100}.String(), Start{"newer", 300}.String()), "no start, or an earlier one, is listed at the address")
+	g.Expect(change.Left).To(gomega.ConsistOf(Start{"old", 100}.String(), Start{"unknown", 0}.String()))
+	g.Expect(change.Retained).To(gomega.ConsistOf(Start{"expired", 100}.String(), Start{"newer", 300}.String()), "no start, or an earlier one, is listed at the address")
 }
--- a/follow/probing_test.go
+++ b/follow/probing_test.go
@@ -19,7 +19,7 @@
 }
 
 func (s *silentStore) loop(turns *ProbeGroup) *Loop {
-	ask := func(ctx context.Context) (Update, error) {
+	respond := func(ctx context.Context) (Update, error) {
 		s.requests.Add(1)
 		if time.Now().Before(s.back) {
 			<-ctx.Done()
@@ -28,11 +28,11 @@
 		return func() {}, nil
 	}
 	return &Loop{
-		Read: ask, Next: func(ctx context.Context, wait time.Duration) (Update, error) {
+		Read: respond, Next: func(ctx context.Context, wait time.Duration) (Update, error) {
 			if err := retry.Wait(ctx, wait); err != nil {
 				return nil, err
 			}
-			return ask(ctx)
+			return respond(ctx)
 		},
 		LongPoll: time.Second, ProbeGroup: turns,
 	}
--- a/site/objectives.go
+++ b/site/objectives.go
@@ -24,18 +24,18 @@
 			}
 		}
 	}
-	words := make([]string, 0, len(seen))
-	for word := range seen {
-		words = append(words, word)
+	objectives := make([]string, 0, len(seen))
+	for objective := range seen {
+		objectives = append(objectives, objective)
 	}
-	slices.Sort(words)
-	return strings.Join(words[:min(len(words), maxLoggedObjectives)], ObjectiveSeparator)
+	slices.Sort(objectives)
+	return strings.Join(objectives[:min(len(objectives), maxLoggedObjectives)], ObjectiveSeparator)
 }
 
 func (r *Route) objective() string {
-	word := r.Kind.String() + ":" + r.Objective.String()
+	objective := r.Kind.String() + ":" + r.Objective.String()
 	if r.MaxGap > 0 {
-		word += "/" + r.MaxGap.String()
+		objective += "/" + r.MaxGap.String()
 	}
-	return word
+	return objective
 }
