--- a/entry/drain.go
+++ b/entry/drain.go
@@ -114,7 +114,7 @@
 	end := began.Add(e.settings.Grace - graceMargin)
 	e.shutdown.begin(end)
 	e.election.AnnounceStop()
-	e.directory.Hasten()
+	e.directory.SetStopping()
 	e.recorder.Emit(EventDraining, "running", e.runningRequests.Load(), "grace", e.settings.Grace)
 	ctx, cancel := context.WithDeadline(context.Background(), end)
 	defer cancel()
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -97,8 +97,8 @@
 	e := &Entry{settings: s, registry: prometheus.NewRegistry(), startedAt: time.Now(), shutdown: newShutdownState(), canceller: newRequestCanceller(), configHolder: site.NewHolder(), directory: directory.New()}
 	e.recorder = event.NewRecorder(log.With(opts.Logger, "ts", log.DefaultTimestampUTC, "process", s.Name), eventRingSize)
 	store := platform.NewStore(s.Store, e.registry)
-	e.configFollower = &site.Follower{Holder: e.configHolder, Source: store, Recorder: e.recorder, Failed: e.askPeers}
-	e.serverFollower = &directory.Follower{Directory: e.directory, Source: store, Recorder: e.recorder, Failed: e.askPeers}
+	e.configFollower = &site.Follower{Holder: e.configHolder, Source: store, Recorder: e.recorder, OnFailure: e.askPeers}
+	e.serverFollower = &directory.Follower{Directory: e.directory, Source: store, Recorder: e.recorder, OnFailure: e.askPeers}
 	client := &http.Client{Timeout: peerTimeout}
 	e.newFleet(store, client)
 	e.newPeerState()
@@ -123,7 +123,7 @@
 	e.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
 		Name: "pearyard_server_words_dropped_total",
 		Help: "Entries of backend servers and losses told of them that were dropped, as another start is the known one.",
-	}, func() float64 { return float64(e.directory.DroppedWords()) }))
+	}, func() float64 { return float64(e.directory.DroppedReports()) }))
 	gauge("pearyard_servers_invalid", "Entries of the list of backend servers that name no server.",
 		func() float64 { return float64(e.directory.View().Invalid()) })
 	if dropped != nil {
@@ -136,7 +136,7 @@
 	e.fleet = fleet.New(fleet.Options{
 		Name: e.settings.Name, Address: e.settings.Peers, Seeds: e.settings.Seeds, Registry: store,
 		Holder: e.configHolder, Directory: e.directory, Decode: platform.DecodeConfig,
-		OfferConfig: e.configFollower.Offer, OfferList: e.serverFollower.Take, OfferChanges: e.serverFollower.TakeChanges, Settled: e.serverFollower.Settled, Client: client, Recorder: e.recorder,
+		OfferConfig: e.configFollower.Offer, OfferList: e.serverFollower.ApplyPeerList, OfferChanges: e.serverFollower.ApplyPeerChanges, Settled: e.serverFollower.Settled, Client: client, Recorder: e.recorder,
 	})
 }
 
@@ -155,9 +155,9 @@
 		Ratio: retryBudgetShare * e.settings.RetryRatio, Extra: retryBudgetShare * e.settings.RetryExtra, Window: e.settings.RetryWindow,
 	})
 	e.fleet.UseElection(e.election)
-	e.configFollower.Applied = e.fleet.Applied
-	turns := follow.NewTurns()
-	e.configFollower.Turns, e.serverFollower.Turns = turns, turns
+	e.configFollower.OnApplied = e.fleet.Applied
+	turns := follow.NewProbeGroup()
+	e.configFollower.ProbeGroup, e.serverFollower.ProbeGroup = turns, turns
 	e.configFollower.Share, e.serverFollower.Share = e.election.For(fleet.Config), e.election.For(fleet.List)
 }
 
@@ -167,7 +167,7 @@
 	if s == fleet.Config {
 		return e.configHolder.Position()
 	}
-	return e.directory.View().From
+	return e.directory.View().UnchangedSince
 }
 
 // checkedPosition returns the position in the store's history up to which a subject is known
--- a/entry/handler.go
+++ b/entry/handler.go
@@ -71,7 +71,7 @@
 		h.reject(w, r, call, err, config)
 		return
 	}
-	if call.Route.Refused != "" {
+	if call.Route.RefusalReason != "" {
 		h.refuseInvalidRoute(w, call)
 		return
 	}
@@ -95,7 +95,7 @@
 		return &platform.RequestError{Status: http.StatusNotFound, By: exchange.EndedByConfiguration, Err: errors.New("entry: no route for this host and path")}
 	}
 	call.Version = config.Version
-	if call.Route.Refused != "" {
+	if call.Route.RefusalReason != "" {
 		// Whether the route is public can't be read either, so the key isn't checked.
 		return nil
 	}
--- a/entry/listen.go
+++ b/entry/listen.go
@@ -45,7 +45,7 @@
 // counts.
 func (e *Entry) anyRoutedServer(counts func(*directory.Server) bool) bool {
 	config, view := e.configHolder.Config(), e.directory.View()
-	return config != nil && config.Goes(func(service string) bool { return slices.ContainsFunc(view.Service(service), counts) })
+	return config != nil && config.AnyTarget(func(service string) bool { return slices.ContainsFunc(view.Service(service), counts) })
 }
 
 // serveReady adds the server of the platform's readiness check.
--- a/entry/refusal.go
+++ b/entry/refusal.go
@@ -81,7 +81,7 @@
 // has not run, and the caller may retry, since the operator may correct the route.
 func (h *handler) refuseInvalidRoute(w http.ResponseWriter, call *platform.Call) {
 	h.exchange.Refused(call.Route, exchange.EndedByConfiguration)
-	h.recorder.Emit(EventRouteRefused, event.FieldRequest, call.ID, "why", call.Route.Refused, "version", call.Version,
+	h.recorder.Emit(EventRouteRefused, event.FieldRequest, call.ID, "why", call.Route.RefusalReason, "version", call.Version,
 		event.FieldEndedBy, exchange.EndedByConfiguration)
 	platform.WriteFailure(w, call.ID, &exchange.Failure{
 		By: exchange.EndedByConfiguration, RetryAfter: retryDelay(call.Wait), Err: errors.New("entry: the configuration of this route can't be read"),
--- a/exchange/attempt.go
+++ b/exchange/attempt.go
@@ -18,9 +18,9 @@
 // owns the attempt.
 type streamAttempt struct {
 	server    *directory.Server
-	from      *KVCopy            // copy to resume from; nil: the server reads the prompt
-	copies    copyTracker        // where its KV cache is copied to
-	load      *directory.Running // its share of the server's load
+	from      *KVCopy               // copy to resume from; nil: the server reads the prompt
+	copies    copyTracker           // where its KV cache is copied to
+	load      *directory.StreamLoad // its share of the server's load
 	watch     *silenceWatch
 	steps     chan step
 	gotEvent  bool         // an event has been received
@@ -66,7 +66,7 @@
 		s.e.paceFor(s.req.Service).recordSent(time.Now())
 	}
 	a := &streamAttempt{
-		server: server, from: from, copies: copyTracker{free: s.e.freeCopy}, load: server.StreamBegun(prompt),
+		server: server, from: from, copies: copyTracker{free: s.e.freeCopy}, load: server.BeginStream(prompt),
 		watch: newWatch(ctx, s.e, server), steps: make(chan step), done: make(chan struct{}),
 	}
 	attempt := &Attempt{
@@ -105,7 +105,7 @@
 			return
 		}
 		a.watch.eventReceived()
-		a.server.Heard(time.Now())
+		a.server.MarkHeard(time.Now())
 		ev.raw = bytes.Clone(ev.raw) // the next event is read while this one is forwarded
 		if !a.deliver(step{answer: answer, event: ev}) {
 			return
--- a/exchange/copies.go
+++ b/exchange/copies.go
@@ -41,7 +41,7 @@
 		t.release(m)
 		return
 	}
-	t.current, t.endLoad = m, m.Server.CopyBegun()
+	t.current, t.endLoad = m, m.Server.BeginCopy()
 }
 
 // close releases the copy, and all that arrive later.
@@ -134,7 +134,7 @@
 // zone, since zones fail as a whole. again is set for a copy that replaces a lost one.
 func (s *stream) pickCopyServer(server *directory.Server, avoid map[directory.Start]bool, again bool) *directory.Server {
 	return s.e.opts.Directory.Pick(directory.Query{
-		Service: s.req.Service, Zone: s.e.opts.Zone, Avoid: avoid, NotZone: server.Zone, Prompt: s.req.PromptTokens, Copy: true, Again: again,
+		Service: s.req.Service, Zone: s.e.opts.Zone, Exclude: avoid, AvoidZone: server.Zone, Prompt: s.req.PromptTokens, Copy: true, AfterDisruption: again,
 	}, time.Now())
 }
 
@@ -165,7 +165,7 @@
 // the stream and reads nothing that the stream writes; avoid is its own.
 func (s *stream) maintainCopy(ctx context.Context, a *streamAttempt, avoid map[directory.Start]bool) {
 	service, ok := s.e.opts.Services(s.req.Service)
-	if !ok || !service.CopiesOnCall {
+	if !ok || !service.CopiesOnDemand {
 		return
 	}
 	check := time.NewTicker(copyCheckInterval)
--- a/exchange/estimate_test.go
+++ b/exchange/estimate_test.go
@@ -245,9 +245,9 @@
 		for _, s := range b.dir.View().Service("s") {
 			if s.ID != "a1" {
 				for range 20 {
-					load := s.StreamBegun(8000)
+					load := s.BeginStream(8000)
 					time.Sleep(40 * time.Second)
-					load.Read()
+					load.PromptRead()
 					load.End()
 				}
 			}
@@ -290,9 +290,9 @@
 		b := newTestbed(everywhere(paced(130, eventInterval)))
 		servers := b.dir.View().Service("s")
 		for i, seconds := range []time.Duration{1, 1, 1, 3} {
-			prompt := servers[i].StreamBegun(8000)
+			prompt := servers[i].BeginStream(8000)
 			time.Sleep(seconds * time.Second)
-			prompt.Read()
+			prompt.PromptRead()
 			prompt.End()
 		}
 		p := b.paceFor("s")
--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -182,10 +182,10 @@
 	case errors.As(err, &notRun) && notRun.Reason == Unreachable:
 		e.markLost(s, err)
 	case errors.As(err, &notRun):
-		s.Fault(now, busyFaultWeight)
+		s.RecordFault(now, busyFaultWeight)
 	case errors.Is(err, ErrServerLost):
 	default:
-		s.Fault(now, 1)
+		s.RecordFault(now, 1)
 	}
 }
 
@@ -199,7 +199,7 @@
 			return
 		}
 		time.Sleep(crashConfirmDelay)
-		if e.opts.Directory.LostBeside(s, time.Now(), zoneLossWindow) > 0 {
+		if e.opts.Directory.OtherLossesInZone(s, time.Now(), zoneLossWindow) > 0 {
 			return
 		}
 		e.opts.Suspects.RecordDeath(s.String(), []types.Fingerprint{req.Fingerprint()})
@@ -222,7 +222,7 @@
 
 // markEnded records that a server's process has ended.
 func (e *Exchange) markEnded(s *directory.Server, err error) {
-	if s.Dead(time.Now()) {
+	if s.MarkEnded(time.Now()) {
 		e.opts.Restarts.watchAddress(e, s)
 		e.opts.Recorder.Emit(EventServerLost, "server", s.Start, "service", s.Service, "zone", s.Zone, "err", err)
 	}
@@ -230,7 +230,7 @@
 
 // markLost records that a server can't be reached.
 func (e *Exchange) markLost(s *directory.Server, err error) {
-	if s.Lost(time.Now()) {
+	if s.MarkLost(time.Now()) {
 		e.opts.Restarts.watchAddress(e, s)
 		e.opts.Recorder.Emit(EventServerLost, "server", s.Start, "service", s.Service, "zone", s.Zone, "err", err)
 	}
--- a/exchange/forward.go
+++ b/exchange/forward.go
@@ -94,10 +94,10 @@
 // promptRead removes the prompt from the server's load.
 func (s *stream) promptRead(a *streamAttempt) {
 	if s.ran > 0 || s.req.LastEvent != "" || s.cachedTokens[a.server.Start] > 0 {
-		a.load.ReadAgain()
+		a.load.CachedPromptRead()
 		return
 	}
-	a.load.Read()
+	a.load.PromptRead()
 }
 
 // logResumed records the first event of an attempt that resumes the stream.
--- a/exchange/pauses_test.go
+++ b/exchange/pauses_test.go
@@ -63,7 +63,7 @@
 		g := gomega.NewWithT(t)
 		b := newTestbed(everywhere(paced(40, eventInterval, 380*time.Millisecond)))
 		for _, s := range b.dir.View().Service("s") {
-			s.StreamBegun(8000)
+			s.BeginStream(8000)
 		}
 		sink, err := runStream(t, b, streamRequest())
 		g.Expect(err).NotTo(gomega.HaveOccurred())
--- a/exchange/restarts.go
+++ b/exchange/restarts.go
@@ -42,7 +42,7 @@
 	if r == nil || r.Reuse <= 0 {
 		return
 	}
-	lastProof := s.LastSign()
+	lastProof := s.LastHeard()
 	monotonic := time.Now().Add(-time.Since(lastProof))
 	go func() {
 		time.Sleep(time.Until(monotonic.Add(restartFirstDelay)))
@@ -81,7 +81,7 @@
 }
 
 func (r *RestartDetector) report(e *Exchange, s *directory.Server, start directory.Start) {
-	e.opts.Recorder.Emit(EventRestarted, "server", s.Start, "now", start, "service", s.Service, "zone", s.Zone, "since", time.Since(s.LastSign()))
+	e.opts.Recorder.Emit(EventRestarted, "server", s.Start, "now", start, "service", s.Service, "zone", s.Zone, "since", time.Since(s.LastHeard()))
 	r.Found(s, start)
 }
 
--- a/exchange/stream.go
+++ b/exchange/stream.go
@@ -280,8 +280,8 @@
 
 func (s *stream) pick() *directory.Server {
 	return s.e.opts.Directory.Pick(directory.Query{
-		Service: s.req.Service, Zone: s.e.opts.Zone, Avoid: s.tried, Prompt: s.req.PromptTokens, NotZone: s.lostZone,
-		Again: s.reachedServer > 0 || s.isSilent, Kept: s.cachedTokens, Resumes: s.req.Route.Resumable,
+		Service: s.req.Service, Zone: s.e.opts.Zone, Exclude: s.tried, Prompt: s.req.PromptTokens, AvoidZone: s.lostZone,
+		AfterDisruption: s.reachedServer > 0 || s.isSilent, CachedTokens: s.cachedTokens, Resumable: s.req.Route.Resumable,
 	}, time.Now())
 }
 
--- a/exchange/takeover.go
+++ b/exchange/takeover.go
@@ -181,7 +181,7 @@
 	if !s.isSilent {
 		s.isSilent = true
 		s.e.opts.Recorder.Emit(EventSilent, event.FieldRequest, s.req.ID, "route", s.req.Route.Name, "server", s.current.server.Start,
-			"reached", s.lastEvent, "silent", time.Since(s.silentSince()), "alive", alert.alive, "ahead", s.current.server.Unread(), "copy", serverName(s.current.copies.holder()))
+			"reached", s.lastEvent, "silent", time.Since(s.silentSince()), "alive", alert.alive, "ahead", s.current.server.QueuedTokens(), "copy", serverName(s.current.copies.holder()))
 	}
 	s.tryTakeover(ctx)
 	if s.next == nil && alert.sinceProof > s.silenceLimit() {
--- a/exchange/takeover_latecopy_test.go
+++ b/exchange/takeover_latecopy_test.go
@@ -30,7 +30,7 @@
 		g := gomega.NewWithT(t)
 		b := newTestbed(everywhere(streams(60, eventInterval, nil)))
 		b.opts.Backend = lateCopies{b.backend, 600 * time.Millisecond}
-		time.AfterFunc(1300*time.Millisecond, func() { b.backend.sent()[0].CopyTo.Lost(time.Now()) })
+		time.AfterFunc(1300*time.Millisecond, func() { b.backend.sent()[0].CopyTo.MarkLost(time.Now()) })
 		_, err := runStream(t, b, streamRequest())
 		time.Sleep(2 * time.Second)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
--- a/exchange/watch.go
+++ b/exchange/watch.go
@@ -51,7 +51,7 @@
 	w.armedAt, w.wait = now, e.opts.Timings.ProbeAfter
 	w.timer = time.AfterFunc(w.wait, w.onTimer)
 	w.mu.Unlock()
-	go w.watchDown(server.Try())
+	go w.watchDown(server.BeginAttempt())
 	return w
 }
 
@@ -99,7 +99,7 @@
 func (w *silenceWatch) silenceError() *SilentError {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	e := &SilentError{Alive: w.lastAlive, Unread: w.server.Unread()}
+	e := &SilentError{Alive: w.lastAlive, Unread: w.server.QueuedTokens()}
 	if !w.waitingSince.IsZero() {
 		e.Silence = time.Since(w.waitingSince)
 	}
@@ -209,7 +209,7 @@
 		return // an event has just arrived
 	}
 	silence := time.Since(since)
-	remaining := w.pace().pauses.bound(w.e.opts.Timings.Silence, w.server.Unread() > 0, w.server.Slowness()) - silence
+	remaining := w.pace().pauses.bound(w.e.opts.Timings.Silence, w.server.QueuedTokens() > 0, w.server.Slowness()) - silence
 	tooLong := remaining <= 0
 	if tooLong {
 		w.alert(w.lastAlive)
--- a/fleet/cluster_model_test.go
+++ b/fleet/cluster_model_test.go
@@ -357,7 +357,7 @@
 	servers := &directory.Follower{Directory: vm.dir, Source: source, Recorder: event.Discard()}
 	vm.Fleet = New(Options{
 		Name: address, Address: address, Seeds: []string{vmAddress(0), vmAddress(1)}, Registry: source,
-		Holder: vm.holder, Directory: vm.dir, Decode: decodeConfig, OfferConfig: config.Offer, OfferList: servers.Take, OfferChanges: servers.TakeChanges,
+		Holder: vm.holder, Directory: vm.dir, Decode: decodeConfig, OfferConfig: config.Offer, OfferList: servers.ApplyPeerList, OfferChanges: servers.ApplyPeerChanges,
 		Settled: servers.Settled, Client: http.DefaultClient, Recorder: event.Discard(),
 	})
 	vm.socket = NewSocket(address, vm.Fleet.Peers, nil)
@@ -375,7 +375,7 @@
 			if s == Config {
 				return vm.holder.Position()
 			}
-			return vm.dir.View().From
+			return vm.dir.View().UnchangedSince
 		},
 	})
 	c.connect(vm, config, servers)
@@ -392,9 +392,9 @@
 // connect connects a VM's followers to its election.
 func (c *cluster) connect(vm *clusterVM, config *site.Follower, servers *directory.Follower) {
 	vm.Fleet.UseElection(vm.election)
-	config.Applied = vm.Fleet.Applied
-	turns := follow.NewTurns()
-	config.Turns, servers.Turns = turns, turns
+	config.OnApplied = vm.Fleet.Applied
+	turns := follow.NewProbeGroup()
+	config.ProbeGroup, servers.ProbeGroup = turns, turns
 	config.Share, servers.Share = vm.election.For(Config), vm.election.For(List)
 }
 
--- a/fleet/cluster_test.go
+++ b/fleet/cluster_test.go
@@ -85,7 +85,7 @@
 		g.Expect(c.timeUntilAll(func(vm *clusterVM) bool { return vm.holder.Position() == c.store.config.Position })).To(gomega.BeNumerically("<", 200*time.Millisecond))
 		c.store.setServer(directory.Listing{ID: "s1", Service: "s", Address: "10.1.0.1:80", Zone: "a", Slots: 8, Draining: true})
 		drains := func(vm *clusterVM) bool {
-			return vm.dir.Pick(directory.Query{Service: "s", Avoid: othersThan(vm.dir, "s1")}, time.Now()) == nil
+			return vm.dir.Pick(directory.Query{Service: "s", Exclude: othersThan(vm.dir, "s1")}, time.Now()) == nil
 		}
 		g.Expect(c.timeUntilAll(drains)).To(gomega.BeNumerically("<", 600*time.Millisecond))
 		time.Sleep(time.Second)
@@ -114,7 +114,7 @@
 		c.store.setServer(directory.Listing{ID: "s1", Service: "s", Address: "10.1.0.1:80", Zone: "a", Slots: 8, Draining: true})
 		g.Expect(c.timeUntilAll(func(vm *clusterVM) bool { return vm.holder.Position() == c.store.config.Position })).To(gomega.BeNumerically("<", 2*time.Second))
 		drains := func(vm *clusterVM) bool {
-			return vm.dir.Pick(directory.Query{Service: "s", Avoid: othersThan(vm.dir, "s1")}, time.Now()) == nil
+			return vm.dir.Pick(directory.Query{Service: "s", Exclude: othersThan(vm.dir, "s1")}, time.Now()) == nil
 		}
 		g.Expect(c.timeUntilAll(drains)).To(gomega.BeNumerically("<", 500*time.Millisecond), "both changes are known within two seconds")
 	})
@@ -168,7 +168,7 @@
 		c.store.setServer(directory.Listing{ID: "s1", Service: "s", Address: "10.1.0.1:80", Zone: "a", Slots: 8, Draining: true})
 		g.Expect(c.timeUntilAll(func(vm *clusterVM) bool { return vm.holder.Position() == c.store.config.Position })).To(gomega.BeNumerically("<", 1200*time.Millisecond))
 		drains := func(vm *clusterVM) bool {
-			return vm.dir.Pick(directory.Query{Service: "s", Avoid: othersThan(vm.dir, "s1")}, time.Now()) == nil
+			return vm.dir.Pick(directory.Query{Service: "s", Exclude: othersThan(vm.dir, "s1")}, time.Now()) == nil
 		}
 		g.Expect(c.timeUntilAll(drains)).To(gomega.BeNumerically("<", 800*time.Millisecond))
 	})
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -115,7 +115,7 @@
 	}
 	f.cellPeers.Store(&near)
 	index, _ := slices.BinarySearch(near, f.opts.Address)
-	f.opts.Directory.SetHashRange(index, len(near)+1)
+	f.opts.Directory.SetPartition(index, len(near)+1)
 }
 
 // Peers returns the addresses of the other entry VMs.
@@ -367,7 +367,7 @@
 // false if those changes are no longer known. At 3,000 servers a list is 300 KB, a change
 // a few hundred bytes.
 func (f *Fleet) addListChanges(answer *fleetpb.NewestResponse, since uint64) bool {
-	position, changed, gone, ok := f.opts.Directory.Since(since)
+	position, changed, gone, ok := f.opts.Directory.ChangesSince(since)
 	if ok {
 		answer.ListPosition, answer.Servers, answer.Gone, answer.Delta = position, toProto(changed), gone, true
 	}
--- a/fleet/loads.go
+++ b/fleet/loads.go
@@ -73,9 +73,9 @@
 			}
 		case <-l.opts.Directory.LoadChanged():
 		}
-		own := l.opts.Directory.Own()
+		own := l.opts.Directory.OwnLoad()
 		idle = len(own) == 0
-		l.opts.Socket.SendTo(encodeLoads(own, l.opts.Directory.LostHere(time.Now(), lossTTL)), l.opts.CellPeers())
+		l.opts.Socket.SendTo(encodeLoads(own, l.opts.Directory.LocalLosses(time.Now(), lossTTL)), l.opts.CellPeers())
 		if err := retry.Wait(ctx, minSendInterval); err != nil {
 			return err
 		}
@@ -99,10 +99,10 @@
 	if !h.newerThan(t.header) {
 		return true
 	}
-	l.opts.Directory.Others(from, loads)
+	l.opts.Directory.SetPeerLoad(from, loads)
 	*t = loadSender{header: h, at: now}
 	for _, server := range lost {
-		l.opts.Directory.LostElsewhere(server, now)
+		l.opts.Directory.RecordPeerLoss(server, now)
 	}
 	return true
 }
@@ -115,7 +115,7 @@
 		if now.Sub(t.at) < loadTTL {
 			continue
 		}
-		l.opts.Directory.Others(from, nil)
+		l.opts.Directory.SetPeerLoad(from, nil)
 		if now.Sub(t.at) > senderTTL {
 			delete(l.senders, from)
 		}
--- a/fleet/restarts.go
+++ b/fleet/restarts.go
@@ -22,7 +22,7 @@
 
 // Announce records a restart that this process has detected, and tells the other VMs.
 func (r *Restarts) Announce(old *directory.Server, start directory.Start) {
-	if r.directory.Adopt(old, start, time.Now()) {
+	if r.directory.RecordRestart(old, start, time.Now()) {
 		r.socket.Send(encodeRestart(old.Hash(), start))
 	}
 }
@@ -32,7 +32,7 @@
 func (r *Restarts) receive(_ string, _ header, raw []byte, now time.Time) bool {
 	server, start, ok := decodeRestart(raw)
 	if ok {
-		r.directory.AdoptAs(server, start, now)
+		r.directory.RecordRestartByHash(server, start, now)
 	}
 	return ok
 }
--- a/site/objectives.go
+++ b/site/objectives.go
@@ -5,15 +5,16 @@
 	"strings"
 )
 
-// BetweenObjectives separates the objectives of a configuration in a log line.
-const BetweenObjectives = ","
+// ObjectiveSeparator separates the objectives of a configuration in a log line.
+const ObjectiveSeparator = ","
 
-// maxObjectives bounds a log line: routes are many, their objectives are few.
-const maxObjectives = 12
+// maxLoggedObjectives bounds a log line: there are many routes, but few different
+// objectives.
+const maxLoggedObjectives = 12
 
-// Objectives returns the different objectives of the routes as KIND:ANSWER or
-// KIND:ANSWER/GAP, for the log: without them its lines say how long an answer
-// took, but not whether that was in time.
+// Objectives returns the different objectives of the routes as KIND:RESPONSE or
+// KIND:RESPONSE/GAP for the log: without them the log shows how long a response took, but
+// not whether that was in time.
 func (c *Config) Objectives() string {
 	seen := map[string]bool{}
 	for _, routes := range c.byHost {
@@ -23,18 +24,18 @@
 			}
 		}
 	}
-	words := make([]string, 0, len(seen))
-	for word := range seen {
-		words = append(words, word)
+	objectives := make([]string, 0, len(seen))
+	for objective := range seen {
+		objectives = append(objectives, objective)
 	}
-	slices.Sort(words)
-	return strings.Join(words[:min(len(words), maxObjectives)], BetweenObjectives)
+	slices.Sort(objectives)
+	return strings.Join(objectives[:min(len(objectives), maxLoggedObjectives)], ObjectiveSeparator)
 }
 
 func (r *Route) objective() string {
-	word := r.Kind.String() + ":" + r.Objective.String()
+	objective := r.Kind.String() + ":" + r.Objective.String()
 	if r.MaxGap > 0 {
-		word += "/" + r.MaxGap.String()
+		objective += "/" + r.MaxGap.String()
 	}
-	return word
+	return objective
 }
