--- a/inbound/conn.go
+++ b/inbound/conn.go
@@ -9,63 +9,63 @@
 	"github.com/pearyard/pearyard/httpconn"
 )
 
-// clientPhase is what a client's connection is waited for, or who deals with it.
-type clientPhase = int32
+// connPhase is the state of a client's connection.
+type connPhase = int32
 
 const (
-	clientIdle    clientPhase = iota // this process waits for a request
-	clientHead                       // it waits for the rest of a request's head
-	clientReading                    // it has yet to read, or to deal with what it has read
-	clientTaken                      // it has read a head and is about to serve the request
-	clientServed                     // a request is being served
-	clientDropped                    // closed by a look
+	phaseIdle     connPhase = iota // this process waits for a request
+	phaseHeader                    // it waits for the rest of a request's header
+	phaseReading                   // it has yet to read, or is processing what it has read
+	phaseDispatch                  // it has read a header and is about to serve the request
+	phaseServing                   // a request is being served
+	phaseDropped                   // closed because of a limit
 )
 
-var phaseNames = map[clientPhase]string{clientIdle: "idle", clientHead: "head", clientReading: "reading", clientTaken: "taken"}
+var phaseLabels = map[connPhase]string{phaseIdle: "idle", phaseHeader: "head", phaseReading: "reading", phaseDispatch: "taken"}
 
-// lateTime is how much longer than its limit a head may take while something of
-// it is unread or not dealt with at each look, a hundred looks in all.
-//
-// A client that sends byte after byte, or does not take the refusal, must not stay for good.
-const lateTime = 100 * clientsLook
+// unreadGrace is how far a header may exceed its limit while data is unread or
+// unprocessed at each check, a hundred checks in all. It is bounded, so that a
+// client that sends byte by byte, or doesn't read its refusal, can't keep its
+// connection forever.
+const unreadGrace = 100 * sweepInterval
 
 // clientConn is a client's connection. Its phase changes by compare-and-swap
-// only, so that a request is either served or its connection dropped before it.
+// only, so that either a request is served or its connection is dropped before.
 //
-// A read says that it waits before it does, and that something has come before
-// it takes that: while the phase is idle or head, what has come is in the socket,
-// where a look finds it.
+// A read sets the phase to idle or header before it waits, and to reading before it
+// takes data from the socket. So while the phase is idle or header, all data that
+// has arrived is in the socket, where a check finds it.
 type clientConn struct {
 	net.Conn
-	zero   time.Time
-	phase  atomic.Int32
-	since  atomic.Int64            // steady nanoseconds after zero at which the phase began; written before it
-	lost   context.CancelCauseFunc // ends the connection's requests
-	broken func(error) error
-	begun  bool // bytes of a head have come; known to the goroutine that reads heads
+	epoch          time.Time
+	phase          atomic.Int32
+	since          atomic.Int64            // start of the phase, monotonic nanoseconds after epoch; written before phase
+	cancelRequests context.CancelCauseFunc // cancels the connection's requests
+	requestError   func(error) error       // see Options.Broken
+	headerStarted  bool                    // part of a header has arrived; used only by the goroutine that reads headers
 }
 
-func (c *clientConn) touch(now time.Time) { c.since.Store(int64(now.Sub(c.zero))) }
+func (c *clientConn) setPhaseStart(now time.Time) { c.since.Store(int64(now.Sub(c.epoch))) }
 
-func (c *clientConn) inPhase(now time.Time) time.Duration {
-	return now.Sub(c.zero) - time.Duration(c.since.Load())
+func (c *clientConn) timeInPhase(now time.Time) time.Duration {
+	return now.Sub(c.epoch) - time.Duration(c.since.Load())
 }
 
 // Read implements net.Conn.
 func (c *clientConn) Read(b []byte) (int, error) {
-	if c.phase.Load() != clientReading {
-		// A body, or the server's watch for the client's end beside a request.
+	if c.phase.Load() != phaseReading {
+		// A body, or the server's background read that detects a closed connection.
 		return c.read(b)
 	}
-	c.waits()
+	c.startWaiting()
 	if !httpconn.Await(c.Conn) {
 		n, err := c.read(b)
-		if !c.arrived() {
+		if !c.dataArrived() {
 			return 0, net.ErrClosed
 		}
 		return n, err
 	}
-	if !c.arrived() {
+	if !c.dataArrived() {
 		return 0, net.ErrClosed
 	}
 	return c.read(b)
@@ -73,122 +73,124 @@
 
 func (c *clientConn) read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.note(err)
+	c.handleError(err)
 	return n, err
 }
 
-// waits notes that all that was read is dealt with and the client has its turn.
-func (c *clientConn) waits() {
-	phase := clientIdle
-	if c.begun {
-		phase = clientHead
+// startWaiting records that everything read so far is processed and that this
+// process waits for the client.
+func (c *clientConn) startWaiting() {
+	phase := phaseIdle
+	if c.headerStarted {
+		phase = phaseHeader
 	}
-	c.phase.CompareAndSwap(clientReading, phase)
+	c.phase.CompareAndSwap(phaseReading, phase)
 }
 
-// arrived notes that something has come; false if the connection was dropped
-// before. The first bytes after a pause begin a head.
-func (c *clientConn) arrived() bool {
-	if !c.begun {
-		c.touch(time.Now())
-		c.begun = true
+// dataArrived records that data has arrived. It returns false if the connection was
+// dropped before. The first data after a request starts a header.
+func (c *clientConn) dataArrived() bool {
+	if !c.headerStarted {
+		c.setPhaseStart(time.Now())
+		c.headerStarted = true
 	}
-	return c.phase.CompareAndSwap(clientIdle, clientReading) || c.phase.CompareAndSwap(clientHead, clientReading)
+	return c.phase.CompareAndSwap(phaseIdle, phaseReading) || c.phase.CompareAndSwap(phaseHeader, phaseReading)
 }
 
-// taken notes that a head has been read: reads are of its body from now on.
-func (c *clientConn) taken() { c.phase.CompareAndSwap(clientReading, clientTaken) }
+// headerRead records that a header has been read: further reads are of the body.
+func (c *clientConn) headerRead() { c.phase.CompareAndSwap(phaseReading, phaseDispatch) }
 
 // Write implements net.Conn.
 func (c *clientConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.note(err)
+	c.handleError(err)
 	return n, err
 }
 
-// note ends the connection's requests if an error says that it broke. net/http
-// ends them too, a moment later and without a cause, as it does when the client
-// closes its connection in order: a client that was still waiting would be said
-// to have left.
-func (c *clientConn) note(err error) {
+// handleError cancels the connection's requests if err says that it broke. net/http
+// cancels them too, but a moment later and without a cause, as it does when the
+// client closes its connection: a client that was still waiting would be recorded
+// as having left.
+func (c *clientConn) handleError(err error) {
 	if err == nil {
 		return
 	}
-	if cause := c.broken(err); cause != nil {
-		c.lost(cause)
+	if cause := c.requestError(err); cause != nil {
+		c.cancelRequests(cause)
 	}
 }
 
-// serve notes that a request is being served; false if the connection was dropped.
-func (c *clientConn) serve() bool {
+// beginRequest records that a request is being served. It returns false if the
+// connection was dropped before.
+func (c *clientConn) beginRequest() bool {
 	for {
 		phase := c.phase.Load()
-		if phase == clientDropped {
+		if phase == phaseDropped {
 			return false
 		}
-		if c.phase.CompareAndSwap(phase, clientServed) {
+		if c.phase.CompareAndSwap(phase, phaseServing) {
 			return true
 		}
 	}
 }
 
-// answered notes that the connection is ready for its next request.
-func (c *clientConn) answered() {
-	c.touch(time.Now())
-	c.begun = false
-	c.phase.CompareAndSwap(clientServed, clientReading)
+// requestDone records that the connection is ready for its next request.
+func (c *clientConn) requestDone() {
+	c.setPhaseStart(time.Now())
+	c.headerStarted = false
+	c.phase.CompareAndSwap(phaseServing, phaseReading)
 }
 
-// finding is what a look at a connection comes to.
-type finding int
+// checkResult is the result of checking a connection against its limit.
+type checkResult int
 
 const (
-	inTime        finding = iota // it is within its limit
-	spared                       // over it, but something has come
-	dropped                      // over it, and taken out of use
-	droppedUnread                // the same, for the time that it has taken, though something has come
+	withinLimit  checkResult = iota // within its limit
+	unreadSpared                    // over the limit, but data has arrived
+	closedQuiet                     // over the limit, to be closed
+	closedUnread                    // to be closed because it is far over the limit, although data has arrived
 )
 
-// look takes the connection out of use if it is over its limit and this process
+// check marks the connection as dropped if it is over its limit and this process
 // waits for its client.
-func (c *clientConn) look(limits Limits, now time.Time) (clientPhase, finding) {
+func (c *clientConn) check(limits Limits, now time.Time) (connPhase, checkResult) {
 	phase := c.phase.Load()
-	limit, took := limitOf(phase, limits), c.inPhase(now)
-	if limit <= 0 || took <= limit {
-		return phase, inTime
+	limit, elapsed := limitOf(phase, limits), c.timeInPhase(now)
+	if limit <= 0 || elapsed <= limit {
+		return phase, withinLimit
 	}
-	arrived := c.arrivedIn(phase)
-	// An idle connection that is spared becomes one whose head is timed.
-	if arrived && (phase == clientIdle || took <= limit+lateTime) {
-		return phase, spared
+	unread := c.hasUnread(phase)
+	// An idle connection that stays open is then subject to the header limit.
+	if unread && (phase == phaseIdle || elapsed <= limit+unreadGrace) {
+		return phase, unreadSpared
 	}
-	if !c.phase.CompareAndSwap(phase, clientDropped) {
-		return phase, inTime
+	if !c.phase.CompareAndSwap(phase, phaseDropped) {
+		return phase, withinLimit
 	}
-	if arrived {
-		return phase, droppedUnread
+	if unread {
+		return phase, closedUnread
 	}
-	return phase, dropped
+	return phase, closedQuiet
 }
 
-// arrivedIn tells whether something has come, in a phase in which no request is
-// served, that this process has not dealt with.
-func (c *clientConn) arrivedIn(phase clientPhase) bool {
+// hasUnread reports whether data has arrived that this process has not processed,
+// in a phase in which no request is served.
+func (c *clientConn) hasUnread(phase connPhase) bool {
 	switch phase {
-	case clientReading, clientTaken:
+	case phaseReading, phaseDispatch:
 		return true
-	case clientIdle, clientHead:
+	case phaseIdle, phaseHeader:
 		return httpconn.Unread(c.Conn)
 	default:
 		return false
 	}
 }
 
-func limitOf(phase clientPhase, limits Limits) time.Duration {
+func limitOf(phase connPhase, limits Limits) time.Duration {
 	switch phase {
-	case clientIdle:
+	case phaseIdle:
 		return limits.IdleTime
-	case clientHead, clientReading, clientTaken:
+	case phaseHeader, phaseReading, phaseDispatch:
 		return limits.HeaderTime
 	default:
 		return 0
--- a/inbound/doc.go
+++ b/inbound/doc.go
@@ -1,6 +1,6 @@
-// Package inbound keeps track of the connections that a server's clients open:
-// it closes those that idle or take too long, and ends the server, without losing
-// a request that has come and isn't read yet.
+// Package inbound tracks the connections that clients open to a server. It closes
+// connections that are idle or slow for too long, and shuts the server down, without
+// losing a request that has arrived but is not read yet.
 //
 // May import of pearyard: event, httpconn, retry.
 package inbound
--- a/inbound/finish.go
+++ b/inbound/finish.go
@@ -13,99 +13,99 @@
 )
 
 const (
-	// lastTime is what a client gets at the end of a planned stop to send what it
-	// has begun, or the first request of a new connection: many round trips within
-	// a region. A stop that nothing is sent to takes no longer for it.
-	lastTime = 250 * time.Millisecond
-	// queueTime bounds the wait for the listener's queue, also in a process with
-	// little processor time; EventQueueLeft tells when it was too short.
-	queueTime  = 250 * time.Millisecond
-	queueLook  = 2 * time.Millisecond
-	finishLook = 10 * time.Millisecond
+	// stopTimeout is how long a client may take, at the end of a planned stop, to
+	// complete a header or to send the first request of a new connection: many
+	// round trips within a region. It delays only stops during which clients send.
+	stopTimeout = 250 * time.Millisecond
+	// queueTimeout bounds the wait for the listener's queue, also in a process with
+	// little CPU time. EventQueueLeft reports that it was too short.
+	queueTimeout       = 250 * time.Millisecond
+	queuePollInterval  = 2 * time.Millisecond
+	finishPollInterval = 10 * time.Millisecond
 )
 
-// lastLimits are those of connections at the end of a planned stop.
-var lastLimits = Limits{IdleTime: lastTime, HeaderTime: lastTime}
+// stopLimits are the limits for connections at the end of a planned stop.
+var stopLimits = Limits{IdleTime: stopTimeout, HeaderTime: stopTimeout}
 
-// Finish ends a planned stop of server, by the end of ctx: connections in the
-// listener's queue are accepted, requests that have come are served or refused,
-// and each connection is closed once nothing more has come on it. A client that
-// goes on asking is told with its next answer to come back no more.
+// Finish completes a planned stop of server before ctx ends: connections in the
+// listener's queue are accepted, requests that have arrived are served or refused,
+// and each connection is closed once no more data arrives on it. The response to a
+// further request closes its connection.
 //
-// The server's own shutdown closes the listener's queue and idle connections without looking
-// for requests in them, so it comes when no connection is left.
+// The server's own Shutdown closes the listener and idle connections without
+// checking for requests in them, so it is called when no connection is left.
 func (c *Listener) Finish(ctx context.Context, server *http.Server) error {
-	c.ending.Store(true)
-	c.endQueue(ctx)
-	for c.count() > 0 && ctx.Err() == nil {
-		c.sweepBy(lastLimits, time.Now())
-		_ = retry.Wait(ctx, finishLook)
+	c.stopping.Store(true)
+	c.drainQueue(ctx)
+	for c.openCount() > 0 && ctx.Err() == nil {
+		c.sweepWithLimits(stopLimits, time.Now())
+		_ = retry.Wait(ctx, finishPollInterval)
 	}
-	c.tellLeft()
+	c.reportUnread()
 	return server.Shutdown(ctx)
 }
 
-// tellLeft tells of connections that the end of a stop's time closes with
-// something on them that was not dealt with.
-func (c *Listener) tellLeft() {
+// reportUnread reports the connections with unread data that are still open when
+// the time of a planned stop is over.
+func (c *Listener) reportUnread() {
 	now := time.Now()
-	var unread unreadDrops
+	var unread unreadCloses
 	c.mu.Lock()
 	for conn := range c.open {
-		if phase := conn.phase.Load(); conn.arrivedIn(phase) {
-			unread.add(phase, conn.inPhase(now))
-			c.unread.WithLabelValues(phaseNames[phase]).Inc()
+		if phase := conn.phase.Load(); conn.hasUnread(phase) {
+			unread.add(phase, conn.timeInPhase(now))
+			c.unread.WithLabelValues(phaseLabels[phase]).Inc()
 		}
 	}
 	c.mu.Unlock()
-	unread.tell(c.opts.Recorder, lastLimits, 0)
+	unread.emit(c.opts.Recorder, stopLimits, 0)
 }
 
-func (c *Listener) count() int {
+func (c *Listener) openCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.open)
 }
 
-// endQueue accepts what is in the listener's queue, closes the listener, and
-// waits until the server has all that was accepted: one that comes just before
-// the close isn't among the open connections yet when it is taken.
-func (c *Listener) endQueue(ctx context.Context) {
-	c.within(ctx, c.emptyQueue)
-	_ = c.queue.close(c.Listener) // the server's shutdown closes it again and returns the error
-	c.within(ctx, c.queue.wait)
+// drainQueue accepts the connections in the listener's queue, closes the listener,
+// and waits until the server has stopped accepting: a connection that is accepted
+// just before the close may not be among the open ones yet.
+func (c *Listener) drainQueue(ctx context.Context) {
+	c.withQueueTimeout(ctx, c.acceptQueued)
+	_ = c.end.close(c.Listener) // the server's Shutdown closes it again and returns the error
+	c.withQueueTimeout(ctx, c.end.wait)
 }
 
-// within gives a step queueTime, and tells if it is not done by then.
-func (c *Listener) within(ctx context.Context, step func(context.Context) error) {
-	ctx, cancel := context.WithTimeout(ctx, queueTime)
+// withQueueTimeout runs a step with queueTimeout and emits an event if it fails.
+func (c *Listener) withQueueTimeout(ctx context.Context, step func(context.Context) error) {
+	ctx, cancel := context.WithTimeout(ctx, queueTimeout)
 	defer cancel()
 	if err := step(ctx); err != nil {
-		c.opts.Recorder.Emit(EventQueueLeft, "err", err, "waited", queueTime)
+		c.opts.Recorder.Emit(EventQueueLeft, "err", err, "waited", queueTimeout)
 	}
 }
 
-// emptyQueue waits until this process has accepted a connection of its own. The
-// queue is one of first in, first out, so all that came before it are accepted
-// by then. Nothing else tells: a deadline of the listener may pass, in a process
-// without processor time, before it has looked at the queue at all.
-func (c *Listener) emptyQueue(ctx context.Context) error {
+// acceptQueued connects to the listener and waits until that connection is accepted.
+// The queue is first in, first out, so all earlier connections are accepted by then.
+// A deadline on the listener would not do: in a process without CPU time it may pass
+// before the queue is read at all.
+func (c *Listener) acceptQueued(ctx context.Context) error {
 	var dialer net.Dialer
 	own, err := dialer.DialContext(ctx, c.Addr().Network(), c.Addr().String())
 	if err != nil {
 		return errors.Wrap(err, "inbound: connect to own listener")
 	}
 	defer own.Close()
-	for !c.accepted(own.LocalAddr().String()) {
-		if err := retry.Wait(ctx, queueLook); err != nil {
-			return errors.Wrap(err, "inbound: own connection isn't accepted")
+	for !c.isAccepted(own.LocalAddr().String()) {
+		if err := retry.Wait(ctx, queuePollInterval); err != nil {
+			return errors.Wrap(err, "inbound: own connection was not accepted in time")
 		}
 	}
 	return nil
 }
 
-// accepted tells whether a connection from remote is open.
-func (c *Listener) accepted(remote string) bool {
+// isAccepted reports whether a connection from remote is open.
+func (c *Listener) isAccepted(remote string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for conn := range c.open {
@@ -118,45 +118,45 @@
 
 // Close implements net.Listener.
 func (c *Listener) Close() error {
-	c.queue.tell()
-	return c.queue.close(c.Listener)
+	c.end.release()
+	return c.end.close(c.Listener)
 }
 
-// queueEnd is the end of a listener, and whether the listener's server may know.
-//
-// A server whose listener ends before its shutdown has begun takes that for a failure.
-type queueEnd struct {
-	ended   chan struct{} // nothing more is accepted
-	known   chan struct{} // the server may know
-	ending  sync.Once
-	telling sync.Once
-	closing sync.Once
-	err     error // of closing
+// listenerEnd coordinates the end of a listener with its server. A server whose
+// listener ends before its shutdown has begun reports that as an error, so Accept
+// doesn't return until the server may see the end.
+type listenerEnd struct {
+	ended       chan struct{} // closed when no further connection will be accepted
+	released    chan struct{} // closed when the server may see the end
+	endOnce     sync.Once
+	releaseOnce sync.Once
+	closeOnce   sync.Once
+	closeErr    error // result of closing the listener
 }
 
-func newQueueEnd() *queueEnd {
-	return &queueEnd{ended: make(chan struct{}), known: make(chan struct{})}
+func newListenerEnd() *listenerEnd {
+	return &listenerEnd{ended: make(chan struct{}), released: make(chan struct{})}
 }
 
-// hold keeps the end of the listener from its server.
-func (q *queueEnd) hold() {
-	q.ending.Do(func() { close(q.ended) })
-	<-q.known
+// hold blocks the server's Accept until release is called.
+func (q *listenerEnd) hold() {
+	q.endOnce.Do(func() { close(q.ended) })
+	<-q.released
 }
 
-// wait returns once hold has begun.
-func (q *queueEnd) wait(ctx context.Context) error {
+// wait returns once hold has been called.
+func (q *listenerEnd) wait(ctx context.Context) error {
 	select {
 	case <-q.ended:
 		return nil
 	case <-ctx.Done():
-		return errors.Wrap(ctx.Err(), "inbound: the listener still accepts")
+		return errors.Wrap(ctx.Err(), "inbound: listener is still accepting")
 	}
 }
 
-func (q *queueEnd) tell() { q.telling.Do(func() { close(q.known) }) }
+func (q *listenerEnd) release() { q.releaseOnce.Do(func() { close(q.released) }) }
 
-func (q *queueEnd) close(l net.Listener) error {
-	q.closing.Do(func() { q.err = l.Close() })
-	return q.err
+func (q *listenerEnd) close(l net.Listener) error {
+	q.closeOnce.Do(func() { q.closeErr = l.Close() })
+	return q.closeErr
 }
--- a/inbound/listener_test.go
+++ b/inbound/listener_test.go
@@ -14,8 +14,8 @@
 	"github.com/pearyard/pearyard/event"
 )
 
-// bounded serves callers within limits that a test may change.
-func bounded(t *testing.T, limits *Limits, h http.HandlerFunc) (*Listener, string) {
+// startServer starts a server with limits that the test may change.
+func startServer(t *testing.T, limits *Limits, h http.HandlerFunc) (*Listener, string) {
 	server := httptest.NewUnstartedServer(nil)
 	c := New(server.Listener, Options{Limits: func() Limits { return *limits }, Recorder: event.Discard()})
 	server.Listener, server.Config.Handler = c, h
@@ -25,7 +25,7 @@
 	return c, c.Addr().String()
 }
 
-func (c *Listener) in(phase clientPhase) func() int {
+func (c *Listener) countInPhase(phase connPhase) func() int {
 	return func() int {
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -39,7 +39,7 @@
 	}
 }
 
-func dialCaller(t *testing.T, address string) net.Conn {
+func dialClient(t *testing.T, address string) net.Conn {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
@@ -48,7 +48,7 @@
 	return conn
 }
 
-func closed(conn net.Conn) func() bool {
+func isClosed(conn net.Conn) func() bool {
 	return func() bool {
 		_ = conn.SetReadDeadline(time.Now().Add(time.Millisecond))
 		_, err := conn.Read(make([]byte, 1))
@@ -57,44 +57,44 @@
 	}
 }
 
-// Callers leave connections open that they no longer use. They are closed by
-// the limit of the configuration in force, also when it becomes shorter, and
-// not before; a connection that is in use stays.
-func TestIdleConnectionsAreClosedByTheConfigurationsLimit(t *testing.T) {
+// Clients leave unused connections open. They are closed by the limit of the
+// configuration in force, also when it becomes shorter, and not before. A connection
+// that serves a request stays open.
+func TestIdleConnectionsAreClosedByCurrentLimit(t *testing.T) {
 	g := gomega.NewWithT(t)
 	limits := Limits{IdleTime: time.Minute}
 	release := make(chan struct{})
-	c, address := bounded(t, &limits, func(http.ResponseWriter, *http.Request) { <-release })
-	idle, busy := dialCaller(t, address), dialCaller(t, address)
+	c, address := startServer(t, &limits, func(http.ResponseWriter, *http.Request) { <-release })
+	idle, busy := dialClient(t, address), dialClient(t, address)
 	_, _ = io.WriteString(busy, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
-	g.Eventually(c.in(clientIdle)).Should(gomega.Equal(1))
-	g.Eventually(c.in(clientServed)).Should(gomega.Equal(1))
+	g.Eventually(c.countInPhase(phaseIdle)).Should(gomega.Equal(1))
+	g.Eventually(c.countInPhase(phaseServing)).Should(gomega.Equal(1))
 	c.sweep(time.Now().Add(50 * time.Second))
-	g.Consistently(closed(idle), "20ms").Should(gomega.BeFalse())
+	g.Consistently(isClosed(idle), "20ms").Should(gomega.BeFalse())
 	limits.IdleTime = 10 * time.Second
 	c.sweep(time.Now().Add(50 * time.Second))
-	g.Eventually(closed(idle)).Should(gomega.BeTrue())
+	g.Eventually(isClosed(idle)).Should(gomega.BeTrue())
 	close(release)
 	resp, err := http.ReadResponse(bufio.NewReader(busy), nil)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(resp.StatusCode).To(gomega.Equal(http.StatusOK))
 }
 
-// A caller sends a request's head byte by byte. It is cut off by the limit, and
-// nothing of it is handed on even if the rest comes at that moment.
-func TestSlowHeadsAreCutOff(t *testing.T) {
+// A client sends a request's header too slowly. Its connection is closed by the
+// limit, and the request is not served even if the rest arrives at that moment.
+func TestSlowHeadersAreClosed(t *testing.T) {
 	g := gomega.NewWithT(t)
 	limits := Limits{HeaderTime: 3 * time.Second, IdleTime: time.Minute}
 	served := make(chan struct{}, 1)
-	c, address := bounded(t, &limits, func(http.ResponseWriter, *http.Request) { served <- struct{}{} })
-	slow := dialCaller(t, address)
+	c, address := startServer(t, &limits, func(http.ResponseWriter, *http.Request) { served <- struct{}{} })
+	slow := dialClient(t, address)
 	_, _ = io.WriteString(slow, "GET / HTTP/1.1\r\n")
-	g.Eventually(c.in(clientHead)).Should(gomega.Equal(1))
+	g.Eventually(c.countInPhase(phaseHeader)).Should(gomega.Equal(1))
 	c.sweep(time.Now().Add(2 * time.Second))
-	g.Expect(c.in(clientDropped)()).To(gomega.BeZero())
+	g.Expect(c.countInPhase(phaseDropped)()).To(gomega.BeZero())
 	c.sweep(time.Now().Add(4 * time.Second))
 	_, _ = io.WriteString(slow, "Host: h\r\n\r\n")
-	g.Eventually(closed(slow)).Should(gomega.BeTrue())
+	g.Eventually(isClosed(slow)).Should(gomega.BeTrue())
 	g.Consistently(served, "20ms").ShouldNot(gomega.Receive())
 }
 
@@ -102,25 +102,25 @@
 func TestNoLimitClosesNothing(t *testing.T) {
 	g := gomega.NewWithT(t)
 	limits := Limits{}
-	c, address := bounded(t, &limits, func(http.ResponseWriter, *http.Request) {})
-	conn := dialCaller(t, address)
-	g.Eventually(c.in(clientIdle)).Should(gomega.Equal(1))
+	c, address := startServer(t, &limits, func(http.ResponseWriter, *http.Request) {})
+	conn := dialClient(t, address)
+	g.Eventually(c.countInPhase(phaseIdle)).Should(gomega.Equal(1))
 	c.sweep(time.Now().Add(time.Hour))
-	g.Consistently(closed(conn), "20ms").Should(gomega.BeFalse())
+	g.Consistently(isClosed(conn), "20ms").Should(gomega.BeFalse())
 }
 
-// An entry VM stood still for longer than a limit. What its callers sent
-// meanwhile is still unread, so nobody is cut off for it; the limits count anew.
-func TestNobodyIsCutOffForAFreeze(t *testing.T) {
+// The process stalls for longer than a limit. What clients sent meanwhile is still
+// unread, so no connection is closed for it, and the limits start again.
+func TestNothingIsClosedAfterStall(t *testing.T) {
 	g := gomega.NewWithT(t)
 	limits := Limits{HeaderTime: 3 * time.Second, IdleTime: 10 * time.Second}
-	c, address := bounded(t, &limits, func(http.ResponseWriter, *http.Request) {})
-	conn := dialCaller(t, address)
-	g.Eventually(c.in(clientIdle)).Should(gomega.Equal(1))
-	woken := time.Now().Add(20 * time.Second)
-	c.look(woken, 20*time.Second)
-	c.look(woken.Add(clientsLook), clientsLook)
-	g.Consistently(closed(conn), "20ms").Should(gomega.BeFalse())
-	c.look(woken.Add(11*time.Second), clientsLook)
-	g.Eventually(closed(conn)).Should(gomega.BeTrue())
+	c, address := startServer(t, &limits, func(http.ResponseWriter, *http.Request) {})
+	conn := dialClient(t, address)
+	g.Eventually(c.countInPhase(phaseIdle)).Should(gomega.Equal(1))
+	resumed := time.Now().Add(20 * time.Second)
+	c.tick(resumed, 20*time.Second)
+	c.tick(resumed.Add(sweepInterval), sweepInterval)
+	g.Consistently(isClosed(conn), "20ms").Should(gomega.BeFalse())
+	c.tick(resumed.Add(11*time.Second), sweepInterval)
+	g.Eventually(isClosed(conn)).Should(gomega.BeTrue())
 }
--- a/inbound/unread.go
+++ b/inbound/unread.go
@@ -6,57 +6,55 @@
 	"github.com/pearyard/pearyard/event"
 )
 
-// unreadDrops are the connections that one look has closed with bytes unread:
-// their clients may have been waiting for an answer. A look tells of them in one
-// line, whatever their number.
-type unreadDrops struct {
-	head         int // part of a head was read
-	notDealtWith int // something was read that wasn't dealt with, or nothing was
-	// betweenLookAndClose came after the look that found nothing: this process got
-	// no processor time in between.
-	betweenLookAndClose int
-	longest             time.Duration
+// unreadCloses counts the connections that one sweep has closed with unread data:
+// their clients may be waiting for a response. A sweep reports all of them in one event.
+type unreadCloses struct {
+	header    int // part of a header was read
+	unhandled int // data was read but not processed, or nothing was read
+	// betweenCheckAndClose counts those whose data arrived after a check that found
+	// none: this process got no CPU time in between.
+	betweenCheckAndClose int
+	longest              time.Duration
 }
 
-// add counts a connection by its phase and the time that it has taken.
-func (u *unreadDrops) add(phase clientPhase, took time.Duration) {
-	u.longest = max(u.longest, took)
-	if phase == clientHead {
-		u.head++
+// add counts a connection by its phase and the time that it was in the phase.
+func (u *unreadCloses) add(phase connPhase, elapsed time.Duration) {
+	u.longest = max(u.longest, elapsed)
+	if phase == phaseHeader {
+		u.header++
 		return
 	}
-	u.notDealtWith++
+	u.unhandled++
 }
 
-// tell emits the line, if there is something to tell.
-func (u *unreadDrops) tell(recorder *event.Recorder, limits Limits, late time.Duration) {
-	if u.head+u.notDealtWith+u.betweenLookAndClose == 0 {
+// emit emits an event if there were such connections.
+func (u *unreadCloses) emit(recorder *event.Recorder, limits Limits, delay time.Duration) {
+	if u.header+u.unhandled+u.betweenCheckAndClose == 0 {
 		return
 	}
-	recorder.Emit(EventUnreadDropped, "head", u.head, "not_dealt_with", u.notDealtWith, "between_look_and_close", u.betweenLookAndClose, "longest", u.longest,
-		"idle_limit", limits.IdleTime, "head_limit", limits.HeaderTime, "look_late", late)
+	recorder.Emit(EventUnreadDropped, "head", u.header, "not_dealt_with", u.unhandled, "between_look_and_close", u.betweenCheckAndClose, "longest", u.longest,
+		"idle_limit", limits.IdleTime, "head_limit", limits.HeaderTime, "look_late", delay)
 }
 
-// lateClose is a time from a look to a close in which this process must have
-// stood still.
-const lateClose = 20 * time.Millisecond
+// slowCloseThreshold is the time between a check and the close above which this
+// process must have stalled.
+const slowCloseThreshold = 20 * time.Millisecond
 
-// closes are the connections that one sweep has closed by the limits in force.
-type closes struct {
+// limitCloses counts the connections that one sweep has closed by the limits in force.
+type limitCloses struct {
 	count   int
-	longest time.Duration // from a connection's look until it was closed
+	longest time.Duration // from a connection's check until it was closed
 }
 
-func (c *closes) add(took time.Duration) {
+func (c *limitCloses) add(elapsed time.Duration) {
 	c.count++
-	c.longest = max(c.longest, took)
+	c.longest = max(c.longest, elapsed)
 }
 
-// tell emits the line, if there is something to tell. A client whose request
-// came while this process stood between a look and its close has neither an
-// answer nor a refusal.
-func (c *closes) tell(recorder *event.Recorder, limits Limits) {
-	if c.longest >= lateClose {
+// emit emits an event if a close was slow. A client whose request arrived while this
+// process stalled between a check and the close got neither a response nor a refusal.
+func (c *limitCloses) emit(recorder *event.Recorder, limits Limits) {
+	if c.longest >= slowCloseThreshold {
 		recorder.Emit(EventClosedLate, "closed", c.count, "look_to_close", c.longest,
 			"idle_limit", limits.IdleTime, "head_limit", limits.HeaderTime)
 	}
