--- a/entry/drain.go
+++ b/entry/drain.go
@@ -72,7 +72,7 @@
 func (e *Entry) callers(l net.Listener) *inbound.Listener {
 	return inbound.New(l, inbound.Options{
 		Limits: e.clientLimits, Recorder: e.recorder, Registerer: e.registry, Metrics: "pearyard_entry_callers",
-		Broken: func(err error) error {
+		CancelCause: func(err error) error {
 			if !exchange.IsLinkLost(err) {
 				return nil
 			}
--- a/entry/handler.go
+++ b/entry/handler.go
@@ -57,7 +57,7 @@
 	}
 	if config == nil {
 		defer httpanswer.ReadOff(w, r)()
-		h.notYet(w, call, "configuration", comeBack(call.Wait))
+		h.notYet(w, call, "configuration", comeBack(call.Timeout))
 		return
 	}
 	if err := call.ReadBody(w.ResponseWriter, r, config.Limits.BodyBytes); err != nil {
@@ -76,7 +76,7 @@
 		return
 	}
 	if !h.listed() {
-		h.notYet(w, call, "list of servers", min(comeBack(call.Wait), spreadOut(listWait)))
+		h.notYet(w, call, "list of servers", min(comeBack(call.Timeout), spreadOut(listWait)))
 		return
 	}
 	if !time.Now().Before(call.Until) {
@@ -99,14 +99,14 @@
 		return nil
 	}
 	if config.Keys() && !call.Route.Public {
-		owner := config.Owner(call.Key)
+		owner := config.Owner(call.APIKey)
 		if owner == nil {
 			return &platform.RequestError{Status: http.StatusUnauthorized, By: exchange.EndedByConfiguration, Err: errors.New("entry: the key is unknown")}
 		}
 		call.Organisation = owner.Name
 	}
 	call.Service = call.Route.Pick()
-	length, by := wait(call.Wait, call.Route.Timeout)
+	length, by := wait(call.Timeout, call.Route.Timeout)
 	call.Until, call.UntilBy = call.Arrived.Add(length), by
 	return nil
 }
--- a/entry/refusal.go
+++ b/entry/refusal.go
@@ -81,7 +81,7 @@
 	h.recorder.Emit(EventRouteRefused, event.FieldRequest, call.ID, "why", call.Route.Refused, "version", call.Version,
 		event.FieldEndedBy, exchange.EndedByConfiguration)
 	platform.WriteFailure(w, call.ID, &exchange.Failure{
-		By: exchange.EndedByConfiguration, RetryAfter: comeBack(call.Wait), Err: errors.New("entry: the configuration of this route can't be read"),
+		By: exchange.EndedByConfiguration, RetryAfter: comeBack(call.Timeout), Err: errors.New("entry: the configuration of this route can't be read"),
 	})
 }
 
--- a/inbound/conn.go
+++ b/inbound/conn.go
@@ -41,7 +41,7 @@
 	phase          atomic.Int32
 	since          atomic.Int64            // start of the phase, monotonic nanoseconds after epoch; written before phase
 	cancelRequests context.CancelCauseFunc // cancels the connection's requests
-	requestError   func(error) error       // see Options.Broken
+	cancelCause    func(error) error       // see Options.CancelCause
 	headerStarted  bool                    // part of a header has arrived; used only by the goroutine that reads headers
 }
 
@@ -115,7 +115,7 @@
 	if err == nil {
 		return
 	}
-	if cause := c.requestError(err); cause != nil {
+	if cause := c.cancelCause(err); cause != nil {
 		c.cancelRequests(cause)
 	}
 }
--- a/inbound/listener.go
+++ b/inbound/listener.go
@@ -38,10 +38,10 @@
 	Recorder   *event.Recorder
 	Registerer prometheus.Registerer // nil: no metrics
 	Metrics    string                // prefix of the metrics' names
-	// Broken maps an error of a connection's reads or writes to the cause with which
-	// the connection's requests are cancelled, or to nil if they continue. Broken
-	// itself may be nil: no error cancels requests.
-	Broken func(error) error
+	// CancelCause maps an error of a connection's reads or writes to the cause with
+	// which the connection's requests are cancelled, or to nil if they continue. The
+	// function may be nil: no error cancels requests.
+	CancelCause func(error) error
 }
 
 // Listener closes clients' connections that are idle, or take to send a request's
@@ -74,8 +74,8 @@
 	if opts.Limits == nil {
 		opts.Limits = func() Limits { return Limits{} }
 	}
-	if opts.Broken == nil {
-		opts.Broken = func(error) error { return nil }
+	if opts.CancelCause == nil {
+		opts.CancelCause = func(error) error { return nil }
 	}
 	counter := func(name, help string) *prometheus.CounterVec {
 		return promauto.With(opts.Registerer).NewCounterVec(prometheus.CounterOpts{Name: opts.Metrics + name, Help: help}, []string{"phase"})
@@ -109,7 +109,7 @@
 	if err != nil {
 		return nil, err
 	}
-	conn := &clientConn{Conn: raw, epoch: c.epoch, requestError: c.opts.Broken}
+	conn := &clientConn{Conn: raw, epoch: c.epoch, cancelCause: c.opts.CancelCause}
 	conn.setPhaseStart(time.Now())
 	conn.phase.Store(phaseReading)
 	c.mu.Lock()
