--- a/entry/handler.go
+++ b/entry/handler.go
@@ -57,7 +57,7 @@
 	}
 	if config == nil {
 		defer httpanswer.DrainBody(w, r)()
-		h.refuseNotReady(w, call, "configuration", retryDelay(call.Wait))
+		h.refuseNotReady(w, call, "configuration", retryDelay(call.Timeout))
 		return
 	}
 	if err := call.ReadBody(w.ResponseWriter, r, config.Limits.BodyBytes); err != nil {
@@ -76,7 +76,7 @@
 		return
 	}
 	if !h.hasServers() {
-		h.refuseNotReady(w, call, "list of servers", min(retryDelay(call.Wait), withJitter(listRetryDelay)))
+		h.refuseNotReady(w, call, "list of servers", min(retryDelay(call.Timeout), withJitter(listRetryDelay)))
 		return
 	}
 	if !time.Now().Before(call.Deadline) {
@@ -100,14 +100,14 @@
 		return nil
 	}
 	if config.Keys() && !call.Route.Public {
-		owner := config.Owner(call.Key)
+		owner := config.Owner(call.APIKey)
 		if owner == nil {
 			return &platform.RequestError{Status: http.StatusUnauthorized, By: exchange.EndedByConfiguration, Err: errors.New("entry: the key is unknown")}
 		}
 		call.Organisation = owner.Name
 	}
 	call.Service = call.Route.Pick()
-	length, by := requestTimeout(call.Wait, call.Route.Timeout)
+	length, by := requestTimeout(call.Timeout, call.Route.Timeout)
 	call.Deadline, call.DeadlineBy = call.Arrived.Add(length), by
 	return nil
 }
--- a/entry/refusal.go
+++ b/entry/refusal.go
@@ -84,7 +84,7 @@
 	h.recorder.Emit(EventRouteRefused, event.FieldRequest, call.ID, "why", call.Route.RefusalReason, "version", call.Version,
 		event.FieldEndedBy, exchange.EndedByConfiguration)
 	platform.WriteFailure(w, call.ID, &exchange.Failure{
-		By: exchange.EndedByConfiguration, RetryAfter: retryDelay(call.Wait), Err: errors.New("entry: the configuration of this route can't be read"),
+		By: exchange.EndedByConfiguration, RetryAfter: retryDelay(call.Timeout), Err: errors.New("entry: the configuration of this route can't be read"),
 	})
 }
 
