--- a/router/answer.go
+++ b/router/answer.go
@@ -9,21 +9,21 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// answer writes one generation to its caller.
-type answer interface {
-	// tokens passes on tokens [first, first+len) of the answer; lineage says which attempt produced each.
-	tokens(first int, lineage types.Lineage, tokens []types.Token) error
-	// finish ends the answer whole; total counts all its tokens.
+// answerWriter writes one generation to its caller.
+type answerWriter interface {
+	// writeTokens writes the tokens [first, first+len(tokens)) of the answer; lineage says which attempt produced each.
+	writeTokens(first int, lineage types.Lineage, tokens []types.Token) error
+	// finish completes the answer; total counts all of its tokens.
 	finish(reason types.FinishReason, total int) error
-	// started reports whether the caller has got a status line.
+	// started reports whether the status line has been sent.
 	started() bool
-	// fail ends an answer that has started with an error.
+	// fail ends a started answer with an error.
 	fail(refusal *types.Refusal) error
 }
 
-// shape writes OpenAI bodies for one request.
-type shape struct {
-	ask     *ask
+// bodyBuilder builds OpenAI response bodies for one request.
+type bodyBuilder struct {
+	req     *generationRequest
 	id      types.GenerationID
 	created int64
 }
@@ -56,21 +56,21 @@
 	Usage   *usage   `json:"usage,omitempty"`
 }
 
-func (s *shape) chunk(text string, reason *types.FinishReason) completion {
+func (s *bodyBuilder) chunk(text string, reason *types.FinishReason) completion {
 	c := choice{FinishReason: reason}
 	object, prefix := "text_completion", "cmpl-"
-	if s.ask.chat {
+	if s.req.chat {
 		object, prefix = "chat.completion.chunk", "chatcmpl-"
 		c.Delta = &message{Role: "assistant", Content: text}
 	} else {
 		c.Text = &text
 	}
-	return completion{ID: prefix + s.id.String(), Object: object, Created: s.created, Model: s.ask.model, Choices: []choice{c}}
+	return completion{ID: prefix + s.id.String(), Object: object, Created: s.created, Model: s.req.model, Choices: []choice{c}}
 }
 
-func (s *shape) whole(text string, reason types.FinishReason, total int) completion {
+func (s *bodyBuilder) whole(text string, reason types.FinishReason, total int) completion {
 	body := s.chunk(text, &reason)
-	if s.ask.chat {
+	if s.req.chat {
 		body.Object = "chat.completion"
 		body.Choices[0].Message, body.Choices[0].Delta = body.Choices[0].Delta, nil
 	}
@@ -78,9 +78,9 @@
 	return body
 }
 
-// streamAnswer writes server-sent events, one a token.
+// streamAnswer writes server-sent events, one per token.
 type streamAnswer struct {
-	shape
+	bodyBuilder
 	w       http.ResponseWriter
 	control *http.ResponseController
 	begun   bool
@@ -102,7 +102,7 @@
 	a.w.WriteHeader(http.StatusOK)
 }
 
-func (a *streamAnswer) tokens(first int, lineage types.Lineage, tokens []types.Token) error {
+func (a *streamAnswer) writeTokens(first int, lineage types.Lineage, tokens []types.Token) error {
 	a.begin()
 	a.buf = a.buf[:0]
 	for i, t := range tokens {
@@ -120,7 +120,7 @@
 }
 
 func (a *streamAnswer) fail(refusal *types.Refusal) error {
-	a.buf = a.appendData(a.buf[:0], newErrorBody(refusal, a.ask.requestID))
+	a.buf = a.appendData(a.buf[:0], newErrorBody(refusal, a.req.requestID))
 	return a.flush()
 }
 
@@ -138,34 +138,34 @@
 	return a.control.Flush()
 }
 
-// wholeAnswer collects the tokens and writes one JSON body at the end.
-type wholeAnswer struct {
-	shape
+// collectedAnswer collects the tokens and writes one JSON body at the end.
+type collectedAnswer struct {
+	bodyBuilder
 	w    http.ResponseWriter
 	text strings.Builder
 }
 
-func (a *wholeAnswer) started() bool { return false }
+func (a *collectedAnswer) started() bool { return false }
 
-func (a *wholeAnswer) tokens(_ int, _ types.Lineage, tokens []types.Token) error {
+func (a *collectedAnswer) writeTokens(_ int, _ types.Lineage, tokens []types.Token) error {
 	for _, t := range tokens {
 		a.text.WriteString(t.Text)
 	}
 	return nil
 }
 
-func (a *wholeAnswer) finish(reason types.FinishReason, total int) error {
+func (a *collectedAnswer) finish(reason types.FinishReason, total int) error {
 	a.w.Header().Set("Content-Type", "application/json")
 	a.w.Header().Set(HeaderOutcome, string(types.OutcomeCompleted))
 	return json.NewEncoder(a.w).Encode(a.whole(a.text.String(), reason, total))
 }
 
-func (a *wholeAnswer) fail(*types.Refusal) error { return nil }
+func (a *collectedAnswer) fail(*types.Refusal) error { return nil }
 
-func newAnswer(w http.ResponseWriter, a *ask, id types.GenerationID) answer {
-	s := shape{ask: a, id: id, created: time.Now().Unix()}
-	if a.stream {
-		return &streamAnswer{shape: s, w: w, control: http.NewResponseController(w), events: newEventEncoder(&s)}
+func newAnswer(w http.ResponseWriter, gr *generationRequest, id types.GenerationID) answerWriter {
+	s := bodyBuilder{req: gr, id: id, created: time.Now().Unix()}
+	if gr.stream {
+		return &streamAnswer{bodyBuilder: s, w: w, control: http.NewResponseController(w), events: newEventEncoder(&s)}
 	}
-	return &wholeAnswer{shape: s, w: w}
+	return &collectedAnswer{bodyBuilder: s, w: w}
 }
--- a/router/attempt.go
+++ b/router/attempt.go
@@ -14,53 +14,53 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// ending says how an attempt ended for the router.
-type ending int
+// attemptEnd says how an attempt ended for the router.
+type attemptEnd int
 
 const (
-	ended      ending = iota // the answer is whole
-	notStarted               // provably nothing of the attempt ran
-	lost                     // it broke; resume from what was read
-	overtaken                // an offer beside it has the generation now
-	decided                  // an offer has won; its stream is read on later
-	left                     // the caller is gone, or its answer can't be written
+	endCompleted  attemptEnd = iota // the answer is complete
+	endNotStarted                   // it is certain that nothing of the attempt ran
+	endLost                         // the stream broke; resume after the tokens read so far
+	endSuperseded                   // an offer has taken the generation over
+	endOfferWon                     // this attempt is an offer and has won; its stream is read on later
+	endCallerLeft                   // the caller is gone, or writing to it failed
 )
 
 // attemptResult is how one attempt ended and what is known of the cause.
 type attemptResult struct {
-	ending     ending
-	finish     types.FinishReason
-	refused    *streampb.Refused // set when a sidecar refused
-	death      string            // the engine's death, as its sidecar names it
-	proven     bool              // the request had run well on that engine
-	cause      string            // label of the loss
-	accepted   bool              // the sidecar took the attempt
-	progressed bool              // it brought at least one new token
-	lastSign   time.Time         // last sign of life before the end
+	end         attemptEnd
+	finish      types.FinishReason
+	refused     *streampb.Refused // set if a sidecar refused the attempt
+	deathID     string            // identifies the engine's death, as reported by its sidecar
+	proven      bool              // the sidecar reports that the request had run well on that engine
+	cause       string            // cause of the loss, a metric label
+	accepted    bool              // the sidecar accepted the attempt
+	progressed  bool              // at least one new token arrived
+	lastFrameAt time.Time         // when the last frame arrived
 }
 
-// frames is the stream of one attempt. It is read by the goroutine that writes
-// to the caller: a token takes one wake-up on its way, not two.
-type frames struct {
-	ctx    context.Context // of the caller
-	cancel context.CancelFunc
-	open   func() (io.ReadCloser, error)
-	guard  peer.SentGuard
-	body   io.ReadCloser
-	reader *streampb.Reader
-	put    *streampb.Frame // read already; comes next
-	silence
+// frameStream is the stream of one attempt. It is read by the goroutine that
+// writes to the caller, so that a token costs one wake-up instead of two.
+type frameStream struct {
+	ctx        context.Context // the caller's
+	cancel     context.CancelFunc
+	open       func() (io.ReadCloser, error)
+	guard      peer.SentGuard
+	body       io.ReadCloser
+	reader     *streampb.Reader
+	pushedBack *streampb.Frame // returned by the next read
+	silenceTimer
 }
 
-// openStream prepares a stream; the first read makes the call.
-func (r *Router) openStream(ctx context.Context, address, path string, body proto.Message) *frames {
+// openStream prepares a stream; the first read sends the request.
+func (r *Router) openStream(ctx context.Context, address, path string, body proto.Message) *frameStream {
 	stream, cancel := context.WithCancel(ctx)
-	f := &frames{ctx: ctx, cancel: cancel}
-	f.open = func() (io.ReadCloser, error) { return r.call(f.guard.Watch(stream), address, path, body) }
+	f := &frameStream{ctx: ctx, cancel: cancel}
+	f.open = func() (io.ReadCloser, error) { return r.postStream(f.guard.Watch(stream), address, path, body) }
 	return f
 }
 
-func (r *Router) call(ctx context.Context, address, path string, body proto.Message) (io.ReadCloser, error) {
+func (r *Router) postStream(ctx context.Context, address, path string, body proto.Message) (io.ReadCloser, error) {
 	var buf bytes.Buffer
 	if err := streampb.Write(&buf, body); err != nil {
 		return nil, err
@@ -80,12 +80,12 @@
 	return resp.Body, nil
 }
 
-// putBack makes frame the next one that is read.
-func (f *frames) putBack(frame *streampb.Frame) { f.put = frame }
+// pushBack makes the next read return frame.
+func (f *frameStream) pushBack(frame *streampb.Frame) { f.pushedBack = frame }
 
-func (f *frames) read() (*streampb.Frame, error) {
-	if frame := f.put; frame != nil {
-		f.put = nil
+func (f *frameStream) read() (*streampb.Frame, error) {
+	if frame := f.pushedBack; frame != nil {
+		f.pushedBack = nil
 		return frame, nil
 	}
 	if f.reader == nil {
@@ -99,82 +99,83 @@
 	return frame, f.reader.Read(frame)
 }
 
-func (f *frames) close() {
-	f.stop()
+func (f *frameStream) close() {
+	f.endRead()
 	f.cancel()
 	if f.body != nil {
 		_ = f.body.Close()
 	}
 }
 
-// onFrame handles the frames of one attempt; a nil result means go on.
-type onFrame func(*streampb.Frame) *attemptResult
+// frameHandler handles a frame of an attempt. A non-nil result ends the reading.
+type frameHandler func(*streampb.Frame) *attemptResult
 
-// readStream passes frames to handle until it gives a result, and closes the stream.
-func readStream(f *frames, limit time.Duration, handle onFrame) attemptResult {
+// readStream calls readFrames and closes the stream.
+func readStream(f *frameStream, limit time.Duration, handle frameHandler) attemptResult {
 	defer f.close()
 	return readFrames(f, limit, handle)
 }
 
-// readFrames passes frames to handle until it gives a result, the stream
-// breaks, or it is silent for longer than limit.
+// readFrames passes frames to handle until it returns a result, the stream
+// breaks, or nothing arrives for longer than limit.
 //
-// Failure it stops: a frozen or cut VM keeps its connections open, so a caller
-// would wait without end. Sidecars write a heartbeat on an idle stream, so
-// silence over several heartbeats means that the way to the engine is gone.
-func readFrames(f *frames, limit time.Duration, handle onFrame) attemptResult {
-	f.watch(limit, f.cancel)
-	lastSign := time.Now()
+// The limit is needed because a frozen or disconnected VM leaves its connections
+// open, and the caller would wait forever. Sidecars send heartbeats on an idle
+// stream, so several missing heartbeats mean that the path to the engine is gone.
+func readFrames(f *frameStream, limit time.Duration, handle frameHandler) attemptResult {
+	f.setTimeout(limit, f.cancel)
+	lastFrameAt := time.Now()
 	for {
 		frame, event := f.wait()
 		switch event {
-		case callerGone:
-			return attemptResult{ending: left, lastSign: lastSign}
-		case silent:
-			return attemptResult{ending: lost, cause: causeSilence, lastSign: lastSign}
-		case closed:
-			return broken(f, lastSign)
+		case streamCallerGone:
+			return attemptResult{end: endCallerLeft, lastFrameAt: lastFrameAt}
+		case streamSilent:
+			return attemptResult{end: endLost, cause: causeSilence, lastFrameAt: lastFrameAt}
+		case streamBroken:
+			return brokenResult(f, lastFrameAt)
 		}
-		lastSign = time.Now()
+		lastFrameAt = time.Now()
 		if result := handle(frame); result != nil {
-			result.lastSign = lastSign
+			result.lastFrameAt = lastFrameAt
 			return *result
 		}
 	}
 }
 
-// streamEvent is what a wait for the next frame ended with.
+// streamEvent is the result of waiting for the next frame.
 type streamEvent int
 
 const (
 	frameRead streamEvent = iota
-	callerGone
-	silent
-	closed
+	streamCallerGone
+	streamSilent
+	streamBroken
 )
 
-// wait returns the next frame. The time that the caller took to read the last
-// one doesn't count as silence.
-func (f *frames) wait() (*streampb.Frame, streamEvent) {
-	f.begin()
+// wait returns the next frame. The timeout covers this read only: the time that
+// the caller took to accept the previous frame isn't counted.
+func (f *frameStream) wait() (*streampb.Frame, streamEvent) {
+	f.beginRead()
 	frame, err := f.read()
-	f.stop()
+	f.endRead()
 	switch {
 	case err == nil:
 		return frame, frameRead
 	case f.ctx.Err() != nil:
-		return nil, callerGone
+		return nil, streamCallerGone
 	case f.expired():
-		return nil, silent
+		return nil, streamSilent
 	default:
-		return nil, closed
+		return nil, streamBroken
 	}
 }
 
-// broken tells a connection that was never made (nothing ran) from one that broke.
-func broken(f *frames, lastSign time.Time) attemptResult {
+// brokenResult distinguishes a connection that was never made, where nothing can
+// have run, from one that broke.
+func brokenResult(f *frameStream, lastFrameAt time.Time) attemptResult {
 	if !f.guard.MayHaveLeft() {
-		return attemptResult{ending: notStarted, cause: causeConnection, lastSign: lastSign}
+		return attemptResult{end: endNotStarted, cause: causeConnection, lastFrameAt: lastFrameAt}
 	}
-	return attemptResult{ending: lost, cause: causeConnection, lastSign: lastSign}
+	return attemptResult{end: endLost, cause: causeConnection, lastFrameAt: lastFrameAt}
 }
--- a/router/call.go
+++ b/router/call.go
@@ -19,62 +19,62 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// hopHeaders belong to one connection, or to this system; they aren't passed on.
+// hopHeaders apply to one connection, or to this system, and are not forwarded.
 var hopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Authorization", "Content-Length"}
 
-// callTimeout bounds a call of a plain service: its caller waits for seconds,
-// and a frozen VM answers nothing.
+// callTimeout bounds a call of a plain service: callers wait for seconds only, and
+// a frozen VM never answers.
 const callTimeout = 10 * time.Second
 
-// serveCall serves one call of a plain service.
-func (r *Router) serveCall(w http.ResponseWriter, req *http.Request, in *admitted) {
-	_, _, refusal := plainCall(req, in)
+// serveCall serves a call of a plain service.
+func (r *Router) serveCall(w http.ResponseWriter, req *http.Request, adm *admittedRequest) {
+	_, _, refusal := parsePlainCall(req, adm)
 	if refusal != nil {
 		defer httpanswer.DrainBody(w, req)()
-		r.refuse(w, in.id, refusal)
+		r.refuse(w, adm.id, refusal)
 		return
 	}
-	body, ok := r.readAdmitted(w, req, in)
+	body, ok := r.readAdmitted(w, req, adm)
 	if !ok {
 		return
 	}
-	service, key, refusal := plainCall(req, in)
+	service, key, refusal := parsePlainCall(req, adm)
 	if refusal != nil {
-		r.refuse(w, in.id, refusal)
+		r.refuse(w, adm.id, refusal)
 		return
 	}
-	ctx, cancel, refusal := withDeadline(req, min(in.text.Limits.Deadline(), callTimeout))
+	ctx, cancel, refusal := withDeadline(req, min(adm.text.Limits.Deadline(), callTimeout))
 	if refusal != nil {
-		r.refuse(w, in.id, refusal)
+		r.refuse(w, adm.id, refusal)
 		return
 	}
 	defer cancel()
-	release, refusal := r.admitCall(ctx, in.organisation)
+	release, refusal := r.admitCall(ctx, adm.organisation)
 	if refusal != nil {
-		r.refuse(w, in.id, r.truthful(req, refusal))
+		r.refuse(w, adm.id, r.accountForEarlier(req, refusal))
 		return
 	}
 	defer release()
-	answer, refusal := r.runCall(ctx, in, service, key, r.callOf(req, body))
+	answer, refusal := r.dispatchCall(ctx, adm, service, key, r.buildCall(req, body))
 	if refusal != nil && refusal.Code == types.CodeTableDown {
-		refusal = r.truthful(req, refusal) // the others were said after reading the claim
+		refusal = r.accountForEarlier(req, refusal) // all other refusals were made after reading the claim
 	}
 	if refusal != nil {
-		r.refuse(w, in.id, refusal)
+		r.refuse(w, adm.id, refusal)
 		return
 	}
-	r.writeCall(w, in, answer)
+	r.writeCallAnswer(w, adm, answer)
 }
 
-// plainCall returns the service that a call is for, and its idempotency key.
-func plainCall(req *http.Request, in *admitted) (*text.Service, string, *types.Refusal) {
-	service, ok := in.text.Service(req.PathValue("service"))
+// parsePlainCall returns the service that a call is for and its idempotency key.
+func parsePlainCall(req *http.Request, adm *admittedRequest) (*text.Service, string, *types.Refusal) {
+	service, ok := adm.text.Service(req.PathValue("service"))
 	if !ok || service.Kind != text.KindPlain {
-		return nil, "", types.Invalid(http.StatusNotFound, types.CodeUnknownService, "no plain service has the name %q", req.PathValue("service"))
+		return nil, "", types.Invalid(http.StatusNotFound, types.CodeUnknownService, "there is no plain service %q", req.PathValue("service"))
 	}
-	key, refusal := idempotencyKeyOf(req.Header)
+	key, refusal := parseIdempotencyKey(req.Header)
 	if refusal == nil && key == "" && service.Calls == text.CallsAtMostOnce {
-		refusal = types.Invalid(http.StatusBadRequest, types.CodeKeyRequired, "calls of %s need an %s", service.Name, HeaderIdempotencyKey)
+		refusal = types.Invalid(http.StatusBadRequest, types.CodeKeyRequired, "calls of service %s require the header %s", service.Name, HeaderIdempotencyKey)
 	}
 	return service, key, refusal
 }
@@ -86,7 +86,7 @@
 	return r.opts.Limiter.Admit(ctx, types.Organisation(org.Name), limit.Plain)
 }
 
-func (r *Router) callOf(req *http.Request, body []byte) plain.Call {
+func (r *Router) buildCall(req *http.Request, body []byte) plain.Call {
 	path := "/" + req.PathValue("path")
 	if req.URL.RawQuery != "" {
 		path += "?" + req.URL.RawQuery
@@ -98,27 +98,27 @@
 	return plain.Call{Method: req.Method, Path: path, Header: header, Body: body}
 }
 
-func (r *Router) runCall(ctx context.Context, in *admitted, service *text.Service, key string, call plain.Call) (plain.Answer, *types.Refusal) {
+func (r *Router) dispatchCall(ctx context.Context, adm *admittedRequest, service *text.Service, key string, call plain.Call) (plain.Answer, *types.Refusal) {
 	sf := r.service(service.Name)
 	if sf == nil {
-		return plain.Answer{}, types.NotRun(types.CodeNoBackend, unconfiguredRetry, "service %s is not ready here yet", service.Name)
+		return plain.Answer{}, types.NotRun(types.CodeNoBackend, notReadyRetryAfter, "service %s is not ready here yet", service.Name)
 	}
 	if service.Calls == text.CallsAtMostOnce {
-		return r.runOnce(ctx, in, sf, key, call)
+		return r.runAtMostOnce(ctx, adm, sf, key, call)
 	}
-	return r.runRepeatable(ctx, in, sf, call)
+	return r.runRepeatable(ctx, adm, sf, call)
 }
 
-// runOnce leaves a non-idempotent call to the claim protocol.
-func (r *Router) runOnce(ctx context.Context, in *admitted, sf *serviceFleet, key string, call plain.Call) (plain.Answer, *types.Refusal) {
+// runAtMostOnce runs a non-idempotent call through the claim protocol.
+func (r *Router) runAtMostOnce(ctx context.Context, adm *admittedRequest, sf *serviceFleet, key string, call plain.Call) (plain.Answer, *types.Refusal) {
 	if r.opts.Claims == nil {
-		return plain.Answer{}, types.NotRun(types.CodeTableDown, unconfiguredRetry, "this router has no table service")
+		return plain.Answer{}, types.NotRun(types.CodeTableDown, notReadyRetryAfter, "this router has no table service configured")
 	}
 	deadline, _ := ctx.Deadline()
 	return r.opts.Claims.Do(ctx, claim.Call{
-		RequestID:    in.id,
+		RequestID:    adm.id,
 		Service:      sf.name,
-		Organisation: types.Organisation(in.organisation.Name),
+		Organisation: types.Organisation(adm.organisation.Name),
 		Key:          key,
 		Method:       call.Method,
 		Path:         call.Path,
@@ -128,8 +128,8 @@
 	}, func(avoid []string) (claim.Target, bool) { return r.pickTarget(sf, avoid) })
 }
 
-// pickTarget chooses where a claimed call may run. Only a sidecar whose
-// incarnation is known can be named in a claim.
+// pickTarget chooses where a claimed call may run. A claim names the incarnation of
+// its sidecar, so that one must be known.
 func (r *Router) pickTarget(sf *serviceFleet, avoid []string) (claim.Target, bool) {
 	query := route.Query{Zone: r.opts.Zone}
 	for _, name := range avoid {
@@ -147,42 +147,42 @@
 	}
 }
 
-// runRepeatable sends an idempotent call. It is sent again, within the budget,
-// only where it proved not to have run: a call that makes its servers slow
-// would otherwise be multiplied by those that wait for it in vain.
-func (r *Router) runRepeatable(ctx context.Context, in *admitted, sf *serviceFleet, call plain.Call) (plain.Answer, *types.Refusal) {
+// runRepeatable sends an idempotent call. It retries, within the retry budget, only
+// after an attempt that provably did not run: retries after a timeout would multiply
+// the calls that overload their servers.
+func (r *Router) runRepeatable(ctx context.Context, adm *admittedRequest, sf *serviceFleet, call plain.Call) (plain.Answer, *types.Refusal) {
 	sf.budget.First()
 	query := route.Query{Zone: r.opts.Zone}
 	for {
 		c, ok := sf.policy.Pick(&query, sf.view.Load())
 		if !ok {
-			return plain.Answer{}, notCalled(sf.retryAfter())
+			return plain.Answer{}, noBackendRefusal(sf.retryAfter())
 		}
 		query.Avoid = append(query.Avoid, c.ID)
 		if !sf.circuit(c.ID).Allow() {
 			continue
 		}
-		resp, err := r.sendCall(ctx, c, in, sf, call)
-		r.noteCall(sf, c, resp, err)
+		resp, err := r.sendCall(ctx, c, adm, sf, call)
+		r.recordCallResult(sf, c, resp, err)
 		if err == nil && resp.GetOutcome() == streampb.CallOutcome_CALL_COMPLETED {
-			return answerOf(resp), nil
+			return callAnswer(resp), nil
 		}
 		if mayHaveRun(resp, err) {
-			return plain.Answer{}, types.Unknown(types.CodeUnknownOutcome, sf.retryAfter(), "the call was sent and its answer is lost; it may be sent again")
+			return plain.Answer{}, types.Unknown(types.CodeUnknownOutcome, sf.retryAfter(), "the call was sent and its response was lost; it may be sent again")
 		}
 		if ctx.Err() != nil || !sf.budget.Allow() {
-			return plain.Answer{}, notCalled(sf.retryAfter())
+			return plain.Answer{}, noBackendRefusal(sf.retryAfter())
 		}
 	}
 }
 
-func (r *Router) sendCall(ctx context.Context, c *route.Candidate, in *admitted, sf *serviceFleet, call plain.Call) (*streampb.CallResponse, error) {
+func (r *Router) sendCall(ctx context.Context, c *route.Candidate, adm *admittedRequest, sf *serviceFleet, call plain.Call) (*streampb.CallResponse, error) {
 	sent := c.Begin(&route.Query{})
 	defer sent.End()
 	deadline, _ := ctx.Deadline()
-	r.opts.Recorder.Emit(eventPlaced, event.FieldRequest, in.id, "service", sf.name, "backend_server", c.ID)
+	r.opts.Recorder.Emit(eventPlaced, event.FieldRequest, adm.id, "service", sf.name, "backend_server", c.ID)
 	return r.sidecars.Call(ctx, c.Address, &streampb.CallRequest{
-		RequestId:      string(in.id),
+		RequestId:      string(adm.id),
 		Service:        sf.name,
 		Method:         call.Method,
 		Path:           call.Path,
@@ -199,30 +199,30 @@
 	return resp.GetOutcome() != streampb.CallOutcome_CALL_NOT_RUN
 }
 
-// noteCall updates what is known of the backend server by how a call ended.
-func (r *Router) noteCall(sf *serviceFleet, c *route.Candidate, resp *streampb.CallResponse, err error) {
+// recordCallResult updates the statistics of the backend server by how a call ended.
+func (r *Router) recordCallResult(sf *serviceFleet, c *route.Candidate, resp *streampb.CallResponse, err error) {
 	circuit := sf.circuit(c.ID)
 	switch {
 	case err == nil && resp.GetOutcome() == streampb.CallOutcome_CALL_COMPLETED:
 		c.Stats.Succeeded()
 		circuit.Success()
 	case types.Code(resp.GetCode()) == types.CodeLeaving:
-		r.noteLeaving(sf, c)
+		r.recordLeaving(sf, c)
 	default:
 		c.Stats.Failed(time.Now())
 		circuit.Failure()
 	}
 }
 
-func notCalled(wait time.Duration) *types.Refusal {
-	return types.NotRun(types.CodeNoBackend, wait, "no backend server takes this call")
+func noBackendRefusal(wait time.Duration) *types.Refusal {
+	return types.NotRun(types.CodeNoBackend, wait, "no backend server is available for this call")
 }
 
-func answerOf(resp *streampb.CallResponse) plain.Answer {
+func callAnswer(resp *streampb.CallResponse) plain.Answer {
 	return plain.Answer{Status: int(resp.GetStatus()), Header: streampb.ToHeader(resp.GetHeaders()), Body: resp.GetBody()}
 }
 
-func (r *Router) writeCall(w http.ResponseWriter, in *admitted, answer plain.Answer) {
+func (r *Router) writeCallAnswer(w http.ResponseWriter, adm *admittedRequest, answer plain.Answer) {
 	h := w.Header()
 	for name, values := range answer.Header {
 		if !strings.HasPrefix(name, "Pearyard-") {
@@ -234,7 +234,7 @@
 	}
 	h.Set(HeaderOutcome, string(types.OutcomeCompleted))
 	r.metrics.requests.WithLabelValues(string(types.OutcomeCompleted), "").Inc()
-	r.opts.Recorder.Emit(eventDelivered, event.FieldRequest, in.id, "status", answer.Status)
+	r.opts.Recorder.Emit(eventDelivered, event.FieldRequest, adm.id, "status", answer.Status)
 	w.WriteHeader(answer.Status)
 	_, _ = w.Write(answer.Body)
 }
--- a/router/circuits.go
+++ b/router/circuits.go
@@ -7,13 +7,14 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// circuitMaxOpen bounds how long a backend server that failed gets no work but
-// a probe: after a fault of the whole site everybody must be back within seconds.
+// circuitMaxOpen bounds how long a backend server that failed gets no request but
+// a probe: after an outage of a whole deployment all servers must be in use again
+// within seconds.
 const circuitMaxOpen = 4 * time.Second
 
-// circuit returns the circuit of a backend server. It opens after failures of
-// the way to the sidecar in a row; what a sidecar refuses, or reports of its
-// engine, is no such failure, since the refusal itself costs nothing.
+// circuit returns the circuit breaker of a backend server. It opens after
+// consecutive failures to reach the sidecar. Refusals by a sidecar and the failures
+// of an engine that it reports don't count, since such a refusal costs nothing.
 func (sf *serviceFleet) circuit(id types.ProcessID) *retry.Circuit {
 	if c, ok := sf.circuits.Load(id); ok {
 		return c.(*retry.Circuit)
@@ -24,8 +25,8 @@
 	return c.(*retry.Circuit)
 }
 
-// retryAfter tells a caller that is refused when to come back, by the load of
-// the service: the fuller it is, the wider the returns are spread.
+// retryAfter returns when a refused caller should retry: the higher the load of
+// the service, the wider the retries are spread.
 func (sf *serviceFleet) retryAfter() time.Duration {
 	return retry.RetryAfter(sf.view.Load().Load())
 }
--- a/router/bed_test.go
+++ b/router/cluster_test.go
@@ -24,11 +24,11 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// testQueue is how many requests wait for an engine's batch before it refuses.
+// testQueue is how many requests an engine queues before it refuses.
 const testQueue = 32
 
-// site is one engine with its sidecar.
-type site struct {
+// backend is one engine with its sidecar.
+type backend struct {
 	engine    *standin.Engine
 	engineURL string
 	sidecar   *sidecar.Sidecar
@@ -42,7 +42,7 @@
 	})
 }
 
-func newSite(t *testing.T, name string) *site {
+func newBackend(t *testing.T, name string) *backend {
 	eng := standin.NewEngine(standin.EngineOptions{StepBase: 2 * time.Millisecond, MaxQueue: testQueue})
 	engineServer := httptest.NewServer(eng)
 	t.Cleanup(engineServer.Close)
@@ -61,52 +61,52 @@
 	go func() { _ = s.Run(t.Context()) }()
 	server := httptest.NewServer(p.Handler(s.Handler()))
 	t.Cleanup(server.Close)
-	return &site{engine: eng, engineURL: engineServer.URL, sidecar: s, address: strings.TrimPrefix(server.URL, "http://")}
+	return &backend{engine: eng, engineURL: engineServer.URL, sidecar: s, address: strings.TrimPrefix(server.URL, "http://")}
 }
 
-const siteText = `{"services":[{"name":"m","kind":"model","dependsOn":[{"model":"pear","version":"1"}],"backendServers":[%s]}],
+const configFormat = `{"services":[{"name":"m","kind":"model","dependsOn":[{"model":"pear","version":"1"}],"backendServers":[%s]}],
 "models":[{"name":"pear","version":"1"}],
 "organisations":[{"name":"o","keySHA256":["2c70e12b7a0646f92279f427c7b38e7334d8e5389cff167a1dc30e73f826b683"]}]}`
 
-// textOf returns a text of one service with a backend server at each address.
-func textOf(sidecars []string) []byte {
+// configOf returns a configuration of one service with a backend server at each address.
+func configOf(sidecars []string) []byte {
 	var servers []string
 	for i, address := range sidecars {
 		servers = append(servers, fmt.Sprintf(`{"name":"s%d","zone":"z%d","sidecar":%q}`, i, i%3, address))
 	}
-	return fmt.Appendf(nil, siteText, strings.Join(servers, ","))
+	return fmt.Appendf(nil, configFormat, strings.Join(servers, ","))
 }
 
-// bed is two sites behind one router.
-type bed struct {
-	sites []*site
-	url   string
+// cluster is two backends behind one router.
+type cluster struct {
+	backends []*backend
+	url      string
 }
 
-func newBed(t *testing.T) *bed {
-	a, b := newSite(t, "a"), newSite(t, "b")
-	return &bed{sites: []*site{a, b}, url: newRouter(t, a.address, b.address)}
+func newCluster(t *testing.T) *cluster {
+	a, b := newBackend(t, "a"), newBackend(t, "b")
+	return &cluster{backends: []*backend{a, b}, url: newRouter(t, a.address, b.address)}
 }
 
-// newRouter starts a router before some sidecars and returns its URL for callers.
+// newRouter starts a router for some sidecars and returns its URL for callers.
 func newRouter(t *testing.T, sidecars ...string) string {
 	r, url := startRouter(t, sidecars)
 	NewWithT(t).Expect(r.Refresh()).To(Succeed())
 	return url
 }
 
-// newUnrefreshed starts one that hasn't joined its text with the members yet.
-func newUnrefreshed(t *testing.T, sidecars ...string) string {
+// newRouterWithoutViews starts a router that hasn't built its views yet.
+func newRouterWithoutViews(t *testing.T, sidecars ...string) string {
 	_, url := startRouter(t, sidecars)
 	return url
 }
 
 func startRouter(t *testing.T, sidecars []string) (*router.Router, string) {
-	in, findings := text.Parse(textOf(sidecars))
+	conf, findings := text.Parse(configOf(sidecars))
 	NewWithT(t).Expect(findings).To(BeEmpty())
 	r := router.New(router.Options{
 		Peer:       newPeer("r1", ""),
-		Text:       func() *text.Text { return in },
+		Text:       func() *text.Text { return conf },
 		Fresh:      func() bool { return true },
 		Members:    func() *membership.View { return nil },
 		Recorder:   event.Discard(),
@@ -117,17 +117,17 @@
 	return r, callers.URL
 }
 
-// requests counts what any engine has run.
-func (b *bed) requests() (n uint64) {
-	for _, s := range b.sites {
+// requests counts the requests that all engines have run.
+func (b *cluster) requests() (n uint64) {
+	for _, s := range b.backends {
 		n += s.engine.Counters().Requests
 	}
 	return n
 }
 
-// crashRunning crashes every engine that runs something.
-func (b *bed) crashRunning() {
-	for _, s := range b.sites {
+// crashRunning crashes every engine that runs a request.
+func (b *cluster) crashRunning() {
+	for _, s := range b.backends {
 		if s.engine.Counters().Running > 0 {
 			s.engine.Crash()
 		}
@@ -139,16 +139,16 @@
 	return string(raw)
 }
 
-// A caller streams a long answer. Half way its engine dies. The stream must go
-// on at the next token, from another engine, as one unspliced answer.
-func TestEngineDiesHalfWay(t *testing.T) {
+// The engine of a long streamed answer dies half way. The stream must continue at the
+// next token, from another engine, as one answer.
+func TestStreamResumesAfterEngineCrash(t *testing.T) {
 	g := NewWithT(t)
-	bed := newBed(t)
-	caller := client.New(client.Options{Routers: []string{strings.TrimPrefix(bed.url, "http://")}, Key: "key"})
+	cl := newCluster(t)
+	caller := client.New(client.Options{Routers: []string{strings.TrimPrefix(cl.url, "http://")}, Key: "key"})
 	answer, err := caller.Generate(t.Context(), client.Request{Model: "pear", Prompt: "list the pears", MaxTokens: 200},
 		func(index int, _ string) {
 			if index == 100 {
-				bed.crashRunning()
+				cl.crashRunning()
 			}
 		})
 	g.Expect(err).NotTo(HaveOccurred())
--- a/router/drain.go
+++ b/router/drain.go
@@ -10,31 +10,32 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// enter counts a request in, unless the router is draining.
+// beginRequest counts a request as in flight, unless the router is draining.
 //
-// Failure it stops: a request that passes the check just before the drain
-// begins and is cut when the process ends. A request counts itself before it
-// looks at draining, and the drain sets draining before it looks at the count;
-// so either the request sees the drain, or the drain sees the request.
-func (r *Router) enter() bool {
+// A request counts itself before it reads draining, and the drain sets draining
+// before it reads the count. So either the request sees the drain, or the drain
+// sees the request; otherwise a request that passes the check just before the drain
+// begins would be cut off when the process exits.
+func (r *Router) beginRequest() bool {
 	r.streams.Add(1)
 	if r.draining.Load() {
-		r.exit()
+		r.endRequest()
 		return false
 	}
 	return true
 }
 
-func (r *Router) exit() {
+// endRequest undoes beginRequest; the last request of a drain closes drained.
+func (r *Router) endRequest() {
 	if r.streams.Add(-1) == 0 && r.draining.Load() {
-		r.idle.Do(func() { close(r.drained) })
+		r.drainedOnce.Do(func() { close(r.drained) })
 	}
 }
 
-// BeginDrain refuses new work from now on. It is safe to call many times.
+// BeginDrain refuses new requests from now on. Further calls have no effect.
 func (r *Router) BeginDrain(reason string) {
 	r.streams.Add(1) // keeps the count above zero until the drain has begun
-	defer r.exit()
+	defer r.endRequest()
 	if r.draining.Swap(true) {
 		return
 	}
@@ -46,15 +47,15 @@
 // Stopping is closed when a planned stop begins.
 func (r *Router) Stopping() <-chan struct{} { return r.stopping }
 
-// Draining reports whether the router takes no new work.
+// Draining reports whether the router refuses new requests.
 func (r *Router) Draining() bool { return r.draining.Load() }
 
 // Streams returns how many requests are in flight.
 func (r *Router) Streams() int { return int(r.streams.Load()) }
 
-// Drained waits for the requests in flight; BeginDrain must have been called.
-// A caller's connection can't be moved to another router, so the wait has no
-// bound of its own.
+// Drained waits for the requests in flight; BeginDrain must have been called. The
+// wait has no bound of its own, since a caller's connection can't be moved to
+// another router.
 func (r *Router) Drained(ctx context.Context) error {
 	select {
 	case <-r.drained:
@@ -65,20 +66,20 @@
 	}
 }
 
-// Drain says how a planned stop goes.
+// Drain returns the progress of a planned stop.
 func (r *Router) Drain() inspect.Drain {
 	drain := inspect.Drain{Active: r.draining.Load(), Streams: r.Streams()}
 	if at := r.drainedAt.Load(); at != 0 {
 		drain.Since = time.Unix(0, at)
 	}
-	r.begun.Range(func(begun, _ any) bool {
-		drain.Longest = max(drain.Longest, time.Since(begun.(*admitted).begun))
+	r.inFlight.Range(func(begun, _ any) bool {
+		drain.Longest = max(drain.Longest, time.Since(begun.(*admittedRequest).started))
 		return true
 	})
 	return drain
 }
 
-// serveReady tells the platform's balancer whether to send new connections here.
+// serveReady tells the platform's load balancer whether to send new connections here.
 func (r *Router) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if r.draining.Load() || r.opts.Text() == nil || !r.opts.Fresh() || !r.hasBackends(r.opts.Text()) {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -87,9 +88,9 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-func (r *Router) hasBackends(in *text.Text) bool {
-	for i := range in.Services {
-		sf := r.fleet.service(in.Services[i].Name)
+func (r *Router) hasBackends(conf *text.Text) bool {
+	for i := range conf.Services {
+		sf := r.fleet.service(conf.Services[i].Name)
 		if sf != nil && sf.view.Load().Len() > 0 {
 			return true
 		}
@@ -97,7 +98,7 @@
 	return false
 }
 
-// Dump returns the state for an operator.
+// Dump returns the router's state for operators.
 func (r *Router) Dump() any {
 	type backend struct {
 		ID       types.ProcessID
--- a/router/earlier.go
+++ b/router/earlier.go
@@ -16,62 +16,63 @@
 )
 
 const (
-	// lookTimeout bounds each of the two looks; a refusal must come at once.
-	lookTimeout = 250 * time.Millisecond
-	// looksPerSecond bounds the looks of one router: what is shed in a storm must
-	// not become a load on the table service.
-	looksPerSecond = 50
+	// earlierLookupTimeout bounds each of the two lookups; a refusal must not take long.
+	earlierLookupTimeout = 250 * time.Millisecond
+	// earlierLookupsPerSecond bounds the lookups of one router: refused requests
+	// must not overload the table service when there are many.
+	earlierLookupsPerSecond = 50
 )
 
-// truthful turns a refusal "not run" of a non-idempotent call into "unknown" if
-// an earlier try under the same key may have run.
+// accountForEarlier changes the outcome "not run" of a refused non-idempotent call
+// to "unknown" if an earlier request with the same key may have run.
 //
-// Failure it stops: a caller whose earlier try ran, and whose answer was lost,
-// is told "not run" by a router that couldn't or didn't look; it sends the call
-// again under another key, and the label is printed twice. The claim row proves
-// that there was no earlier try. Where it can't be read, all sidecars of the
-// service say whether they ran one; any that doesn't answer leaves it unknown.
-func (r *Router) truthful(req *http.Request, refusal *types.Refusal) *types.Refusal {
+// A caller whose earlier request ran, and whose answer was lost, would otherwise be
+// told "not run" by a router that couldn't or didn't check, send the call again with
+// another key and run it twice. The absence of a claim row proves that there was no
+// earlier request. If the row can't be read, all sidecars of the service are asked
+// whether they ran one; the outcome is unknown if one of them doesn't answer.
+func (r *Router) accountForEarlier(req *http.Request, refusal *types.Refusal) *types.Refusal {
 	key := req.Header.Get(HeaderIdempotencyKey)
-	in := r.opts.Text()
-	if refusal.Outcome != types.OutcomeNotRun || refusal.RetryAfter == 0 || key == "" || in == nil || r.opts.Claims == nil {
+	conf := r.opts.Text()
+	if refusal.Outcome != types.OutcomeNotRun || refusal.RetryAfter == 0 || key == "" || conf == nil || r.opts.Claims == nil {
 		return refusal
 	}
-	service, ok := in.Service(req.PathValue("service"))
-	org, known := organisationOf(req, in)
-	if !ok || !known || service.Calls != text.CallsAtMostOnce || !r.mayHaveRunEarlier(req.Context(), service.Name, org, key) {
+	service, ok := conf.Service(req.PathValue("service"))
+	org, known := organisationOfRequest(req, conf)
+	if !ok || !known || service.Calls != text.CallsAtMostOnce || !r.earlierMayHaveRun(req.Context(), service.Name, org, key) {
 		return refusal
 	}
 	doubtful := *refusal
 	doubtful.Outcome = types.OutcomeUnknown
-	doubtful.Message += "; an earlier try with this key may have run: come back with the same key"
+	doubtful.Message += "; an earlier request with this key may have run: retry with the same key"
 	return &doubtful
 }
 
-func (r *Router) mayHaveRunEarlier(ctx context.Context, service string, org types.Organisation, key string) bool {
-	if !r.looks.Allow() {
+func (r *Router) earlierMayHaveRun(ctx context.Context, service string, org types.Organisation, key string) bool {
+	if !r.earlierLookups.Allow() {
 		return true
 	}
-	row, cancel := context.WithTimeout(ctx, lookTimeout)
+	row, cancel := context.WithTimeout(ctx, earlierLookupTimeout)
 	defer cancel()
 	claimed, err := r.opts.Claims.Claimed(row, service, org, key)
 	if err == nil {
 		return claimed
 	}
-	return r.ranAnywhere(ctx, service, claim.Key(service, org, key))
+	return r.anyRan(ctx, service, claim.Key(service, org, key))
 }
 
-// ranAnywhere asks all sidecars of a service; one that doesn't answer counts as a yes.
-func (r *Router) ranAnywhere(ctx context.Context, service, claimKey string) bool {
+// anyRan asks all sidecars of a service whether they ran a call with the claim's
+// key. A sidecar that doesn't answer counts as a yes.
+func (r *Router) anyRan(ctx context.Context, service, claimKey string) bool {
 	sf := r.service(service)
 	if sf == nil {
 		return true
 	}
 	targets := *sf.members.Load()
-	if len(targets) > askAllUpTo {
+	if len(targets) > maxSidecarsSearched {
 		return true
 	}
-	ctx, cancel := context.WithTimeout(ctx, lookTimeout)
+	ctx, cancel := context.WithTimeout(ctx, earlierLookupTimeout)
 	defer cancel()
 	var ran atomic.Bool
 	var group errgroup.Group
@@ -88,13 +89,13 @@
 	return ran.Load()
 }
 
-// organisationOf finds the organisation of a request's API key.
-func organisationOf(req *http.Request, in *text.Text) (types.Organisation, bool) {
-	token, ok := strings.CutPrefix(req.Header.Get("Authorization"), authorizationTitle)
+// organisationOfRequest returns the organisation of a request's API key.
+func organisationOfRequest(req *http.Request, conf *text.Text) (types.Organisation, bool) {
+	token, ok := strings.CutPrefix(req.Header.Get("Authorization"), bearerPrefix)
 	if !ok {
 		return "", false
 	}
-	org, ok := in.OrganisationByKey(token)
+	org, ok := conf.OrganisationByKey(token)
 	if !ok {
 		return "", false
 	}
--- a/router/early_test.go
+++ b/router/early_test.go
@@ -8,12 +8,12 @@
 	. "github.com/onsi/gomega"
 )
 
-// A router starts, and its text comes in force. A caller is there before the
-// router's loop has joined the text with the members: it is told that the
-// service isn't ready, and "not run", although another try may have run before.
-func TestCallerThatIsThereBeforeTheFirstViewsIsServed(t *testing.T) {
+// A request that arrives when a configuration is in force but the router's loop has
+// not combined it with the members must be served. It used to be refused with "not
+// run", although an earlier request with its key may have run.
+func TestRequestBeforeFirstRefreshIsServed(t *testing.T) {
 	g := NewWithT(t)
-	url := newUnrefreshed(t, newSite(t, "a").address, newSite(t, "b").address)
+	url := newRouterWithoutViews(t, newBackend(t, "a").address, newBackend(t, "b").address)
 	req, _ := http.NewRequest(http.MethodPost, url+"/v1/completions", strings.NewReader(`{"model":"pear","prompt":"p","max_tokens":5}`))
 	req.Header.Set("Authorization", "Bearer key")
 	resp, err := http.DefaultClient.Do(req)
--- a/router/event_encoder.go
+++ b/router/event_encoder.go
@@ -8,38 +8,38 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// eventEncoder writes the events of one answer's tokens. Of an event only the
-// id's index and the text change from token to token; marshalling the rest anew
-// for each was a large part of what a token costs a router.
+// eventEncoder encodes the events of one answer's tokens. From token to token only
+// the index in the event id and the text change; marshalling the rest for each token
+// was a large part of a router's cost per token.
 type eventEncoder struct {
-	before, after []byte           // JSON around the text
-	head          []byte           // line of the id up to the index
-	attempt       types.AttemptTag // that head was made for
+	prefix, suffix []byte           // the JSON around the text
+	idPrefix       []byte           // the id line up to the index
+	attempt        types.AttemptTag // that idPrefix is for
 }
 
-// emptyText is where the text goes: no JSON string holds these bytes, since
-// quotes within one are escaped.
+// emptyText marks the position of the text. No JSON string contains these bytes,
+// since quotes in a string are escaped.
 var emptyText = []byte(`:""`)
 
-// newEventEncoder takes the event of an empty text apart.
-func newEventEncoder(s *shape) eventEncoder {
+// newEventEncoder splits the event of an empty text.
+func newEventEncoder(s *bodyBuilder) eventEncoder {
 	encoded, _ := json.Marshal(s.chunk("", nil))
 	at := bytes.LastIndex(encoded, emptyText) + 1
-	return eventEncoder{before: encoded[:at:at], after: encoded[at+2:]}
+	return eventEncoder{prefix: encoded[:at:at], suffix: encoded[at+2:]}
 }
 
 func (e *eventEncoder) append(buf []byte, id types.EventID, text string) []byte {
-	if e.head == nil || e.attempt != id.Attempt {
+	if e.idPrefix == nil || e.attempt != id.Attempt {
 		first := types.EventID{Generation: id.Generation, Attempt: id.Attempt}.String()
-		e.head = append([]byte("id: "), first[:len(first)-1]...)
+		e.idPrefix = append([]byte("id: "), first[:len(first)-1]...)
 		e.attempt = id.Attempt
 	}
-	buf = append(buf, e.head...)
+	buf = append(buf, e.idPrefix...)
 	buf = strconv.AppendInt(buf, int64(id.Index), 10)
 	buf = append(buf, "\ndata: "...)
-	buf = append(buf, e.before...)
+	buf = append(buf, e.prefix...)
 	buf = appendJSONString(buf, text)
-	buf = append(buf, e.after...)
+	buf = append(buf, e.suffix...)
 	return append(buf, "\n\n"...)
 }
 
--- a/router/event_encoder_test.go
+++ b/router/event_encoder_test.go
@@ -10,15 +10,14 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// A caller's answer has a token that its JSON reader refuses, or that differs
-// from the engine's: events are put together from parts, and a text with a
-// quote, a control character or a foreign script went in unescaped. An event
-// must be byte for byte what marshalling the whole gives.
-func TestEventsAreWhatMarshallingGives(t *testing.T) {
+// Events are assembled from parts. They must be byte for byte what marshalling the
+// whole gives: an unescaped quote, control character or non-ASCII text would be
+// rejected by the caller's JSON decoder, or differ from the engine's token.
+func TestEventEncoderMatchesMarshal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
-		a := &ask{model: rapid.String().Filter(utf8.ValidString).Draw(t, "model"), chat: rapid.Bool().Draw(t, "chat")}
-		s := shape{ask: a, id: types.NewGenerationID(types.Key(rapid.Uint64().Draw(t, "key"))), created: 7}
+		gr := &generationRequest{model: rapid.String().Filter(utf8.ValidString).Draw(t, "model"), chat: rapid.Bool().Draw(t, "chat")}
+		s := bodyBuilder{req: gr, id: types.NewGenerationID(types.Key(rapid.Uint64().Draw(t, "key"))), created: 7}
 		e := newEventEncoder(&s)
 		for i := range 3 {
 			text := rapid.OneOf(rapid.String(), rapid.SampledFrom([]string{"", `":""`, "<a&b>", "\u2028", "\xff", " w00ff"})).Draw(t, "text")
@@ -30,7 +29,7 @@
 }
 
 func BenchmarkEvent(b *testing.B) {
-	s := shape{ask: &ask{model: "pear-draft"}, id: types.NewGenerationID(1), created: 7}
+	s := bodyBuilder{req: &generationRequest{model: "pear-draft"}, id: types.NewGenerationID(1), created: 7}
 	e := newEventEncoder(&s)
 	var buf []byte
 	b.ReportAllocs()
--- a/router/fleet.go
+++ b/router/fleet.go
@@ -15,13 +15,12 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// subsetSize is how many backend servers of a service one router uses. Today's
-// services are smaller and are used whole; docs/CAPACITY.md has the sizes at
-// which the subset begins to count.
+// subsetSize is how many backend servers of a service one router uses. Smaller
+// services are used whole; docs/CAPACITY.md lists the sizes at which the subset
+// matters.
 const subsetSize = 160
 
-// fleet holds, for each service, who can be sent work. The path of a request
-// reads immutable snapshots only.
+// fleet holds the candidates of each service. Requests read immutable snapshots only.
 type fleet struct {
 	self       types.ProcessID
 	policyName string
@@ -30,11 +29,11 @@
 
 	mu       sync.Mutex // serializes rebuild
 	services atomic.Pointer[map[string]*serviceFleet]
-	voided   sync.Map // leaving: incarnation by backend server, see markLeaving
+	leaving  sync.Map // backend server's name -> types.Incarnation, see markLeaving
 }
 
-// serviceFleet is the part of a fleet that serves one service. view and
-// addresses are replaced whole; policy and budget live as long as the service.
+// serviceFleet is the part of a fleet that serves one service. view and members are
+// replaced as a whole; policy and budget live as long as the service.
 type serviceFleet struct {
 	name    string
 	policy  route.Policy
@@ -45,16 +44,16 @@
 	recorder   *event.Recorder
 	registerer prometheus.Registerer
 	circuits   sync.Map // types.ProcessID of a candidate -> *retry.Circuit
-	capacities sync.Map // backend server's name -> int, as its engine reported
+	capacities sync.Map // backend server's name -> int, as reported by its engine
 }
 
-// target is a backend server of the text joined with what membership knows of it.
+// target is a backend server of the configuration with the state of its member.
 type target struct {
 	name        string
 	address     string
 	zone        types.Zone
 	process     types.ProcessID
-	incarnation types.Incarnation // 0: not heard of yet
+	incarnation types.Incarnation // 0: unknown to membership
 	state       membership.State
 }
 
@@ -66,24 +65,24 @@
 
 func (f *fleet) service(name string) *serviceFleet { return (*f.services.Load())[name] }
 
-// rebuild joins the text with the members and replaces the snapshots.
-func (f *fleet) rebuild(in *text.Text, members *membership.View, now time.Time) error {
+// rebuild combines the configuration with the members and replaces the snapshots.
+func (f *fleet) rebuild(conf *text.Text, members *membership.View, now time.Time) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	old := *f.services.Load()
-	next := make(map[string]*serviceFleet, len(in.Services))
-	for i := range in.Services {
-		s := &in.Services[i]
-		kept := old[s.Name]
-		if kept == nil {
+	next := make(map[string]*serviceFleet, len(conf.Services))
+	for i := range conf.Services {
+		s := &conf.Services[i]
+		service := old[s.Name]
+		if service == nil {
 			created, err := f.newService(s)
 			if err != nil {
 				return err
 			}
-			kept = created
+			service = created
 		}
-		f.replaceView(kept, s, members, now)
-		next[s.Name] = kept
+		f.replaceView(service, s, members, now)
+		next[s.Name] = service
 	}
 	f.services.Store(&next)
 	return nil
@@ -103,14 +102,14 @@
 	candidates := make([]route.Candidate, 0, len(s.BackendServers))
 	for i := range s.BackendServers {
 		b := &s.BackendServers[i]
-		t := f.join(b, members)
+		t := f.newTarget(b, members)
 		targets = append(targets, t)
 		if t.state == membership.StateAlive {
-			candidates = append(candidates, candidateOf(t, sf.capacityOf(b)))
+			candidates = append(candidates, newCandidate(t, sf.capacityOf(b)))
 		}
 	}
 	if len(candidates) == 0 {
-		candidates = suspected(targets)
+		candidates = suspectedCandidates(targets)
 	}
 	if len(candidates) > subsetSize {
 		candidates = route.Subset(f.self, candidates, subsetSize)
@@ -120,26 +119,26 @@
 	sf.members.Store(&targets)
 }
 
-// suspected returns the members that are only suspected. When a router suspects
-// everybody, it's more likely that the router was away than that all others are dead.
-func suspected(targets []target) []route.Candidate {
+// suspectedCandidates returns the targets that are suspected to be dead. A router
+// that suspects all of them has more likely been disconnected itself.
+func suspectedCandidates(targets []target) []route.Candidate {
 	var out []route.Candidate
 	for _, t := range targets {
 		if t.state == membership.StateSuspect {
-			out = append(out, candidateOf(t, 0))
+			out = append(out, newCandidate(t, 0))
 		}
 	}
 	return out
 }
 
-func candidateOf(t target, capacity int) route.Candidate {
+func newCandidate(t target, capacity int) route.Candidate {
 	return route.Candidate{ID: types.ProcessID(t.name), Address: t.address, Zone: t.zone, Incarnation: t.incarnation, Capacity: capacity}
 }
 
-// join finds the member that serves a backend server of the text. One that
-// membership hasn't heard of yet counts as alive: a try costs little, and a
-// router that has just started must be able to serve.
-func (f *fleet) join(b *text.BackendServer, members *membership.View) target {
+// newTarget returns the target of a configured backend server. One that membership
+// doesn't know counts as alive: an attempt costs little, and a router that has just
+// started must be able to serve.
+func (f *fleet) newTarget(b *text.BackendServer, members *membership.View) target {
 	t := target{name: b.Name, address: b.Sidecar, zone: types.Zone(b.Zone), state: membership.StateAlive}
 	if members == nil {
 		return t
@@ -149,36 +148,36 @@
 		return t
 	}
 	t.process, t.incarnation, t.state = m.ID, m.Incarnation, m.State
-	if left, ok := f.voided.Load(b.Name); ok && left == m.Incarnation {
+	if left, ok := f.leaving.Load(b.Name); ok && left == m.Incarnation {
 		t.state = membership.StateLeaving
 	}
 	return t
 }
 
-// markLeaving keeps new work from a backend server that has itself said that it
-// is leaving, before membership's news arrive. It holds for that incarnation only.
+// markLeaving keeps new requests away from a backend server that has reported that
+// it is leaving, before membership spreads it. It applies to that incarnation only.
 func (f *fleet) markLeaving(name string, incarnation types.Incarnation) {
 	if incarnation != 0 {
-		f.voided.Store(name, incarnation)
+		f.leaving.Store(name, incarnation)
 	}
 }
 
-// noteLeaving acts on a backend server's own word that it is leaving.
-func (r *Router) noteLeaving(sf *serviceFleet, c *route.Candidate) {
+// recordLeaving handles a backend server's own report that it is leaving.
+func (r *Router) recordLeaving(sf *serviceFleet, c *route.Candidate) {
 	r.fleet.markLeaving(string(c.ID), c.Incarnation)
 	if t, ok := sf.find(string(c.ID)); ok && t.process != "" && r.opts.MarkLeaving != nil {
 		r.opts.MarkLeaving(t.process)
 	}
 }
 
-// learnCapacity notes what an engine reports of itself; the next view uses it.
+// learnCapacity stores the capacity that an engine reports; the next view uses it.
 func (sf *serviceFleet) learnCapacity(name string, capacity int) {
 	if known, ok := sf.capacities.Load(name); capacity > 0 && (!ok || known != capacity) {
 		sf.capacities.Store(name, capacity)
 	}
 }
 
-// capacityOf prefers what the text says over what the engine reports.
+// capacityOf returns the configured capacity, or else the one that the engine reported.
 func (sf *serviceFleet) capacityOf(b *text.BackendServer) int {
 	if b.Capacity > 0 {
 		return b.Capacity
@@ -188,7 +187,7 @@
 	return capacity
 }
 
-// find returns what is known of a backend server of the service.
+// find returns the target of a backend server of the service.
 func (sf *serviceFleet) find(name string) (target, bool) {
 	for _, t := range *sf.members.Load() {
 		if t.name == name {
--- a/router/handover.go
+++ b/router/handover.go
@@ -9,170 +9,174 @@
 )
 
 const (
-	// stillAfter is how long a generation that has begun to answer may stand
-	// still, at an engine that answers probes, before another one is asked to go
-	// on with it: longer than an engine takes to read another caller's long prompt,
-	// and before callers lose patience.
-	stillAfter = 1500 * time.Millisecond
-	// stillBeats is the same in heartbeats without a token between them. A router
-	// or a sidecar that was frozen reads its clock after the pause, but finds no
-	// more heartbeats than were sent.
-	stillBeats = int(stillAfter / streampb.HeartbeatInterval)
-	// offerPause is the time from an offer that came to nothing to the next one:
-	// the others were full, or not there, a moment ago. It doubles, as an offer
-	// holds up a generation that moves.
-	offerPause    = 500 * time.Millisecond
-	maxOfferPause = 8 * time.Second
-	// heldTime is how long a generation that moves may stand still for an offer;
-	// then it goes on where it runs, and is offered again later.
-	heldTime = time.Second
+	// stallTimeout is how long a generation may bring no token, at an engine that
+	// answers probes, before another one is asked to take it over: longer than an
+	// engine takes to prefill another caller's long prompt, and shorter than
+	// callers are willing to wait.
+	stallTimeout = 1500 * time.Millisecond
+	// stallHeartbeats is stallTimeout in heartbeats without a token between them.
+	// Heartbeats are counted instead of time because a router or sidecar that was
+	// frozen sees a jump of its clock, but no more heartbeats than were sent.
+	stallHeartbeats = int(stallTimeout / streampb.HeartbeatInterval)
+	// minOfferBackoff is the delay after an offer that failed: the other servers
+	// were full or unavailable a moment ago. It doubles up to maxOfferBackoff,
+	// since an open offer holds back the tokens of a generation that moves.
+	minOfferBackoff = 500 * time.Millisecond
+	maxOfferBackoff = 8 * time.Second
+	// maxMoveHold is how long an open offer may hold back the tokens of a
+	// generation that moves; after that it continues where it runs, and is
+	// offered again later.
+	maxMoveHold = time.Second
 )
 
-// handover looks for another place for a generation while its attempt goes on
-// here: it stands still although its engine answers probes, or its backend
-// server is leaving.
+// handover looks for another backend server for a generation while its current
+// attempt keeps running: because it has stalled although its engine answers
+// probes, or because its backend server is leaving.
 //
-// Failure it stops: an attempt ended before its successor is certain. A sound
-// engine sets a generation aside for want of memory; a stop comes while all other
-// engines are full. Ended first, the answer is lost if nobody else takes it, and
-// its caller gets an error although its engine was at work; or the same engine
-// reads the prompt again. Here the attempt ends with the successor's first
-// token, and goes on if that doesn't come.
+// The current attempt ends only with the first token of its successor. Ended
+// earlier, the generation would be lost if no other server accepts it, and the
+// caller would get an error although its engine was working; or the same engine
+// would prefill the prompt again. Both happen when a healthy engine preempts a
+// generation for lack of memory, or when a backend server stops while all other
+// engines are full.
 type handover struct {
-	beats    int    // heartbeats since the last token
-	moving   bool   // the backend server is leaving
-	offer    *offer // nil: none is open
-	tried    []types.ProcessID
-	pause    time.Duration     // before the next offer
-	offerAt  time.Time         // not before this
-	held     []*streampb.Frame // what came from here since the offer of a generation that moves
-	toldBusy bool              // nobody to offer it to: told once
+	heartbeats    int    // heartbeats since the last token
+	moving        bool   // the backend server is leaving
+	offer         *offer // the open offer; may be nil
+	offeredTo     []types.ProcessID
+	backoff       time.Duration     // before the next offer
+	nextOfferAt   time.Time         // not before this
+	heldFrames    []*streampb.Frame // tokens of a moving generation that arrived since the offer
+	loggedNoOther bool              // eventNobodyElse has been emitted
 }
 
-// wait puts the next offer off.
-func (h *handover) wait() {
-	h.pause = min(max(2*h.pause, offerPause), maxOfferPause)
-	h.offerAt = time.Now().Add(h.pause)
+// backOff postpones the next offer.
+func (h *handover) backOff() {
+	h.backoff = min(max(2*h.backoff, minOfferBackoff), maxOfferBackoff)
+	h.nextOfferAt = time.Now().Add(h.backoff)
 }
 
-// standsStill reports that a generation has brought nothing for long: one that
-// has begun to answer, or one that waits to begin at an engine that is stuck.
+// stalled reports that the generation has brought no token for stallHeartbeats:
+// either one that has brought tokens before, or one that waits for its first
+// token at an engine that is known to be stuck.
 //
-// Failure it stops: requests wait for their first token, until their deadlines,
-// at an engine that makes no step any more, while others are free. Without the
-// word of a request that had begun there, a long wait says nothing: it is the
-// queue of a busy engine.
-func (a *attemptReader) standsStill() bool {
-	if a.handover.beats < stillBeats {
+// In the second case requests would otherwise wait for their first token until
+// their deadlines while other engines are free. A long wait alone proves nothing,
+// it may be the queue of a busy engine; a stalled generation that had started at
+// the same engine does.
+func (a *attemptReader) stalled() bool {
+	if a.handover.heartbeats < stallHeartbeats {
 		return false
 	}
 	return a.progressed || a.candidate != nil && a.candidate.Stats.Stuck()
 }
 
-// tellStill lets new requests prefer other candidates while the engine here is stuck.
-func (a *attemptReader) tellStill() {
-	if a.candidate == nil || !a.progressed || !a.standsStill() {
+// reportStall makes new requests prefer other candidates while this engine is
+// stuck.
+func (a *attemptReader) reportStall() {
+	if a.candidate == nil || !a.progressed || !a.stalled() {
 		return
 	}
 	a.candidate.Stats.StoodStill(time.Now())
 	a.candidate.Stats.Failed(time.Now())
 }
 
-// mayLeave reports that the generation had better go on elsewhere. All that its
-// caller has seen must have been read: a caller that came back is ahead at first.
-func (a *attemptReader) mayLeave() bool {
-	if len(a.d.tokens) < a.d.sent {
+// mayMove reports whether the generation should continue elsewhere. All tokens
+// that the caller has must have been read first: after a reconnect it may have
+// more than the router.
+func (a *attemptReader) mayMove() bool {
+	if len(a.run.tokens) < a.run.delivered {
 		return false
 	}
 	if a.handover.moving {
 		return true
 	}
-	return a.standsStill() && a.d.resumes < a.d.text.Recovery.MaxResumes
+	return a.stalled() && a.run.resumes < a.run.text.Recovery.MaxResumes
 }
 
-// beside acts on a frame of an attempt for the sake of a handover. It reports
-// whether the frame is dealt with.
-func (a *attemptReader) beside(frame *streampb.Frame) (result *attemptResult, dealt bool) {
+// handleHandover updates the handover by a frame of the current attempt. It
+// reports whether the frame needs no further handling.
+func (a *attemptReader) handleHandover(frame *streampb.Frame) (result *attemptResult, handled bool) {
 	h := &a.handover
-	if h.offer != nil && (h.offer.failed() || a.heldTooLong()) {
-		if result := a.goOnHere(); result != nil {
+	if h.offer != nil && (h.offer.failed() || a.holdExpired()) {
+		if result := a.withdrawOffer(); result != nil {
 			return result, true
 		}
 	}
 	switch frame.GetBody().(type) {
 	case *streampb.Frame_Heartbeat:
-		h.beats++
-		a.tellStill()
+		h.heartbeats++
+		a.reportStall()
 		a.offerIfDue()
 	case *streampb.Frame_Moving:
 		h.moving = true
 		a.offerIfDue()
 		return nil, true
 	case *streampb.Frame_Tokens:
-		h.beats = 0
+		h.heartbeats = 0
 		if h.offer != nil && h.moving {
-			h.held = append(h.held, frame)
+			h.heldFrames = append(h.heldFrames, frame)
 			return nil, true
 		}
-		return a.goOnHere(), false
+		return a.withdrawOffer(), false
 	case *streampb.Frame_End:
-		return a.goOnHere(), false
+		return a.withdrawOffer(), false
 	}
 	return nil, false
 }
 
-func (a *attemptReader) heldTooLong() bool {
-	return a.handover.moving && time.Since(a.handover.offer.begun) > heldTime
+func (a *attemptReader) holdExpired() bool {
+	return a.handover.moving && time.Since(a.handover.offer.openedAt) > maxMoveHold
 }
 
-// offerIfDue offers the generation elsewhere if there is a reason to.
+// offerIfDue opens an offer if the generation should move and none is open.
 func (a *attemptReader) offerIfDue() {
 	h := &a.handover
-	if h.offer != nil || !a.mayLeave() || time.Now().Before(h.offerAt) {
+	if h.offer != nil || !a.mayMove() || time.Now().Before(h.nextOfferAt) {
 		return
 	}
-	if a.inBudget() {
-		h.offer = a.d.makeOffer(a.stream.ctx, a.notHere(), a.stream.cancel)
+	if a.withinRetryBudget() {
+		h.offer = a.run.startOffer(a.stream.ctx, a.excludedCandidates(), a.stream.cancel)
 	}
 	if h.offer == nil {
-		h.tried = nil
-		h.wait()
-		a.tellBusy()
+		h.offeredTo = nil
+		h.backOff()
+		a.logNoOther()
 		return
 	}
-	h.tried = append(h.tried, h.offer.candidate.ID)
-	a.d.r.opts.Recorder.Emit(eventOffered, event.FieldRequest, a.d.ask.requestID, "generation", a.d.id,
-		"backend_server", h.offer.candidate.ID, "cause", a.cause(), "tokens", len(a.d.tokens))
+	h.offeredTo = append(h.offeredTo, h.offer.candidate.ID)
+	a.run.router.opts.Recorder.Emit(eventOffered, event.FieldRequest, a.run.req.requestID, "generation", a.run.id,
+		"backend_server", h.offer.candidate.ID, "cause", a.handoverCause(), "tokens", len(a.run.tokens))
 }
 
-// inBudget reports whether the retry budget lets the generation be offered: one
-// that has begun has the right to go on.
-func (a *attemptReader) inBudget() bool {
-	return a.progressed || a.handover.moving || a.d.fleet.budget.Allow()
+// withinRetryBudget reports whether the retry budget permits an offer. It doesn't
+// limit generations that have started.
+func (a *attemptReader) withinRetryBudget() bool {
+	return a.progressed || a.handover.moving || a.run.service.budget.Allow()
 }
 
-// tellBusy tells that nobody is there to go on with the generation.
-func (a *attemptReader) tellBusy() {
-	if a.handover.toldBusy {
+// logNoOther reports, once, that no other backend server can take over.
+func (a *attemptReader) logNoOther() {
+	if a.handover.loggedNoOther {
 		return
 	}
-	a.handover.toldBusy = true
-	a.d.r.opts.Recorder.Emit(eventNobodyElse, event.FieldRequest, a.d.ask.requestID, "generation", a.d.id,
-		"cause", a.cause(), "tokens", len(a.d.tokens))
+	a.handover.loggedNoOther = true
+	a.run.router.opts.Recorder.Emit(eventNobodyElse, event.FieldRequest, a.run.req.requestID, "generation", a.run.id,
+		"cause", a.handoverCause(), "tokens", len(a.run.tokens))
 }
 
-func (a *attemptReader) cause() string {
+func (a *attemptReader) handoverCause() string {
 	if a.handover.moving {
 		return causeMoved
 	}
-	return causeStill
+	return causeStalled
 }
 
-// notHere lists the candidates that an offer avoids: where the generation runs,
-// and those that have been asked in vain.
-func (a *attemptReader) notHere() []types.ProcessID {
-	avoid := append([]types.ProcessID(nil), a.handover.tried...)
-	for _, c := range a.d.fleet.view.Load().Candidates() {
+// excludedCandidates lists the candidates that an offer avoids: the one at the
+// current address and those that were asked in vain.
+func (a *attemptReader) excludedCandidates() []types.ProcessID {
+	avoid := append([]types.ProcessID(nil), a.handover.offeredTo...)
+	for _, c := range a.run.service.view.Load().Candidates() {
 		if c.Address == a.address {
 			avoid = append(avoid, c.ID)
 		}
@@ -180,64 +184,64 @@
 	return avoid
 }
 
-// goOnHere withdraws an offer and takes what has come from here since; a result
-// ends the attempt.
-func (a *attemptReader) goOnHere() *attemptResult {
+// withdrawOffer withdraws the open offer, if any, and takes the tokens that were
+// held back for it. A non-nil result ends the attempt.
+func (a *attemptReader) withdrawOffer() *attemptResult {
 	h := &a.handover
 	if h.offer == nil {
 		return nil
 	}
 	if !h.offer.withdraw() {
-		return &attemptResult{ending: overtaken, cause: a.cause()}
+		return &attemptResult{end: endSuperseded, cause: a.handoverCause()}
 	}
-	a.d.closeOffer(h.offer)
+	a.run.closeOffer(h.offer)
 	h.offer = nil
-	h.wait()
-	return a.takeHeld()
+	h.backOff()
+	return a.takeHeldFrames()
 }
 
-// takeHeld takes the tokens that were held back for an offer that came to nothing.
-func (a *attemptReader) takeHeld() *attemptResult {
-	held := a.handover.held
-	a.handover.held = nil
+// takeHeldFrames takes the tokens that were held back for an offer that failed.
+func (a *attemptReader) takeHeldFrames() *attemptResult {
+	held := a.handover.heldFrames
+	a.handover.heldFrames = nil
 	for _, frame := range held {
-		if result := a.take(frame.GetTokens()); result != nil {
+		if result := a.takeTokens(frame.GetTokens()); result != nil {
 			return result
 		}
 	}
 	return nil
 }
 
-// handOver decides what becomes of an offer when the attempt beside it has
-// ended. For one that is lost the offer is the resume, unless it stands still
-// itself: then the generation is placed anew, and not there.
-func (a *attemptReader) handOver(result attemptResult) attemptResult {
+// resolveHandover decides the open offer once the current attempt has ended. If
+// the attempt was lost, the offer becomes the resume, unless the offer stalls as
+// well: then the generation is placed anew, avoiding that server.
+func (a *attemptReader) resolveHandover(result attemptResult) attemptResult {
 	o := a.handover.offer
 	if o == nil {
 		return result
 	}
-	if result.ending == left || !o.endsWithin(stillAfter) {
+	if result.end == endCallerLeft || !o.endedWithin(stallTimeout) {
 		o.withdraw()
 	}
-	<-o.ended
-	a.d.successor = o
-	if result.ending == left || !o.won() {
-		a.d.dropSuccessor()
-		a.d.avoidNext(o.candidate.ID)
-		return a.endAlone(result)
+	<-o.done
+	a.run.successor = o
+	if result.end == endCallerLeft || !o.won() {
+		a.run.dropSuccessor()
+		a.run.avoidCandidate(o.candidate.ID)
+		return a.endWithoutOffer(result)
 	}
-	if result.ending == overtaken || result.cause == causeConnection {
-		result.ending, result.cause = overtaken, a.cause()
+	if result.end == endSuperseded || result.cause == causeConnection {
+		result.end, result.cause = endSuperseded, a.handoverCause()
 	}
 	return result
 }
 
-// endAlone is the end of an attempt whose offer came to nothing.
-func (a *attemptReader) endAlone(result attemptResult) attemptResult {
-	if result.ending == left {
+// endWithoutOffer returns the result of an attempt whose offer failed.
+func (a *attemptReader) endWithoutOffer(result attemptResult) attemptResult {
+	if result.end == endCallerLeft {
 		return result
 	}
-	if end := a.takeHeld(); end != nil {
+	if end := a.takeHeldFrames(); end != nil {
 		return *end
 	}
 	return result
--- a/router/handover_test.go
+++ b/router/handover_test.go
@@ -12,34 +12,34 @@
 	"github.com/pearyard/pearyard/standin"
 )
 
-// heldLonger is longer than a generation may stand still before another backend
-// server is asked to go on with it.
-const heldLonger = 4500 * time.Millisecond
+// holdTime is longer than the time after which a stalled generation is offered to
+// another backend server.
+const holdTime = 4500 * time.Millisecond
 
-// answered is what became of a caller's request.
-type answered struct {
+// generateResult is the result of a caller's request.
+type generateResult struct {
 	answer client.Answer
 	err    error
 }
 
-// ask sends a request for tokens and tells index by index what comes.
-func ask(t *testing.T, url string, tokens int, seen func(index int)) answered {
+// generate sends a request for tokens and reports the index of each token to seen.
+func generate(t *testing.T, url string, tokens int, seen func(index int)) generateResult {
 	caller := client.New(client.Options{Routers: []string{strings.TrimPrefix(url, "http://")}, Key: "key"})
 	answer, err := caller.Generate(t.Context(), client.Request{Model: "pear", Prompt: "list the pears", MaxTokens: tokens},
 		func(index int, _ string) { seen(index) })
-	return answered{answer, err}
+	return generateResult{answer, err}
 }
 
-func (a answered) expectWhole(g Gomega, tokens int) {
+func (a generateResult) expectComplete(g Gomega, tokens int) {
 	g.Expect(a.err).NotTo(HaveOccurred())
 	g.Expect(a.answer.Returns).To(BeZero())
 	g.Expect(a.answer.Texts).To(HaveLen(tokens))
 	g.Expect(standin.CheckAnswer("list the pears", a.answer.Texts)).To(Succeed())
 }
 
-// runner returns the site whose engine runs something.
-func (b *bed) runner() *site {
-	for _, s := range b.sites {
+// runningBackend returns the backend whose engine runs a request.
+func (b *cluster) runningBackend() *backend {
+	for _, s := range b.backends {
 		if s.engine.Counters().Running > 0 {
 			return s
 		}
@@ -47,145 +47,145 @@
 	return nil
 }
 
-// A sound engine, the only one of its model, sets a generation aside for some
-// seconds and answers probes meanwhile. The generation was given up and sent to
-// the same engine again, which read its prompt a second time.
-func TestSetAsideGenerationGoesOnWhereItIsAlone(t *testing.T) {
+// The only engine of a model preempts a generation for some seconds but answers probes.
+// The generation must continue there. It used to be given up and sent to the same
+// engine again, which prefilled its prompt a second time.
+func TestStalledGenerationContinuesOnOnlyEngine(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
-	s := newSite(t, "a")
-	got := ask(t, newMovingRouter(t, string(textOf([]string{s.address}))).url, 200, func(index int) {
+	s := newBackend(t, "a")
+	got := generate(t, newReloadableRouter(t, string(configOf([]string{s.address}))).url, 200, func(index int) {
 		if index == 100 {
 			s.engine.Hold()
-			time.AfterFunc(heldLonger, s.engine.Release)
+			time.AfterFunc(holdTime, s.engine.Release)
 		}
 	})
-	got.expectWhole(g, 200)
+	got.expectComplete(g, 200)
 	g.Expect(s.engine.Counters().Requests).To(BeEquivalentTo(1))
 }
 
-// The same beside another engine that takes nothing: its queue is full. The
-// generation was given up before anybody had looked whether the other one takes
-// it, and its caller got an error.
-func TestSetAsideGenerationGoesOnBesideAFullEngine(t *testing.T) {
+// An engine preempts a generation while the queue of the only other engine is full. The
+// generation must not be given up before another engine has accepted it: its caller
+// got an error.
+func TestStalledGenerationContinuesWhenOtherEngineIsFull(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
-	bed := newBed(t)
-	var home *site
-	got := ask(t, bed.url, 200, func(index int) {
+	cl := newCluster(t)
+	var home *backend
+	got := generate(t, cl.url, 200, func(index int) {
 		if index == 100 {
-			home = bed.runner()
-			bed.other(home).fill(t)
+			home = cl.runningBackend()
+			cl.otherBackend(home).fillQueue(t)
 			home.engine.Hold()
-			time.AfterFunc(heldLonger, home.engine.Release)
+			time.AfterFunc(holdTime, home.engine.Release)
 		}
 	})
-	got.expectWhole(g, 200)
+	got.expectComplete(g, 200)
 	g.Expect(home.engine.Counters().Requests).To(BeEquivalentTo(1))
 }
 
-// An engine's loop is stuck for good, though it answers probes: the stream goes
-// on from another engine, and the stuck one is told to stop.
-func TestStuckGenerationGoesOnElsewhere(t *testing.T) {
+// An engine is stuck for good although it answers probes. The stream must continue from
+// the other engine, and the attempt on the stuck one must be cancelled.
+func TestStuckGenerationMovesToOtherEngine(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
-	bed := newBed(t)
-	var home *site
+	cl := newCluster(t)
+	var home *backend
 	var longest time.Duration
 	last := time.Now()
-	got := ask(t, bed.url, 200, func(index int) {
+	got := generate(t, cl.url, 200, func(index int) {
 		longest, last = max(longest, time.Since(last)), time.Now()
 		if index == 100 {
-			home = bed.runner()
+			home = cl.runningBackend()
 			home.engine.Hold()
 		}
 	})
-	got.expectWhole(g, 200)
-	g.Expect(longest).To(BeNumerically("<", heldLonger))
-	g.Expect(bed.other(home).engine.Counters().Requests).To(BeEquivalentTo(1))
+	got.expectComplete(g, 200)
+	g.Expect(longest).To(BeNumerically("<", holdTime))
+	g.Expect(cl.otherBackend(home).engine.Counters().Requests).To(BeEquivalentTo(1))
 	home.engine.Release()
 	g.Eventually(func() uint64 { return home.engine.Counters().Cancelled }, "5s", "10ms").Should(BeEquivalentTo(1))
 }
 
-// A backend server leaves, and the other one of its model takes nothing: its
-// queue is full. The generation was ended where it ran before the other one had
-// taken it, and its caller got an error out of a planned stop.
-func TestStopBesideAFullEngineCutsNothing(t *testing.T) {
+// A backend server leaves while the queue of the only other one is full. The generation
+// must not be ended before the other one has accepted it: its caller got an error from
+// a planned stop.
+func TestPlannedStopWithFullEngineCompletesGeneration(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
-	bed := newBed(t)
-	var home *site
-	got := ask(t, bed.url, 1500, func(index int) {
+	cl := newCluster(t)
+	var home *backend
+	got := generate(t, cl.url, 1500, func(index int) {
 		if index == 100 {
-			home = bed.runner()
-			bed.other(home).fill(t)
+			home = cl.runningBackend()
+			cl.otherBackend(home).fillQueue(t)
 			home.sidecar.BeginLeave("test")
 		}
 	})
-	got.expectWhole(g, 1500)
+	got.expectComplete(g, 1500)
 	g.Expect(home.engine.Counters().Requests).To(BeEquivalentTo(1))
 }
 
-// A backend server leaves while another one is free: what runs there goes on at
-// the other one, without a token missing, repeated or of both.
-func TestStopMovesWhatRuns(t *testing.T) {
+// A backend server leaves while another one is free. Its generation must continue there,
+// with no token missing, repeated or taken from both.
+func TestPlannedStopMovesRunningGeneration(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
-	bed := newBed(t)
-	var home *site
-	got := ask(t, bed.url, 1500, func(index int) {
+	cl := newCluster(t)
+	var home *backend
+	got := generate(t, cl.url, 1500, func(index int) {
 		if index == 100 {
-			home = bed.runner()
+			home = cl.runningBackend()
 			home.sidecar.BeginLeave("test")
 		}
 	})
-	got.expectWhole(g, 1500)
-	g.Expect(bed.other(home).engine.Counters().Requests).To(BeEquivalentTo(1))
+	got.expectComplete(g, 1500)
+	g.Expect(cl.otherBackend(home).engine.Counters().Requests).To(BeEquivalentTo(1))
 	g.Expect(home.engine.Counters().Cancelled).To(BeEquivalentTo(1))
 }
 
-// Three engines are stuck, one after the other is released or dies: an answer
-// stands still, is offered to a second engine that is stuck as well, and loses
-// its own. It isn't tied to the second one: the third is free again.
-func TestOfferAtAStuckEngineIsNotWaitedForAfterALoss(t *testing.T) {
+// All three engines get stuck. A stalled generation is offered to a second engine, then
+// the third one recovers and the generation's own engine dies. The generation must not
+// wait for the second engine but resume on the third.
+func TestOfferToStuckEngineIsDroppedAfterLoss(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
-	bed := &bed{sites: []*site{newSite(t, "a"), newSite(t, "b"), newSite(t, "c")}}
-	url := newRouter(t, bed.sites[0].address, bed.sites[1].address, bed.sites[2].address)
+	cl := &cluster{backends: []*backend{newBackend(t, "a"), newBackend(t, "b"), newBackend(t, "c")}}
+	url := newRouter(t, cl.backends[0].address, cl.backends[1].address, cl.backends[2].address)
 	lose := func() {
-		home := bed.runner()
-		for _, s := range bed.sites {
+		home := cl.runningBackend()
+		for _, s := range cl.backends {
 			s.engine.Hold()
 			t.Cleanup(s.engine.Release)
 		}
 		for asked := 0; asked < 2; time.Sleep(time.Millisecond) {
 			asked = 0
-			for _, s := range bed.sites {
+			for _, s := range cl.backends {
 				asked += s.engine.Counters().Queued + s.engine.Counters().Running
 			}
 		}
-		for _, s := range bed.sites {
+		for _, s := range cl.backends {
 			if c := s.engine.Counters(); c.Queued+c.Running == 0 {
 				s.engine.Release()
 			}
 		}
 		home.engine.Crash()
 	}
-	got := make(chan answered, 1)
+	got := make(chan generateResult, 1)
 	go func() {
-		got <- ask(t, url, 200, func(index int) {
+		got <- generate(t, url, 200, func(index int) {
 			if index == 100 {
 				go lose()
 			}
 		})
 	}()
-	var one answered
+	var one generateResult
 	g.Eventually(got, "10s").Should(Receive(&one))
-	one.expectWhole(g, 200)
+	one.expectComplete(g, 200)
 }
 
-func (b *bed) other(s *site) *site {
-	for _, one := range b.sites {
+func (b *cluster) otherBackend(s *backend) *backend {
+	for _, one := range b.backends {
 		if one != s {
 			return one
 		}
@@ -193,9 +193,9 @@
 	return nil
 }
 
-// fill lets an engine refuse all that comes, until the test ends: its loop is
-// held and its queue is full.
-func (s *site) fill(t *testing.T) {
+// fillQueue holds the engine and fills its queue, so that it refuses all requests until
+// the test ends.
+func (s *backend) fillQueue(t *testing.T) {
 	s.engine.Hold()
 	t.Cleanup(s.engine.Release)
 	for s.engine.Counters().Refused == 0 {
@@ -210,56 +210,56 @@
 	}
 }
 
-// Sound engines set generations aside for about as long as it takes until others
-// are asked to go on with them, so that the two attempts of a generation bring
-// tokens at the same moment. One of them has it: no answer is of both.
-func TestAttemptAndOfferBringTokensAtOnce(t *testing.T) {
+// Engines preempt generations for about as long as it takes until these are offered to
+// another engine, so that the two attempts of a generation bring tokens at the same
+// time. Every answer must consist of one attempt's tokens only.
+func TestConcurrentTokensOfAttemptAndOffer(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
-	const streams = 16 // one engine can hold them all
-	bed := newBed(t)
-	bed.sites[1].engine.Slow(30) // an offer stays open for a step of 60 ms
-	got := make(chan answered, streams)
+	const streams = 16 // fit into one engine
+	cl := newCluster(t)
+	cl.backends[1].engine.Slow(30) // an offer stays open for a step of 60 ms
+	got := make(chan generateResult, streams)
 	for range streams {
-		go func() { got <- ask(t, bed.url, 300, func(int) {}) }()
+		go func() { got <- generate(t, cl.url, 300, func(int) {}) }()
 	}
-	g.Eventually(bed.requests, "5s", "1ms").Should(BeEquivalentTo(streams))
-	time.Sleep(100 * time.Millisecond) // some tokens
+	g.Eventually(cl.requests, "5s", "1ms").Should(BeEquivalentTo(streams))
+	time.Sleep(100 * time.Millisecond) // lets some tokens be generated
 	for round := range 2 {
-		bed.sites[0].engine.Hold()
+		cl.backends[0].engine.Hold()
 		time.Sleep(1500*time.Millisecond + time.Duration(60+70*round)*time.Millisecond)
-		bed.sites[0].engine.Release()
+		cl.backends[0].engine.Release()
 		time.Sleep(50 * time.Millisecond)
 	}
-	bed.sites[1].engine.Slow(1)
+	cl.backends[1].engine.Slow(1)
 	for range streams {
-		(<-got).expectWhole(g, 300)
+		(<-got).expectComplete(g, 300)
 	}
 }
 
-// An engine's loop is stuck with an answer under way, though it answers probes,
-// while another engine is free. Requests that come meanwhile, and those that had
-// just been sent there, waited at the stuck engine until their deadlines.
-func TestStuckEngineHoldsUpNoOthers(t *testing.T) {
+// An engine gets stuck with a generation under way, although it answers probes, while
+// another engine is free. Requests that arrive later, and those just sent to it, must
+// not wait at the stuck engine until their deadlines.
+func TestStuckEngineDoesNotDelayOtherRequests(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
 	const tokens, others = 400, 16
-	bed := newBed(t)
-	got := make(chan answered, others+1)
+	cl := newCluster(t)
+	got := make(chan generateResult, others+1)
 	first := make(chan time.Duration, others)
-	var home *site
+	var home *backend
 	send := func() {
 		begun := time.Now()
-		got <- ask(t, bed.url, tokens, func(index int) {
+		got <- generate(t, cl.url, tokens, func(index int) {
 			if index == 0 {
 				first <- time.Since(begun)
 			}
 		})
 	}
 	go func() {
-		got <- ask(t, bed.url, tokens, func(index int) {
+		got <- generate(t, cl.url, tokens, func(index int) {
 			if index == 50 {
-				home = bed.runner()
+				home = cl.runningBackend()
 				home.engine.Hold()
 				for range others / 2 {
 					go send()
@@ -273,11 +273,11 @@
 		})
 	}()
 	for range others + 1 {
-		var one answered
+		var one generateResult
 		g.Eventually(got, "12s").Should(Receive(&one))
-		one.expectWhole(g, tokens)
+		one.expectComplete(g, tokens)
 	}
 	for range others {
-		g.Expect(<-first).To(BeNumerically("<", heldLonger))
+		g.Expect(<-first).To(BeNumerically("<", holdTime))
 	}
 }
--- a/router/metrics.go
+++ b/router/metrics.go
@@ -5,14 +5,14 @@
 	"github.com/prometheus/client_golang/prometheus/promauto"
 )
 
-// Causes of a loss, as labels of resume latency.
+// Causes of a loss, used as labels of the resume latency.
 const (
-	causeEngineDied = "engine_died"
-	causeConnection = "connection"
-	causeSilence    = "silence"
-	causeMoved      = "moved"
-	causeStill      = "still"
-	causeReturn     = "caller_returned"
+	causeEngineDied     = "engine_died"
+	causeConnection     = "connection"
+	causeSilence        = "silence"
+	causeMoved          = "moved"
+	causeStalled        = "still"
+	causeCallerReturned = "caller_returned"
 )
 
 type metrics struct {
--- a/router/models.go
+++ b/router/models.go
@@ -19,11 +19,11 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// serveModels lists every model and adapter that a service serves.
-func (r *Router) serveModels(w http.ResponseWriter, _ *http.Request, in *admitted) {
+// serveModels lists the models and adapters of all services.
+func (r *Router) serveModels(w http.ResponseWriter, _ *http.Request, adm *admittedRequest) {
 	list := modelList{Object: "list", Data: []modelEntry{}}
-	for i := range in.text.Services {
-		s := &in.text.Services[i]
+	for i := range adm.text.Services {
+		s := &adm.text.Services[i]
 		if s.Kind != text.KindModel {
 			continue
 		}
--- a/router/notrun_test.go
+++ b/router/notrun_test.go
@@ -9,10 +9,10 @@
 	. "github.com/onsi/gomega"
 )
 
-// A backend server takes a request and its connection breaks before a single
-// frame comes back, each time, until the router gives up. The request may have
-// run there, so the caller must not be told "not run".
-func TestLostBeforeFirstFrameIsNotCalledNotRun(t *testing.T) {
+// A backend server accepts requests and closes the connection before the first frame
+// each time, until the router gives up. The request may have run there, so the outcome
+// must not be "not run".
+func TestConnectionLostBeforeFirstFrameIsUnknown(t *testing.T) {
 	g := NewWithT(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
--- a/router/offer.go
+++ b/router/offer.go
@@ -12,107 +12,110 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// How an offer stands.
+// States of an offer.
 const (
-	offerOpen      int32 = iota // its backend server has brought nothing yet
-	offerWon                    // it has brought something: the generation goes on there
-	offerFailed                 // it was refused, or broke
-	offerWithdrawn              // the attempt beside it goes on
+	// States of an offer.
+	offerOpen      int32 = iota // no token yet
+	offerWon                    // it brought a token first and has the generation
+	offerFailed                 // it was refused, or its stream broke
+	offerWithdrawn              // the current attempt goes on
 )
 
-// offer is an attempt that runs beside another one of its generation, from the
-// same token on. The first of the two to bring a token has the generation, the
-// other one is given up: state changes by compare-and-swap, so that exactly one
-// of them gets it, and none of the other's tokens is taken.
+// offer is an attempt that runs concurrently with the current attempt of its
+// generation, from the same token on. The first of the two that brings a token
+// gets the generation and the other one is cancelled. The state changes by
+// compare-and-swap, so that exactly one of them wins and no token of the other is
+// taken.
 //
-// A goroutine of its own reads the stream until that is decided. All else, the
-// bookkeeping included, is the drive's goroutine's.
+// A separate goroutine reads the stream until the state is decided. Everything
+// else, including the bookkeeping, belongs to the goroutine of the run.
 type offer struct {
-	candidate *route.Candidate
-	reader    *attemptReader
-	sent      route.Sent
-	entered   bool // the ledger counts it as a run
-	begun     time.Time
+	candidate  *route.Candidate
+	reader     *attemptReader
+	sent       route.Sent
+	runCounted bool // the suspect ledger counts the offer as a run
+	openedAt   time.Time
 
-	stream *frames
+	stream *frameStream
 	state  atomic.Int32
-	ended  chan struct{} // closed when the goroutine is done
-	result attemptResult // of an offer that failed; valid once ended is closed
+	done   chan struct{} // closed when the reading goroutine has ended
+	result attemptResult // of an offer that failed; valid once done is closed
 }
 
-// makeOffer asks a backend server that isn't among avoid to go on with the
-// generation; nil if there is none. overtake is called when it does.
-func (d *drive) makeOffer(ctx context.Context, avoid []types.ProcessID, overtake func()) *offer {
-	query := d.query()
+// startOffer asks a backend server outside avoid to take the generation over. It
+// returns nil if there is none. The offer calls onWin when it wins.
+func (g *generationRun) startOffer(ctx context.Context, avoid []types.ProcessID, onWin func()) *offer {
+	query := g.query()
 	query.Avoid = avoid
 	query.Long = true
-	o := &offer{begun: time.Now(), ended: make(chan struct{})}
-	if !d.chooseBeside(o, query) {
+	o := &offer{openedAt: time.Now(), done: make(chan struct{})}
+	if !g.chooseForOffer(o, query) {
 		return nil
 	}
 	attempt := types.NewAttemptTag()
-	lineage := d.lineage.Extend(attempt, len(d.tokens))
+	lineage := g.lineage.Extend(attempt, len(g.tokens))
 	o.sent = o.candidate.Begin(query)
-	o.stream = d.r.openStream(ctx, o.candidate.Address, streampb.PathGenerate, d.request(ctx, lineage, query.Suspect))
+	o.stream = g.router.openStream(ctx, o.candidate.Address, streampb.PathGenerate, g.attemptRequest(ctx, lineage, query.Suspect))
 	o.reader = &attemptReader{
-		d: d, stream: o.stream, candidate: o.candidate, address: o.candidate.Address, sent: &o.sent,
-		attempt: attempt, lineage: lineage, opened: o.begun,
+		run: g, stream: o.stream, candidate: o.candidate, address: o.candidate.Address, sent: &o.sent,
+		attempt: attempt, lineage: lineage, opened: o.openedAt,
 	}
-	go o.read(d.text.Recovery.Silence(), overtake)
+	go o.read(g.text.Recovery.Silence(), onWin)
 	return o
 }
 
-// chooseBeside picks a backend server for an offer and enters the request there.
-// A request that is suspected of crashing engines runs at one at a time.
-func (d *drive) chooseBeside(o *offer, query *route.Query) bool {
+// chooseForOffer picks a backend server for an offer and counts the run there. A
+// request that is suspected of crashing engines isn't offered, since it may run
+// on one engine at a time only.
+func (g *generationRun) chooseForOffer(o *offer, query *route.Query) bool {
 	for !query.Suspect {
-		candidate, ok := d.fleet.policy.Pick(query, d.fleet.view.Load())
+		candidate, ok := g.service.policy.Pick(query, g.service.view.Load())
 		if !ok {
 			break
 		}
 		query.Avoid = append(query.Avoid, candidate.ID)
-		circuit := d.fleet.circuit(candidate.ID)
-		if circuit.State() == retry.Open || !d.enterBeside(o, candidate) {
+		circuit := g.service.circuit(candidate.ID)
+		if circuit.State() == retry.Open || !g.beginOfferRun(o, candidate) {
 			continue
 		}
 		if circuit.Allow() {
 			return true
 		}
-		d.leaveBeside(o) // another request became the probe
+		g.endOfferRun(o) // another request took the circuit's probe
 	}
 	return false
 }
 
-// enterBeside counts the offer's run at candidate, if the ledger lets it run.
-func (d *drive) enterBeside(o *offer, candidate *route.Candidate) bool {
+// beginOfferRun counts the offer as a run on candidate, if the ledger permits it.
+func (g *generationRun) beginOfferRun(o *offer, candidate *route.Candidate) bool {
 	o.candidate = candidate
-	if d.r.opts.Suspects == nil {
+	if g.router.opts.Suspects == nil {
 		return true
 	}
-	o.entered = d.r.opts.Suspects.Enter(d.ask.fingerprint, string(candidate.ID))
-	return o.entered
+	o.runCounted = g.router.opts.Suspects.Enter(g.req.fingerprint, string(candidate.ID))
+	return o.runCounted
 }
 
-// leaveBeside notes what the end of an offer says about the request.
-func (d *drive) leaveBeside(o *offer) {
-	if d.r.opts.Suspects == nil {
+// endOfferRun records what the end of an offer says about the request.
+func (g *generationRun) endOfferRun(o *offer) {
+	if g.router.opts.Suspects == nil {
 		return
 	}
-	if o.result.death != "" {
-		d.r.opts.Suspects.DeathOf(o.result.death, d.ask.fingerprint, o.result.proven)
+	if o.result.deathID != "" {
+		g.router.opts.Suspects.DeathOf(o.result.deathID, g.req.fingerprint, o.result.proven)
 	}
-	if o.entered {
-		o.entered = false
-		d.r.opts.Suspects.Leave(d.ask.fingerprint, string(o.candidate.ID))
+	if o.runCounted {
+		o.runCounted = false
+		g.router.opts.Suspects.Leave(g.req.fingerprint, string(o.candidate.ID))
 	}
 }
 
-// read waits for a frame that decides the offer. The stream of an offer that has
-// won stays open, with that frame unread, for the drive.
+// read reads frames until the offer is decided. If it has won, its stream stays
+// open with the deciding frame pushed back, for the run to read on.
 func (o *offer) read(limit time.Duration, overtake func()) {
-	defer close(o.ended)
-	result := readFrames(o.stream, limit, o.decide)
-	if result.ending == decided {
+	defer close(o.done)
+	result := readFrames(o.stream, limit, o.handleFrame)
+	if result.end == endOfferWon {
 		overtake()
 		return
 	}
@@ -121,29 +124,29 @@
 	o.stream.close()
 }
 
-// decide handles the frames of an open offer.
-func (o *offer) decide(frame *streampb.Frame) *attemptResult {
+// handleFrame handles the frames of an open offer.
+func (o *offer) handleFrame(frame *streampb.Frame) *attemptResult {
 	o.reader.reportLoad(frame.GetLoad())
 	switch frame.GetBody().(type) {
 	case *streampb.Frame_Tokens, *streampb.Frame_End:
 		if !o.state.CompareAndSwap(offerOpen, offerWon) {
-			return &attemptResult{ending: overtaken}
+			return &attemptResult{end: endSuperseded}
 		}
-		o.stream.putBack(frame)
-		return &attemptResult{ending: decided}
+		o.stream.pushBack(frame)
+		return &attemptResult{end: endOfferWon}
 	case *streampb.Frame_Moving:
-		return &attemptResult{ending: overtaken}
+		return &attemptResult{end: endSuperseded}
 	default:
-		return o.reader.act(frame)
+		return o.reader.handleFrame(frame)
 	}
 }
 
 func (o *offer) won() bool { return o.state.Load() == offerWon }
 
-// failed reports that nothing can come of the offer any more.
+// failed reports that the offer was refused or its stream broke.
 func (o *offer) failed() bool { return o.state.Load() == offerFailed }
 
-// withdraw gives the offer up; false: it has won.
+// withdraw withdraws the offer. It returns false if the offer has already won.
 func (o *offer) withdraw() bool {
 	if o.state.CompareAndSwap(offerOpen, offerWithdrawn) {
 		o.stream.cancel()
@@ -151,44 +154,44 @@
 	return !o.won()
 }
 
-// endsWithin waits for the offer to be decided, for a while.
-func (o *offer) endsWithin(wait time.Duration) bool {
+// endedWithin waits up to wait for the offer to be decided.
+func (o *offer) endedWithin(wait time.Duration) bool {
 	select {
-	case <-o.ended:
+	case <-o.done:
 		return true
 	case <-time.After(wait):
 		return false
 	}
 }
 
-// closeOffer notes the end of an offer that nobody goes on with.
-func (d *drive) closeOffer(o *offer) {
-	<-o.ended
+// closeOffer records the end of an offer that the run doesn't continue with.
+func (g *generationRun) closeOffer(o *offer) {
+	<-o.done
 	if !o.failed() {
-		o.result = attemptResult{ending: overtaken}
+		o.result = attemptResult{end: endSuperseded}
 		o.stream.close()
 	}
 	o.result.accepted = o.reader.accepted
 	o.sent.End()
-	d.noteEnd(o.candidate, o.reader.attempt, &o.result)
-	d.leaveBeside(o)
+	g.recordEnd(o.candidate, o.reader.attempt, &o.result)
+	g.endOfferRun(o)
 }
 
 // followOffer reads on from an offer that has won.
-func (d *drive) followOffer(o *offer) attemptResult {
+func (g *generationRun) followOffer(o *offer) attemptResult {
 	defer o.sent.End()
-	d.r.opts.Recorder.Emit(eventPlaced, event.FieldRequest, d.ask.requestID, "generation", d.id,
-		"backend_server", o.candidate.ID, "emitted", len(d.tokens))
-	d.entered = o.entered
-	result := d.follow(o.reader)
-	d.leave(o.candidate, result)
+	g.router.opts.Recorder.Emit(eventPlaced, event.FieldRequest, g.req.requestID, "generation", g.id,
+		"backend_server", o.candidate.ID, "emitted", len(g.tokens))
+	g.runCounted = o.runCounted
+	result := g.followAttempt(o.reader)
+	g.endRun(o.candidate, result)
 	return result
 }
 
-// dropSuccessor gives up an offer that has won when the generation ends first.
-func (d *drive) dropSuccessor() {
-	if d.successor != nil {
-		d.closeOffer(d.successor)
-		d.successor = nil
+// dropSuccessor gives up an offer that has won if the run ends before reading it.
+func (g *generationRun) dropSuccessor() {
+	if g.successor != nil {
+		g.closeOffer(g.successor)
+		g.successor = nil
 	}
 }
--- a/router/openai_test.go
+++ b/router/openai_test.go
@@ -12,11 +12,11 @@
 	"github.com/pearyard/pearyard/standin"
 )
 
-// The callers' interface is driven by a client library of the ecosystem.
-func TestOpenAIClientStreamsAndCollects(t *testing.T) {
+// The API must work with OpenAI's own client library.
+func TestOpenAIClient(t *testing.T) {
 	g := NewWithT(t)
-	bed := newBed(t)
-	api := openai.NewClient(option.WithBaseURL(bed.url+"/v1/"), option.WithAPIKey("key"), option.WithMaxRetries(0))
+	cl := newCluster(t)
+	api := openai.NewClient(option.WithBaseURL(cl.url+"/v1/"), option.WithAPIKey("key"), option.WithMaxRetries(0))
 
 	stream := api.Chat.Completions.NewStreaming(t.Context(), openai.ChatCompletionNewParams{
 		Model:               "pear",
@@ -46,9 +46,9 @@
 	g.Expect(models.Data).To(HaveLen(1))
 }
 
-// What can't succeed as it is gets a 4xx that says what is wrong, with the
-// outcome "not run" and the request's id.
-func TestBadInputIsRefused(t *testing.T) {
+// A request that can't succeed as it is gets a 4xx status that says why, with the
+// outcome "not-run" and the request id.
+func TestInvalidRequestsAreRefused(t *testing.T) {
 	const good = `{"model":"pear","prompt":"p","max_tokens":5}`
 	tooLarge := `{"model":"pear","prompt":"` + strings.Repeat("x", 9<<20) + `"}`
 	foreign := "0123456789abcdef-00000001-00000002.7"
@@ -68,11 +68,11 @@
 		{"malformed event id", good, "key", "x", 400, "bad_request"},
 		{"foreign event id", good, "key", foreign, 409, "foreign_event_id"},
 	}
-	bed := newBed(t)
+	cl := newCluster(t)
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
-			req, _ := http.NewRequest(http.MethodPost, bed.url+"/v1/completions", strings.NewReader(c.body))
+			req, _ := http.NewRequest(http.MethodPost, cl.url+"/v1/completions", strings.NewReader(c.body))
 			if c.key != "" {
 				req.Header.Set("Authorization", "Bearer "+c.key)
 			}
@@ -86,7 +86,7 @@
 			g.Expect(resp.Header.Get("Pearyard-Outcome")).To(Equal("not-run"))
 			g.Expect(resp.Header.Get("Pearyard-Request-Id")).NotTo(BeEmpty())
 			g.Expect(bodyOf(resp)).To(ContainSubstring(`"code":"` + c.code + `"`))
-			g.Expect(bed.requests()).To(BeZero())
+			g.Expect(cl.requests()).To(BeZero())
 		})
 	}
 }
--- a/router/pace_test.go
+++ b/router/pace_test.go
@@ -14,12 +14,13 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// losing gives one token of the first attempt, then loses it, and refuses all later ones.
-type losing struct{ attempts atomic.Int64 }
+// losingSidecar sends one token of the first attempt, then reports it lost, and refuses
+// all later attempts.
+type losingSidecar struct{ attempts atomic.Int64 }
 
-func (l *losing) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (l *losingSidecar) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != streampb.PathGenerate {
-		return // the router frees the attempt that was lost
+		return // the router cancels the lost attempt
 	}
 	var req streampb.GenerateRequest
 	_ = streampb.NewReader(r.Body).Read(&req)
@@ -33,33 +34,34 @@
 	_ = streampb.Write(w, &streampb.Frame{Body: &streampb.Frame_Lost{Lost: &streampb.Lost{}}})
 }
 
-// manySidecars is more than a request can avoid at once, so that there is
-// always one to ask.
-const manySidecars = 6
+// sidecarCount is more than a request can avoid at once, so that there is always one to
+// send an attempt to.
+const sidecarCount = 6
 
-// All engines of a site go down while an answer runs. The router looks for one
-// to go on with until the caller's time is over, and must not flood the
-// sidecars that refuse meanwhile: without a pause it asked 150 times a second.
-func TestResumePacesItsAttempts(t *testing.T) {
+// All engines fail while an answer is generated, and the router looks for one to resume
+// on until the caller's timeout. It must not flood the sidecars that refuse: without a
+// backoff it sent 150 attempts a second.
+func TestResumeBacksOffBetweenRefusals(t *testing.T) {
 	g := NewWithT(t)
-	sidecars := &losing{}
-	g.Expect(sidecars.answer(t, "1")).To(ContainSubstring(`"code":"deadline_exceeded"`))
+	sidecars := &losingSidecar{}
+	g.Expect(sidecars.stream(t, "1")).To(ContainSubstring(`"code":"deadline_exceeded"`))
 	g.Expect(sidecars.attempts.Load()).To(BeNumerically("<", 40))
 }
 
-// The same, and the caller has set no time: it must not wait for the text's
-// half hour, but is told after a few seconds that nobody goes on with its answer.
+// The same with a long timeout. The caller must be told within seconds that no backend
+// server resumes its answer, instead of waiting for the configured half hour.
 func TestResumeGivesUpWhenAllRefuse(t *testing.T) {
 	g := NewWithT(t)
 	begun := time.Now()
-	g.Expect((&losing{}).answer(t, "20")).To(ContainSubstring(`"code":"no_backend_server"`))
+	g.Expect((&losingSidecar{}).stream(t, "20")).To(ContainSubstring(`"code":"no_backend_server"`))
 	g.Expect(time.Since(begun)).To(BeNumerically("<", 10*time.Second))
 }
 
-// answer streams a request before two such sidecars and returns all that came.
-func (l *losing) answer(t *testing.T, seconds string) string {
+// stream sends a request to a router before sidecarCount such sidecars and returns the
+// whole response body.
+func (l *losingSidecar) stream(t *testing.T, seconds string) string {
 	var addresses []string
-	for range manySidecars {
+	for range sidecarCount {
 		server := httptest.NewServer(l)
 		t.Cleanup(server.Close)
 		addresses = append(addresses, strings.TrimPrefix(server.URL, "http://"))
--- a/router/panics.go
+++ b/router/panics.go
@@ -10,34 +10,33 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// maxStack bounds the stack in a line: a dozen calls.
-const maxStack = 2048
+// maxStackBytes bounds the stack in an event, to about a dozen calls.
+const maxStackBytes = 2048
 
-// answerPanic ends a request on whose path the program panicked; it is to be
-// deferred. http.ErrAbortHandler goes on to the server: with it handlers cut
-// answers.
+// answerPanic recovers a panic of a request's handler and answers the request; it
+// must be deferred. http.ErrAbortHandler is passed on to the server: handlers use it
+// to cut off answers.
 //
-// Failure it stops: the server recovers a panic by closing the connection. The
-// caller had neither an answer nor a refusal, and the stack on standard error
-// named no request.
+// The server's own recovery closes the connection, which leaves the caller without
+// an answer, and writes a stack to standard error that names no request.
 func (r *Router) answerPanic(w *httpanswer.Writer, id types.RequestID) {
-	why := recover()
-	if why == nil {
+	recovered := recover()
+	if recovered == nil {
 		return
 	}
-	if why == http.ErrAbortHandler {
-		panic(why)
+	if recovered == http.ErrAbortHandler {
+		panic(recovered)
 	}
 	stack := debug.Stack()
-	r.opts.Recorder.Emit(eventPanicked, event.FieldRequest, id, "panic", fmt.Sprint(why), "answered", !w.HeaderWritten, "stack", string(stack[:min(len(stack), maxStack)]))
+	r.opts.Recorder.Emit(eventPanicked, event.FieldRequest, id, "panic", fmt.Sprint(recovered), "answered", !w.HeaderWritten, "stack", string(stack[:min(len(stack), maxStackBytes)]))
 	if w.HeaderWritten {
 		panic(http.ErrAbortHandler)
 	}
-	// What has been set belongs to an answer that isn't given.
+	// The headers set so far belong to an answer that is not sent.
 	clear(w.Header())
 	w.Header().Set(HeaderRequestID, string(id))
 	w.Header().Set("Connection", "close")
-	refusal := types.Unknown(types.CodeInternal, 0, "a fault of this router ended the request")
+	refusal := types.Unknown(types.CodeInternal, 0, "internal error of the router")
 	refusal.Status = http.StatusInternalServerError
 	r.refuse(w, id, refusal)
 }
--- a/router/place.go
+++ b/router/place.go
@@ -9,41 +9,42 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// place picks a backend server and runs one attempt on it; it waits a little
-// when there is none.
-func (d *drive) place(ctx context.Context, patience time.Time) (attemptResult, *types.Refusal) {
-	defer d.giveBack()
+// placeAttempt picks a backend server and runs one attempt on it. While there is
+// none it retries until giveUpAt.
+func (g *generationRun) placeAttempt(ctx context.Context, giveUpAt time.Time) (attemptResult, *types.Refusal) {
+	defer g.releaseGrant()
 	for {
-		if d.refusals > 0 && time.Now().After(patience) {
-			return attemptResult{}, d.gaveUp(types.CodeNoBackend, "every backend server refuses this request")
+		if g.consecutiveRefusals > 0 && time.Now().After(giveUpAt) {
+			return attemptResult{}, g.finalRefusal(types.CodeNoBackend, "every backend server refused this request")
 		}
-		if !d.pace(ctx) {
-			return attemptResult{}, d.contextEnded(ctx)
+		if !g.paceRefusals(ctx) {
+			return attemptResult{}, g.contextRefusal(ctx)
 		}
-		d.await(ctx, patience)
-		if refusal := d.quarantined(); refusal != nil {
+		g.awaitGrant(ctx, giveUpAt)
+		if refusal := g.checkQuarantine(); refusal != nil {
 			return attemptResult{}, refusal
 		}
-		if candidate, ok := d.choose(); ok {
-			result := d.attempt(ctx, candidate)
-			d.leave(candidate, result)
+		if candidate, ok := g.chooseCandidate(); ok {
+			result := g.runAttempt(ctx, candidate)
+			g.endRun(candidate, result)
 			return result, nil
 		}
-		if time.Now().After(patience) {
-			return attemptResult{}, d.gaveUp(types.CodeNoBackend, "no backend server takes this request")
+		if time.Now().After(giveUpAt) {
+			return attemptResult{}, g.finalRefusal(types.CodeNoBackend, "no backend server is available for this request")
 		}
 		select {
 		case <-ctx.Done():
-			return attemptResult{}, d.contextEnded(ctx)
-		case <-time.After(placeRetry):
+			return attemptResult{}, g.contextRefusal(ctx)
+		case <-time.After(placeRetryInterval):
 		}
 	}
 }
 
-// pace waits a little once every backend server has refused this request in a
-// row: while all engines are down, a resume would else ask them without a pause.
-func (d *drive) pace(ctx context.Context) bool {
-	round := d.refusals - d.fleet.view.Load().Len()
+// paceRefusals waits once all backend servers have refused this request in a row.
+// Without it a resume would send attempts without a pause while all engines are
+// down.
+func (g *generationRun) paceRefusals(ctx context.Context) bool {
+	round := g.consecutiveRefusals - g.service.view.Load().Len()
 	if round < 0 {
 		return true
 	}
@@ -55,101 +56,101 @@
 	}
 }
 
-// choose picks a backend server and enters the request there. One that a
-// suspect may not enter, or whose circuit is open, is avoided from then on.
-func (d *drive) choose() (*route.Candidate, bool) {
-	if !d.mayPlace() {
+// chooseCandidate picks a backend server and begins a run on it. Servers where a
+// suspect may not run, or whose circuit is open, are avoided from then on.
+func (g *generationRun) chooseCandidate() (*route.Candidate, bool) {
+	if !g.mayPlace() {
 		return nil, false
 	}
 	for range maxAvoided {
-		candidate, ok := d.pick()
+		candidate, ok := g.pick()
 		if !ok {
 			break
 		}
-		circuit := d.fleet.circuit(candidate.ID)
-		if circuit.State() == retry.Open || !d.enter(candidate) {
-			d.avoidNext(candidate.ID)
+		circuit := g.service.circuit(candidate.ID)
+		if circuit.State() == retry.Open || !g.beginRun(candidate) {
+			g.avoidCandidate(candidate.ID)
 			continue
 		}
 		if circuit.Allow() {
 			return candidate, true
 		}
-		d.withdraw(candidate) // another request became the probe
-		d.avoidNext(candidate.ID)
+		g.cancelRun(candidate) // another request took the circuit's probe
+		g.avoidCandidate(candidate.ID)
 		return nil, false
 	}
-	d.avoid = d.avoid[:0]
+	g.avoid = g.avoid[:0]
 	return nil, false
 }
 
-func (d *drive) query() *route.Query {
+func (g *generationRun) query() *route.Query {
 	return &route.Query{
-		Blocks:  d.blocks,
-		Zone:    d.r.opts.Zone,
-		Avoid:   d.avoid,
-		Suspect: d.verdict().Strong(),
-		Long:    d.resumes > 0,
+		Blocks:  g.blocks,
+		Zone:    g.router.opts.Zone,
+		Avoid:   g.avoid,
+		Suspect: g.verdict().Strong(),
+		Long:    g.resumes > 0,
 	}
 }
 
-func (d *drive) pick() (*route.Candidate, bool) {
-	return d.fleet.policy.Pick(d.query(), d.fleet.view.Load())
+func (g *generationRun) pick() (*route.Candidate, bool) {
+	return g.service.policy.Pick(g.query(), g.service.view.Load())
 }
 
-// close notes the end of an attempt in the drive and at its candidate.
-func (d *drive) close(candidate *route.Candidate, attempt types.AttemptTag, result *attemptResult) {
-	d.refusals++
-	if result.ending != notStarted {
-		d.refusals = 0
+// recordAttempt records the end of an attempt for the run and its candidate.
+func (g *generationRun) recordAttempt(candidate *route.Candidate, attempt types.AttemptTag, result *attemptResult) {
+	g.consecutiveRefusals++
+	if result.end != endNotStarted {
+		g.consecutiveRefusals = 0
 	}
-	// Failure it stops: "not run" said of a request that ran. An attempt whose
-	// stream broke before its first frame may be with an engine all the same;
-	// only a refusal, or a connection that was never made, proves that it isn't.
-	d.ran = d.ran || result.accepted || result.ending != notStarted
-	d.noteEnd(candidate, attempt, result)
-	if result.ending != ended && result.ending != left {
-		d.avoidNext(candidate.ID)
+	// An attempt whose stream broke before its first frame may still be running on
+	// an engine, so the caller must not be told "not run". Only a refusal, or a
+	// connection that was never made, proves that it isn't.
+	g.ran = g.ran || result.accepted || result.end != endNotStarted
+	g.recordEnd(candidate, attempt, result)
+	if result.end != endCompleted && result.end != endCallerLeft {
+		g.avoidCandidate(candidate.ID)
 	}
 }
 
-// noteEnd updates what is known of the candidate by how an attempt ended there,
-// and frees its engine.
-func (d *drive) noteEnd(candidate *route.Candidate, attempt types.AttemptTag, result *attemptResult) {
-	circuit := d.fleet.circuit(candidate.ID)
+// recordEnd updates the candidate's statistics and circuit by how an attempt
+// ended there, and cancels what may still run.
+func (g *generationRun) recordEnd(candidate *route.Candidate, attempt types.AttemptTag, result *attemptResult) {
+	circuit := g.service.circuit(candidate.ID)
 	if result.accepted {
 		circuit.Success()
 	}
-	switch result.ending {
-	case ended:
+	switch result.end {
+	case endCompleted:
 		candidate.Stats.Succeeded()
-	case left:
-		if !d.ask.explicitKey {
-			d.r.cancelAttempt(candidate.Address, d.id, attempt)
+	case endCallerLeft:
+		if !g.req.explicitKey {
+			g.router.cancelAttempt(candidate.Address, g.id, attempt)
 		}
-	case lost:
+	case endLost:
 		candidate.Stats.Failed(time.Now())
 		if result.cause != causeEngineDied {
 			circuit.Failure()
 		}
-		d.r.cancelAttempt(candidate.Address, d.id, attempt)
-	case overtaken:
-		if result.cause == causeStill {
+		g.router.cancelAttempt(candidate.Address, g.id, attempt)
+	case endSuperseded:
+		if result.cause == causeStalled {
 			candidate.Stats.Failed(time.Now())
 		}
-		d.r.cancelAttempt(candidate.Address, d.id, attempt)
-	case notStarted:
+		g.router.cancelAttempt(candidate.Address, g.id, attempt)
+	case endNotStarted:
 		if result.refused == nil {
 			candidate.Stats.Failed(time.Now())
 			circuit.Failure()
 		} else if types.Code(result.refused.GetCode()) == types.CodeLeaving {
-			d.r.noteLeaving(d.fleet, candidate)
+			g.router.recordLeaving(g.service, candidate)
 		}
 	}
 }
 
-func (d *drive) avoidNext(id types.ProcessID) {
-	if len(d.avoid) == maxAvoided {
-		d.avoid = append(d.avoid[:0], d.avoid[1:]...)
+func (g *generationRun) avoidCandidate(id types.ProcessID) {
+	if len(g.avoid) == maxAvoided {
+		g.avoid = append(g.avoid[:0], g.avoid[1:]...)
 	}
-	d.avoid = append(d.avoid, id)
+	g.avoid = append(g.avoid, id)
 }
--- a/router/reattach.go
+++ b/router/reattach.go
@@ -15,226 +15,231 @@
 )
 
 const (
-	// extraPeers are asked beyond those that a journal is written to: the
-	// writer's view of the members may have differed from this router's.
-	extraPeers = 2
-	// askAllUpTo bounds the search among all sidecars when the journal peers
-	// don't know the generation.
-	askAllUpTo       = 64
-	reserveTimeout   = 300 * time.Millisecond
-	reservePause     = 20 * time.Millisecond
-	askAllTimeout    = 500 * time.Millisecond
-	lostRetryAfter   = time.Second
-	unsureRetryAfter = 2 * time.Second
+	// extraJournalPeers are asked in addition to those that a journal is written
+	// to: the writer's view of the members may have differed from this router's.
+	extraJournalPeers = 2
+	// maxSidecarsSearched bounds the search among all sidecars, used when the
+	// journal peers don't know the generation.
+	maxSidecarsSearched = 64
+	reserveTimeout      = 300 * time.Millisecond
+	reservePollInterval = 20 * time.Millisecond
+	searchTimeout       = 500 * time.Millisecond
+	lostRetryAfter      = time.Second
+	unsureRetryAfter    = 2 * time.Second
 )
 
-// reserve finds out whether the caller's idempotency key already has a
-// generation. It returns the generation to use, and whether it is another's.
+// findOrReserveKey reserves the caller's idempotency key for this run, or reports
+// that the key already has a generation that runs. The run then takes that
+// generation's id.
 //
-// Failure it stops: the same request sent through two routers at once runs
-// twice. The router that comes second finds the first one's reservation before
-// its backend server has registered, and waits a little for that. What the
-// wait doesn't catch costs an engine's work, never a mixed answer.
-func (d *drive) reserve(ctx context.Context) (attach bool) {
+// It keeps the same request, sent through two routers at once, from running
+// twice. The second router finds the reservation of the first one before the
+// backend server has registered the generation, and waits briefly for that. A
+// registration later than the timeout costs duplicate work on an engine, but
+// never a mixed answer.
+func (g *generationRun) findOrReserveKey(ctx context.Context) (attach bool) {
 	ctx, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
 	for {
-		found, err := d.r.journal.FindKey(ctx, d.id, d.journalPeers())
+		found, err := g.router.journal.FindKey(ctx, g.id, g.journalPeers())
 		if err != nil || !found.Known {
 			return false
 		}
 		if found.Runner != "" {
-			d.id = found.Generation
+			g.id = found.Generation
 			return true
 		}
 		select {
 		case <-ctx.Done():
 			return false
-		case <-time.After(reservePause):
+		case <-time.After(reservePollInterval):
 		}
 	}
 }
 
-func (d *drive) journalPeers() []string {
-	n := d.text.Recovery.JournalPeers + extraPeers
-	return tokenlog.Place(d.ask.key, d.r.sites(), n, "")
+func (g *generationRun) journalPeers() []string {
+	n := g.text.Recovery.JournalPeers + extraJournalPeers
+	return tokenlog.Place(g.req.key, g.router.journalSites(), n, "")
 }
 
-// allSites lists the journal peers first and then, on a site of moderate size,
-// everybody else: they are asked when the journal peers hold nothing.
+// searchOrder lists all sidecars, journal peers first: the others are asked when
+// the journal peers hold nothing. With more than maxSidecarsSearched sidecars it
+// lists the journal peers only.
 //
-// Failure it stops: the writer saw other members than this router does, just
-// after a start or a partition, and wrote where this router doesn't look. It
-// shows as generation_lost although a peer holds all tokens.
-func (d *drive) allSites() []string {
-	sites := d.r.sites()
-	if len(sites) > askAllUpTo {
-		return d.journalPeers()
+// The writer may have seen other members than this router does, shortly after a
+// start or a partition, and have written its journal to sidecars that are no
+// journal peers in this router's view. The generation would be reported as lost
+// although a sidecar holds all of its tokens.
+func (g *generationRun) searchOrder() []string {
+	sites := g.router.journalSites()
+	if len(sites) > maxSidecarsSearched {
+		return g.journalPeers()
 	}
-	return tokenlog.Place(d.ask.key, sites, len(sites), "")
+	return tokenlog.Place(g.req.key, sites, len(sites), "")
 }
 
-// reattach goes on with a generation that the caller has seen a part of: it
+// reattach continues a generation that the caller may have received a part of. It
 // reads from the sidecar that runs it, or else resumes it from its journal.
-func (d *drive) reattach(ctx context.Context) (done bool, refusal *types.Refusal) {
-	want := d.want()
-	d.sent = d.seen()
-	d.gap = &gap{since: d.begun, cause: causeReturn}
-	d.ran = true
-	d.r.opts.Recorder.Emit(eventReturned, event.FieldRequest, d.ask.requestID, "generation", d.id, "seen", d.sent)
-	branch, err := d.r.journal.Find(ctx, want, d.allSites())
-	runners := d.runners(ctx, branch, err)
+func (g *generationRun) reattach(ctx context.Context) (done bool, refusal *types.Refusal) {
+	want := g.lastSeenEvent()
+	g.delivered = g.tokensSeen()
+	g.gap = &gap{since: g.receivedAt, cause: causeCallerReturned}
+	g.ran = true
+	g.router.opts.Recorder.Emit(eventReturned, event.FieldRequest, g.req.requestID, "generation", g.id, "seen", g.delivered)
+	branch, err := g.router.journal.Find(ctx, want, g.searchOrder())
+	runners := g.runners(ctx, branch, err)
 	for _, addr := range runners {
-		result := d.attach(ctx, addr, want)
-		if d.successor == nil && (result.ending == lost || result.ending == notStarted) {
+		result := g.attach(ctx, addr, want)
+		if g.successor == nil && (result.end == endLost || result.end == endNotStarted) {
 			continue
 		}
-		return d.settle(ctx, result)
+		return g.afterAttempt(ctx, result)
 	}
-	return false, d.resumeFromJournal(branch, err)
+	return false, g.resumeFromJournal(branch, err)
 }
 
-// want names the last token that the caller has seen.
-func (d *drive) want() types.EventID {
-	if d.ask.lastEvent == nil {
-		return types.EventID{Generation: d.id}
+// lastSeenEvent identifies the last token that the caller has received.
+func (g *generationRun) lastSeenEvent() types.EventID {
+	if g.req.lastEvent == nil {
+		return types.EventID{Generation: g.id}
 	}
-	return *d.ask.lastEvent
+	return *g.req.lastEvent
 }
 
-func (d *drive) seen() int {
-	if d.ask.lastEvent == nil {
+func (g *generationRun) tokensSeen() int {
+	if g.req.lastEvent == nil {
 		return 0
 	}
-	return d.ask.lastEvent.Index + 1
+	return g.req.lastEvent.Index + 1
 }
 
-// runners lists the sidecars that may hold the generation's log: the one that
-// the journal names, else whoever says so when all are asked.
-func (d *drive) runners(ctx context.Context, branch tokenlog.Branch, err error) []string {
+// runners lists the sidecars that may hold the generation's log: the one that the
+// journal names, or else all that answer that they hold it.
+func (g *generationRun) runners(ctx context.Context, branch tokenlog.Branch, err error) []string {
 	var failed *tokenlog.FindError
 	if errors.As(err, &failed) {
 		branch = failed.Best
 	}
-	if branch.Runner != "" && d.r.reachable(branch.Runner) {
+	if branch.Runner != "" && g.router.maybeAlive(branch.Runner) {
 		return []string{branch.Runner}
 	}
 	if err == nil {
 		return nil
 	}
-	return d.r.askAll(ctx, d.id)
+	return g.router.searchSidecars(ctx, g.id)
 }
 
-// attach reads the answer from the beginning from a sidecar that holds it.
-func (d *drive) attach(ctx context.Context, addr string, want types.EventID) attemptResult {
-	req := &streampb.AttachRequest{Generation: d.id.String(), Attempt: uint32(want.Attempt), From: uint32(d.seen())}
-	stream := d.r.openStream(ctx, addr, streampb.PathAttach, req)
-	kept := d.tokens
-	d.tokens = nil
-	reader := &attachReader{attemptReader: attemptReader{d: d, stream: stream, address: addr, opened: time.Now()}, want: want}
-	result := reader.handOver(readStream(stream, d.text.Recovery.Silence(), reader.handle))
-	if result.ending == overtaken {
-		d.r.cancelAttempt(addr, d.id, reader.attempt)
+// attach reads the answer from its beginning from a sidecar that holds it.
+func (g *generationRun) attach(ctx context.Context, addr string, want types.EventID) attemptResult {
+	req := &streampb.AttachRequest{Generation: g.id.String(), Attempt: uint32(want.Attempt), From: uint32(g.tokensSeen())}
+	stream := g.router.openStream(ctx, addr, streampb.PathAttach, req)
+	earlier := g.tokens
+	g.tokens = nil
+	reader := &attachReader{attemptReader: attemptReader{run: g, stream: stream, address: addr, opened: time.Now()}, lastSeen: want}
+	result := reader.resolveHandover(readStream(stream, g.text.Recovery.Silence(), reader.handle))
+	if result.end == endSuperseded {
+		g.router.cancelAttempt(addr, g.id, reader.attempt)
 	}
-	if len(d.tokens) < len(kept) {
-		d.tokens = kept
+	if len(g.tokens) < len(earlier) {
+		g.tokens = earlier
 	}
 	return result
 }
 
-// attachReader learns the attempt from the sidecar and holds it against what
-// the caller has seen.
+// attachReader adopts the attempt that the sidecar reports, after checking it
+// against the last token that the caller has received.
 type attachReader struct {
 	attemptReader
-	want types.EventID
+	lastSeen types.EventID
 }
 
 func (a *attachReader) handle(frame *streampb.Frame) *attemptResult {
 	if accepted := frame.GetAccepted(); accepted != nil {
 		return a.adopt(streampb.ToLineage(accepted.GetLineage()))
 	}
-	if end := frame.GetEnd(); end != nil && int(end.GetCount()) < a.d.sent {
-		return &attemptResult{ending: lost, cause: causeConnection}
+	if end := frame.GetEnd(); end != nil && int(end.GetCount()) < a.run.delivered {
+		return &attemptResult{end: endLost, cause: causeConnection}
 	}
 	return a.attemptReader.handle(frame)
 }
 
-// adopt refuses a log that doesn't contain the caller's last token. Going on
-// with it would join tokens of two attempts that ran side by side.
+// adopt rejects a log that doesn't contain the caller's last token. Continuing
+// with it would join tokens of two attempts that ran concurrently.
 func (a *attachReader) adopt(lineage types.Lineage) *attemptResult {
-	if a.want.Attempt != 0 && !lineage.Produced(a.want.Attempt, a.want.Index) {
-		return &attemptResult{ending: lost, cause: causeConnection}
+	if a.lastSeen.Attempt != 0 && !lineage.Produced(a.lastSeen.Attempt, a.lastSeen.Index) {
+		return &attemptResult{end: endLost, cause: causeConnection}
 	}
 	a.attempt, a.lineage = lineage.Last(), lineage
 	a.accepted = true
 	return nil
 }
 
-// resumeFromJournal continues from what journal peers hold, or says truthfully
-// that the generation is lost.
-func (d *drive) resumeFromJournal(branch tokenlog.Branch, err error) *types.Refusal {
-	if len(d.tokens) >= d.sent && len(d.tokens) > len(branch.Tokens) {
-		return nil // a log broke off while it was read; go on from what was read
+// resumeFromJournal continues from the tokens that journal peers hold, or returns
+// the refusal that the generation is lost.
+func (g *generationRun) resumeFromJournal(branch tokenlog.Branch, err error) *types.Refusal {
+	if len(g.tokens) >= g.delivered && len(g.tokens) > len(branch.Tokens) {
+		return nil // an attached log broke off: resume after the tokens it brought
 	}
-	if err != nil && d.ask.lastEvent == nil {
-		d.renew()
+	if err != nil && g.req.lastEvent == nil {
+		g.startAnew()
 		return nil
 	}
 	if err != nil {
-		return d.generationLost(err)
+		return g.generationLost(err)
 	}
-	if len(branch.Tokens) < d.sent {
-		return d.generationLost(tokenlog.ErrTooShort)
+	if len(branch.Tokens) < g.delivered {
+		return g.generationLost(tokenlog.ErrTooShort)
 	}
-	d.tokens, d.lineage = branch.Tokens, branch.Lineage
-	if sendErr := d.send(); sendErr != nil {
-		return errCallerLeft
+	g.tokens, g.lineage = branch.Tokens, branch.Lineage
+	if sendErr := g.deliver(); sendErr != nil {
+		return callerLeftRefusal
 	}
 	if branch.Finish != "" {
-		return d.finishedInJournal(branch.Finish)
+		return g.finishedInJournal(branch.Finish)
 	}
 	return nil
 }
 
-// renew begins another generation in place of one that can't be found and of
-// which this caller has seen nothing.
-func (d *drive) renew() {
-	d.id = types.NewGenerationID(d.ask.key)
-	d.tokens, d.lineage, d.gap = nil, nil, nil
-	d.answer = d.newAnswer(d.id)
+// startAnew replaces a generation that can't be found, and of which this caller
+// has received nothing, by a new one.
+func (g *generationRun) startAnew() {
+	g.id = types.NewGenerationID(g.req.key)
+	g.tokens, g.lineage, g.gap = nil, nil, nil
+	g.answer = g.newAnswer(g.id)
 }
 
-// errAnswered tells the caller of run that the answer is already whole.
-var errAnswered = &types.Refusal{Code: "", Message: "answered"}
+// answeredRefusal reports that the answer has already been completed.
+var answeredRefusal = &types.Refusal{Code: "", Message: "answered"}
 
-func (d *drive) finishedInJournal(reason types.FinishReason) *types.Refusal {
-	if refusal := d.finish(reason); refusal != nil {
+func (g *generationRun) finishedInJournal(reason types.FinishReason) *types.Refusal {
+	if refusal := g.finish(reason); refusal != nil {
 		return refusal
 	}
-	return errAnswered
+	return answeredRefusal
 }
 
-// generationLost is the typed end of a generation that can't go on as the one
-// the caller has seen. Starting another in its place would be a splice.
-func (d *drive) generationLost(cause error) *types.Refusal {
-	d.r.opts.Recorder.Emit(eventGenerationLost, event.FieldRequest, d.ask.requestID, "generation", d.id, "cause", cause)
-	refusal := types.Unknown(types.CodeGenerationLost, lostRetryAfter, "the generation can't go on (%v); send the request anew without %s", cause, HeaderLastEventID)
+// generationLost returns the refusal of a generation that can't continue the
+// tokens that the caller has. Starting another one in its place would join two
+// different answers.
+func (g *generationRun) generationLost(cause error) *types.Refusal {
+	g.router.opts.Recorder.Emit(eventGenerationLost, event.FieldRequest, g.req.requestID, "generation", g.id, "cause", cause)
+	refusal := types.Unknown(types.CodeGenerationLost, lostRetryAfter, "the generation cannot be continued (%v); send the request again without %s", cause, HeaderLastEventID)
 	refusal.Status = http.StatusGone
 	if errors.Is(cause, tokenlog.ErrUnsure) {
 		refusal.Status = http.StatusServiceUnavailable
 		refusal.RetryAfter = unsureRetryAfter
-		refusal.Message = "not everybody who may hold the generation could be asked; come back with the same Last-Event-ID"
+		refusal.Message = "some sidecars that may hold the generation did not answer; retry with the same Last-Event-ID"
 	}
 	return refusal
 }
 
-// askAll asks every sidecar for a generation and returns those that hold it.
-func (r *Router) askAll(ctx context.Context, id types.GenerationID) []string {
-	sites := r.sites()
-	if len(sites) > askAllUpTo {
+// searchSidecars asks every sidecar for a generation and returns those that hold it.
+func (r *Router) searchSidecars(ctx context.Context, id types.GenerationID) []string {
+	sites := r.journalSites()
+	if len(sites) > maxSidecarsSearched {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, askAllTimeout)
+	ctx, cancel := context.WithTimeout(ctx, searchTimeout)
 	defer cancel()
 	var mu sync.Mutex
 	var found []string
--- a/router/refuse.go
+++ b/router/refuse.go
@@ -11,7 +11,7 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// errorBody is the OpenAI error shape with the request id.
+// errorBody is the OpenAI error body with additional fields.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -22,8 +22,8 @@
 	Code      types.Code      `json:"code"`
 	RequestID types.RequestID `json:"request_id"`
 	Outcome   types.Outcome   `json:"outcome"`
-	// RetryAfter is in seconds, as the header of that name: an answer that has
-	// started can't send the header any more. 0: none.
+	// RetryAfter repeats the Retry-After header, in seconds, for an answer that has
+	// started and can't send the header any more. 0: none.
 	RetryAfter int `json:"retry_after,omitempty"`
 }
 
@@ -41,7 +41,7 @@
 	}}
 }
 
-// refuse writes a refusal as a whole HTTP answer, at once.
+// refuse writes a refusal as a complete response.
 func (r *Router) refuse(w http.ResponseWriter, id types.RequestID, refusal *types.Refusal) {
 	r.countRefusal(id, refusal)
 	h := w.Header()
@@ -62,7 +62,7 @@
 	r.opts.Recorder.Emit(eventRefused, event.FieldRequest, id, "code", refusal.Code, "outcome", refusal.Outcome, "message", refusal.Message)
 }
 
-// retryAfterSeconds rounds up: a caller that comes back too early is shed again.
+// retryAfterSeconds rounds up: a caller that retries too early is refused again.
 func retryAfterSeconds(d time.Duration) int {
 	return int(math.Ceil(max(d, 0).Seconds()))
 }
--- a/router/ask.go
+++ b/router/request.go
@@ -13,7 +13,7 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// Headers of the callers' interface.
+// Headers of the API.
 const (
 	HeaderIdempotencyKey = "Idempotency-Key"
 	HeaderLastEventID    = "Last-Event-ID"
@@ -22,12 +22,12 @@
 )
 
 const (
-	defaultMaxTokens    = 512
-	maxIdempotencyBytes = 256
+	defaultMaxTokens       = 512
+	maxIdempotencyKeyBytes = 256
 )
 
-// ask is one caller's request for a generation, checked.
-type ask struct {
+// generationRequest is a validated request for a generation.
+type generationRequest struct {
 	requestID    types.RequestID
 	organisation *text.Organisation
 	service      *text.Service
@@ -38,11 +38,11 @@
 	chat         bool
 	fingerprint  types.Fingerprint // of organisation, model and prompt
 	key          types.Key
-	explicitKey  bool           // the caller named its request
-	lastEvent    *types.EventID // the caller has seen the answer up to here
+	explicitKey  bool           // the caller sent an idempotency key
+	lastEvent    *types.EventID // the last event that the caller has received; may be nil
 }
 
-// completionBody is the part of the OpenAI request bodies that is acted on.
+// completionBody has the fields of the OpenAI request bodies that are used.
 type completionBody struct {
 	Model               string          `json:"model"`
 	Prompt              json.RawMessage `json:"prompt"`
@@ -63,92 +63,93 @@
 	Text string `json:"text"`
 }
 
-// readBody reads at most limit bytes, or refuses.
+// readBody reads a body of at most limit bytes.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, *types.Refusal) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return nil, types.Invalid(http.StatusRequestEntityTooLarge, types.CodeTooLarge, "the body is larger than %d bytes", limit)
+		return nil, types.Invalid(http.StatusRequestEntityTooLarge, types.CodeTooLarge, "the request body is larger than %d bytes", limit)
 	}
 	if err != nil {
-		return nil, types.Invalid(http.StatusBadRequest, types.CodeBadRequest, "the body could not be read: %v", err)
+		return nil, types.Invalid(http.StatusBadRequest, types.CodeBadRequest, "reading the request body: %v", err)
 	}
 	return body, nil
 }
 
-// parseAsk checks a request for a generation. What can't succeed as it is
-// gets a 4xx that says what is wrong; nothing has run by then.
-func parseAsk(r *http.Request, body []byte, chat bool, in *text.Text, org *text.Organisation) (*ask, *types.Refusal) {
+// parseGenerationRequest validates a request for a generation. A request that can't
+// succeed as it is gets a 4xx status with the reason; nothing has run by then.
+func parseGenerationRequest(r *http.Request, body []byte, chat bool, conf *text.Text, org *text.Organisation) (*generationRequest, *types.Refusal) {
 	var req completionBody
 	if err := json.Unmarshal(body, &req); err != nil {
-		return nil, badRequest("the body is not a JSON request: %v", err)
+		return nil, badRequest("the request body is not valid JSON of this API: %v", err)
 	}
-	service, ok := in.ModelService(req.Model)
+	service, ok := conf.ModelService(req.Model)
 	if !ok || service.Kind != text.KindModel {
 		return nil, types.Invalid(http.StatusNotFound, types.CodeUnknownModel, "no service has the model %q", req.Model)
 	}
-	prompt, refusal := promptOf(&req, chat)
+	prompt, refusal := parsePrompt(&req, chat)
 	if refusal != nil {
 		return nil, refusal
 	}
-	maxTokens, refusal := maxTokensOf(&req, in.Limits.MaxTokens)
+	maxTokens, refusal := parseMaxTokens(&req, conf.Limits.MaxTokens)
 	if refusal != nil {
 		return nil, refusal
 	}
-	a := &ask{
+	gr := &generationRequest{
 		organisation: org, service: service, model: req.Model, prompt: prompt,
 		maxTokens: maxTokens, stream: req.Stream, chat: chat,
 	}
-	if refusal := a.identify(r.Header, body); refusal != nil {
+	if refusal := gr.deriveKey(r.Header, body); refusal != nil {
 		return nil, refusal
 	}
-	return a, nil
+	return gr, nil
 }
 
-// identify derives the request's key from its organisation, idempotency key
-// and body. Since the body is part of it, two requests that share a key by
-// mistake never share an answer.
-func (a *ask) identify(h http.Header, body []byte) *types.Refusal {
-	idempotencyKey, refusal := idempotencyKeyOf(h)
+// deriveKey sets the request's key from its organisation, idempotency key and body,
+// and checks the caller's last event id against it. Since the body is part of the
+// key, two requests that use the same idempotency key by mistake never share an
+// answer.
+func (gr *generationRequest) deriveKey(h http.Header, body []byte) *types.Refusal {
+	idempotencyKey, refusal := parseIdempotencyKey(h)
 	if refusal != nil {
 		return refusal
 	}
-	org := types.Organisation(a.organisation.Name)
-	// A prompt that crashes engines crashes them with any budget, so a caller
-	// that sends it again with another one is the same suspect.
-	a.fingerprint = types.FingerprintOf(org, []byte(a.model+"\x00"+a.prompt))
-	a.explicitKey = idempotencyKey != ""
-	a.key = types.KeyOf(org, idempotencyKey+"\x00"+types.FingerprintOf(org, body).String())
+	org := types.Organisation(gr.organisation.Name)
+	// A prompt that crashes engines does so with any max_tokens, so the fingerprint
+	// leaves that out: sent again with another value, it is the same suspect.
+	gr.fingerprint = types.FingerprintOf(org, []byte(gr.model+"\x00"+gr.prompt))
+	gr.explicitKey = idempotencyKey != ""
+	gr.key = types.KeyOf(org, idempotencyKey+"\x00"+types.FingerprintOf(org, body).String())
 	last := h.Get(HeaderLastEventID)
 	if last == "" {
 		return nil
 	}
 	id, err := types.ParseEventID(last)
 	if err != nil {
-		return badRequest("%s %q was not given out here", HeaderLastEventID, last)
+		return badRequest("%s %q is not a valid event id", HeaderLastEventID, last)
 	}
-	// Failure it stops: a caller that gets the rest of somebody else's answer.
-	// The generation's id carries the key of its request, so only the same
+	// A caller must not get the rest of another caller's answer.
+	// The id of a generation contains the key of its request, so only the same
 	// organisation, idempotency key and body lead to it.
-	if id.Generation.Key != a.key {
+	if id.Generation.Key != gr.key {
 		return types.Invalid(http.StatusConflict, types.CodeForeignEventID, "%s belongs to another request", HeaderLastEventID)
 	}
-	if id.Index >= a.maxTokens {
-		return types.Invalid(http.StatusConflict, types.CodeFutureEventID, "%s lies beyond the end of the answer", HeaderLastEventID)
+	if id.Index >= gr.maxTokens {
+		return types.Invalid(http.StatusConflict, types.CodeFutureEventID, "%s is beyond the end of the answer", HeaderLastEventID)
 	}
-	a.lastEvent = &id
+	gr.lastEvent = &id
 	return nil
 }
 
-func idempotencyKeyOf(h http.Header) (string, *types.Refusal) {
+func parseIdempotencyKey(h http.Header) (string, *types.Refusal) {
 	key := h.Get(HeaderIdempotencyKey)
-	if len(key) > maxIdempotencyBytes {
-		return "", badRequest("%s is longer than %d bytes", HeaderIdempotencyKey, maxIdempotencyBytes)
+	if len(key) > maxIdempotencyKeyBytes {
+		return "", badRequest("%s is longer than %d bytes", HeaderIdempotencyKey, maxIdempotencyKeyBytes)
 	}
 	return key, nil
 }
 
-func promptOf(req *completionBody, chat bool) (string, *types.Refusal) {
+func parsePrompt(req *completionBody, chat bool) (string, *types.Refusal) {
 	if chat {
 		return chatPrompt(req.Messages)
 	}
@@ -160,11 +161,11 @@
 	if json.Unmarshal(req.Prompt, &list) == nil && len(list) == 1 && list[0] != "" {
 		return list[0], nil
 	}
-	return "", badRequest("prompt must be one text that is not empty")
+	return "", badRequest("prompt must be a single non-empty string")
 }
 
-// chatPrompt joins the whole conversation: earlier turns are the prefix that a
-// prefix cache can hold.
+// chatPrompt joins the whole conversation, so that earlier turns form a prefix that
+// a prefix cache can hold.
 func chatPrompt(messages []chatMessage) (string, *types.Refusal) {
 	if len(messages) == 0 {
 		return "", badRequest("messages must not be empty")
@@ -173,7 +174,7 @@
 	for i, m := range messages {
 		content, ok := messageText(m.Content)
 		if !ok || m.Role == "" {
-			return "", badRequest("messages[%d] needs a role and a text", i)
+			return "", badRequest("messages[%d] must have a role and text content", i)
 		}
 		b.WriteString("<|" + m.Role + "|>\n" + content + "\n")
 	}
@@ -199,7 +200,7 @@
 	return b.String(), true
 }
 
-func maxTokensOf(req *completionBody, limit int) (int, *types.Refusal) {
+func parseMaxTokens(req *completionBody, limit int) (int, *types.Refusal) {
 	if req.N != nil && *req.N != 1 {
 		return 0, badRequest("n must be 1")
 	}
@@ -211,7 +212,7 @@
 		n = *req.MaxCompletionTokens
 	}
 	if n < 1 || n > limit {
-		return 0, badRequest("max_tokens must be from 1 to %d", limit)
+		return 0, badRequest("max_tokens must be between 1 and %d", limit)
 	}
 	return n, nil
 }
--- a/router/router.go
+++ b/router/router.go
@@ -22,52 +22,52 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// refreshInterval bounds how long the views lag behind text and members when
-// no change was signalled.
+// refreshInterval bounds how long the views lag behind the configuration and the
+// members when no change was signalled.
 const refreshInterval = 250 * time.Millisecond
 
 // Options configure a Router.
 type Options struct {
 	Peer    *peer.Peer
 	Zone    types.Zone
-	Policy  string                   // routing policy; empty: route.DefaultPolicy
-	Text    func() *text.Text        // text in force; nil: none yet
-	Fresh   func() bool              // false: cut off from the configuration for too long
+	Policy  string                   // routing policy; default: route.DefaultPolicy
+	Text    func() *text.Text        // configuration in force; nil: none yet
+	Fresh   func() bool              // false: disconnected from the configuration for too long
 	Members func() *membership.View  // may return nil
-	Changed func() []<-chan struct{} // closed when text or members change
-	// MarkLeaving tells the members that a process said it is leaving; may be nil.
+	Changed func() []<-chan struct{} // at most two; closed when the configuration or the members change
+	// MarkLeaving reports a process that has said that it is leaving; may be nil.
 	MarkLeaving func(types.ProcessID)
 	Limiter     *limit.Limiter     // nil: no limits
-	Claims      *claim.Coordinator // nil: no non-idempotent calls
+	Claims      *claim.Coordinator // nil: at-most-once calls are refused
 	Suspects    *suspect.Ledger    // nil: no quarantine
-	Grants      *suspect.Spreader  // gives suspects their one run; nil: each router for itself
+	Grants      *suspect.Spreader  // grants runs of suspects across routers; nil: each router decides alone
 	Recorder    *event.Recorder
 	Registerer  prometheus.Registerer
 }
 
 // Router serves callers on one entry VM.
 type Router struct {
-	opts     Options
-	client   *http.Client
-	sidecars sidecars
-	journal  *tokenlog.Reader
-	fleet    *fleet
-	metrics  *metrics
-	looks    *rate.Limiter // looks for earlier tries of refused calls
-	created  time.Time
-
-	refreshing sync.Mutex // held while views are built of the text in force
-
-	draining  atomic.Bool
-	drainedAt atomic.Int64  // when the drain began, in Unix nanoseconds; 0: not yet
-	stopping  chan struct{} // closed when the drain begins
-	begun     sync.Map      // *admitted in flight, for the drain's progress
-	drained   chan struct{} // closed when draining and nothing is in flight
-	idle      sync.Once     // closes drained
-	streams   atomic.Int64  // requests in flight
+	opts           Options
+	client         *http.Client
+	sidecars       sidecars
+	journal        *tokenlog.Reader
+	fleet          *fleet
+	metrics        *metrics
+	earlierLookups *rate.Limiter // limits lookups of earlier requests with the same key
+	created        time.Time
+
+	refreshMu sync.Mutex // held while views are built
+
+	draining    atomic.Bool
+	drainedAt   atomic.Int64  // when the drain began, in Unix nanoseconds; 0: not yet
+	stopping    chan struct{} // closed when the drain begins
+	inFlight    sync.Map      // set of *admittedRequest
+	drained     chan struct{} // closed when draining and no request is in flight
+	drainedOnce sync.Once     // closes drained
+	streams     atomic.Int64  // requests in flight
 }
 
-// New returns a router; Run must be running for it to know its backend servers.
+// New returns a router. It knows its backend servers once Run or Refresh is called.
 func New(opts Options) *Router {
 	if opts.Policy == "" {
 		opts.Policy = route.DefaultPolicy
@@ -75,15 +75,15 @@
 	client := opts.Peer.Client()
 	calls := sidecars{http: client}
 	r := &Router{
-		opts:     opts,
-		client:   client,
-		sidecars: calls,
-		journal:  tokenlog.NewReader(tokenlog.ReaderOptions{Client: calls}),
-		fleet:    newFleet(opts.Peer.Self().ID, opts.Policy, opts.Recorder, opts.Registerer),
-		looks:    rate.NewLimiter(looksPerSecond, looksPerSecond),
-		stopping: make(chan struct{}),
-		drained:  make(chan struct{}),
-		created:  time.Now(),
+		opts:           opts,
+		client:         client,
+		sidecars:       calls,
+		journal:        tokenlog.NewReader(tokenlog.ReaderOptions{Client: calls}),
+		fleet:          newFleet(opts.Peer.Self().ID, opts.Policy, opts.Recorder, opts.Registerer),
+		earlierLookups: rate.NewLimiter(earlierLookupsPerSecond, earlierLookupsPerSecond),
+		stopping:       make(chan struct{}),
+		drained:        make(chan struct{}),
+		created:        time.Now(),
 	}
 	r.metrics = newMetrics(opts.Registerer, func() float64 { return float64(r.streams.Load()) })
 	return r
@@ -97,13 +97,13 @@
 		if err := r.Refresh(); err != nil {
 			return err
 		}
-		if err := waitAny(ctx, changed, refreshInterval); err != nil {
+		if err := waitForChange(ctx, changed, refreshInterval); err != nil {
 			return err
 		}
 	}
 }
 
-// Capacity returns how many requests all backend servers in use can batch.
+// Capacity returns how many requests all backend servers in use can batch together.
 func (r *Router) Capacity() int {
 	total := 0
 	for _, sf := range *r.fleet.services.Load() {
@@ -114,8 +114,9 @@
 	return total
 }
 
-// LoadOf returns the newest load report of a backend server and how many of
-// this router's requests run there; false if it is no candidate.
+// LoadOf returns the latest load report of a backend server, which may be nil, and
+// how many of this router's requests run there. It returns false if the server is
+// no candidate.
 func (r *Router) LoadOf(backendServer string) (*types.Load, int, bool) {
 	for _, sf := range *r.fleet.services.Load() {
 		c, ok := sf.view.Load().Find(types.ProcessID(backendServer))
@@ -131,35 +132,36 @@
 	return nil, 0, false
 }
 
-// Refresh rebuilds the views from the text and the members now.
+// Refresh rebuilds the views from the current configuration and members.
 func (r *Router) Refresh() error {
-	r.refreshing.Lock()
-	defer r.refreshing.Unlock()
+	r.refreshMu.Lock()
+	defer r.refreshMu.Unlock()
 	return r.refresh()
 }
 
-// refresh reads the text while it holds refreshing: views of an older text never
-// replace those of a newer one.
+// refresh requires refreshMu, which it needs to read the configuration: views of
+// an older one never replace those of a newer one.
 func (r *Router) refresh() error {
-	in := r.opts.Text()
-	if in == nil {
+	conf := r.opts.Text()
+	if conf == nil {
 		return nil
 	}
-	return r.fleet.rebuild(in, r.opts.Members(), time.Now())
+	return r.fleet.rebuild(conf, r.opts.Members(), time.Now())
 }
 
-// service returns a service of the text; nil if its views can't be built.
+// service returns a service of the configuration, or nil if its views can't be
+// built.
 //
-// Failure it stops: a text is in force a moment before Run has joined it with
-// the members. A caller who came in between was refused with "not run", also one
-// whose call had run under its key before. The views are therefore built here
-// for the first caller; the others wait for the same.
+// A new configuration is in force shortly before Run has combined it with the
+// members. A request that arrives in between must not be refused with "not run":
+// an earlier request with its idempotency key may have run. The first such request
+// therefore builds the views here, and others wait for it.
 func (r *Router) service(name string) *serviceFleet {
 	if sf := r.fleet.service(name); sf != nil {
 		return sf
 	}
-	r.refreshing.Lock()
-	defer r.refreshing.Unlock()
+	r.refreshMu.Lock()
+	defer r.refreshMu.Unlock()
 	if sf := r.fleet.service(name); sf != nil {
 		return sf
 	}
@@ -169,8 +171,8 @@
 	return r.fleet.service(name)
 }
 
-// waitAny returns when one of the first two channels is closed, or after bound.
-func waitAny(ctx context.Context, changed []<-chan struct{}, bound time.Duration) error {
+// waitForChange returns when one of the first two channels is closed, or after bound.
+func waitForChange(ctx context.Context, changed []<-chan struct{}, bound time.Duration) error {
 	var first, second <-chan struct{}
 	if len(changed) > 0 {
 		first = changed[0]
@@ -190,8 +192,8 @@
 	return nil
 }
 
-// sites lists the sidecars that may hold journals.
-func (r *Router) sites() []tokenlog.Site {
+// journalSites lists the sidecars that may hold journals.
+func (r *Router) journalSites() []tokenlog.Site {
 	members := r.opts.Members()
 	if members == nil {
 		return nil
@@ -199,30 +201,31 @@
 	return Sites(members, r.opts.Text(), time.Since(r.created))
 }
 
-// meetTime is how long a process that has started goes by the text for sidecars
-// that it hasn't met; later, who isn't met isn't there.
-const meetTime = 10 * time.Second
+// membershipWarmup is how long after its start a process also uses sidecars that
+// only the configuration names. After that, a sidecar that membership doesn't know
+// is taken as absent.
+const membershipWarmup = 10 * time.Second
 
-// Sites lists the sidecars that journals are placed on: those that are alive,
-// and at first those that the text names and membership hasn't met yet; age is
-// that of this process. Routers and sidecars must use the same rule, or they
-// look for a journal where it isn't.
+// Sites lists the sidecars that journals are placed on: those that are alive, and
+// during membershipWarmup also those that the configuration names and membership
+// doesn't know yet; age is how long this process has run. Routers and sidecars must
+// use the same rule to find each other's journals.
 //
-// Failure it stops: a sidecar that has just started knows no other member for a
-// moment, and a generation that begins then gets no journal peer for its whole
-// life. It shows as journal_no_peer, and as generation_lost when its VM and its
-// router die. The text names the other sidecars before the first probe.
-func Sites(members *membership.View, in *text.Text, age time.Duration) []tokenlog.Site {
+// A sidecar that has just started knows no other member. A generation that begins
+// then would get no journal peer for its whole life (event journal_no_peer), and
+// would be lost if its VM and its router died (event generation_lost). The
+// configuration names the other sidecars before the first probe.
+func Sites(members *membership.View, conf *text.Text, age time.Duration) []tokenlog.Site {
 	alive := members.Alive(types.RoleSidecar)
 	out := make([]tokenlog.Site, 0, len(alive))
 	for _, m := range alive {
 		out = append(out, tokenlog.Site{Address: m.Address, Zone: m.Zone})
 	}
-	if in == nil || age > meetTime {
+	if conf == nil || age > membershipWarmup {
 		return out
 	}
-	for i := range in.Services {
-		for _, b := range in.Services[i].BackendServers {
+	for i := range conf.Services {
+		for _, b := range conf.Services[i].BackendServers {
 			if _, met := members.ByAddress(b.Sidecar); !met {
 				out = append(out, tokenlog.Site{Address: b.Sidecar, Zone: types.Zone(b.Zone)})
 			}
@@ -231,8 +234,8 @@
 	return out
 }
 
-// reachable reports whether membership has nothing against the sidecar at addr.
-func (r *Router) reachable(addr string) bool {
+// maybeAlive reports whether membership doesn't hold the sidecar at addr for dead.
+func (r *Router) maybeAlive(addr string) bool {
 	members := r.opts.Members()
 	if members == nil {
 		return true
--- a/router/serve.go
+++ b/router/serve.go
@@ -13,202 +13,211 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// HeaderTimeout is a caller's own deadline in seconds, passed on to the engine.
+// HeaderTimeout is the header for the caller's timeout in seconds, which also
+// bounds the engine's work.
 const HeaderTimeout = "Pearyard-Timeout"
 
-// longTokens is the budget from which a generation counts as long for limits.
-const longTokens = 1024
+// longMaxTokens is the max_tokens from which the limiter counts a generation as long.
+const longMaxTokens = 1024
 
 const (
 	drainRetryAfter    = time.Second
-	unconfiguredRetry  = 2 * time.Second
+	notReadyRetryAfter = 2 * time.Second
 	staleRetryAfter    = 2 * time.Second
-	authorizationTitle = "Bearer "
+	bearerPrefix       = "Bearer "
 )
 
 // Handler serves callers.
 func (r *Router) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/completions", r.guarded(func(w http.ResponseWriter, req *http.Request, in *admitted) { r.serveGeneration(w, req, in, false) }))
-	mux.HandleFunc("POST /v1/chat/completions", r.guarded(func(w http.ResponseWriter, req *http.Request, in *admitted) { r.serveGeneration(w, req, in, true) }))
-	mux.HandleFunc("GET /v1/models", r.guarded(r.serveModels))
-	mux.HandleFunc("/services/{service}/{path...}", r.guarded(r.serveCall))
+	mux.HandleFunc("POST /v1/completions", r.wrapHandler(func(w http.ResponseWriter, req *http.Request, adm *admittedRequest) {
+		r.serveGeneration(w, req, adm, false)
+	}))
+	mux.HandleFunc("POST /v1/chat/completions", r.wrapHandler(func(w http.ResponseWriter, req *http.Request, adm *admittedRequest) {
+		r.serveGeneration(w, req, adm, true)
+	}))
+	mux.HandleFunc("GET /v1/models", r.wrapHandler(r.serveModels))
+	mux.HandleFunc("/services/{service}/{path...}", r.wrapHandler(r.serveCall))
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 	mux.HandleFunc("GET /readyz", r.serveReady)
 	mux.HandleFunc("/", r.serveUnknown)
 	return mux
 }
 
-// admitted is a request that may be looked at: the router takes work, has a
-// text that is fresh enough, and the caller is known.
-type admitted struct {
+// admittedRequest is a request that passed the general checks: the router isn't
+// draining, its configuration is fresh enough and the caller is known.
+type admittedRequest struct {
 	id           types.RequestID
 	text         *text.Text
 	organisation *text.Organisation
-	begun        time.Time
+	started      time.Time
 }
 
-func (r *Router) guarded(next func(http.ResponseWriter, *http.Request, *admitted)) http.HandlerFunc {
+// wrapHandler returns a handler that gives a request its id, counts it as in flight
+// and admits its caller before it calls next. It answers panics of next.
+func (r *Router) wrapHandler(next func(http.ResponseWriter, *http.Request, *admittedRequest)) http.HandlerFunc {
 	return func(raw http.ResponseWriter, req *http.Request) {
-		in := &admitted{id: types.NewRequestID(), begun: time.Now()}
+		adm := &admittedRequest{id: types.NewRequestID(), started: time.Now()}
 		w := &httpanswer.Writer{ResponseWriter: raw}
-		defer r.answerPanic(w, in.id)
-		w.Header().Set(HeaderRequestID, string(in.id))
-		if !r.enter() {
+		defer r.answerPanic(w, adm.id)
+		w.Header().Set(HeaderRequestID, string(adm.id))
+		if !r.beginRequest() {
 			defer httpanswer.DrainBody(w, req)()
-			leaving := types.NotRun(types.CodeLeaving, drainRetryAfter, "this router is being stopped; another one serves")
-			r.refuse(w, in.id, r.truthful(req, leaving))
+			leaving := types.NotRun(types.CodeLeaving, drainRetryAfter, "this router is shutting down; send the request to another one")
+			r.refuse(w, adm.id, r.accountForEarlier(req, leaving))
 			return
 		}
-		defer r.exit()
-		r.begun.Store(in, nil)
-		defer r.begun.Delete(in)
-		if refusal := r.admitCaller(req, in); refusal != nil {
+		defer r.endRequest()
+		r.inFlight.Store(adm, nil)
+		defer r.inFlight.Delete(adm)
+		if refusal := r.admitCaller(req, adm); refusal != nil {
 			defer httpanswer.DrainBody(w, req)()
-			r.refuse(w, in.id, r.truthful(req, refusal))
+			r.refuse(w, adm.id, r.accountForEarlier(req, refusal))
 			return
 		}
-		next(w, req, in)
+		next(w, req, adm)
 	}
 }
 
-func (r *Router) admitCaller(req *http.Request, in *admitted) *types.Refusal {
-	in.text = r.opts.Text()
-	if in.text == nil {
-		return types.NotRun(types.CodeNotConfigured, unconfiguredRetry, "no text is in force here yet")
+// admitCaller sets the request's configuration and organisation, or refuses it.
+func (r *Router) admitCaller(req *http.Request, adm *admittedRequest) *types.Refusal {
+	adm.text = r.opts.Text()
+	if adm.text == nil {
+		return types.NotRun(types.CodeNotConfigured, notReadyRetryAfter, "this router has not loaded a configuration yet")
 	}
-	// Failure it stops: a router that was frozen or cut off serves by a text
-	// that was replaced long ago. Past the bounded age it refuses new work.
+	// A router that was frozen or cut off would go on serving by a configuration
+	// that was replaced long ago. Beyond the permitted age it refuses new requests.
 	if !r.opts.Fresh() {
-		return types.NotRun(types.CodeStale, staleRetryAfter, "this router is cut off from the configuration")
+		return types.NotRun(types.CodeStale, staleRetryAfter, "this router's configuration is too old: its source has been unreachable")
 	}
-	token, ok := strings.CutPrefix(req.Header.Get("Authorization"), authorizationTitle)
+	token, ok := strings.CutPrefix(req.Header.Get("Authorization"), bearerPrefix)
 	if !ok {
-		return types.Invalid(http.StatusUnauthorized, types.CodeUnauthorized, "an API key is needed: Authorization: Bearer KEY")
+		return types.Invalid(http.StatusUnauthorized, types.CodeUnauthorized, "an API key is required: Authorization: Bearer KEY")
 	}
-	org, ok := in.text.OrganisationByKey(token)
+	org, ok := adm.text.OrganisationByKey(token)
 	if !ok {
-		return types.Invalid(http.StatusUnauthorized, types.CodeUnauthorized, "the API key is not known")
+		return types.Invalid(http.StatusUnauthorized, types.CodeUnauthorized, "the API key is unknown")
 	}
-	in.organisation = org
+	adm.organisation = org
 	return nil
 }
 
-func (r *Router) serveGeneration(w http.ResponseWriter, req *http.Request, in *admitted, chat bool) {
-	body, ok := r.readAdmitted(w, req, in)
+func (r *Router) serveGeneration(w http.ResponseWriter, req *http.Request, adm *admittedRequest, chat bool) {
+	body, ok := r.readAdmitted(w, req, adm)
 	if !ok {
 		return
 	}
-	a, refusal := parseAsk(req, body, chat, in.text, in.organisation)
+	gr, refusal := parseGenerationRequest(req, body, chat, adm.text, adm.organisation)
 	if refusal != nil {
-		r.refuse(w, in.id, refusal)
+		r.refuse(w, adm.id, refusal)
 		return
 	}
-	a.requestID = in.id
-	ctx, cancel, refusal := withDeadline(req, in.text.Limits.Deadline())
+	gr.requestID = adm.id
+	ctx, cancel, refusal := withDeadline(req, adm.text.Limits.Deadline())
 	if refusal != nil {
-		r.refuse(w, in.id, refusal)
+		r.refuse(w, adm.id, refusal)
 		return
 	}
 	defer cancel()
-	release, refusal := r.admitOrganisation(ctx, a)
+	release, refusal := r.admitOrganisation(ctx, gr)
 	if refusal != nil {
-		r.refuse(w, in.id, refusal)
+		r.refuse(w, adm.id, refusal)
 		return
 	}
 	defer release()
-	r.generate(ctx, w, a, in)
+	r.generate(ctx, w, gr, adm)
 }
 
-// readAdmitted reads a request's body and admits the request anew; false: it was
-// refused.
+// readAdmitted reads a request's body and then checks the caller again; false means
+// that the request was refused.
 //
-// Failure it stops: a body that comes slowly was judged by the text of its head.
-// A key that had been revoked meanwhile went on working, however long ago that was.
-func (r *Router) readAdmitted(w http.ResponseWriter, req *http.Request, in *admitted) ([]byte, bool) {
-	body, refusal := readBody(w, req, in.text.Limits.MaxBodyBytes)
+// The check is repeated because a body may arrive slowly: a key that was revoked in
+// the meantime must not be accepted, however long ago the headers were read.
+func (r *Router) readAdmitted(w http.ResponseWriter, req *http.Request, adm *admittedRequest) ([]byte, bool) {
+	body, refusal := readBody(w, req, adm.text.Limits.MaxBodyBytes)
 	if refusal != nil {
 		defer httpanswer.DrainBody(w, req)()
-		r.refuse(w, in.id, refusal)
+		r.refuse(w, adm.id, refusal)
 		return nil, false
 	}
-	if refusal := r.admitCaller(req, in); refusal != nil {
-		r.refuse(w, in.id, r.truthful(req, refusal))
+	if refusal := r.admitCaller(req, adm); refusal != nil {
+		r.refuse(w, adm.id, r.accountForEarlier(req, refusal))
 		return nil, false
 	}
 	return body, true
 }
 
-func (r *Router) admitOrganisation(ctx context.Context, a *ask) (func(), *types.Refusal) {
-	// A caller that comes back for the rest of its answer has been admitted
-	// before; shedding it would lose work already paid for.
-	if r.opts.Limiter == nil || a.lastEvent != nil {
+func (r *Router) admitOrganisation(ctx context.Context, gr *generationRequest) (func(), *types.Refusal) {
+	// A caller that reconnects for the rest of its answer has been admitted before;
+	// refusing it now would waste the work already done.
+	if r.opts.Limiter == nil || gr.lastEvent != nil {
 		return func() {}, nil
 	}
 	class := limit.Short
-	if a.maxTokens >= longTokens {
+	if gr.maxTokens >= longMaxTokens {
 		class = limit.Long
 	}
-	return r.opts.Limiter.Admit(ctx, types.Organisation(a.organisation.Name), class)
+	return r.opts.Limiter.Admit(ctx, types.Organisation(gr.organisation.Name), class)
 }
 
-// generate runs a generation to its final answer.
-func (r *Router) generate(ctx context.Context, w http.ResponseWriter, a *ask, in *admitted) {
-	sf := r.service(a.service.Name)
+// generate runs a generation to its end.
+func (r *Router) generate(ctx context.Context, w http.ResponseWriter, gr *generationRequest, adm *admittedRequest) {
+	sf := r.service(gr.service.Name)
 	if sf == nil {
-		r.refuse(w, a.requestID, types.NotRun(types.CodeNoBackend, unconfiguredRetry, "service %s is not ready here yet", a.service.Name))
+		r.refuse(w, gr.requestID, types.NotRun(types.CodeNoBackend, notReadyRetryAfter, "service %s is not ready here yet", gr.service.Name))
 		return
 	}
-	d := &drive{r: r, ask: a, text: in.text, fleet: sf, begun: in.begun, id: types.NewGenerationID(a.key)}
-	if a.lastEvent != nil {
-		d.id = a.lastEvent.Generation
+	g := &generationRun{router: r, req: gr, text: adm.text, service: sf, receivedAt: adm.started, id: types.NewGenerationID(gr.key)}
+	if gr.lastEvent != nil {
+		g.id = gr.lastEvent.Generation
 	}
-	attach := a.lastEvent != nil || (a.explicitKey && d.reserve(ctx))
-	d.newAnswer = func(id types.GenerationID) answer { return newAnswer(w, a, id) }
-	d.answer = d.newAnswer(d.id)
-	refusal := d.start(ctx, attach)
-	r.conclude(w, d, refusal)
+	attach := gr.lastEvent != nil || (gr.explicitKey && g.findOrReserveKey(ctx))
+	g.newAnswer = func(id types.GenerationID) answerWriter { return newAnswer(w, gr, id) }
+	g.answer = g.newAnswer(g.id)
+	refusal := g.reattachOrRun(ctx, attach)
+	r.writeOutcome(w, g, refusal)
 }
 
-// start reattaches where the caller returns, and drives the generation to its end.
-func (d *drive) start(ctx context.Context, attach bool) *types.Refusal {
-	defer d.dropSuccessor()
+// reattachOrRun continues an existing generation if attach is set, or starts a new
+// one, and runs it to its end.
+func (g *generationRun) reattachOrRun(ctx context.Context, attach bool) *types.Refusal {
+	defer g.dropSuccessor()
 	if attach {
-		done, refusal := d.reattach(ctx)
+		done, refusal := g.reattach(ctx)
 		if done || refusal != nil {
 			return refusal
 		}
-		return d.run(ctx)
+		return g.runToEnd(ctx)
 	}
-	d.fleet.budget.First()
-	d.r.opts.Recorder.Emit(eventBegun, event.FieldRequest, d.ask.requestID, "generation", d.id, "organisation", d.ask.organisation.Name)
-	return d.run(ctx)
+	g.service.budget.First()
+	g.router.opts.Recorder.Emit(eventBegun, event.FieldRequest, g.req.requestID, "generation", g.id, "organisation", g.req.organisation.Name)
+	return g.runToEnd(ctx)
 }
 
-// conclude writes what is left to say to the caller.
-func (r *Router) conclude(w http.ResponseWriter, d *drive, refusal *types.Refusal) {
+// writeOutcome ends the response according to how the run has ended.
+func (r *Router) writeOutcome(w http.ResponseWriter, g *generationRun, refusal *types.Refusal) {
 	switch {
-	case refusal == nil || refusal == errAnswered:
-	case refusal == errCallerLeft:
-		r.opts.Recorder.Emit(eventCallerLeft, event.FieldRequest, d.ask.requestID, "generation", d.id, "tokens", d.sent)
-		// Failure it stops: a caller that has only closed its sending side looks as
-		// if it had left. Returning in order, the handler gave it 200 with nothing
-		// in it, or a stream that ended in its middle and looked whole.
+	case refusal == nil || refusal == answeredRefusal:
+	case refusal == callerLeftRefusal:
+		r.opts.Recorder.Emit(eventCallerLeft, event.FieldRequest, g.req.requestID, "generation", g.id, "tokens", g.delivered)
+		// A caller that has only closed its sending side looks like one that has
+		// left. A normal return would give it an empty response with status 200, or
+		// a truncated stream that looks complete.
 		panic(http.ErrAbortHandler)
-	case d.answer.started():
-		r.countRefusal(d.ask.requestID, refusal)
-		_ = d.answer.fail(refusal)
+	case g.answer.started():
+		r.countRefusal(g.req.requestID, refusal)
+		_ = g.answer.fail(refusal)
 	default:
-		r.refuse(w, d.ask.requestID, refusal)
+		r.refuse(w, g.req.requestID, refusal)
 	}
 }
 
-// withDeadline bounds a request by its caller's deadline and the given limit.
+// withDeadline bounds a request by the caller's timeout, if any, and by bound.
 func withDeadline(req *http.Request, bound time.Duration) (context.Context, context.CancelFunc, *types.Refusal) {
 	if own := req.Header.Get(HeaderTimeout); own != "" {
 		seconds, err := time.ParseDuration(own + "s")
 		if err != nil || seconds <= 0 {
-			return nil, nil, badRequest("%s must be a number of seconds above 0", HeaderTimeout)
+			return nil, nil, badRequest("%s must be a number of seconds greater than 0", HeaderTimeout)
 		}
 		bound = min(bound, seconds)
 	}
@@ -220,5 +229,5 @@
 	defer httpanswer.DrainBody(w, req)()
 	id := types.NewRequestID()
 	w.Header().Set(HeaderRequestID, string(id))
-	r.refuse(w, id, types.Invalid(http.StatusNotFound, types.CodeBadRequest, "nothing is served at %s %s", req.Method, req.URL.Path))
+	r.refuse(w, id, types.Invalid(http.StatusNotFound, types.CodeBadRequest, "there is no endpoint %s %s", req.Method, req.URL.Path))
 }
--- a/router/crossed_test.go
+++ b/router/sidecars_test.go
@@ -13,18 +13,17 @@
 	streampb "github.com/pearyard/pearyard/rpc/stream"
 )
 
-// crossing answers every call with the answer to another request.
-type crossing struct{ streampb.Sidecar }
+// mismatchedSidecar answers every call with the response to another request.
+type mismatchedSidecar struct{ streampb.Sidecar }
 
-func (crossing) Call(context.Context, *streampb.CallRequest) (*streampb.CallResponse, error) {
+func (mismatchedSidecar) Call(context.Context, *streampb.CallRequest) (*streampb.CallResponse, error) {
 	return &streampb.CallResponse{Outcome: streampb.CallOutcome_CALL_COMPLETED, RequestId: "req-other", Status: http.StatusOK, Body: []byte("other")}, nil
 }
 
-// Two kiosks ask at once and their answers come back crossed. Neither may be
-// given the other's receipt.
-func TestCrossedAnswerIsNotPassedOn(t *testing.T) {
+// A caller must not get the response to another caller's request.
+func TestResponseToAnotherRequestIsRejected(t *testing.T) {
 	g := NewWithT(t)
-	server := httptest.NewServer(streampb.NewSidecarServer(crossing{}))
+	server := httptest.NewServer(streampb.NewSidecarServer(mismatchedSidecar{}))
 	defer server.Close()
 	sidecars := router.NewSidecarClient(http.DefaultClient)
 	resp, err := sidecars.Call(t.Context(), strings.TrimPrefix(server.URL, "http://"), &streampb.CallRequest{RequestId: "req-own"})
--- a/router/silence.go
+++ b/router/silence.go
@@ -5,66 +5,65 @@
 	"time"
 )
 
-// secondLook is how long a read that has been silent for too long may still
-// bring a frame.
-const secondLook = 25 * time.Millisecond
+// silenceGrace is how long a read may still bring a frame after its timer has fired.
+const silenceGrace = 25 * time.Millisecond
 
-// silence ends a read that brings nothing for too long.
+// silenceTimer ends a read that brings nothing for too long.
 //
-// Failure it stops: a router that was frozen finds, when it goes on, both a
-// timer that ran out and frames that came meanwhile; its engine is well, and a
-// resume would cost a prefill for nothing. So the timer that runs out first
-// only starts another one, and a frame that is there is read before that ends.
-type silence struct {
-	limit  time.Duration
-	giveUp func()
+// A router that was frozen finds, when it resumes, both an expired timer and frames
+// that arrived in the meantime. Its engine is healthy, and a resume would waste a
+// prefill. So the first expiry only starts a short grace period, in which a frame
+// that is already there is read.
+type silenceTimer struct {
+	limit     time.Duration
+	onTimeout func()
 
-	mu    sync.Mutex // guards all below
-	timer *time.Timer
-	armed bool      // a read is waiting
-	begun time.Time // when it began
-	again bool      // the timer ran out once in this read
-	over  bool      // giveUp was called
+	mu        sync.Mutex // guards all below
+	timer     *time.Timer
+	reading   bool      // a read is waiting
+	readBegan time.Time // when the read began
+	inGrace   bool      // the timer has fired once during this read
+	timedOut  bool      // onTimeout was called
 }
 
-// watch sets what ends a read, and when.
-func (s *silence) watch(limit time.Duration, giveUp func()) {
-	s.limit, s.giveUp = limit, giveUp
-	s.timer = time.AfterFunc(limit, s.ranOut)
+// setTimeout sets the timeout of reads and what to call when it expires.
+func (s *silenceTimer) setTimeout(limit time.Duration, giveUp func()) {
+	s.limit, s.onTimeout = limit, giveUp
+	s.timer = time.AfterFunc(limit, s.timerFired)
 	s.timer.Stop()
 }
 
-func (s *silence) begin() {
+func (s *silenceTimer) beginRead() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.armed, s.again, s.begun = true, false, time.Now()
-	s.timer.Reset(s.limit - secondLook)
+	s.reading, s.inGrace, s.readBegan = true, false, time.Now()
+	s.timer.Reset(s.limit - silenceGrace)
 }
 
-func (s *silence) stop() {
+func (s *silenceTimer) endRead() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.armed = false
+	s.reading = false
 	s.timer.Stop()
 }
 
-func (s *silence) ranOut() {
+func (s *silenceTimer) timerFired() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case !s.armed || time.Since(s.begun) < s.limit-secondLook:
-		// The timer ran out for the read before, which has ended meanwhile.
-	case !s.again:
-		s.again = true
-		s.timer.Reset(secondLook)
+	case !s.reading || time.Since(s.readBegan) < s.limit-silenceGrace:
+		// The timer fired for an earlier read, which has ended in the meantime.
+	case !s.inGrace:
+		s.inGrace = true
+		s.timer.Reset(silenceGrace)
 	default:
-		s.over = true
-		s.giveUp()
+		s.timedOut = true
+		s.onTimeout()
 	}
 }
 
-func (s *silence) expired() bool {
+func (s *silenceTimer) expired() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.over
+	return s.timedOut
 }
--- a/router/silence_test.go
+++ b/router/silence_test.go
@@ -9,26 +9,26 @@
 	. "github.com/onsi/gomega"
 )
 
-// A router is frozen for longer than the silence that ends a stream. When it
-// goes on, its timer has run out and a frame is there. The stream must not be
-// given up: its engine is well, and the resume would cost a prefill. A stream
-// that brings nothing at all ends at the limit, not before and not much later.
-func TestSilenceEndsOnlyAReadThatBringsNothing(t *testing.T) {
+// A router is frozen for longer than the timeout of a stream. When it resumes, its timer
+// has expired and a frame is there. The stream must not be given up: its engine is
+// healthy, and a resume would waste a prefill. A stream that brings nothing must end at
+// the timeout, neither before nor much later.
+func TestSilenceTimerEndsOnlySilentReads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		var s silence
+		var s silenceTimer
 		var gaveUp atomic.Int32
-		s.watch(time.Second, func() { gaveUp.Add(1) })
+		s.setTimeout(time.Second, func() { gaveUp.Add(1) })
 		for range 5 {
-			s.begin()
-			time.Sleep(990 * time.Millisecond) // the timer ran out once
-			s.stop()
+			s.beginRead()
+			time.Sleep(990 * time.Millisecond) // the timer has fired once
+			s.endRead()
 			time.Sleep(5 * time.Second) // a slow caller
 			synctest.Wait()
 			g.Expect(gaveUp.Load()).To(BeZero())
 		}
-		s.begin()
-		s.ranOut() // late, for a read that has ended
+		s.beginRead()
+		s.timerFired() // late, for an earlier read
 		time.Sleep(999 * time.Millisecond)
 		synctest.Wait()
 		g.Expect(gaveUp.Load()).To(BeZero())
--- a/router/suspicion.go
+++ b/router/suspicion.go
@@ -9,86 +9,86 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-func (d *drive) verdict() suspect.Verdict {
-	if d.r.opts.Suspects == nil {
+func (g *generationRun) verdict() suspect.Verdict {
+	if g.router.opts.Suspects == nil {
 		return suspect.Verdict{State: suspect.Clear}
 	}
-	return d.r.opts.Suspects.Verdict(d.ask.fingerprint)
+	return g.router.opts.Suspects.Verdict(g.req.fingerprint)
 }
 
-func (d *drive) quarantined() *types.Refusal {
-	verdict := d.verdict()
+func (g *generationRun) checkQuarantine() *types.Refusal {
+	verdict := g.verdict()
 	if verdict.State != suspect.Quarantined {
 		return nil
 	}
-	return d.crashes(verdict.RetryAfter(time.Now()))
+	return g.quarantineRefusal(verdict.RetryAfter(time.Now()))
 }
 
-// crashes is the final answer to a request that has crashed backend servers.
-// Its outcome is "not run" only if no attempt of this very try was accepted.
-func (d *drive) crashes(wait time.Duration) *types.Refusal {
-	refusal := d.gaveUp(types.CodeQuarantined, "this request has crashed the backend servers that ran it")
+// quarantineRefusal is the final answer to a request that has crashed backend
+// servers. Its outcome is "not run" only if no attempt of this request was accepted.
+func (g *generationRun) quarantineRefusal(wait time.Duration) *types.Refusal {
+	refusal := g.finalRefusal(types.CodeQuarantined, "this request has crashed the backend servers that ran it")
 	refusal.RetryAfter = wait
 	return refusal
 }
 
-// await waits until this router may run the request: only a strong suspect is
-// held back, until its home grants it the one run that it has among all routers.
+// awaitGrant waits until this router may run the request. Only a strong suspect has
+// to wait, until its coordinator grants this router the one run that it may have
+// among all routers.
 //
-// Failure it stops: copies of one bad request come through several routers, and
-// each router learns only of the engines that its own copy crashed. It shows as
-// a third and a fourth engine lost to the request. The home knows of all copies.
-func (d *drive) await(ctx context.Context, patience time.Time) {
-	if d.r.opts.Grants == nil || !d.verdict().Strong() {
+// Copies of one bad request may come through several routers, each of which learns
+// only of the engines that its own copy crashed. Without the coordinator, which
+// knows all copies, the request would crash a third and a fourth engine.
+func (g *generationRun) awaitGrant(ctx context.Context, giveUpAt time.Time) {
+	if g.router.opts.Grants == nil || !g.verdict().Strong() {
 		return
 	}
-	ctx, cancel := context.WithDeadline(ctx, patience)
+	ctx, cancel := context.WithDeadline(ctx, giveUpAt)
 	defer cancel()
-	_, err := d.r.opts.Grants.Await(ctx, d.ask.fingerprint)
-	d.granted = err == nil
+	_, err := g.router.opts.Grants.Await(ctx, g.req.fingerprint)
+	g.hasGrant = err == nil
 }
 
-// mayPlace reports whether the request may be placed: if it is a strong
-// suspect, only with a grant.
-func (d *drive) mayPlace() bool {
-	return d.granted || d.r.opts.Grants == nil || !d.verdict().Strong()
+// mayPlace reports whether the request may be placed: a strong suspect needs a grant.
+func (g *generationRun) mayPlace() bool {
+	return g.hasGrant || g.router.opts.Grants == nil || !g.verdict().Strong()
 }
 
-// enter asks whether the request may run on candidate now. A strong suspect
-// must not meet another one, nor run twice at once through this router, or a
-// single bad request could cost more engines than its limit. Runs of requests
-// that are clear are counted as well: they may be copies of a suspect-to-be.
-func (d *drive) enter(candidate *route.Candidate) bool {
-	if d.r.opts.Suspects == nil {
+// beginRun asks the ledger whether the request may run on candidate now. A strong
+// suspect must not share an engine with another one, nor run twice at once through
+// this router, or one bad request could crash more engines than its limit. Runs of
+// requests that are not suspected are counted too: a copy may become a suspect.
+func (g *generationRun) beginRun(candidate *route.Candidate) bool {
+	if g.router.opts.Suspects == nil {
 		return true
 	}
-	d.entered = d.r.opts.Suspects.Enter(d.ask.fingerprint, string(candidate.ID))
-	return d.entered
+	g.runCounted = g.router.opts.Suspects.Enter(g.req.fingerprint, string(candidate.ID))
+	return g.runCounted
 }
 
-// withdraw takes back an entry that no attempt followed.
-func (d *drive) withdraw(candidate *route.Candidate) { d.leave(candidate, attemptResult{}) }
+// cancelRun undoes beginRun if no attempt follows.
+func (g *generationRun) cancelRun(candidate *route.Candidate) { g.endRun(candidate, attemptResult{}) }
 
-// leave notes what the end of an attempt says about the request. The death is
-// told before the run is given back, so that a copy elsewhere sees it.
-func (d *drive) leave(candidate *route.Candidate, result attemptResult) {
-	if d.r.opts.Suspects == nil {
+// endRun records what the end of an attempt says about the request. The death is
+// reported before the run is returned, so that a copy elsewhere sees it.
+func (g *generationRun) endRun(candidate *route.Candidate, result attemptResult) {
+	if g.router.opts.Suspects == nil {
 		return
 	}
-	if result.death != "" {
-		d.r.opts.Suspects.DeathOf(result.death, d.ask.fingerprint, result.proven)
+	if result.deathID != "" {
+		g.router.opts.Suspects.DeathOf(result.deathID, g.req.fingerprint, result.proven)
 	}
-	if d.entered {
-		d.entered = false
-		d.r.opts.Suspects.Leave(d.ask.fingerprint, string(candidate.ID))
+	if g.runCounted {
+		g.runCounted = false
+		g.router.opts.Suspects.Leave(g.req.fingerprint, string(candidate.ID))
 	}
-	d.granted = false // a run that ends gives its grant back
+	g.hasGrant = false // the ledger returns the grant of a run that ends
 }
 
-// giveBack returns a grant that brought no run.
-func (d *drive) giveBack() {
-	if d.granted {
-		d.granted = false
-		d.r.opts.Grants.Release(d.ask.fingerprint)
+// releaseGrant returns a grant that wasn't used for a run.
+func (g *generationRun) releaseGrant() {
+	if g.hasGrant {
+		g.hasGrant = false
+		g.router.opts.Grants.Release(g.req.fingerprint)
 	}
 }
