--- a/gate/bench_test.go
+++ b/gate/bench_test.go
@@ -13,19 +13,19 @@
 	streampb "github.com/pearyard/pearyard/rpc/stream"
 )
 
-type instant struct{}
+type instantService struct{}
 
-func (instant) Do(context.Context, plain.Call) (plain.Answer, error) {
+func (instantService) Do(context.Context, plain.Call) (plain.Answer, error) {
 	return plain.Answer{Status: 200}, nil
 }
 
-func (instant) Healthy(context.Context) error { return nil }
+func (instantService) Healthy(context.Context) error { return nil }
 
-// BenchmarkCall is the gate's own cost of a call, over a service that answers at once.
+// BenchmarkCall measures the gate's own cost of a call, with a service that answers at once.
 func BenchmarkCall(b *testing.B) {
 	for _, atMostOnce := range []bool{false, true} {
 		b.Run(fmt.Sprintf("at_most_once=%v", atMostOnce), func(b *testing.B) {
-			c := gate.NewCalls(gate.Options{Service: instant{}, Incarnation: own, MaxAttempts: 1 << 24})
+			c := gate.NewCalls(gate.Options{Service: instantService{}, Incarnation: ownIncarnation, MaxAttempts: 1 << 24})
 			deadline := time.Now().Add(time.Minute)
 			var n atomic.Uint32
 			b.ReportAllocs()
@@ -43,21 +43,22 @@
 	}
 }
 
-// BenchmarkMemory is the size of a remembered attempt with an empty answer, and of a tombstone.
+// BenchmarkMemory measures the size of a remembered attempt with an empty answer, and of
+// a tombstone.
 func BenchmarkMemory(b *testing.B) {
 	const attempts = 1 << 18
 	for _, kind := range []string{"completed", "tombstone"} {
 		b.Run(kind, func(b *testing.B) {
 			for b.Loop() {
-				b.ReportMetric(float64(grown(b, kind, attempts))/attempts, "bytes/attempt")
+				b.ReportMetric(float64(heapGrowth(b, kind, attempts))/attempts, "bytes/attempt")
 			}
 		})
 	}
 }
 
-func grown(b *testing.B, kind string, attempts int) uint64 {
-	before := heap()
-	c := gate.NewCalls(gate.Options{Service: instant{}, Incarnation: own, MaxAttempts: 2 * attempts})
+func heapGrowth(b *testing.B, kind string, attempts int) uint64 {
+	before := heapBytes()
+	c := gate.NewCalls(gate.Options{Service: instantService{}, Incarnation: ownIncarnation, MaxAttempts: 2 * attempts})
 	deadline := time.Now().Add(time.Minute)
 	for i := range attempts {
 		key := fmt.Sprintf("claim/depot-apps/inch/%032x", i)
@@ -67,12 +68,12 @@
 		}
 		c.Call(b.Context(), call(key, 1, deadline))
 	}
-	after := heap()
+	after := heapBytes()
 	runtime.KeepAlive(c)
 	return after - before
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/gate/calls.go
+++ b/gate/calls.go
@@ -30,15 +30,15 @@
 	Clock       func() time.Time
 	Recorder    *event.Recorder
 	Registerer  prometheus.Registerer
-	Leaving     func() bool // reports whether the backend server takes no new work
+	Leaving     func() bool // reports whether the backend server accepts no new calls
 
-	MaxAttempts    int           // remembered at once, tombstones included
-	MaxAnswerBytes int           // of remembered answers
-	Keep           time.Duration // how long after its deadline an attempt is remembered, while there is room
-	AnswerGrace    time.Duration // how long after its deadline a call may still answer
+	MaxAttempts    int           // attempts remembered at once, tombstones included
+	MaxAnswerBytes int           // total size of the remembered answers
+	Keep           time.Duration // how long after its deadline an attempt is remembered, if there is room
+	AnswerGrace    time.Duration // how long after its deadline a call may still complete
 }
 
-// Calls is the gate of one plain service.
+// Calls admits and remembers the calls of one plain service.
 type Calls struct {
 	opts     Options
 	memory   *memory
@@ -46,7 +46,7 @@
 	inFlight atomic.Int64
 }
 
-// NewCalls returns a gate that remembers nothing yet.
+// NewCalls returns a Calls that remembers no attempt.
 func NewCalls(opts Options) *Calls {
 	opts = withDefaults(opts)
 	c := &Calls{opts: opts, memory: newMemory(opts.MaxAttempts, opts.MaxAnswerBytes, opts.Keep)}
@@ -84,13 +84,13 @@
 
 // Call runs one call, or refuses it, and waits for its answer until ctx ends.
 func (c *Calls) Call(ctx context.Context, req *streampb.CallRequest) *streampb.CallResponse {
-	kind, run := "repeatable", c.repeatable
+	kind, run := "repeatable", c.callRepeatable
 	if req.GetAtMostOnce() {
-		kind, run = "at_most_once", c.atMostOnce
+		kind, run = "at_most_once", c.callAtMostOnce
 	}
-	// Guard: counted before Leaving is read. It stops this order: the call
-	// reads "not leaving", the stop begins and sees nothing in flight, the
-	// process ends, the call is cut.
+	// The call is counted before Leaving is read. In the opposite order it could
+	// read "not leaving" just before a stop begins, the stop would see nothing in
+	// flight, and the process would exit during the call.
 	c.inFlight.Add(1)
 	resp := run(ctx, req)
 	resp.Incarnation = uint64(c.opts.Incarnation)
@@ -98,32 +98,32 @@
 	return resp
 }
 
-// repeatable runs a call without memory.
-func (c *Calls) repeatable(ctx context.Context, req *streampb.CallRequest) *streampb.CallResponse {
+// callRepeatable runs a call without remembering it.
+func (c *Calls) callRepeatable(ctx context.Context, req *streampb.CallRequest) *streampb.CallResponse {
 	defer c.inFlight.Add(-1)
 	if c.opts.Leaving() {
-		return refused(types.CodeLeaving)
+		return notRunResponse(types.CodeLeaving)
 	}
 	deadline := time.UnixMilli(req.GetDeadlineUnixMs())
 	if req.GetDeadlineUnixMs() > 0 {
 		if !deadline.After(c.opts.Clock()) {
-			return refused(types.CodeDeadline)
+			return notRunResponse(types.CodeDeadline)
 		}
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithDeadline(ctx, deadline)
 		defer cancel()
 	}
-	answer, err := c.opts.Service.Do(ctx, callOf(req))
-	return outcome(stateOf(err), &answer)
+	answer, err := c.opts.Service.Do(ctx, toCall(req))
+	return responseOf(stateOfError(err), &answer)
 }
 
-// atMostOnce admits an attempt once. Whoever sends it again gets what came of
-// the first time.
-func (c *Calls) atMostOnce(ctx context.Context, req *streampb.CallRequest) *streampb.CallResponse {
+// callAtMostOnce admits an attempt once. Repeated requests for it get the result of
+// the first one.
+func (c *Calls) callAtMostOnce(ctx context.Context, req *streampb.CallRequest) *streampb.CallResponse {
 	ref, err := claim.ParseRef(req.GetClaim())
 	if err != nil || ref.Deadline.UnixMilli() != req.GetDeadlineUnixMs() || req.GetAttempt() == 0 {
 		c.inFlight.Add(-1)
-		return refused(types.CodeBadRequest)
+		return notRunResponse(types.CodeBadRequest)
 	}
 	e, verdict, code := c.admit(ref, req)
 	if verdict != Admit {
@@ -132,11 +132,11 @@
 	switch verdict {
 	case Refuse:
 		c.opts.Recorder.Emit(EventCallRefused, event.FieldRequest, req.GetRequestId(), "claim", ref.Key, "attempt", req.GetAttempt(), "code", code)
-		return refused(code)
+		return notRunResponse(code)
 	case Admit:
-		go c.serve(context.WithoutCancel(ctx), e, req)
+		go c.run(context.WithoutCancel(ctx), e, req)
 	}
-	return c.wait(ctx, e)
+	return c.waitForAnswer(ctx, e)
 }
 
 func (c *Calls) admit(ref claim.Ref, req *streampb.CallRequest) (*entry, CallVerdict, types.Code) {
@@ -144,7 +144,7 @@
 	s := c.memory.shard(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	view := c.memory.view(s, id, c.view(ref, req.GetIncarnation()))
+	view := c.memory.completeView(s, id, c.newView(ref, req.GetIncarnation()))
 	verdict, code := DecideCall(view)
 	if verdict != Admit {
 		return s.entries[id], verdict, code
@@ -154,7 +154,7 @@
 	return e, verdict, ""
 }
 
-func (c *Calls) view(ref claim.Ref, incarnation uint64) View {
+func (c *Calls) newView(ref claim.Ref, incarnation uint64) View {
 	return View{
 		Deadline:    ref.Deadline,
 		Incarnation: types.Incarnation(incarnation),
@@ -164,24 +164,25 @@
 	}
 }
 
-// serve hands an admitted call to the service. It goes on when the caller has
-// left: a call cut off half-way has an unknown outcome, one that ends has not.
-func (c *Calls) serve(ctx context.Context, e *entry, req *streampb.CallRequest) {
+// run passes an admitted call to the service. It continues when the caller has left:
+// a call that is cut off has an unknown outcome, a call that ends has a known one.
+func (c *Calls) run(ctx context.Context, e *entry, req *streampb.CallRequest) {
 	defer c.inFlight.Add(-1)
 	ctx, cancel := context.WithTimeout(ctx, e.deadline.Sub(c.opts.Clock())+c.opts.AnswerGrace)
 	defer cancel()
-	answer, err := c.opts.Service.Do(ctx, callOf(req))
-	state := stateOf(err)
+	answer, err := c.opts.Service.Do(ctx, toCall(req))
+	state := stateOfError(err)
 	if state != Completed {
-		c.memory.settle(e, state, nil)
+		c.memory.finish(e, state, nil)
 		c.opts.Recorder.Emit(EventCallFailed, event.FieldRequest, req.GetRequestId(), "claim", e.id.claim, "attempt", e.id.attempt, "err", err)
 		return
 	}
-	c.memory.settle(e, Completed, &answer)
+	c.memory.finish(e, Completed, &answer)
 }
 
-// stateOf takes any error that isn't known to be without effect as a lost answer.
-func stateOf(err error) Memory {
+// stateOfError returns the state of an attempt whose call returned err. Only an error
+// that is known to have had no effect is NotSent, all others mean a lost answer.
+func stateOfError(err error) Memory {
 	switch {
 	case err == nil:
 		return Completed
@@ -192,23 +193,24 @@
 	}
 }
 
-func (c *Calls) wait(ctx context.Context, e *entry) *streampb.CallResponse {
+func (c *Calls) waitForAnswer(ctx context.Context, e *entry) *streampb.CallResponse {
 	select {
 	case <-e.done:
-		return c.remembered(e)
+		return c.storedResponse(e)
 	case <-ctx.Done():
-		return outcome(Running, nil)
+		return responseOf(Running, nil)
 	}
 }
 
-func (c *Calls) remembered(e *entry) *streampb.CallResponse {
+func (c *Calls) storedResponse(e *entry) *streampb.CallResponse {
 	s := c.memory.shard(e.id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return outcome(e.state, e.answer)
+	return responseOf(e.state, e.answer)
 }
 
-// Void asks that an attempt never run, and answers what is known of it.
+// Void makes sure that an attempt never runs, if that is still possible, and returns
+// what is known of it.
 func (c *Calls) Void(_ context.Context, req *streampb.VoidRequest) *streampb.CallResponse {
 	resp := c.void(req)
 	resp.Incarnation = uint64(c.opts.Incarnation)
@@ -225,18 +227,18 @@
 	s := c.memory.shard(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	verdict, code := DecideVoid(c.memory.view(s, id, c.view(ref, req.GetIncarnation())))
+	verdict, code := DecideVoid(c.memory.completeView(s, id, c.newView(ref, req.GetIncarnation())))
 	switch verdict {
 	case LeaveTombstone:
 		c.memory.add(s, &entry{id: id, deadline: ref.Deadline, state: Voided})
 		c.opts.Recorder.Emit(EventVoided, "claim", ref.Key, "attempt", req.GetAttempt())
-		return refused(types.CodeTombstone)
+		return notRunResponse(types.CodeTombstone)
 	case AnswerNotRun:
-		return refused(types.CodeTombstone)
+		return notRunResponse(types.CodeTombstone)
 	case AnswerRunning:
-		return outcome(Running, nil)
+		return responseOf(Running, nil)
 	case AnswerCompleted:
-		return outcome(Completed, s.entries[id].answer)
+		return responseOf(Completed, s.entries[id].answer)
 	default:
 		c.opts.Recorder.Emit(EventVoidUnknown, "claim", ref.Key, "attempt", req.GetAttempt(), "code", code)
 		return response(streampb.CallOutcome_CALL_UNKNOWN, code)
@@ -246,13 +248,13 @@
 // InFlight counts the calls that a stop has to wait for.
 func (c *Calls) InFlight() int { return int(c.inFlight.Load()) }
 
-// Dump is the gate's state as operators see it.
+// Dump is the gate's state for operators.
 type Dump struct {
 	Incarnation types.Incarnation `json:"incarnation"`
 	InFlight    int               `json:"in_flight"`
-	Attempts    map[string]int    `json:"attempts"` // remembered, by state
+	Attempts    map[string]int    `json:"attempts"` // remembered attempts by state
 	AnswerBytes int               `json:"answer_bytes"`
-	Forgotten   time.Time         `json:"forgotten"` // latest deadline forgotten in any part of the memory
+	Forgotten   time.Time         `json:"forgotten"` // latest deadline of the forgotten attempts of all shards
 }
 
 // Dump returns the gate's state.
@@ -266,6 +268,6 @@
 	return dump
 }
 
-func callOf(req *streampb.CallRequest) plain.Call {
+func toCall(req *streampb.CallRequest) plain.Call {
 	return plain.Call{Method: req.GetMethod(), Path: req.GetPath(), Header: streampb.ToHeader(req.GetHeaders()), Body: req.GetBody()}
 }
--- a/gate/decide.go
+++ b/gate/decide.go
@@ -6,64 +6,63 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// Memory is what a gate remembers of one attempt.
+// Memory is the state of an attempt as the gate remembers it.
 type Memory uint8
 
 // States of an attempt in a gate's memory.
 const (
-	Unseen    Memory = iota // nothing; it may have been forgotten
-	Voided                  // a tombstone: it never ran and must not
-	Running                 // handed to the service
+	Unseen    Memory = iota // not remembered: never seen, or forgotten
+	Voided                  // a tombstone: it never ran and must not run
+	Running                 // passed to the service
 	Completed               // the service answered
 	NotSent                 // admitted, but no byte reached the service
-	Lost                    // handed to the service; the answer was lost
+	Lost                    // passed to the service; its answer was lost
 )
 
-// View is all that a decision on an attempt depends on.
+// View has all the inputs of a decision on an attempt.
 type View struct {
 	Memory      Memory
 	Deadline    time.Time         // of the attempt, as its claim states it
-	Incarnation types.Incarnation // that the claim names
+	Incarnation types.Incarnation // of the sidecar, as the claim names it
 	Own         types.Incarnation // of this sidecar
 	Now         time.Time         // by this sidecar's clock
-	Forgotten   time.Time         // latest deadline among the attempts forgotten so far
+	Forgotten   time.Time         // latest deadline of the forgotten attempts
 	Full        bool              // no room to remember another attempt
 	Leaving     bool              // the backend server is leaving
 }
 
-// CallVerdict says what to do with a dispatched attempt.
+// CallVerdict is the decision on a dispatched attempt.
 type CallVerdict uint8
 
 // Verdicts on calls.
 const (
-	Admit  CallVerdict = iota // remember it as running and hand it to the service
-	Replay                    // it was admitted before: answer what came or comes of that
+	Admit  CallVerdict = iota // remember it as running and pass it to the service
+	Replay                    // admitted before: return the result of that, waiting for it if it still runs
 	Refuse                    // this dispatch runs nothing
 )
 
-// DecideCall decides on a dispatched attempt; the code is the reason of a refusal.
+// DecideCall decides on a dispatched attempt. The code is the reason of a refusal.
 func DecideCall(v View) (CallVerdict, types.Code) {
 	switch {
 	case v.Incarnation != v.Own:
-		// Guard: incarnation. It stops this order: a router claims and is
-		// frozen, another router voids the attempt here, this sidecar restarts
-		// and loses the tombstone, the call is claimed anew and runs, the first
-		// router wakes and dispatches. It shows as a dispatch that names an
-		// earlier run of this process. A claim is good for one run only.
+		// A claim is valid for one incarnation of the sidecar only. Otherwise:
+		// a router claims and is frozen; another router voids the attempt here;
+		// this sidecar restarts and loses the tombstone; the call is claimed
+		// again and runs; the first router resumes and dispatches, naming the
+		// earlier incarnation.
 		return Refuse, types.CodeIncarnation
 	case v.Memory == Voided:
-		// Guard: tombstone. It stops this order: a router claims and is frozen
-		// (or its dispatch is held up in the network), another router voids the
-		// attempt and claims anew, the first dispatch arrives.
+		// The tombstone rejects a late dispatch: a router claims and is frozen,
+		// or its dispatch is delayed in the network; another router voids the
+		// attempt and claims again; then the first dispatch arrives.
 		return Refuse, types.CodeTombstone
 	case v.Memory != Unseen:
 		return Replay, ""
 	case !v.Deadline.After(v.Now), !v.Deadline.After(v.Forgotten):
-		// Guard: deadline. It stops this order: as above, but the first router
-		// sleeps so long that the tombstone is forgotten, or the claim row
-		// deleted, before it dispatches. Attempts are forgotten only when their
-		// deadline has passed by this clock, and Forgotten holds even if this
-		// clock steps back, so clocks of other machines don't matter.
+		// The deadline rejects a dispatch so late that its tombstone has been
+		// forgotten, or its claim row deleted. Attempts are forgotten only after
+		// their deadline has passed by this clock, and Forgotten applies even if
+		// this clock steps back, so the clocks of other machines don't matter.
 		return Refuse, types.CodeDeadline
 	case v.Leaving:
 		return Refuse, types.CodeLeaving
@@ -74,15 +73,15 @@
 	}
 }
 
-// VoidVerdict says what a gate answers a router that asks to void an attempt.
+// VoidVerdict is the answer to a router that requests to void an attempt.
 type VoidVerdict uint8
 
 // Verdicts on voids.
 const (
-	AnswerNotRun    VoidVerdict = iota // it never ran and never will; a tombstone is there
-	LeaveTombstone                     // the same, once the tombstone is left
-	AnswerRunning                      // it runs now
-	AnswerCompleted                    // here is its answer
+	AnswerNotRun    VoidVerdict = iota // it never ran and never will; a tombstone exists
+	LeaveTombstone                     // the same, once a tombstone has been stored
+	AnswerRunning                      // it is running
+	AnswerCompleted                    // it has completed; the answer may still be stored
 	AnswerUnknown                      // it may have run
 )
 
@@ -90,9 +89,9 @@
 func DecideVoid(v View) (VoidVerdict, types.Code) {
 	switch {
 	case v.Incarnation != v.Own:
-		// Guard: incarnation. It stops this order: the attempt runs here, this
-		// sidecar restarts and forgets it, a router asks, hears "never seen"
-		// and claims anew. A run can speak for its own attempts only.
+		// A sidecar can speak only for attempts of its own incarnation.
+		// Otherwise: the attempt runs here; this sidecar restarts and forgets it;
+		// a router asks, is told "never seen", and claims the call again.
 		return AnswerUnknown, types.CodeIncarnation
 	case v.Memory == Voided, v.Memory == NotSent:
 		return AnswerNotRun, ""
@@ -103,14 +102,14 @@
 	case v.Memory == Lost:
 		return AnswerUnknown, types.CodeUnknownOutcome
 	case !v.Deadline.After(v.Forgotten):
-		// Guard: forgotten attempts. It stops this order: the attempt runs, its
-		// memory is dropped for its age, a router asks, hears "never seen" and
-		// claims anew. An attempt with a deadline up to Forgotten may have been
-		// dropped; one with a later deadline can't have been.
+		// An attempt with a deadline up to Forgotten may have been forgotten; one
+		// with a later deadline can't have been. Otherwise: the attempt runs and
+		// is forgotten for its age; a router asks, is told "never seen", and
+		// claims the call again.
 		return AnswerUnknown, types.CodeUnknownOutcome
 	case v.Full:
-		// Without a tombstone the attempt could still arrive and run, so "not
-		// run" would be a lie. "Unknown" promises nothing and frees no claim.
+		// Without a tombstone the attempt could still arrive and run, so the answer
+		// can't be "not run". "Unknown" promises nothing and releases no claim.
 		return AnswerUnknown, types.CodeOverloaded
 	default:
 		return LeaveTombstone, ""
--- a/gate/memory.go
+++ b/gate/memory.go
@@ -11,17 +11,17 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// shardCount spreads attempts over locks, so that no lock is shared by all calls.
+// shardCount is the number of shards, so that calls don't contend for one lock.
 const shardCount = 16
 
-// attemptID names an attempt of a claim.
+// attemptID identifies an attempt of a claim.
 type attemptID struct {
 	claim   string // key of the claim row
 	attempt types.AttemptTag
 }
 
-// entry is one remembered attempt. state and answer are guarded by the shard's
-// lock; answer doesn't change once state is Completed, but may be dropped.
+// entry is a remembered attempt. state and answer are guarded by the shard's lock.
+// answer is set when state becomes Completed, and may be dropped later.
 type entry struct {
 	id       attemptID
 	deadline time.Time
@@ -30,14 +30,14 @@
 	done     chan struct{} // closed when the attempt is no longer Running; nil for a tombstone
 }
 
-// byDeadline is a heap of entries, earliest deadline first.
-type byDeadline []*entry
+// deadlineHeap is a heap of entries, earliest deadline first.
+type deadlineHeap []*entry
 
-func (h byDeadline) Len() int           { return len(h) }
-func (h byDeadline) Less(i, j int) bool { return h[i].deadline.Before(h[j].deadline) }
-func (h byDeadline) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *byDeadline) Push(x any)        { *h = append(*h, x.(*entry)) }
-func (h *byDeadline) Pop() any {
+func (h deadlineHeap) Len() int           { return len(h) }
+func (h deadlineHeap) Less(i, j int) bool { return h[i].deadline.Before(h[j].deadline) }
+func (h deadlineHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *deadlineHeap) Push(x any)        { *h = append(*h, x.(*entry)) }
+func (h *deadlineHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
 	old[len(old)-1] = nil
@@ -45,26 +45,26 @@
 	return last
 }
 
-// shard is one part of the memory, with its own lock and its own bounds.
+// shard is a part of the memory with its own lock and limits.
 type shard struct {
-	mu        sync.Mutex
-	entries   map[attemptID]*entry
-	order     byDeadline
-	forgotten time.Time // latest deadline among the forgotten
-	answers   []*entry  // completed ones that hold an answer, oldest first
-	bytes     int       // of the answers held
+	mu         sync.Mutex
+	entries    map[attemptID]*entry
+	byDeadline deadlineHeap
+	forgotten  time.Time // latest deadline of the forgotten entries
+	answers    []*entry  // entries that hold an answer, oldest first
+	bytes      int       // total size of the answers
 }
 
-// memory remembers attempts, bounded in number and in bytes of answers.
+// memory remembers attempts, limited by their number and the size of their answers.
 type memory struct {
 	shards     [shardCount]shard
-	maxEntries int           // in a shard
-	maxBytes   int           // in a shard
-	keep       time.Duration // after the deadline, while there is room
+	maxEntries int           // per shard
+	maxBytes   int           // per shard
+	retention  time.Duration // after the deadline, if there is room
 }
 
 func newMemory(maxEntries, maxBytes int, keep time.Duration) *memory {
-	m := &memory{maxEntries: max(1, maxEntries/shardCount), maxBytes: maxBytes / shardCount, keep: keep}
+	m := &memory{maxEntries: max(1, maxEntries/shardCount), maxBytes: maxBytes / shardCount, retention: keep}
 	for i := range m.shards {
 		m.shards[i].entries = make(map[attemptID]*entry)
 	}
@@ -75,8 +75,8 @@
 	return &m.shards[xxhash.Sum64String(id.claim)%shardCount]
 }
 
-// view fills in what the shard knows of an attempt. The caller holds s.mu.
-func (m *memory) view(s *shard, id attemptID, v View) View {
+// completeView adds what the shard knows of an attempt to v. The caller holds s.mu.
+func (m *memory) completeView(s *shard, id attemptID, v View) View {
 	m.forget(s, v.Now)
 	if e := s.entries[id]; e != nil {
 		v.Memory = e.state
@@ -89,50 +89,52 @@
 // add remembers a new attempt. The caller holds s.mu.
 func (m *memory) add(s *shard, e *entry) {
 	s.entries[e.id] = e
-	heap.Push(&s.order, e)
+	heap.Push(&s.byDeadline, e)
 }
 
-// forget drops attempts whose deadline has passed: those kept long enough, and
-// for want of room others. A running attempt stays, and with it all that have a
-// later deadline; services answer within a bounded time, so that ends.
+// forget drops attempts whose deadline has passed: those that were kept long enough,
+// and others if the shard is full. The entries are dropped by deadline, so a running
+// attempt also keeps all entries with a later one. That is temporary, since services
+// answer within a bounded time.
 func (m *memory) forget(s *shard, now time.Time) {
-	for len(s.order) > 0 {
-		e := s.order[0]
-		old := e.deadline.Add(m.keep).Before(now)
-		pressed := len(s.entries) >= m.maxEntries && e.deadline.Before(now)
-		if e.state == Running || !old && !pressed {
+	for len(s.byDeadline) > 0 {
+		e := s.byDeadline[0]
+		expired := e.deadline.Add(m.retention).Before(now)
+		evict := len(s.entries) >= m.maxEntries && e.deadline.Before(now)
+		if e.state == Running || !expired && !evict {
 			return
 		}
-		heap.Pop(&s.order)
+		heap.Pop(&s.byDeadline)
 		delete(s.entries, e.id)
 		s.dropAnswer(e)
-		s.forgotten = later(s.forgotten, e.deadline)
+		s.forgotten = laterOf(s.forgotten, e.deadline)
 	}
 }
 
-func later(a, b time.Time) time.Time {
+func laterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
 	return b
 }
 
-// settle notes what came of a running attempt.
-func (m *memory) settle(e *entry, state Memory, answer *plain.Answer) {
+// finish records the result of a running attempt.
+func (m *memory) finish(e *entry, state Memory, answer *plain.Answer) {
 	s := m.shard(e.id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e.state = state
 	if answer != nil {
-		m.keepAnswer(s, e, answer)
+		m.storeAnswer(s, e, answer)
 	}
 	close(e.done)
 }
 
-// keepAnswer drops the oldest answers for want of room. That the attempt ran
-// stays known; its outcome is then "unknown" to those who ask.
-func (m *memory) keepAnswer(s *shard, e *entry, answer *plain.Answer) {
-	size := sizeOf(answer)
+// storeAnswer stores an answer, dropping the oldest ones if there is no room. The
+// attempts of dropped answers are still known to have completed; callers that ask for
+// such an answer are told that the outcome is unknown.
+func (m *memory) storeAnswer(s *shard, e *entry, answer *plain.Answer) {
+	size := answerSize(answer)
 	for len(s.answers) > 0 && s.bytes+size > m.maxBytes {
 		s.dropAnswer(s.answers[0])
 	}
@@ -148,7 +150,7 @@
 	if e.answer == nil {
 		return
 	}
-	s.bytes -= sizeOf(e.answer)
+	s.bytes -= answerSize(e.answer)
 	e.answer = nil
 	for len(s.answers) > 0 && s.answers[0].answer == nil {
 		s.answers[0] = nil
@@ -156,7 +158,7 @@
 	}
 }
 
-func sizeOf(answer *plain.Answer) int {
+func answerSize(answer *plain.Answer) int {
 	size := len(answer.Body)
 	for name, values := range answer.Header {
 		size += len(name)
@@ -167,7 +169,8 @@
 	return size
 }
 
-// counts returns the remembered attempts by state and the bytes of answers.
+// counts returns the number of remembered attempts by state and the size of their
+// answers.
 func (m *memory) counts() (map[Memory]int, int) {
 	states := make(map[Memory]int)
 	bytes := 0
@@ -199,7 +202,7 @@
 	var latest time.Time
 	for i := range m.shards {
 		m.shards[i].mu.Lock()
-		latest = later(latest, m.shards[i].forgotten)
+		latest = laterOf(latest, m.shards[i].forgotten)
 		m.shards[i].mu.Unlock()
 	}
 	return latest
--- a/gate/ran.go
+++ b/gate/ran.go
@@ -1,10 +1,11 @@
 package gate
 
-// Ran reports whether an attempt under a claim's key was handed to the service
-// by this run of the sidecar, as far as it remembers.
+// Ran reports whether an attempt with a claim's key was passed to the service by
+// this incarnation of the sidecar, as far as it remembers.
 func (c *Calls) Ran(claimKey string) bool { return c.memory.ran(claimKey) }
 
-// ran looks through one shard: it is only asked when a router can't read the claim.
+// ran searches one shard by iteration. It is rarely used: only when a router can't
+// read the claim row.
 func (m *memory) ran(claim string) bool {
 	s := m.shard(attemptID{claim: claim})
 	s.mu.Lock()
--- a/gate/response.go
+++ b/gate/response.go
@@ -6,14 +6,14 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-var memoryNames = [...]string{
+var stateNames = [...]string{
 	Unseen: "unseen", Voided: "voided", Running: "running", Completed: "completed", NotSent: "not_sent", Lost: "lost",
 }
 
-// String returns the state's name as operators see it.
-func (m Memory) String() string { return memoryNames[m] }
+// String returns the name of the state as operators see it.
+func (m Memory) String() string { return stateNames[m] }
 
-func refused(code types.Code) *streampb.CallResponse {
+func notRunResponse(code types.Code) *streampb.CallResponse {
 	return response(streampb.CallOutcome_CALL_NOT_RUN, code)
 }
 
@@ -21,12 +21,12 @@
 	return &streampb.CallResponse{Outcome: outcome, Code: string(code)}
 }
 
-// outcome tells what came of a call that was handed to the service. A completed
-// call whose answer is no longer kept has status 0.
-func outcome(state Memory, answer *plain.Answer) *streampb.CallResponse {
+// responseOf returns the response for an admitted attempt. The response of a completed
+// one whose answer isn't stored any more has status 0.
+func responseOf(state Memory, answer *plain.Answer) *streampb.CallResponse {
 	switch state {
 	case NotSent:
-		return refused(types.CodeNoBackend)
+		return notRunResponse(types.CodeNoBackend)
 	case Running:
 		return response(streampb.CallOutcome_CALL_RUNNING, types.CodeStillRunning)
 	case Lost:
