--- a/generation/doc.go
+++ b/generation/doc.go
@@ -1,7 +1,7 @@
-// Package generation keeps a running generation as an append-only log of
-// tokens. The engine appends; routers read from any index on and may come and
-// go. A log belongs to exactly one attempt: tokens of another attempt have no
-// way in.
+// Package generation holds a running generation as an append-only log of
+// tokens. The engine appends; routers may start and stop reading at any index.
+// A log belongs to exactly one attempt: tokens of another attempt can't be
+// appended.
 //
 // May import of pearyard: types.
 package generation
--- a/generation/log.go
+++ b/generation/log.go
@@ -9,22 +9,22 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// ErrClosed: the log has ended; a late token of a thawed or cancelled engine
-// is dropped here.
+// ErrClosed is returned when a token is appended to a log that has ended, such as a
+// late token of an engine that was frozen or whose attempt was cancelled.
 var ErrClosed = errors.New("generation: log is closed")
 
-// Phase is where a log stands.
+// Phase says whether a log is running, or how it has ended.
 type Phase int
 
-// Phases of a log. Only a Running log takes tokens.
+// Phases of a log. Only a Running log accepts tokens.
 const (
 	Running Phase = iota
 	Finished
-	Lost      // the engine died under it
-	Cancelled // the caller left, or the generation moved elsewhere
+	Lost      // the engine died
+	Cancelled // the caller left, or the generation continues elsewhere
 )
 
-// String returns the phase as logs and dumps show it.
+// String returns the phase as shown in logs and dumps.
 func (p Phase) String() string {
 	switch p {
 	case Running:
@@ -38,35 +38,35 @@
 	}
 }
 
-// State is one consistent look at a log.
+// State is a consistent snapshot of a log.
 type State struct {
-	Tokens  []types.Token // from the index that was asked for on; not to be changed
-	Count   int           // tokens in the whole log
+	Tokens  []types.Token // from the requested index on; must not be modified
+	Count   int           // number of tokens in the whole log
 	Phase   Phase
 	Finish  types.FinishReason // set when Finished
 	Cause   error              // set when Lost
-	Last    time.Time          // when the newest token came; zero if none did
-	Moving  bool               // the backend server is leaving; resume elsewhere
+	Last    time.Time          // when the latest token was appended; zero if none was
+	Moving  bool               // the backend server is leaving; readers should resume elsewhere
 	Changed <-chan struct{}    // closed at the next change
 }
 
-// Log holds the tokens of one attempt at a generation, those that it resumed
-// from included.
+// Log holds the tokens of one attempt at a generation, including those that it was
+// resumed after.
 type Log struct {
 	id      types.GenerationID
 	lineage types.Lineage
 
-	mu      sync.Mutex // guards all below
-	tokens  []types.Token
-	phase   Phase
-	finish  types.FinishReason
-	cause   error
-	moving  bool
-	last    time.Time
-	changed chan struct{}
+	mu        sync.Mutex // guards all below
+	tokens    []types.Token
+	phase     Phase
+	finish    types.FinishReason
+	cause     error
+	moving    bool
+	lastToken time.Time
+	changed   chan struct{}
 }
 
-// NewLog returns a running log that begins with the tokens already emitted.
+// NewLog returns a running log that starts with the tokens already emitted.
 func NewLog(id types.GenerationID, lineage types.Lineage, emitted []types.Token) *Log {
 	tokens := append([]types.Token(nil), emitted...)
 	return &Log{id: id, lineage: lineage, tokens: tokens, changed: make(chan struct{})}
@@ -75,10 +75,10 @@
 // ID returns the generation's id.
 func (l *Log) ID() types.GenerationID { return l.id }
 
-// Lineage returns the attempts that the tokens came from. It never changes.
+// Lineage returns the attempts that produced the tokens. It never changes.
 func (l *Log) Lineage() types.Lineage { return l.lineage }
 
-// Append adds one token, or returns ErrClosed.
+// Append appends one token, or returns ErrClosed if the log has ended.
 func (l *Log) Append(token types.Token) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -86,25 +86,27 @@
 		return ErrClosed
 	}
 	l.tokens = append(l.tokens, token)
-	l.last = time.Now()
-	l.wake()
+	l.lastToken = time.Now()
+	l.notifyLocked()
 	return nil
 }
 
-// Finish ends the log whole. It reports whether the log was still running.
+// Finish ends a complete log. It reports whether the log was still running.
 func (l *Log) Finish(reason types.FinishReason) bool {
-	return l.end(Finished, func() { l.finish = reason })
+	return l.endWith(Finished, func() { l.finish = reason })
 }
 
-// Lose ends the log because its engine died.
+// Lose ends the log because its engine died. It reports whether the log was still
+// running.
 func (l *Log) Lose(cause error) bool {
-	return l.end(Lost, func() { l.cause = cause })
+	return l.endWith(Lost, func() { l.cause = cause })
 }
 
-// Cancel ends the log because nobody wants the rest.
-func (l *Log) Cancel() bool { return l.end(Cancelled, func() {}) }
+// Cancel ends the log because nobody needs the rest. It reports whether the log was
+// still running.
+func (l *Log) Cancel() bool { return l.endWith(Cancelled, func() {}) }
 
-// Move asks the readers to resume elsewhere; the log runs on until it is cancelled.
+// Move asks the readers to resume elsewhere. The log runs on until it is cancelled.
 func (l *Log) Move() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -112,7 +114,7 @@
 		return
 	}
 	l.moving = true
-	l.wake()
+	l.notifyLocked()
 }
 
 // Look returns the state with the tokens from index from on.
@@ -126,13 +128,13 @@
 		Phase:   l.phase,
 		Finish:  l.finish,
 		Cause:   l.cause,
-		Last:    l.last,
+		Last:    l.lastToken,
 		Moving:  l.moving,
 		Changed: l.changed,
 	}
 }
 
-func (l *Log) end(phase Phase, set func()) bool {
+func (l *Log) endWith(phase Phase, set func()) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.phase != Running {
@@ -140,12 +142,12 @@
 	}
 	l.phase = phase
 	set()
-	l.wake()
+	l.notifyLocked()
 	return true
 }
 
-// wake must be called with mu held.
-func (l *Log) wake() {
+// notifyLocked wakes the readers that wait for a change. l.mu must be held.
+func (l *Log) notifyLocked() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
--- a/generation/log_test.go
+++ b/generation/log_test.go
@@ -19,10 +19,9 @@
 	return generation.NewLog(types.NewGenerationID(1), types.Lineage{{Attempt: 1}}, tokens)
 }
 
-// An engine freezes, its generation is given up and resumed elsewhere, and the
-// engine wakes and delivers what it had left. The log that was given up must
-// take none of it, whichever way it was ended.
-func TestEndedLogTakesNoToken(t *testing.T) {
+// An engine freezes, its generation is resumed elsewhere, and the engine then delivers
+// its remaining tokens. The log must reject them, however it was ended.
+func TestEndedLogRejectsTokens(t *testing.T) {
 	endings := map[string]func(*generation.Log) bool{
 		"finished":  func(l *generation.Log) bool { return l.Finish(types.FinishStop) },
 		"lost":      func(l *generation.Log) bool { return l.Lose(errors.New("died")) },
@@ -44,8 +43,8 @@
 	}
 }
 
-// Readers come and go at any index while tokens are appended. Each must read
-// every token once and in order, and never see a token change afterwards.
+// Readers start at any index while tokens are appended. Each must read every token
+// exactly once and in order, and appending must not change tokens already read.
 func TestReadersSeeEachTokenOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		log := newLog(rapid.IntRange(0, 5).Draw(t, "emitted"))
