--- a/claim/model_answers_test.go
+++ b/claim/model_answers_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-func heard(memory gate.Memory) (claim.Seen, bool) {
+func heard(memory gate.AttemptState) (claim.Seen, bool) {
 	switch memory {
 	case gate.Completed:
 		return claim.SeenCompleted, true
@@ -56,10 +56,10 @@
 
 func (w *world) void(s setting, a uint8, at attempt, full bool) claim.Seen {
 	v := w.view(at, full)
-	v.Memory = w.sides[at.target].memory[a]
+	v.State = w.sides[at.target].memory[a]
 	switch s.off {
 	case voidIncOff:
-		v.Own = v.Incarnation
+		v.OwnIncarnation = v.Incarnation
 	case forgottenOff:
 		v.Forgotten = time.Time{}
 	case fullOff:
@@ -86,11 +86,11 @@
 func (w world) view(at attempt, full bool) gate.View {
 	sd := w.sides[at.target]
 	v := gate.View{
-		Deadline:    clock(at.deadline),
-		Incarnation: types.Incarnation(at.inc),
-		Own:         types.Incarnation(sd.inc),
-		Now:         clock(w.now),
-		Full:        full,
+		Deadline:       clock(at.deadline),
+		Incarnation:    types.Incarnation(at.inc),
+		OwnIncarnation: types.Incarnation(sd.inc),
+		Now:            clock(w.now),
+		Full:           full,
 	}
 	if sd.forgotten > 0 {
 		v.Forgotten = clock(sd.forgotten)
--- a/claim/model_test.go
+++ b/claim/model_test.go
@@ -74,7 +74,7 @@
 
 type side struct {
 	inc       uint8
-	memory    [maxTags + 1]gate.Memory
+	memory    [maxTags + 1]gate.AttemptState
 	forgotten uint8
 }
 
@@ -153,7 +153,7 @@
 	for _, behind := range []uint8{0, 1} {
 		for _, full := range []bool{false, true} {
 			v := w.view(at, full)
-			v.Memory = w.sides[at.target].memory[a]
+			v.State = w.sides[at.target].memory[a]
 			v.Now = clock(max(w.now, behind) - behind)
 			weakenCall(s.off, &v)
 			n := w
@@ -180,7 +180,7 @@
 func weakenCall(off guard, v *gate.View) {
 	switch off {
 	case callIncOff:
-		v.Own = v.Incarnation
+		v.OwnIncarnation = v.Incarnation
 	case deadlineOff:
 		v.Deadline = clock(100)
 	case forgottenCall:
--- a/gate/calls.go
+++ b/gate/calls.go
@@ -19,7 +19,7 @@
 const (
 	DefaultMaxAttempts    = 32768
 	DefaultMaxAnswerBytes = 16 << 20
-	DefaultKeep           = 10 * time.Minute
+	DefaultRetention      = 10 * time.Minute
 	DefaultAnswerGrace    = 30 * time.Second
 )
 
@@ -34,7 +34,7 @@
 
 	MaxAttempts    int           // attempts remembered at once, tombstones included
 	MaxAnswerBytes int           // total size of the remembered answers
-	Keep           time.Duration // how long after its deadline an attempt is remembered, if there is room
+	Retention      time.Duration // how long after its deadline an attempt is remembered, if there is room
 	AnswerGrace    time.Duration // how long after its deadline a call may still complete
 }
 
@@ -49,7 +49,7 @@
 // NewCalls returns a Calls that remembers no attempt.
 func NewCalls(opts Options) *Calls {
 	opts = withDefaults(opts)
-	c := &Calls{opts: opts, memory: newMemory(opts.MaxAttempts, opts.MaxAnswerBytes, opts.Keep)}
+	c := &Calls{opts: opts, memory: newMemory(opts.MaxAttempts, opts.MaxAnswerBytes, opts.Retention)}
 	c.metrics = newMetrics(opts.Registerer, c)
 	return c
 }
@@ -73,8 +73,8 @@
 	if o.MaxAnswerBytes <= 0 {
 		o.MaxAnswerBytes = DefaultMaxAnswerBytes
 	}
-	if o.Keep <= 0 {
-		o.Keep = DefaultKeep
+	if o.Retention <= 0 {
+		o.Retention = DefaultRetention
 	}
 	if o.AnswerGrace <= 0 {
 		o.AnswerGrace = DefaultAnswerGrace
@@ -156,11 +156,11 @@
 
 func (c *Calls) newView(ref claim.Ref, incarnation uint64) View {
 	return View{
-		Deadline:    ref.Deadline,
-		Incarnation: types.Incarnation(incarnation),
-		Own:         c.opts.Incarnation,
-		Now:         c.opts.Clock(),
-		Leaving:     c.opts.Leaving(),
+		Deadline:       ref.Deadline,
+		Incarnation:    types.Incarnation(incarnation),
+		OwnIncarnation: c.opts.Incarnation,
+		Now:            c.opts.Clock(),
+		Leaving:        c.opts.Leaving(),
 	}
 }
 
@@ -182,7 +182,7 @@
 
 // stateOfError returns the state of an attempt whose call returned err. Only an error
 // that is known to have had no effect is NotSent, all others mean a lost answer.
-func stateOfError(err error) Memory {
+func stateOfError(err error) AttemptState {
 	switch {
 	case err == nil:
 		return Completed
--- a/gate/calls_test.go
+++ b/gate/calls_test.go
@@ -139,16 +139,16 @@
 	deadline := now.Add(10 * time.Second)
 	expectResponse(t, c.Call(t.Context(), call("claim/a", 1, deadline)), completed, "")
 	expectResponse(t, c.Void(t.Context(), void("claim/a", 2, deadline)), notRun, types.CodeTombstone)
-	now = now.Add(gate.DefaultKeep + 20*time.Second)
+	now = now.Add(gate.DefaultRetention + 20*time.Second)
 	expectResponse(t, c.Void(t.Context(), void("claim/a", 1, deadline)), unknown, types.CodeUnknownOutcome)
-	now = now.Add(-gate.DefaultKeep - 20*time.Second)
+	now = now.Add(-gate.DefaultRetention - 20*time.Second)
 	expectResponse(t, c.Call(t.Context(), call("claim/a", 2, deadline)), notRun, types.CodeDeadline)
 }
 
 // An attempt runs long past its deadline. It must not be forgotten while it runs.
 func TestRunningAttemptIsKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := gate.NewCalls(gate.Options{Service: &fakeService{delay: 20 * time.Second}, Incarnation: ownIncarnation, Keep: time.Second})
+		c := gate.NewCalls(gate.Options{Service: &fakeService{delay: 20 * time.Second}, Incarnation: ownIncarnation, Retention: time.Second})
 		deadline := time.Now().Add(2 * time.Second)
 		leaves, cancel := context.WithDeadline(t.Context(), deadline)
 		defer cancel()
--- a/gate/decide.go
+++ b/gate/decide.go
@@ -6,29 +6,29 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// Memory is the state of an attempt as the gate remembers it.
-type Memory uint8
+// AttemptState is the state of an attempt as the gate remembers it.
+type AttemptState uint8
 
 // States of an attempt in a gate's memory.
 const (
-	Unseen    Memory = iota // not remembered: never seen, or forgotten
-	Voided                  // a tombstone: it never ran and must not run
-	Running                 // passed to the service
-	Completed               // the service answered
-	NotSent                 // admitted, but no byte reached the service
-	Lost                    // passed to the service; its answer was lost
+	Unseen    AttemptState = iota // not remembered: never seen, or forgotten
+	Voided                        // a tombstone: it never ran and must not run
+	Running                       // passed to the service
+	Completed                     // the service answered
+	NotSent                       // admitted, but no byte reached the service
+	Lost                          // passed to the service; its answer was lost
 )
 
 // View has all the inputs of a decision on an attempt.
 type View struct {
-	Memory      Memory
-	Deadline    time.Time         // of the attempt, as its claim states it
-	Incarnation types.Incarnation // of the sidecar, as the claim names it
-	Own         types.Incarnation // of this sidecar
-	Now         time.Time         // by this sidecar's clock
-	Forgotten   time.Time         // latest deadline of the forgotten attempts
-	Full        bool              // no room to remember another attempt
-	Leaving     bool              // the backend server is leaving
+	State          AttemptState
+	Deadline       time.Time         // of the attempt, as its claim states it
+	Incarnation    types.Incarnation // of the sidecar, as the claim names it
+	OwnIncarnation types.Incarnation // of this sidecar
+	Now            time.Time         // by this sidecar's clock
+	Forgotten      time.Time         // latest deadline of the forgotten attempts
+	Full           bool              // no room to remember another attempt
+	Leaving        bool              // the backend server is leaving
 }
 
 // CallVerdict is the decision on a dispatched attempt.
@@ -44,19 +44,19 @@
 // DecideCall decides on a dispatched attempt. The code is the reason of a refusal.
 func DecideCall(v View) (CallVerdict, types.Code) {
 	switch {
-	case v.Incarnation != v.Own:
+	case v.Incarnation != v.OwnIncarnation:
 		// A claim is valid for one incarnation of the sidecar only. Otherwise:
 		// a router claims and is frozen; another router voids the attempt here;
 		// this sidecar restarts and loses the tombstone; the call is claimed
 		// again and runs; the first router resumes and dispatches, naming the
 		// earlier incarnation.
 		return Refuse, types.CodeIncarnation
-	case v.Memory == Voided:
+	case v.State == Voided:
 		// The tombstone rejects a late dispatch: a router claims and is frozen,
 		// or its dispatch is delayed in the network; another router voids the
 		// attempt and claims again; then the first dispatch arrives.
 		return Refuse, types.CodeTombstone
-	case v.Memory != Unseen:
+	case v.State != Unseen:
 		return Replay, ""
 	case !v.Deadline.After(v.Now), !v.Deadline.After(v.Forgotten):
 		// The deadline rejects a dispatch so late that its tombstone has been
@@ -88,18 +88,18 @@
 // DecideVoid decides on a request to void an attempt.
 func DecideVoid(v View) (VoidVerdict, types.Code) {
 	switch {
-	case v.Incarnation != v.Own:
+	case v.Incarnation != v.OwnIncarnation:
 		// A sidecar can speak only for attempts of its own incarnation.
 		// Otherwise: the attempt runs here; this sidecar restarts and forgets it;
 		// a router asks, is told "never seen", and claims the call again.
 		return AnswerUnknown, types.CodeIncarnation
-	case v.Memory == Voided, v.Memory == NotSent:
+	case v.State == Voided, v.State == NotSent:
 		return AnswerNotRun, ""
-	case v.Memory == Running:
+	case v.State == Running:
 		return AnswerRunning, types.CodeStillRunning
-	case v.Memory == Completed:
+	case v.State == Completed:
 		return AnswerCompleted, ""
-	case v.Memory == Lost:
+	case v.State == Lost:
 		return AnswerUnknown, types.CodeUnknownOutcome
 	case !v.Deadline.After(v.Forgotten):
 		// An attempt with a deadline up to Forgotten may have been forgotten; one
--- a/gate/memory.go
+++ b/gate/memory.go
@@ -25,7 +25,7 @@
 type entry struct {
 	id       attemptID
 	deadline time.Time
-	state    Memory
+	state    AttemptState
 	answer   *plain.Answer
 	done     chan struct{} // closed when the attempt is no longer Running; nil for a tombstone
 }
@@ -79,7 +79,7 @@
 func (m *memory) completeView(s *shard, id attemptID, v View) View {
 	m.forget(s, v.Now)
 	if e := s.entries[id]; e != nil {
-		v.Memory = e.state
+		v.State = e.state
 	}
 	v.Forgotten = s.forgotten
 	v.Full = len(s.entries) >= m.maxEntries
@@ -119,7 +119,7 @@
 }
 
 // finish records the result of a running attempt.
-func (m *memory) finish(e *entry, state Memory, answer *plain.Answer) {
+func (m *memory) finish(e *entry, state AttemptState, answer *plain.Answer) {
 	s := m.shard(e.id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -171,8 +171,8 @@
 
 // counts returns the number of remembered attempts by state and the size of their
 // answers.
-func (m *memory) counts() (map[Memory]int, int) {
-	states := make(map[Memory]int)
+func (m *memory) counts() (map[AttemptState]int, int) {
+	states := make(map[AttemptState]int)
 	bytes := 0
 	for i := range m.shards {
 		s := &m.shards[i]
--- a/gate/response.go
+++ b/gate/response.go
@@ -11,7 +11,7 @@
 }
 
 // String returns the name of the state as operators see it.
-func (m Memory) String() string { return stateNames[m] }
+func (m AttemptState) String() string { return stateNames[m] }
 
 func notRunResponse(code types.Code) *streampb.CallResponse {
 	return response(streampb.CallOutcome_CALL_NOT_RUN, code)
@@ -23,7 +23,7 @@
 
 // responseOf returns the response for an admitted attempt. The response of a completed
 // one whose answer isn't stored any more has status 0.
-func responseOf(state Memory, answer *plain.Answer) *streampb.CallResponse {
+func responseOf(state AttemptState, answer *plain.Answer) *streampb.CallResponse {
 	switch state {
 	case NotSent:
 		return notRunResponse(types.CodeNoBackend)
--- a/generation/log.go
+++ b/generation/log.go
@@ -106,8 +106,8 @@
 // still running.
 func (l *Log) Cancel() bool { return l.endWith(Cancelled, func() {}) }
 
-// Move asks the readers to resume elsewhere. The log runs on until it is cancelled.
-func (l *Log) Move() {
+// RequestMove asks the readers to resume elsewhere. The log runs on until it is cancelled.
+func (l *Log) RequestMove() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.phase != Running || l.moving {
@@ -117,8 +117,8 @@
 	l.notifyLocked()
 }
 
-// Look returns the state with the tokens from index from on.
-func (l *Log) Look(from int) State {
+// Snapshot returns the state with the tokens from index from on.
+func (l *Log) Snapshot(from int) State {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	start := min(max(from, 0), len(l.tokens))
--- a/generation/log_test.go
+++ b/generation/log_test.go
@@ -31,11 +31,11 @@
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			log := newLog(2)
-			changed := log.Look(0).Changed
+			changed := log.Snapshot(0).Changed
 			g.Expect(end(log)).To(BeTrue())
 			g.Expect(changed).To(BeClosed())
 			g.Expect(log.Append(types.Token{ID: 9})).To(MatchError(generation.ErrClosed))
-			g.Expect(log.Look(0).Count).To(Equal(2))
+			g.Expect(log.Snapshot(0).Count).To(Equal(2))
 			for _, again := range endings {
 				g.Expect(again(log)).To(BeFalse())
 			}
@@ -48,7 +48,7 @@
 func TestReadersSeeEachTokenOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		log := newLog(rapid.IntRange(0, 5).Draw(t, "emitted"))
-		next := uint32(log.Look(0).Count)
+		next := uint32(log.Snapshot(0).Count)
 		var read []types.Token
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "append") {
@@ -58,9 +58,9 @@
 				next++
 				continue
 			}
-			read = append(read, log.Look(len(read)).Tokens...)
+			read = append(read, log.Snapshot(len(read)).Tokens...)
 		}
-		read = append(read, log.Look(len(read)).Tokens...)
+		read = append(read, log.Snapshot(len(read)).Tokens...)
 		if len(read) != int(next) {
 			t.Fatalf("read %d tokens of %d", len(read), next)
 		}
--- a/node/sidecar.go
+++ b/node/sidecar.go
@@ -130,7 +130,7 @@
 // openJournal starts the journal of one attempt with the recovery dial in force.
 func (s *Sidecar) openJournal(gen tokenlog.GenerationInfo) *tokenlog.Handle {
 	in, recovery := s.firstText()
-	sites := router.Sites(s.members.Snapshot(), in, time.Since(s.created))
+	sites := router.JournalSites(s.members.Snapshot(), in, time.Since(s.created))
 	gen.Peers = tokenlog.Place(gen.ID.Key, sites, recovery.JournalPeers+spareJournalPeers, s.peer.Self().Address)
 	gen.After, gen.Copies = recovery.JournalAfter(), recovery.JournalPeers
 	if gen.After == 0 {
--- a/router/router.go
+++ b/router/router.go
@@ -198,7 +198,7 @@
 	if members == nil {
 		return nil
 	}
-	return Sites(members, r.opts.Text(), time.Since(r.created))
+	return JournalSites(members, r.opts.Text(), time.Since(r.created))
 }
 
 // membershipWarmup is how long after its start a process also uses sidecars that
@@ -206,7 +206,7 @@
 // is taken as absent.
 const membershipWarmup = 10 * time.Second
 
-// Sites lists the sidecars that journals are placed on: those that are alive, and
+// JournalSites lists the sidecars that journals are placed on: those that are alive, and
 // during membershipWarmup also those that the configuration names and membership
 // doesn't know yet; age is how long this process has run. Routers and sidecars must
 // use the same rule to find each other's journals.
@@ -215,7 +215,7 @@
 // then would get no journal peer for its whole life (event journal_no_peer), and
 // would be lost if its VM and its router died (event generation_lost). The
 // configuration names the other sidecars before the first probe.
-func Sites(members *membership.View, conf *text.Text, age time.Duration) []tokenlog.Site {
+func JournalSites(members *membership.View, conf *text.Text, age time.Duration) []tokenlog.Site {
 	alive := members.Alive(types.RoleSidecar)
 	out := make([]tokenlog.Site, 0, len(alive))
 	for _, m := range alive {
--- a/router/sites_test.go
+++ b/router/sites_test.go
@@ -32,10 +32,10 @@
 	b := tokenlog.Site{Address: "127.0.0.1:2", Zone: "z2"}
 	c := tokenlog.Site{Address: "127.0.0.1:3", Zone: "z3"}
 
-	g.Expect(router.Sites(members.Snapshot(), conf, time.Second)).To(ContainElements(b, c))
-	g.Expect(router.Sites(members.Snapshot(), conf, time.Minute)).NotTo(ContainElement(b))
+	g.Expect(router.JournalSites(members.Snapshot(), conf, time.Second)).To(ContainElements(b, c))
+	g.Expect(router.JournalSites(members.Snapshot(), conf, time.Minute)).NotTo(ContainElement(b))
 
 	members.Observe(membership.Member{ID: "b", Role: types.RoleSidecar, Address: "127.0.0.1:2", Zone: "z2", Incarnation: 1})
 	members.MarkLeaving("b")
-	g.Expect(router.Sites(members.Snapshot(), conf, time.Second)).To(And(ContainElement(c), Not(ContainElement(b))))
+	g.Expect(router.JournalSites(members.Snapshot(), conf, time.Second)).To(And(ContainElement(c), Not(ContainElement(b))))
 }
--- a/sidecar/attempt.go
+++ b/sidecar/attempt.go
@@ -83,7 +83,7 @@
 		return nil
 	}
 	for _, r := range s.runs.all() {
-		if r.suspect && !r.proven() && r.log.Look(0).Phase == generation.Running {
+		if r.suspect && !r.proven() && r.log.Snapshot(0).Phase == generation.Running {
 			return &refusal{code: types.CodeOverloaded, message: "another suspect runs here", retryAfter: refusedRetryAfter}
 		}
 	}
@@ -158,7 +158,7 @@
 		// Cancelled, refused by the engine, or already lost by the watch.
 		r.log.Lose(err)
 	}
-	state := r.log.Look(0)
+	state := r.log.Snapshot(0)
 	s.opts.Recorder.Emit(eventEnded, event.FieldRequest, r.request, "tokens", state.Count, "phase", state.Phase)
 	s.retain(r)
 }
--- a/sidecar/drain.go
+++ b/sidecar/drain.go
@@ -40,11 +40,11 @@
 // whose reader finds no other place goes on here: a stop never cuts it.
 func (s *Sidecar) moveRunning() {
 	for _, r := range s.runs.all() {
-		if r.log.Look(0).Phase != generation.Running {
+		if r.log.Snapshot(0).Phase != generation.Running {
 			continue
 		}
 		s.opts.Recorder.Emit(eventMoving, event.FieldRequest, r.request, "generation", r.log.ID())
-		r.log.Move()
+		r.log.RequestMove()
 	}
 }
 
@@ -55,7 +55,7 @@
 		drain.Since = time.Unix(0, at)
 	}
 	for _, r := range s.runs.all() {
-		if r.log.Look(0).Phase == generation.Running {
+		if r.log.Snapshot(0).Phase == generation.Running {
 			drain.Longest = max(drain.Longest, time.Since(r.started))
 		}
 	}
@@ -79,7 +79,7 @@
 		Runs          []runDump
 	}{BackendServer: s.opts.BackendServer, State: s.stateName(), InFlight: s.InFlight()}
 	for _, r := range s.runs.all() {
-		state := r.log.Look(0)
+		state := r.log.Snapshot(0)
 		dump.Runs = append(dump.Runs, runDump{r.log.ID().String(), string(r.request), state.Count, state.Phase.String(), r.suspect, time.Since(r.started).Seconds()})
 	}
 	return dump
--- a/sidecar/lookup_test.go
+++ b/sidecar/lookup_test.go
@@ -62,7 +62,7 @@
 				return
 			}
 			close(e.release)
-			g.Eventually(func() int { return r.log.Look(0).Count }).Should(Equal(1))
+			g.Eventually(func() int { return r.log.Snapshot(0).Count }).Should(Equal(1))
 			g.Expect(r.log.Lose(engine.ErrDied)).To(BeTrue())
 			g.Expect(holder()).To(Equal(address))
 		})
--- a/sidecar/runs.go
+++ b/sidecar/runs.go
@@ -97,7 +97,7 @@
 // proven reports whether the request has produced enough tokens on this engine
 // that the engine's death says little against it.
 func (r *run) proven() bool {
-	return r.log.Look(0).Count-r.emitted >= suspect.ProvenTokens
+	return r.log.Snapshot(0).Count-r.emitted >= suspect.ProvenTokens
 }
 
 // death names one death of the engine, the same for all that ran on it.
@@ -163,7 +163,7 @@
 		if seen != 0 && from > 0 && !r.log.Lineage().Produced(seen, from-1) {
 			continue
 		}
-		if found == nil || better(r.log.Look(0), found.log.Look(0)) {
+		if found == nil || better(r.log.Snapshot(0), found.log.Snapshot(0)) {
 			found = r
 		}
 	}
--- a/sidecar/service.go
+++ b/sidecar/service.go
@@ -102,7 +102,7 @@
 }
 
 func (s *Sidecar) describe(r *run) *streampb.LookupResponse {
-	state := r.log.Look(0)
+	state := r.log.Snapshot(0)
 	resp := &streampb.LookupResponse{
 		Found:      true,
 		Generation: r.log.ID().String(),
--- a/sidecar/set_aside_test.go
+++ b/sidecar/set_aside_test.go
@@ -54,7 +54,7 @@
 		defer r.cancel()
 		r.addReader("router-1")
 		time.Sleep(stallAfter + 2*time.Second)
-		state := r.log.Look(0)
+		state := r.log.Snapshot(0)
 		cancel()
 		time.Sleep(2 * time.Minute) // past the retention, so that its timer has fired
 		g.Expect(state.Phase).NotTo(Equal(generation.Lost))
--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -152,7 +152,7 @@
 // left keeps its grace time, for the caller to come back.
 func (s *Sidecar) lookAtStalled() {
 	for _, r := range s.runs.all() {
-		state := r.log.Look(0)
+		state := r.log.Snapshot(0)
 		if state.Phase != generation.Running || state.Count == r.emitted || time.Since(state.Last) < stallAfter {
 			continue
 		}
@@ -167,7 +167,7 @@
 }
 
 func (s *Sidecar) lose(r *run, d death) bool {
-	if r.log.Look(0).Phase != generation.Running {
+	if r.log.Snapshot(0).Phase != generation.Running {
 		return false
 	}
 	r.setDeath(d)
--- a/sidecar/sidecar_test.go
+++ b/sidecar/sidecar_test.go
@@ -87,7 +87,7 @@
 		return resp.GetWasRunning()
 	}
 	g.Expect(cancelBy("router-1")).To(BeFalse())
-	g.Expect(r.log.Look(0).Phase).To(Equal(generation.Running))
+	g.Expect(r.log.Snapshot(0).Phase).To(Equal(generation.Running))
 	g.Expect(cancelBy("router-2")).To(BeTrue())
 }
 
@@ -109,7 +109,7 @@
 		return resp.GetWasRunning()
 	}
 	g.Expect(cancelBy("router-1")).To(BeFalse())
-	g.Expect(r.log.Look(0).Phase).To(Equal(generation.Running))
+	g.Expect(r.log.Snapshot(0).Phase).To(Equal(generation.Running))
 	g.Expect(cancelBy("router-2")).To(BeTrue())
 	// The ended connection is noticed at last; that changes nothing more.
 	r.removeReader(stays, time.Hour, func() {})
@@ -147,9 +147,9 @@
 		r, refused := s.start(request(types.NewGenerationID(7), 5))
 		g.Expect(refused).To(BeNil())
 		time.Sleep(stallAfter - probeInterval)
-		g.Expect(r.log.Look(0).Phase).To(Equal(generation.Running))
+		g.Expect(r.log.Snapshot(0).Phase).To(Equal(generation.Running))
 		time.Sleep(2 * probeInterval)
-		g.Expect(r.log.Look(0).Phase).To(Equal(generation.Lost))
+		g.Expect(r.log.Snapshot(0).Phase).To(Equal(generation.Lost))
 		g.Expect(r.log.Append(types.Token{ID: 2})).To(MatchError(generation.ErrClosed))
 		synctest.Wait()
 		g.Expect(s.InFlight()).To(BeZero())
--- a/sidecar/stream.go
+++ b/sidecar/stream.go
@@ -63,7 +63,7 @@
 	defer heartbeat.Stop()
 	told := false
 	for {
-		state := r.log.Look(from)
+		state := r.log.Snapshot(from)
 		if s.writeTokens(out, r, state, from) != nil {
 			return
 		}
