--- a/generation/log_test.go
+++ b/generation/log_test.go
@@ -19,10 +19,9 @@
 	return generation.NewLog(types.NewGenerationID(1), types.Lineage{{Attempt: 1}}, tokens)
 }
 
-// An engine freezes, its generation is given up and resumed elsewhere, and the
-// engine wakes and delivers what it had left. The log that was given up must
-// take none of it, whichever way it was ended.
-func TestEndedLogTakesNoToken(t *testing.T) {
+// An engine freezes, its generation is resumed elsewhere, and the engine then delivers
+// its remaining tokens. The log must reject them, however it was ended.
+func TestEndedLogRejectsTokens(t *testing.T) {
 	endings := map[string]func(*generation.Log) bool{
 		"finished":  func(l *generation.Log) bool { return l.Finish(types.FinishStop) },
 		"lost":      func(l *generation.Log) bool { return l.Lose(errors.New("died")) },
@@ -32,11 +31,11 @@
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			log := newLog(2)
-			changed := log.Look(0).Changed
+			changed := log.Snapshot(0).Changed
 			g.Expect(end(log)).To(BeTrue())
 			g.Expect(changed).To(BeClosed())
 			g.Expect(log.Append(types.Token{ID: 9})).To(MatchError(generation.ErrClosed))
-			g.Expect(log.Look(0).Count).To(Equal(2))
+			g.Expect(log.Snapshot(0).Count).To(Equal(2))
 			for _, again := range endings {
 				g.Expect(again(log)).To(BeFalse())
 			}
@@ -44,12 +43,12 @@
 	}
 }
 
-// Readers come and go at any index while tokens are appended. Each must read
-// every token once and in order, and never see a token change afterwards.
+// Readers start at any index while tokens are appended. Each must read every token
+// exactly once and in order, and appending must not change tokens already read.
 func TestReadersSeeEachTokenOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		log := newLog(rapid.IntRange(0, 5).Draw(t, "emitted"))
-		next := uint32(log.Look(0).Count)
+		next := uint32(log.Snapshot(0).Count)
 		var read []types.Token
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "append") {
@@ -59,9 +58,9 @@
 				next++
 				continue
 			}
-			read = append(read, log.Look(len(read)).Tokens...)
+			read = append(read, log.Snapshot(len(read)).Tokens...)
 		}
-		read = append(read, log.Look(len(read)).Tokens...)
+		read = append(read, log.Snapshot(len(read)).Tokens...)
 		if len(read) != int(next) {
 			t.Fatalf("read %d tokens of %d", len(read), next)
 		}
