--- a/claim/batch.go
+++ b/claim/batch.go
@@ -11,100 +11,103 @@
 )
 
 const (
-	// indexPrefix begins the rows by which old claims are found for deletion.
+	// indexPrefix is the key prefix of the index rows by which the sweeper finds
+	// expired claims.
 	indexPrefix = "claimage/"
 	// indexBucket is the span of deadlines whose index rows share a prefix.
 	indexBucket = time.Hour
 )
 
-// write is one conditional write of a claim row that waits for its transaction.
-type write struct {
+// pendingWrite is a conditional write of a claim row, queued for a transaction.
+type pendingWrite struct {
 	key     string
 	version uint64
 	value   []byte
-	index   string // key of the index row written along; empty: none
-	done    chan Seen
+	index   string // key of the index row written in the same transaction; empty: none
+	done    chan Result
 }
 
-// batcher gathers writes into transactions: the table service takes several
-// hundred writes a second, however many rows are in each.
+// batcher groups writes into transactions, because the table service accepts
+// several hundred transactions a second, however many rows each of them has.
 type batcher struct {
-	kind    string // label of its metrics
-	wait    time.Duration
-	opts    Options
-	metrics *metrics
-	queue   chan *write
-	slots   chan struct{}
-	held    []*write // same key as one in the batch before; first in the next
-	stopped chan struct{}
+	kind        string // value of the label "kind" in metrics
+	delay       time.Duration
+	opts        Options
+	metrics     *metrics
+	queue       chan *pendingWrite
+	commitSlots chan struct{}
+	deferred    []*pendingWrite // their key was already in the previous batch; they start the next one
+	stopped     chan struct{}
 }
 
-func newBatcher(kind string, wait time.Duration, opts Options, m *metrics) *batcher {
+func newBatcher(kind string, delay time.Duration, opts Options, m *metrics) *batcher {
 	return &batcher{
-		kind:    kind,
-		wait:    wait,
-		opts:    opts,
-		metrics: m,
-		queue:   make(chan *write, opts.MaxBatch*opts.Commits),
-		slots:   make(chan struct{}, opts.Commits),
-		stopped: make(chan struct{}),
+		kind:        kind,
+		delay:       delay,
+		opts:        opts,
+		metrics:     m,
+		queue:       make(chan *pendingWrite, opts.MaxBatch*opts.MaxCommits),
+		commitSlots: make(chan struct{}, opts.MaxCommits),
+		stopped:     make(chan struct{}),
 	}
 }
 
-// claim writes a new claim and returns what is known of the write.
-func (b *batcher) claim(ctx context.Context, key string, version uint64, record Record) Seen {
+// writeClaim writes a new claim and returns the result of the write.
+func (b *batcher) writeClaim(ctx context.Context, key string, version uint64, record Record) Result {
 	value, err := record.Encode()
 	if err != nil {
-		return SeenTableDown
+		return ResultTableUnavailable
 	}
-	seen := b.submit(ctx, &write{key: key, version: version, value: value, index: indexKey(key, record.Deadline)})
-	b.metrics.claims.WithLabelValues(seen.String()).Inc()
-	return seen
+	result := b.submit(ctx, &pendingWrite{key: key, version: version, value: value, index: indexKey(key, record.Deadline)})
+	b.metrics.claims.WithLabelValues(result.String()).Inc()
+	return result
 }
 
-// submit waits for the write's transaction. A caller who leaves meanwhile may
-// leave a claim behind that nobody dispatches; see afterRead on orphan rows.
-func (b *batcher) submit(ctx context.Context, w *write) Seen {
-	w.done = make(chan Seen, 1)
+// submit queues a write and waits for its transaction. If ctx ends first, the
+// write may still be committed and leave a claim that nobody dispatches; see
+// afterRead on orphan rows.
+func (b *batcher) submit(ctx context.Context, w *pendingWrite) Result {
+	w.done = make(chan Result, 1)
 	select {
 	case b.queue <- w:
 	case <-ctx.Done():
-		return SeenOutOfTime
+		return ResultExpired
 	case <-b.stopped:
-		return SeenTableDown
+		return ResultTableUnavailable
 	}
 	select {
-	case seen := <-w.done:
-		return seen
+	case result := <-w.done:
+		return result
 	case <-ctx.Done():
-		return SeenOutOfTime
+		return ResultExpired
 	case <-b.stopped:
-		return SeenTableDown
+		return ResultTableUnavailable
 	}
 }
 
 func (b *batcher) run(ctx context.Context) error {
 	defer close(b.stopped)
 	for {
-		batch, err := b.gather(ctx)
+		batch, err := b.collectBatch(ctx)
 		if err != nil {
 			return err
 		}
 		select {
-		case b.slots <- struct{}{}:
+		case b.commitSlots <- struct{}{}:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 		go func() {
-			defer func() { <-b.slots }()
+			defer func() { <-b.commitSlots }()
 			b.commit(ctx, batch)
 		}()
 	}
 }
 
-// gather waits for a first write, then for others, at most its wait and up to MaxBatch.
-func (b *batcher) gather(ctx context.Context) ([]*write, error) {
-	batch, keys := b.takeHeld()
+// collectBatch waits for a first write and then collects others until the
+// batch delay has passed or the batch has MaxBatch writes.
+func (b *batcher) collectBatch(ctx context.Context) ([]*pendingWrite, error) {
+	batch, keys := b.startBatch()
 	if len(batch) == 0 {
 		select {
 		case w := <-b.queue:
@@ -113,13 +116,13 @@
 			return nil, ctx.Err()
 		}
 	}
-	timer := time.NewTimer(b.wait)
+	timer := time.NewTimer(b.delay)
 	defer timer.Stop()
-	for len(batch) < b.opts.MaxBatch && len(b.held) < b.opts.MaxBatch {
+	for len(batch) < b.opts.MaxBatch && len(b.deferred) < b.opts.MaxBatch {
 		select {
 		case w := <-b.queue:
 			if keys[w.key] {
-				b.held = append(b.held, w)
+				b.deferred = append(b.deferred, w)
 				continue
 			}
 			batch, keys[w.key] = append(batch, w), true
@@ -132,16 +135,17 @@
 	return batch, nil
 }
 
-// takeHeld begins a batch with held writes, one for each key: two writes of one
-// row in one transaction would both hold their condition or both fail it.
-func (b *batcher) takeHeld() ([]*write, map[string]bool) {
-	held := b.held
-	b.held = nil
+// startBatch starts a batch with the deferred writes, one for each key: the
+// conditions of two writes of one row would both hold or both fail if they were
+// in the same transaction.
+func (b *batcher) startBatch() ([]*pendingWrite, map[string]bool) {
+	deferred := b.deferred
+	b.deferred = nil
 	keys := make(map[string]bool, b.opts.MaxBatch)
-	batch := make([]*write, 0, b.opts.MaxBatch)
-	for _, w := range held {
+	batch := make([]*pendingWrite, 0, b.opts.MaxBatch)
+	for _, w := range deferred {
 		if keys[w.key] || len(batch) == b.opts.MaxBatch {
-			b.held = append(b.held, w)
+			b.deferred = append(b.deferred, w)
 			continue
 		}
 		batch, keys[w.key] = append(batch, w), true
@@ -149,58 +153,59 @@
 	return batch, keys
 }
 
-// commit writes a batch all or nothing. Rows that lost their condition are told
-// so and the others sent again, fewer each time; no write of the refused
-// transaction took effect, so sending the others again doubles nothing.
-func (b *batcher) commit(ctx context.Context, batch []*write) {
+// commit writes a batch in one atomic transaction. If some conditions fail, these
+// writes end with ResultConflict and the others are sent again. A rejected
+// transaction has no effect, so that nothing is written twice. Each round has
+// fewer writes than the one before.
+func (b *batcher) commit(ctx context.Context, batch []*pendingWrite) {
 	for len(batch) > 0 {
-		seen, failed := b.commitOnce(ctx, batch)
-		if seen != SeenConflict {
-			finish(batch, seen)
+		result, failed := b.commitOnce(ctx, batch)
+		if result != ResultConflict {
+			finishAll(batch, result)
 			return
 		}
-		rest := split(batch, failed)
-		if len(rest) == len(batch) { // the conflict names no row of ours: let each try look for itself
-			finish(batch, SeenConflict)
+		rest := rejectConflicts(batch, failed)
+		if len(rest) == len(batch) { // the conflict names none of these rows: each request reads its own
+			finishAll(batch, ResultConflict)
 			return
 		}
 		batch = rest
 	}
 }
 
-func (b *batcher) commitOnce(ctx context.Context, batch []*write) (Seen, []string) {
+func (b *batcher) commitOnce(ctx context.Context, batch []*pendingWrite) (Result, []string) {
 	ctx, cancel := context.WithTimeout(ctx, b.opts.CommitTimeout)
 	defer cancel()
-	b.metrics.batch.WithLabelValues(b.kind).Observe(float64(len(batch)))
-	err := b.opts.Table.Commit(ctx, txnOf(batch))
-	seen, keys := classify(err)
-	b.metrics.commits.WithLabelValues(b.kind, seen.String()).Inc()
-	switch seen {
-	case SeenAmbiguous:
+	b.metrics.batchSize.WithLabelValues(b.kind).Observe(float64(len(batch)))
+	err := b.opts.Table.Commit(ctx, newTxn(batch))
+	result, keys := classifyCommit(err)
+	b.metrics.commits.WithLabelValues(b.kind, result.String()).Inc()
+	switch result {
+	case ResultAmbiguous:
 		b.opts.Recorder.Emit(EventCommitAmbiguous, "kind", b.kind, "rows", len(batch), "err", err)
-	case SeenTableDown:
-		b.opts.Recorder.Emit(EventTableDown, "kind", b.kind, "rows", len(batch), "err", err)
+	case ResultTableUnavailable:
+		b.opts.Recorder.Emit(EventTableUnavailable, "kind", b.kind, "rows", len(batch), "err", err)
 	}
-	return seen, keys
+	return result, keys
 }
 
-// classify takes any error that isn't known to be without effect as ambiguous,
-// a timeout above all.
-func classify(err error) (Seen, []string) {
+// classifyCommit treats every error that isn't known to be without effect as
+// ambiguous, including a timeout.
+func classifyCommit(err error) (Result, []string) {
 	var conflict *backing.ConflictError
 	switch {
 	case err == nil:
-		return SeenCommitted, nil
+		return ResultCommitted, nil
 	case errors.As(err, &conflict):
-		return SeenConflict, conflict.Keys
+		return ResultConflict, conflict.Keys
 	case errors.Is(err, backing.ErrUnavailable), errors.Is(err, backing.ErrThrottled):
-		return SeenTableDown, nil
+		return ResultTableUnavailable, nil
 	default:
-		return SeenAmbiguous, nil
+		return ResultAmbiguous, nil
 	}
 }
 
-func txnOf(batch []*write) backing.Txn {
+func newTxn(batch []*pendingWrite) backing.Txn {
 	txn := backing.Txn{
 		If:     make([]backing.Condition, 0, len(batch)),
 		Writes: make([]backing.Write, 0, 2*len(batch)),
@@ -215,15 +220,15 @@
 	return txn
 }
 
-func split(batch []*write, failed []string) []*write {
-	lost := make(map[string]bool, len(failed))
+func rejectConflicts(batch []*pendingWrite, failed []string) []*pendingWrite {
+	conflicting := make(map[string]bool, len(failed))
 	for _, key := range failed {
-		lost[key] = true
+		conflicting[key] = true
 	}
-	var rest []*write
+	var rest []*pendingWrite
 	for _, w := range batch {
-		if lost[w.key] {
-			w.done <- SeenConflict
+		if conflicting[w.key] {
+			w.done <- ResultConflict
 			continue
 		}
 		rest = append(rest, w)
@@ -231,9 +236,9 @@
 	return rest
 }
 
-func finish(batch []*write, seen Seen) {
+func finishAll(batch []*pendingWrite, result Result) {
 	for _, w := range batch {
-		w.done <- seen
+		w.done <- result
 	}
 }
 
--- a/claim/bench_test.go
+++ b/claim/bench_test.go
@@ -14,23 +14,23 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-type instant struct{}
+type instantService struct{}
 
-func (instant) Do(context.Context, plain.Call) (plain.Answer, error) {
+func (instantService) Do(context.Context, plain.Call) (plain.Answer, error) {
 	return plain.Answer{Status: 200, Body: []byte("done")}, nil
 }
 
-func (instant) Healthy(context.Context) error { return nil }
+func (instantService) Healthy(context.Context) error { return nil }
 
-// BenchmarkDo runs calls through a router, a table whose commits take 5 ms, and
-// a sidecar's gate, with a number of callers at once. Outcomes are saved along.
+// BenchmarkDo runs calls of concurrent callers through a router, a table whose
+// commits take 5 ms, and a sidecar's gate, and saves their outcomes.
 func BenchmarkDo(b *testing.B) {
 	for _, callers := range []int{1, 16, 64, 256} {
 		b.Run(strconv.Itoa(callers), func(b *testing.B) {
 			table := newFakeTable()
-			table.takes = 5 * time.Millisecond
+			table.commitLatency = 5 * time.Millisecond
 			net := &fakeNet{cut: map[string]bool{}, gates: map[string]*gate.Calls{
-				"a": gate.NewCalls(gate.Options{Service: instant{}, Incarnation: 1, MaxAttempts: 1 << 22}),
+				"a": gate.NewCalls(gate.Options{Service: instantService{}, Incarnation: 1, MaxAttempts: 1 << 22}),
 			}}
 			c := claim.New(claim.Options{Table: table, Router: "r1", Sidecar: net})
 			ctx, cancel := context.WithCancel(b.Context())
@@ -46,7 +46,7 @@
 			for range callers {
 				go func() {
 					for i := next.Add(1); i <= int64(b.N); i = next.Add(1) {
-						if _, refusal := c.Do(ctx, label(fmt.Sprint(i), "lorry"), pick); refusal != nil {
+						if _, refusal := c.Do(ctx, newCall(fmt.Sprint(i), "lorry"), pick); refusal != nil {
 							failed.Add(1)
 						}
 					}
@@ -60,7 +60,7 @@
 			for c.Dump().(claim.Dump).QueuedSaves > 0 {
 				time.Sleep(time.Millisecond)
 			}
-			time.Sleep(4 * claim.DefaultSaveWait)
+			time.Sleep(4 * claim.DefaultSaveBatchDelay)
 			saved := 0
 			for _, record := range table.claims() {
 				if record.State == claim.RecordCompleted {
@@ -74,16 +74,16 @@
 	}
 }
 
-// BenchmarkNext is the cost of the decisions of an undisturbed call.
+// BenchmarkNext measures the decisions for a call without faults.
 func BenchmarkNext(b *testing.B) {
 	for b.Loop() {
 		s, _ := claim.Begin(1, 1)
-		s, _ = claim.Next(s, claim.Observation{Seen: claim.SeenCommitted})
-		_, _ = claim.Next(s, claim.Observation{Seen: claim.SeenCompleted})
+		s, _ = claim.Next(s, claim.Observation{Result: claim.ResultCommitted})
+		_, _ = claim.Next(s, claim.Observation{Result: claim.ResultCompleted})
 	}
 }
 
-// BenchmarkEncode is the cost and the size of a row's value.
+// BenchmarkEncode measures the encoding of a row's value, and its size.
 func BenchmarkEncode(b *testing.B) {
 	record := claim.Record{
 		State: claim.RecordClaimed, Attempt: 1 << 31, Router: "errol-shed-router-1",
--- a/claim/coordinator.go
+++ b/claim/coordinator.go
@@ -18,29 +18,29 @@
 
 // Defaults of Options.
 const (
-	DefaultMaxBatch      = 64
-	DefaultMaxWait       = 2 * time.Millisecond
-	DefaultSaveWait      = 250 * time.Millisecond
-	DefaultCommits       = 4
-	DefaultCommitTimeout = 2 * time.Second
-	DefaultReadTimeout   = time.Second
-	DefaultVoidTimeout   = 500 * time.Millisecond
-	DefaultCallTimeout   = 30 * time.Second
-	DefaultMaxDeadline   = 5 * time.Minute
-	DefaultRetention     = 24 * time.Hour
-	DefaultSweepEvery    = 15 * time.Second
+	DefaultMaxBatch       = 64
+	DefaultMaxBatchDelay  = 2 * time.Millisecond
+	DefaultSaveBatchDelay = 250 * time.Millisecond
+	DefaultMaxCommits     = 4
+	DefaultCommitTimeout  = 2 * time.Second
+	DefaultReadTimeout    = time.Second
+	DefaultVoidTimeout    = 500 * time.Millisecond
+	DefaultCallTimeout    = 30 * time.Second
+	DefaultMaxDeadline    = 5 * time.Minute
+	DefaultRetention      = 24 * time.Hour
+	DefaultSweepInterval  = 15 * time.Second
 )
 
-// SidecarClient reaches sidecars. Call returns plain.ErrNotSent if no byte of
-// the request left; any other error means that the call may have arrived. It
-// must not send a request twice: over net/http, a request that carries an
-// Idempotency-Key header is repeated by the transport on its own.
+// SidecarClient sends calls and void requests to sidecars. Call returns
+// plain.ErrNotSent if no byte of the request was sent; after any other error the
+// call may have arrived. Call must not send a request twice: the transport of
+// net/http resends requests with an Idempotency-Key header on its own.
 type SidecarClient interface {
 	Call(ctx context.Context, addr string, req *streampb.CallRequest) (*streampb.CallResponse, error)
 	Void(ctx context.Context, addr string, req *streampb.VoidRequest) (*streampb.CallResponse, error)
 }
 
-// Options of a Coordinator. Zero durations and counts take the defaults.
+// Options configures a Coordinator. Zero durations and counts take the defaults.
 type Options struct {
 	Table      backing.Table
 	Router     types.ProcessID
@@ -48,20 +48,20 @@
 	Recorder   *event.Recorder
 	Registerer prometheus.Registerer
 
-	MaxBatch      int           // claims in one transaction
-	MaxWait       time.Duration // that a claim waits for others
-	SaveWait      time.Duration // that a final outcome waits for others; nobody waits for it
-	Commits       int           // transactions under way at once
-	CommitTimeout time.Duration // after which a commit counts as ambiguous
-	ReadTimeout   time.Duration
-	VoidTimeout   time.Duration
-	CallTimeout   time.Duration // of a call without a deadline
-	MaxDeadline   time.Duration // later deadlines are cut to this
-	Retention     time.Duration // how long after its deadline a claim is kept
-	SweepEvery    time.Duration // pause between two rounds of deletion
+	MaxBatch       int           // maximum number of claims in one transaction
+	MaxBatchDelay  time.Duration // how long a claim waits for others to share its transaction
+	SaveBatchDelay time.Duration // the same for a final outcome; longer, since no caller waits for it
+	MaxCommits     int           // maximum number of concurrent transactions
+	CommitTimeout  time.Duration // after which a commit counts as ambiguous
+	ReadTimeout    time.Duration
+	VoidTimeout    time.Duration
+	CallTimeout    time.Duration // of a call without a deadline
+	MaxDeadline    time.Duration // from now; later deadlines are reduced to this
+	Retention      time.Duration // how long a claim is kept after its deadline
+	SweepInterval  time.Duration // mean pause between two sweeps for expired claims
 }
 
-// Call is one call of a caller that may not be repeated.
+// Call is a call that must run at most once.
 type Call struct {
 	RequestID    types.RequestID
 	Service      string
@@ -74,44 +74,46 @@
 	Deadline     time.Time // zero: CallTimeout from now
 }
 
-// Pick chooses where a call may run; avoid names backend servers that proved
-// not to have run it. It reports false if there is none.
+// Pick selects the target of a call. avoid names the backend servers that are
+// known not to have run it and are skipped. Pick reports false if no target is
+// left.
 type Pick func(avoid []string) (Target, bool)
 
-// Coordinator runs calls at most once on behalf of one router.
+// Coordinator runs the calls of one router at most once.
 type Coordinator struct {
 	opts     Options
 	claims   *batcher
 	saves    *batcher
-	finisher *finisher
+	outcomes *outcomeWriter
 	sweeper  *sweeper
 	metrics  *metrics
 	inFlight atomic.Int64
 }
 
-// New returns a coordinator; Run must run for Do to get answers.
+// New returns a coordinator. Do works only while Run is running.
 func New(opts Options) *Coordinator {
 	opts = withDefaults(opts)
 	m := newMetrics(opts.Registerer)
-	saves := newBatcher("save", opts.SaveWait, opts, m)
+	saves := newBatcher("save", opts.SaveBatchDelay, opts, m)
 	return &Coordinator{
 		opts:     opts,
-		claims:   newBatcher("claim", opts.MaxWait, opts, m),
+		claims:   newBatcher("claim", opts.MaxBatchDelay, opts, m),
 		saves:    saves,
-		finisher: newFinisher(opts, saves, m),
+		outcomes: newOutcomeWriter(opts, saves, m),
 		sweeper:  newSweeper(opts, m),
 		metrics:  m,
 	}
 }
 
-// Run gathers claims, saves outcomes and deletes old rows until ctx ends; the
-// outcomes that wait then are still saved, within saveAtEnd.
+// Run commits claims, saves outcomes and deletes expired rows until ctx ends.
+// Outcomes still queued then are saved before it returns, within
+// shutdownSaveTimeout.
 func (c *Coordinator) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	saving, saved := context.WithCancel(context.WithoutCancel(ctx))
 	defer saved()
-	defer context.AfterFunc(ctx, func() { time.AfterFunc(saveAtEnd, saved) })()
+	defer context.AfterFunc(ctx, func() { time.AfterFunc(shutdownSaveTimeout, saved) })()
 	var group run.Group
 	add := func(actor func() error) { group.Add(actor, func(error) { cancel() }) }
 	add(func() error { return c.claims.run(ctx) })
@@ -119,29 +121,30 @@
 	add(func() error { return c.saves.run(saving) })
 	add(func() error {
 		defer saved()
-		return c.finisher.run(ctx, saving)
+		return c.outcomes.run(ctx, saving)
 	})
 	return group.Run()
 }
 
-// Do runs a call at most once. The refusal, if any, says what is known of this
-// try: not-run means that no attempt of this try ran or ever will. It says
-// nothing of an earlier try under the same key whose claim could not be read.
+// Do runs a call at most once. A refusal's outcome describes this request alone:
+// not-run means that no attempt of this request has run or ever will. It says
+// nothing about an earlier request with the same key whose claim could not be
+// read.
 func (c *Coordinator) Do(ctx context.Context, call Call, pick Pick) (plain.Answer, *types.Refusal) {
 	c.inFlight.Add(1)
 	defer c.inFlight.Add(-1)
-	t := newTry(c, call, pick)
-	answer, refusal := t.run(ctx)
-	c.metrics.answered(refusal)
+	req := newRequest(c, call, pick)
+	answer, refusal := req.run(ctx)
+	c.metrics.countAnswer(refusal)
 	return answer, refusal
 }
 
-// Dump is the coordinator's state as operators see it.
+// Dump is the coordinator's state as shown to operators.
 type Dump struct {
-	InFlight     int `json:"in_flight"`     // tries under way
-	QueuedClaims int `json:"queued_claims"` // that wait for a transaction
-	QueuedSaves  int `json:"queued_saves"`  // outcomes that wait to be written
-	Commits      int `json:"claim_commits"` // transactions of claims under way
+	InFlight     int `json:"in_flight"`     // requests in progress
+	QueuedClaims int `json:"queued_claims"` // claims that wait for a transaction
+	QueuedSaves  int `json:"queued_saves"`  // outcomes that wait to be saved
+	Commits      int `json:"claim_commits"` // claim transactions in progress
 }
 
 // Dump returns the coordinator's state.
@@ -149,23 +152,23 @@
 	return Dump{
 		InFlight:     int(c.inFlight.Load()),
 		QueuedClaims: len(c.claims.queue),
-		QueuedSaves:  len(c.finisher.queue),
-		Commits:      len(c.claims.slots),
+		QueuedSaves:  len(c.outcomes.queue),
+		Commits:      len(c.claims.commitSlots),
 	}
 }
 
 func withDefaults(o Options) Options {
-	setCount(&o.MaxBatch, DefaultMaxBatch)
-	setCount(&o.Commits, DefaultCommits)
-	setTime(&o.MaxWait, DefaultMaxWait)
-	setTime(&o.SaveWait, DefaultSaveWait)
-	setTime(&o.CommitTimeout, DefaultCommitTimeout)
-	setTime(&o.ReadTimeout, DefaultReadTimeout)
-	setTime(&o.VoidTimeout, DefaultVoidTimeout)
-	setTime(&o.CallTimeout, DefaultCallTimeout)
-	setTime(&o.MaxDeadline, DefaultMaxDeadline)
-	setTime(&o.Retention, DefaultRetention)
-	setTime(&o.SweepEvery, DefaultSweepEvery)
+	defaultCount(&o.MaxBatch, DefaultMaxBatch)
+	defaultCount(&o.MaxCommits, DefaultMaxCommits)
+	defaultDuration(&o.MaxBatchDelay, DefaultMaxBatchDelay)
+	defaultDuration(&o.SaveBatchDelay, DefaultSaveBatchDelay)
+	defaultDuration(&o.CommitTimeout, DefaultCommitTimeout)
+	defaultDuration(&o.ReadTimeout, DefaultReadTimeout)
+	defaultDuration(&o.VoidTimeout, DefaultVoidTimeout)
+	defaultDuration(&o.CallTimeout, DefaultCallTimeout)
+	defaultDuration(&o.MaxDeadline, DefaultMaxDeadline)
+	defaultDuration(&o.Retention, DefaultRetention)
+	defaultDuration(&o.SweepInterval, DefaultSweepInterval)
 	if o.Recorder == nil {
 		o.Recorder = event.Discard()
 	}
@@ -175,13 +178,13 @@
 	return o
 }
 
-func setCount(n *int, def int) {
+func defaultCount(n *int, def int) {
 	if *n <= 0 {
 		*n = def
 	}
 }
 
-func setTime(d *time.Duration, def time.Duration) {
+func defaultDuration(d *time.Duration, def time.Duration) {
 	if *d <= 0 {
 		*d = def
 	}
--- a/claim/decide.go
+++ b/claim/decide.go
@@ -7,30 +7,32 @@
 )
 
 const (
-	// MaxAttempts bounds the attempts that one try of a caller may claim.
+	// MaxAttempts limits the attempts that one request may claim.
 	MaxAttempts = 5
-	// MaxReads bounds the reads of the claim row in one try.
+	// MaxReads limits the reads of the claim row in one request.
 	MaxReads = 8
-	// MaxSilent bounds the questions to a sidecar that doesn't answer, in one try.
-	MaxSilent = 3
-
-	retryTableDown = 2 * time.Second
-	retryNotRun    = time.Second
-	retryRunning   = time.Second
-	retrySilent    = 5 * time.Second
+	// MaxUnansweredVoids limits the consecutive unanswered void requests to a
+	// sidecar in one request.
+	MaxUnansweredVoids = 3
+
+	retryAfterTableUnavailable = 2 * time.Second
+	retryAfterNotRun           = time.Second
+	retryAfterRunning          = time.Second
+	retryAfterNoAnswer         = 5 * time.Second
 )
 
-// Begin returns the state and the first action of a try. It claims without
-// reading first: nearly all keys are new, and a conflict tells of the others.
+// Begin returns the initial state and the first action of a request. The row is
+// claimed without being read first: nearly all keys are new, and a conflict
+// reveals the others.
 func Begin(attempt types.AttemptTag, fingerprint types.Fingerprint) (State, Action) {
 	s := State{Phase: PhaseClaim, Fingerprint: fingerprint, Attempt: attempt, Attempts: 1}
 	return s, Action{Step: StepClaim}
 }
 
-// Next returns what follows an observation.
+// Next returns the state and the action that follow an observation.
 func Next(s State, o Observation) (State, Action) {
-	if o.Seen == SeenOutOfTime {
-		return s, outOfTime(s)
+	if o.Result == ResultExpired {
+		return s, expired(s)
 	}
 	switch s.Phase {
 	case PhaseClaim:
@@ -45,65 +47,67 @@
 }
 
 func afterClaim(s State, o Observation) (State, Action) {
-	switch o.Seen {
-	case SeenCommitted:
-		// Guard: only a written claim ends a conflict. It stops this order: a
-		// call ran, its caller comes back, the claim meets a conflict, and the
-		// row is read from an old copy that shows none, or a voided one; each
-		// further claim fails, and the caller is told "not run". A condition is
-		// judged on the present row, so a claim that was written proves that
-		// what the read showed was so.
-		s.Met = false
+	switch o.Result {
+	case ResultCommitted:
+		// Guard: only a committed claim clears OtherClaim. It prevents this
+		// sequence: a call ran, its caller retries, the claim gets a conflict,
+		// and the row is read from a stale replica that shows no claim or a
+		// voided one; each further claim fails, and the caller is told "not
+		// run". Conditions are checked against the current row, so a committed
+		// claim proves that the read was up to date.
+		s.OtherClaim = false
 		return dispatch(s)
-	case SeenTableDown:
-		return s, tableDown(s)
-	case SeenConflict:
-		s.Met = true
+	case ResultTableUnavailable:
+		return s, tableUnavailable(s)
+	case ResultConflict:
+		s.OtherClaim = true
 		return read(s)
-	case SeenNoTarget:
+	case ResultNoTarget:
 		return noTarget(s)
 	default:
-		// Guard: read-back. It stops this order: our commit's answer is lost
-		// and the write did not take effect, another router claims the key, and
-		// both dispatch. It shows as an ambiguous commit. The row itself says
-		// whose claim it is; nothing is dispatched before it says "ours".
+		// Guard: read-back. It prevents this sequence: the response to this
+		// commit is lost and the write did not take effect, another router
+		// claims the key, and both dispatch. The symptom is an ambiguous
+		// commit. Nothing is dispatched until the row, read back, names this
+		// request's attempt.
 		return read(s)
 	}
 }
 
-// noTarget decides what to say when no backend server takes calls.
+// noTarget decides what follows when no backend server accepts calls.
 //
-// Guard: look before "no backend server". It stops this order: a call runs, its
-// answer is lost, all backend servers go (or this router has just started and
-// knows none), the caller comes back and is told "not run". The row is read
-// first; a claim in it is met as any other, and its outcome is the answer.
+// Guard: read before "no backend server". It prevents this sequence: a call
+// runs, its answer is lost, all backend servers disappear (or this router has
+// just started and knows none), the caller retries and is told "not run". The
+// row is read first; a claim in it is handled like any other, and its outcome is
+// the answer.
 func noTarget(s State) (State, Action) {
-	if !s.Looked {
+	if !s.RowRead {
 		return read(s)
 	}
 	return s, notRun(s, types.CodeNoBackend)
 }
 
 func afterRead(s State, o Observation) (State, Action) {
-	s.Looked = s.Looked || o.Seen == SeenNoRow || o.Seen == SeenRow
-	switch o.Seen {
-	case SeenNoRow:
-		return claimAt(s, 0, o.Fresh)
-	case SeenRow:
-		return meet(s, o)
-	case SeenUnreadable:
-		return s, answer(types.OutcomeUnknown, types.CodeUnknownOutcome, retrySilent)
+	s.RowRead = s.RowRead || o.Result == ResultNoRow || o.Result == ResultRow
+	switch o.Result {
+	case ResultNoRow:
+		return claimAt(s, 0, o.NewTag)
+	case ResultRow:
+		return handleRow(s, o)
+	case ResultUnreadable:
+		return s, answer(types.OutcomeUnknown, types.CodeUnknownOutcome, retryAfterNoAnswer)
 	default:
-		// True although the claim may be written or may yet land: this attempt
-		// is dispatched by this try alone, and this try ends here. A router that
-		// finds the orphan row voids the attempt, gets the tombstone's "not
-		// run", and claims the row anew.
-		return s, tableDown(s)
+		// "Not run" is correct although the claim may have been written or may
+		// still be: only this request dispatches its attempt, and it ends here.
+		// A router that finds the orphan row voids the attempt, gets "not run"
+		// with the tombstone, and claims the row again.
+		return s, tableUnavailable(s)
 	}
 }
 
-// meet decides on a claim row that was read.
-func meet(s State, o Observation) (State, Action) {
+// handleRow decides what follows from a claim row that was read.
+func handleRow(s State, o Observation) (State, Action) {
 	row := o.Row
 	switch {
 	case row.Fingerprint != s.Fingerprint:
@@ -112,76 +116,78 @@
 		return s, answer(types.OutcomeCompleted, "", 0)
 	case row.State == RecordUnknown:
 		return s, answer(types.OutcomeUnknown, types.CodeUnknownOutcome, 0)
-	case row.State == RecordVoided, row.Attempt == s.Proved:
-		return claimAt(s, row.Version, o.Fresh)
+	case row.State == RecordVoided, row.Attempt == s.ProvenNotRun:
+		return claimAt(s, row.Version, o.NewTag)
 	case row.Attempt == s.Attempt && !s.Dispatched:
 		return dispatch(s)
 	default:
-		return ask(s, row)
+		return voidAttempt(s, row)
 	}
 }
 
 func afterDispatch(s State, o Observation) (State, Action) {
-	switch o.Seen {
-	case SeenCompleted:
+	switch o.Result {
+	case ResultCompleted:
 		return s, answer(types.OutcomeCompleted, "", 0)
-	case SeenNotRun:
-		s.Proved = s.Attempt
+	case ResultNotRun:
+		s.ProvenNotRun = s.Attempt
 		if s.Attempts >= MaxAttempts {
 			return s, notRun(s, o.Code)
 		}
 		return read(s)
-	case SeenUnknown:
+	case ResultUnknown:
 		return s, answer(types.OutcomeUnknown, types.CodeUnknownOutcome, 0)
 	default:
-		// Guard: no resend. It stops this order: the call runs, its answer is
-		// lost on the way back, the router sends the call again. It shows as a
-		// broken connection or a timeout. The call is never sent again; the
-		// sidecar is asked, and its Void stops a call that is still on its way.
-		return ask(s, View{State: RecordClaimed, Attempt: s.Attempt, Fingerprint: s.Fingerprint})
+		// Guard: no resend. It prevents this sequence: the call runs, its answer
+		// is lost, the router sends the call again. The symptom is a broken
+		// connection or a timeout. The call is never sent again; the sidecar is
+		// asked to void the attempt, which also stops a call still in transit.
+		return voidAttempt(s, View{State: RecordClaimed, Attempt: s.Attempt, Fingerprint: s.Fingerprint})
 	}
 }
 
 func afterVoid(s State, o Observation) (State, Action) {
-	switch o.Seen {
-	case SeenCompleted:
+	switch o.Result {
+	case ResultCompleted:
 		return s, answer(types.OutcomeCompleted, "", 0)
-	case SeenNotRun:
-		s.Proved = s.Row.Attempt
+	case ResultNotRun:
+		s.ProvenNotRun = s.Row.Attempt
 		if s.Row.Version == 0 {
 			return read(s)
 		}
-		return claimAt(s, s.Row.Version, o.Fresh)
-	case SeenRunning:
-		s.Silent = 0
-		return s, Action{Step: StepWaitVoid}
-	case SeenUnknown:
+		return claimAt(s, s.Row.Version, o.NewTag)
+	case ResultRunning:
+		s.UnansweredVoids = 0
+		return s, Action{Step: StepDelayedVoid}
+	case ResultUnknown:
 		return s, answer(types.OutcomeUnknown, types.CodeUnknownOutcome, 0)
 	default:
-		s.Silent++
-		if s.Silent < MaxSilent {
-			return s, Action{Step: StepWaitVoid}
+		s.UnansweredVoids++
+		if s.UnansweredVoids < MaxUnansweredVoids {
+			return s, Action{Step: StepDelayedVoid}
 		}
-		return s, answer(types.OutcomeUnknown, types.CodeUnknownOutcome, retrySilent)
+		return s, answer(types.OutcomeUnknown, types.CodeUnknownOutcome, retryAfterNoAnswer)
 	}
 }
 
-// claimAt claims the row, under a new tag, if it still has version.
+// claimAt claims the row with a new tag if the row still has version.
 //
-// Guard: compare-and-swap. It stops this order: two routers learn that an
-// attempt was voided and both claim the key anew. The table service lets one
-// version be replaced once; the other router gets a conflict and reads the row.
+// Guard: compare-and-swap. It prevents this sequence: two routers learn that an
+// attempt was voided and both claim the key again. The table service lets a
+// version be replaced only once; the other router gets a conflict and reads the
+// row.
 //
-// Guard: one write for one tag. It stops this order: an ambiguous write of an
-// attempt lands late, another router proves that attempt not run, and the first
-// router, which never dispatched it, claims and dispatches under the same tag.
-// With a new tag for each write, a proof about a tag holds for ever.
-func claimAt(s State, version uint64, fresh types.AttemptTag) (State, Action) {
+// Guard: one write per tag. It prevents this sequence: an ambiguous write of an
+// attempt takes effect late, another router proves that this attempt did not
+// run, and the first router, which never dispatched it, claims and dispatches
+// with the same tag. With a new tag for each write, a proof about a tag stays
+// valid.
+func claimAt(s State, version uint64, newTag types.AttemptTag) (State, Action) {
 	if s.Attempts >= MaxAttempts {
 		return s, notRun(s, types.CodeOverloaded)
 	}
 	s.Attempts++
-	s.Attempt = fresh
+	s.Attempt = newTag
 	s.Dispatched = false
 	s.Phase = PhaseClaim
 	s.Version = version
@@ -203,41 +209,43 @@
 	return s, Action{Step: StepRead}
 }
 
-func ask(s State, row View) (State, Action) {
+func voidAttempt(s State, row View) (State, Action) {
 	s.Phase = PhaseVoid
 	s.Row = row
-	s.Silent = 0
+	s.UnansweredVoids = 0
 	return s, Action{Step: StepVoid}
 }
 
-// outOfTime answers a try whose time is over. In PhaseVoid the key's call may
-// be running, and after a dispatch without an answer so may this one's.
-func outOfTime(s State) Action {
+// expired answers a request whose deadline has passed or whose caller has left.
+// In PhaseVoid the attempt of another request may be running, and in
+// PhaseDispatch this request's own.
+func expired(s State) Action {
 	if s.Phase == PhaseVoid || s.Phase == PhaseDispatch {
-		return answer(types.OutcomeUnknown, types.CodeStillRunning, retryRunning)
+		return answer(types.OutcomeUnknown, types.CodeStillRunning, retryAfterRunning)
 	}
 	return notRun(s, types.CodeDeadline)
 }
 
-// tableDown: nothing of this try was dispatched, or its attempts are proved not to run.
-func tableDown(s State) Action {
-	if s.Met {
-		return answer(types.OutcomeUnknown, types.CodeTableDown, retryTableDown)
+// tableUnavailable answers a request that dispatched nothing, or whose attempts
+// are all proven not to run.
+func tableUnavailable(s State) Action {
+	if s.OtherClaim {
+		return answer(types.OutcomeUnknown, types.CodeTableDown, retryAfterTableUnavailable)
 	}
-	return answer(types.OutcomeNotRun, types.CodeTableDown, retryTableDown)
+	return answer(types.OutcomeNotRun, types.CodeTableDown, retryAfterTableUnavailable)
 }
 
-// notRun answers a try whose attempts never ran. If another claim of the key
-// was met, the caller's earlier try may have run: that would be a lie to a
-// caller who takes "not run" as leave to do the work by hand.
+// notRun answers a request whose attempts never ran. If another claim of the key
+// was found, an earlier request of the caller may have run, and the outcome is
+// unknown: a caller that is told "not run" may do the work by hand.
 func notRun(s State, code types.Code) Action {
 	if code == "" {
 		code = types.CodeOverloaded
 	}
-	if s.Met {
-		return answer(types.OutcomeUnknown, types.CodeUnknownOutcome, retryNotRun)
+	if s.OtherClaim {
+		return answer(types.OutcomeUnknown, types.CodeUnknownOutcome, retryAfterNotRun)
 	}
-	return answer(types.OutcomeNotRun, code, retryNotRun)
+	return answer(types.OutcomeNotRun, code, retryAfterNotRun)
 }
 
 func answer(outcome types.Outcome, code types.Code, retry time.Duration) Action {
--- a/claim/doc.go
+++ b/claim/doc.go
@@ -1,15 +1,20 @@
-// Package claim runs calls that may not be repeated at most once.
+// Package claim runs non-repeatable calls at most once.
 //
-// Before the first byte of a call is sent, its router claims the call's
+// Before a router sends the first byte of a call, it claims the call's
 // idempotency key in the table service by compare-and-swap. The claim names one
-// attempt and the one run (incarnation) of the one sidecar that may run it.
-// The attempt is dispatched once. Whoever meets the claim later doesn't send
-// the call; it asks the named sidecar to void the attempt, and claims anew only
-// on the proof that the attempt never ran and never will. Without that proof
-// the outcome is unknown, and stays so.
-//
-// Next decides what follows which observation, without I/O, so that the model
-// check searches the code that runs. Package gate is the sidecar's side.
+// attempt and the incarnation of the only sidecar that may run it. The attempt
+// is dispatched once. A request that finds the claim later doesn't send the
+// call: it asks the named sidecar to void the attempt, and claims the key again
+// only with the proof that the attempt never ran and never will. Without this
+// proof the outcome is unknown and stays so.
+//
+// Three words are kept apart: a call is the work under one idempotency key, a
+// request is one Do of a caller for it, and an attempt is what a request claims
+// and dispatches at most once.
+//
+// Next decides which action follows an observation. It does no I/O, so that the
+// model checker in the tests searches the production code. Package gate is the
+// sidecar's side of the protocol.
 //
 // May import of pearyard: backing, event, plain, rpc/stream, types.
 package claim
--- a/claim/fakes_test.go
+++ b/claim/fakes_test.go
@@ -20,18 +20,19 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// fakeTable is a table service in memory. fault, if set, is asked before each
-// commit: an error, and whether the commit takes effect nevertheless.
+// fakeTable is a table service in memory. If fault is set, it is called before
+// each commit with the commit's number, and returns the commit's error and
+// whether the commit takes effect despite the error.
 type fakeTable struct {
-	mu      sync.Mutex
-	rows    map[string]backing.Row
-	version uint64
-	commits atomic.Int64
-	takes   time.Duration // a commit
-	down    bool
-	fault   func(n int) (err error, effect bool)
-	before  func(txn backing.Txn) // runs before a transaction is judged
-	twice   int                   // transactions that named a row twice
+	mu            sync.Mutex
+	rows          map[string]backing.Row
+	version       uint64
+	commits       atomic.Int64
+	commitLatency time.Duration
+	down          bool
+	fault         func(n int) (err error, effect bool)
+	beforeCheck   func(txn backing.Txn) // runs before a transaction's conditions are checked
+	duplicates    int                   // conditions on a row that the transaction had already named
 }
 
 func newFakeTable() *fakeTable { return &fakeTable{rows: map[string]backing.Row{}} }
@@ -69,7 +70,7 @@
 
 func (f *fakeTable) Commit(_ context.Context, txn backing.Txn) error {
 	n := int(f.commits.Add(1))
-	time.Sleep(f.takes)
+	time.Sleep(f.commitLatency)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.down {
@@ -88,13 +89,13 @@
 
 func (f *fakeTable) apply(txn backing.Txn) error {
 	var failed []string
-	if f.before != nil {
-		f.before(txn)
+	if f.beforeCheck != nil {
+		f.beforeCheck(txn)
 	}
 	named := map[string]bool{}
 	for _, c := range txn.If {
 		if named[c.Key] {
-			f.twice++
+			f.duplicates++
 		}
 		named[c.Key] = true
 		if f.rows[c.Key].Version != c.Version {
@@ -128,14 +129,14 @@
 	return out
 }
 
-// fakeService counts runs by body and answers after a time.
+// fakeService counts the runs of each request body and answers after a delay.
 type fakeService struct {
-	mu   sync.Mutex
-	runs map[string]int
-	took time.Duration
-	err  error
-	then func() // runs when a call has run
-	size int    // of further bytes in the answer
+	mu      sync.Mutex
+	runs    map[string]int
+	delay   time.Duration
+	err     error
+	onRun   func() // called after each run, before the answer
+	padding int    // number of bytes appended to each answer
 }
 
 func (f *fakeService) Do(ctx context.Context, call plain.Call) (plain.Answer, error) {
@@ -143,32 +144,32 @@
 	f.runs[string(call.Body)]++
 	f.mu.Unlock()
 	select {
-	case <-time.After(f.took):
+	case <-time.After(f.delay):
 	case <-ctx.Done():
 		return plain.Answer{}, plain.ErrLost
 	}
-	if f.then != nil {
-		f.then()
+	if f.onRun != nil {
+		f.onRun()
 	}
-	return plain.Answer{Status: 200, Body: append([]byte("done "), append(call.Body, make([]byte, f.size)...)...)}, f.err
+	return plain.Answer{Status: 200, Body: append([]byte("done "), append(call.Body, make([]byte, f.padding)...)...)}, f.err
 }
 
 func (f *fakeService) Healthy(context.Context) error { return nil }
 
-func (f *fakeService) ran(body string) int {
+func (f *fakeService) runCount(body string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.runs[body]
 }
 
-// fakeNet reaches the gates of a world by their addresses.
+// fakeNet is the network to the sidecars: it delivers to the gate of an address.
 type fakeNet struct {
-	mu      sync.Mutex
-	gates   map[string]*gate.Calls
-	cut     map[string]bool
-	lose    int           // answers to calls that get lost
-	frozen  chan struct{} // if set, calls wait here before they arrive
-	arrived int
+	mu          sync.Mutex
+	gates       map[string]*gate.Calls
+	cut         map[string]bool
+	lostAnswers int           // number of answers still to be lost
+	hold        chan struct{} // if set, the next call waits for it before it is delivered
+	arrived     int
 }
 
 func (n *fakeNet) setCut(addr string, cut bool) {
@@ -181,8 +182,8 @@
 
 func (n *fakeNet) Call(ctx context.Context, addr string, req *streampb.CallRequest) (*streampb.CallResponse, error) {
 	n.mu.Lock()
-	g, cut, frozen := n.gates[addr], n.cut[addr], n.frozen
-	n.frozen = nil
+	g, cut, frozen := n.gates[addr], n.cut[addr], n.hold
+	n.hold = nil
 	n.mu.Unlock()
 	if cut {
 		return nil, plain.ErrNotSent
@@ -194,8 +195,8 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.arrived++
-	if n.lose > 0 {
-		n.lose--
+	if n.lostAnswers > 0 {
+		n.lostAnswers--
 		return nil, errCut
 	}
 	return resp, nil
@@ -211,37 +212,39 @@
 	return g.Void(ctx, req), nil
 }
 
-// site is one table, one service behind sidecars a and b, and any number of routers.
-type site struct {
+// fixture is one table, one service behind the sidecars a and b, and any number
+// of routers.
+type fixture struct {
 	t       *testing.T
 	ctx     context.Context
 	table   *fakeTable
 	service *fakeService
 	net     *fakeNet
 	inc     types.Incarnation
-	only    string // the one sidecar that may be picked, if set
+	only    string // if set, the only sidecar that may be picked
 }
 
-// atSite runs a test in virtual time.
-func atSite(t *testing.T, test func(s *site)) {
+// withFixture runs a test in virtual time.
+func withFixture(t *testing.T, test func(s *fixture)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		s := &site{
+		s := &fixture{
 			t: t, ctx: ctx, table: newFakeTable(), inc: 1,
-			service: &fakeService{runs: map[string]int{}, took: 50 * time.Millisecond},
+			service: &fakeService{runs: map[string]int{}, delay: 50 * time.Millisecond},
 			net:     &fakeNet{gates: map[string]*gate.Calls{}, cut: map[string]bool{}},
 		}
 		s.start("a")
 		s.start("b")
 		test(s)
-		time.Sleep(time.Minute) // calls under way end
+		time.Sleep(time.Minute) // until the calls in progress have ended
 		cancel()
-		gomega.NewWithT(t).Expect(s.table.twice).To(gomega.BeZero())
+		gomega.NewWithT(t).Expect(s.table.duplicates).To(gomega.BeZero())
 	})
 }
 
-// put writes a claim row behind the routers' backs; the caller holds no lock.
-func (s *site) put(key string, record claim.Record) {
+// put writes a claim row directly into the table. The caller must not hold
+// table.mu.
+func (s *fixture) put(key string, record claim.Record) {
 	value, _ := record.Encode()
 	s.table.mu.Lock()
 	defer s.table.mu.Unlock()
@@ -253,8 +256,8 @@
 	f.rows[key] = backing.Row{Key: key, Value: value, Version: f.version}
 }
 
-// start starts or restarts the sidecar at addr.
-func (s *site) start(addr string) {
+// start starts or restarts the sidecar at addr with a new incarnation.
+func (s *fixture) start(addr string) {
 	s.inc++
 	g := gate.NewCalls(gate.Options{Service: s.service, Incarnation: s.inc})
 	s.net.mu.Lock()
@@ -262,14 +265,14 @@
 	s.net.gates[addr] = g
 }
 
-func (s *site) router(name string) *claim.Coordinator {
+func (s *fixture) router(name string) *claim.Coordinator {
 	c := claim.New(claim.Options{Table: s.table, Router: types.ProcessID(name), Sidecar: s.net})
 	go func() { _ = c.Run(s.ctx) }()
 	return c
 }
 
 // pick prefers a over b.
-func (s *site) pick(avoid []string) (claim.Target, bool) {
+func (s *fixture) pick(avoid []string) (claim.Target, bool) {
 	for _, addr := range []string{"a", "b"} {
 		if s.only != "" && addr != s.only {
 			continue
@@ -282,7 +285,7 @@
 	return claim.Target{}, false
 }
 
-func label(key, body string) claim.Call {
+func newCall(key, body string) claim.Call {
 	return claim.Call{
 		RequestID: "req-1", Service: "depot-apps", Organisation: "inch", Key: key,
 		Method: "POST", Path: "/labels", Body: []byte(body), Deadline: time.Now().Add(5 * time.Second),
--- a/claim/look.go
+++ b/claim/lookup.go
@@ -9,7 +9,7 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// Claimed reports whether the idempotency key has a claim, whatever became of it.
+// Claimed reports whether the idempotency key has a claim, in whatever state.
 func (c *Coordinator) Claimed(ctx context.Context, service string, org types.Organisation, key string) (bool, error) {
 	_, err := c.opts.Table.Get(ctx, Key(service, org, key))
 	if errors.Is(err, backing.ErrNotFound) {
--- a/claim/model_answers_test.go
+++ b/claim/model_answers_test.go
@@ -8,56 +8,57 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// awaitMoves are what a try that sent its call may hear.
-func (w world) awaitMoves(s setting, i int, yield func(string, world)) {
-	a := uint8(w.tries[i].state.Attempt)
-	at := w.attempts[a]
-	n := w
-	n.tries[i].waiting = false
-	n.observe(s, i, claim.Observation{Seen: claim.SeenLost}, "answer lost", yield)
+// awaitTransitions lists the replies that a request may get after it sent its
+// call.
+func (m modelState) awaitTransitions(b bounds, i int, yield func(string, modelState)) {
+	a := uint8(m.requests[i].state.Attempt)
+	at := m.attempts[a]
+	n := m
+	n.requests[i].waiting = false
+	n.observe(b, i, claim.Observation{Result: claim.ResultAnswerLost}, "answer lost", yield)
 	if at.refused {
-		n.observe(s, i, claim.Observation{Seen: claim.SeenNotRun}, "told not run", yield)
+		n.observe(b, i, claim.Observation{Result: claim.ResultNotRun}, "told not run", yield)
 		return
 	}
-	if at.sent || w.sides[at.target].inc != at.inc {
+	if at.sent || m.sidecars[at.target].inc != at.inc {
 		return
 	}
-	if seen, ok := heard(w.sides[at.target].memory[a]); ok {
-		n.observe(s, i, claim.Observation{Seen: seen}, "told "+seen.String(), yield)
+	if result, ok := rememberedResult(m.sidecars[at.target].memory[a]); ok {
+		n.observe(b, i, claim.Observation{Result: result}, "told "+result.String(), yield)
 	}
 }
 
-func heard(memory gate.Memory) (claim.Seen, bool) {
+func rememberedResult(memory gate.Memory) (claim.Result, bool) {
 	switch memory {
 	case gate.Completed:
-		return claim.SeenCompleted, true
+		return claim.ResultCompleted, true
 	case gate.NotSent:
-		return claim.SeenNotRun, true
+		return claim.ResultNotRun, true
 	case gate.Lost:
-		return claim.SeenUnknown, true
+		return claim.ResultUnknown, true
 	case gate.Running:
-		return claim.SeenRunning, true
+		return claim.ResultRunning, true
 	default:
 		return 0, false
 	}
 }
 
-func (w world) voidMoves(s setting, i int, yield func(string, world)) {
-	w.observe(s, i, claim.Observation{Seen: claim.SeenUnreachable}, "unreachable", yield)
-	a := uint8(w.tries[i].state.Row.Attempt)
-	at := w.attempts[a]
+func (m modelState) voidTransitions(b bounds, i int, yield func(string, modelState)) {
+	m.observe(b, i, claim.Observation{Result: claim.ResultUnreachable}, "unreachable", yield)
+	a := uint8(m.requests[i].state.Row.Attempt)
+	at := m.attempts[a]
 	for _, full := range []bool{false, true} {
-		n := w
-		seen := n.void(s, a, at, full)
-		n.observe(s, i, claim.Observation{Seen: seen}, "void: "+seen.String(), yield)
-		n.observe(s, i, claim.Observation{Seen: claim.SeenUnreachable}, "void, answer lost", yield)
+		n := m
+		result := n.void(b, a, at, full)
+		n.observe(b, i, claim.Observation{Result: result}, "void: "+result.String(), yield)
+		n.observe(b, i, claim.Observation{Result: claim.ResultUnreachable}, "void, answer lost", yield)
 	}
 }
 
-func (w *world) void(s setting, a uint8, at attempt, full bool) claim.Seen {
-	v := w.view(at, full)
-	v.Memory = w.sides[at.target].memory[a]
-	switch s.off {
+func (m *modelState) void(b bounds, a uint8, at attempt, full bool) claim.Result {
+	v := m.view(at, full)
+	v.Memory = m.sidecars[at.target].memory[a]
+	switch b.disabled {
 	case voidIncOff:
 		v.Own = v.Incarnation
 	case forgottenOff:
@@ -68,28 +69,28 @@
 	verdict, _ := gate.DecideVoid(v)
 	switch verdict {
 	case gate.LeaveTombstone:
-		if s.off != tombstoneOff && !(s.off == fullOff && full) {
-			w.sides[at.target].memory[a] = gate.Voided
+		if b.disabled != tombstoneOff && !(b.disabled == fullOff && full) {
+			m.sidecars[at.target].memory[a] = gate.Voided
 		}
-		return claim.SeenNotRun
+		return claim.ResultNotRun
 	case gate.AnswerNotRun:
-		return claim.SeenNotRun
+		return claim.ResultNotRun
 	case gate.AnswerRunning:
-		return claim.SeenRunning
+		return claim.ResultRunning
 	case gate.AnswerCompleted:
-		return claim.SeenCompleted
+		return claim.ResultCompleted
 	default:
-		return claim.SeenUnknown
+		return claim.ResultUnknown
 	}
 }
 
-func (w world) view(at attempt, full bool) gate.View {
-	sd := w.sides[at.target]
+func (m modelState) view(at attempt, full bool) gate.View {
+	sd := m.sidecars[at.target]
 	v := gate.View{
 		Deadline:    clock(at.deadline),
 		Incarnation: types.Incarnation(at.inc),
 		Own:         types.Incarnation(sd.inc),
-		Now:         clock(w.now),
+		Now:         clock(m.now),
 		Full:        full,
 	}
 	if sd.forgotten > 0 {
@@ -100,47 +101,48 @@
 
 func clock(t uint8) time.Time { return time.Unix(1000+int64(t), 0) }
 
-// observe lets a try decide by the real code and takes its decision in.
-func (w world) observe(s setting, i int, o claim.Observation, name string, yield func(string, world)) {
-	if s.off == resendOff && w.tries[i].state.Phase == claim.PhaseDispatch && o.Seen == claim.SeenLost {
-		n := w
-		n.tries[i].waiting, n.tries[i].step = false, claim.StepDispatch
+// observe passes an observation to claim.Next and applies the decision.
+func (m modelState) observe(b bounds, i int, o claim.Observation, name string, yield func(string, modelState)) {
+	if b.disabled == resendOff && m.requests[i].state.Phase == claim.PhaseDispatch && o.Result == claim.ResultAnswerLost {
+		n := m
+		n.requests[i].waiting, n.requests[i].step = false, claim.StepDispatch
 		yield("call sent again", n)
 		return
 	}
-	o.Fresh = unwritten(i)
-	before := w.tries[i].state
-	state, action := claim.Next(before, weakenTry(s.off, before, o))
-	if s.off == oneTagOff && action.Step == claim.StepClaim && !before.Dispatched && before.Proved != before.Attempt {
+	o.NewTag = placeholderTag(i)
+	before := m.requests[i].state
+	state, action := claim.Next(before, weakenRequest(b.disabled, before, o))
+	if b.disabled == oneTagOff && action.Step == claim.StepClaim && !before.Dispatched && before.ProvenNotRun != before.Attempt {
 		state.Attempt = before.Attempt
 	}
-	// Without its counters a try may go on for ever, which adds orders and takes
-	// none away: what a full counter answers, SeenOutOfTime answers as well.
-	state.Reads, state.Silent, state.Attempts = 0, 0, 1
-	n := w
-	n.learn(i, o)
-	t := &n.tries[i]
-	t.state, t.step, t.waiting = state, action.Step, false
+	// Without its counters a request may continue for ever. This adds sequences
+	// and removes none: ResultExpired leads to the same answers as a full counter.
+	state.Reads, state.UnansweredVoids, state.Attempts = 0, 0, 1
+	n := m
+	n.queueSave(i, o)
+	r := &n.requests[i]
+	r.state, r.step, r.waiting = state, action.Step, false
 	if action.Step == claim.StepAnswer {
-		t.ended, t.outcome = true, action.Outcome
-		t.state, t.step = claim.State{}, 0 // nothing of it matters any more
+		r.ended, r.outcome = true, action.Outcome
+		r.state, r.step = claim.State{}, 0 // no longer relevant
 	}
 	yield(name, n)
 }
 
-func weakenTry(off guard, st claim.State, o claim.Observation) claim.Observation {
+func weakenRequest(off guard, st claim.State, o claim.Observation) claim.Observation {
 	switch {
-	case off == readBackOff && o.Seen == claim.SeenAmbiguous:
-		o.Seen = claim.SeenCommitted
-	case off == noResendOff && st.Phase == claim.PhaseDispatch && o.Seen == claim.SeenLost:
-		o.Seen = claim.SeenNotRun
+	case off == readBackOff && o.Result == claim.ResultAmbiguous:
+		o.Result = claim.ResultCommitted
+	case off == noResendOff && st.Phase == claim.PhaseDispatch && o.Result == claim.ResultAnswerLost:
+		o.Result = claim.ResultNotRun
 	}
 	return o
 }
 
-// learn queues what a try heard of an attempt for saving, as the coordinator does.
-func (w *world) learn(i int, o claim.Observation) {
-	st := w.tries[i].state
+// queueSave queues the outcome that a request learned of an attempt, as the
+// coordinator does.
+func (m *modelState) queueSave(i int, o claim.Observation) {
+	st := m.requests[i].state
 	a := uint8(st.Attempt)
 	if st.Phase == claim.PhaseVoid {
 		a = uint8(st.Row.Attempt)
@@ -148,35 +150,35 @@
 	if st.Phase != claim.PhaseVoid && st.Phase != claim.PhaseDispatch {
 		return
 	}
-	switch o.Seen {
-	case claim.SeenCompleted:
-		w.attempts[a].save = claim.RecordCompleted
-	case claim.SeenUnknown:
-		w.attempts[a].save = claim.RecordUnknown
-	case claim.SeenNotRun:
-		w.attempts[a].save = claim.RecordVoided
+	switch o.Result {
+	case claim.ResultCompleted:
+		m.attempts[a].save = claim.RecordCompleted
+	case claim.ResultUnknown:
+		m.attempts[a].save = claim.RecordUnknown
+	case claim.ResultNotRun:
+		m.attempts[a].save = claim.RecordVoided
 	}
 }
 
 const ranTwice = "the call ran twice"
 
-// violation names what is wrong with a world, if anything.
-func (w world) violation() string {
+// violation describes how a state breaks the guarantees; empty: it doesn't.
+func (m modelState) violation() string {
 	total := uint8(0)
-	for _, at := range w.attempts {
+	for _, at := range m.attempts {
 		total += at.runs
 	}
 	if total > 1 {
 		return ranTwice
 	}
-	for _, t := range w.tries {
-		for a := range w.attempts {
-			if t.outcome == types.OutcomeNotRun && t.own&(1<<a) != 0 && w.attempts[a].runs > 0 {
-				return "a try that was answered not-run ran"
+	for _, r := range m.requests {
+		for a := range m.attempts {
+			if r.outcome == types.OutcomeNotRun && r.own&(1<<a) != 0 && m.attempts[a].runs > 0 {
+				return "a request that was answered not-run ran"
 			}
 		}
-		if t.outcome == types.OutcomeCompleted && total == 0 {
-			return "a try was answered completed and nothing ran"
+		if r.outcome == types.OutcomeCompleted && total == 0 {
+			return "a request was answered completed and nothing ran"
 		}
 	}
 	return ""
--- a/claim/model_test.go
+++ b/claim/model_test.go
@@ -8,20 +8,21 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// The model is a world of a table row, routers' tries of one key, sidecars and
-// the calls between them. claim.Next and gate's decisions are the real code;
-// the model adds what surrounds them: any order of steps, a router that stops
-// between any two of its steps, commits that are ambiguous or land late, calls
-// that arrive late, lost answers, sidecars that restart, memory that forgets,
-// a clock that reads behind, callers that come back.
+// The model consists of a table row, the requests with one key on routers,
+// sidecars and the calls between them. claim.Next and gate's decisions are the
+// production code; the model adds their environment: any order of steps, a router
+// that stops between any two of its steps, commits that are ambiguous or take
+// effect late, calls that arrive late, lost answers, sidecars that restart and
+// forget attempts, a clock that lags, and callers that retry.
 
 const (
-	maxTags  = 4
-	maxTries = 3
-	maxSides = 2
+	maxTags     = 4
+	maxRequests = 3
+	maxSidecars = 2
 )
 
-// guard names one guard to switch off, to see that the search then finds the fault.
+// guard names the guard that is disabled, to check that the search then finds a
+// violation.
 type guard string
 
 const (
@@ -37,19 +38,19 @@
 	readBackOff     guard = "read-back"
 	noResendOff     guard = "no resend"
 	resendOff       guard = "no resend of the same attempt"
-	oneTagOff       guard = "one write for one tag"
+	oneTagOff       guard = "one write per tag"
 	savedAttemptOff guard = "attempt checked when an outcome is saved"
 )
 
-// world is one state of the model; it's comparable.
-type world struct {
+// modelState is one state of the model. It is comparable.
+type modelState struct {
 	now      uint8
 	nextTag  uint8
 	restarts uint8
 	row      row
 	attempts [maxTags + 1]attempt
-	sides    [maxSides]side
-	tries    [maxTries]try
+	sidecars [maxSidecars]sidecar
+	requests [maxRequests]request
 }
 
 type row struct {
@@ -59,87 +60,89 @@
 	version uint8
 }
 
-// attempt is what is fixed when an attempt is claimed, and where its call is.
+// attempt holds what is fixed when an attempt is claimed, and the progress of its
+// call and of the save of its outcome.
 type attempt struct {
 	target   uint8
 	inc      uint8
 	deadline uint8
-	late     bool  // its ambiguous write may still land,
+	late     bool  // its ambiguous write may still take effect,
 	lateAt   uint8 // on this version of the row
-	sent     bool  // its call is in the network
-	refused  bool  // its call was refused and the answer is on its way
+	sent     bool  // its call is in transit
+	refused  bool  // its call was refused and the answer is in transit
 	runs     uint8
-	save     claim.RecordState // outcome that some router is about to save
+	save     claim.RecordState // the outcome that some router is about to save
 }
 
-type side struct {
+type sidecar struct {
 	inc       uint8
 	memory    [maxTags + 1]gate.Memory
 	forgotten uint8
 }
 
-type try struct {
+type request struct {
 	begun   bool
-	waiting bool // its call was handed to the network
+	waiting bool // its call was sent
 	ended   bool
 	outcome types.Outcome
-	own     uint8 // attempts that it claimed, as a set
+	own     uint8 // bit set of the attempts that it claimed
 	step    claim.Step
 	state   claim.State
 }
 
-// setting bounds one search.
-type setting struct {
-	tries, sides int
-	tags         uint8 // attempts that may be claimed in all
-	restarts     uint8 // of sidecars
-	times        uint8 // that time passes
-	off          guard
+// bounds limits one search.
+type bounds struct {
+	requests, sidecars int
+	tags               uint8 // maximum number of attempts
+	restarts           uint8 // maximum number of restarts of sidecars
+	ticks              uint8 // maximum value of the clock
+	disabled           guard
 }
 
-// moves returns every world that one step leads to, with the step's name.
-func (w world) moves(s setting, found func(string, world)) {
-	yield := func(name string, next world) {
-		next.tidy(s)
+// transitions passes every state that one step leads to, and the step's name, to
+// found.
+func (m modelState) transitions(b bounds, found func(string, modelState)) {
+	yield := func(name string, next modelState) {
+		next.normalize(b)
 		found(name, next)
 	}
-	w.environment(s, yield)
-	for i := range s.tries {
-		w.tryMoves(s, i, yield)
+	m.environmentTransitions(b, yield)
+	for i := range b.requests {
+		m.requestTransitions(b, i, yield)
 	}
 }
 
-func (w world) environment(s setting, yield func(string, world)) {
-	if w.now < s.times {
-		n := w
+func (m modelState) environmentTransitions(b bounds, yield func(string, modelState)) {
+	if m.now < b.ticks {
+		n := m
 		n.now++
 		yield("time passes", n)
 	}
-	for a := uint8(1); a < w.nextTag; a++ {
-		w.attemptMoves(s, a, yield)
+	for a := uint8(1); a < m.nextTag; a++ {
+		m.attemptTransitions(b, a, yield)
 	}
-	for i := range s.sides {
-		w.sideMoves(s, i, yield)
+	for i := range b.sidecars {
+		m.sidecarTransitions(b, i, yield)
 	}
 }
 
-func (w world) attemptMoves(s setting, a uint8, yield func(string, world)) {
-	at := w.attempts[a]
+func (m modelState) attemptTransitions(b bounds, a uint8, yield func(string, modelState)) {
+	at := m.attempts[a]
 	if at.late {
-		n := w
+		n := m
 		n.attempts[a].late = false
-		if w.row.version == at.lateAt || s.off == casOff {
+		if m.row.version == at.lateAt || b.disabled == casOff {
 			n.putClaim(a)
 		}
-		yield("late write lands", n)
+		yield("late write takes effect", n)
 	}
 	if at.sent {
-		w.deliver(s, a, yield)
+		m.deliver(b, a, yield)
 	}
-	if at.save != "" && (w.row.there && w.row.state == claim.RecordClaimed) {
-		n := w
+	if at.save != "" && (m.row.there && m.row.state == claim.RecordClaimed) {
+		n := m
 		n.attempts[a].save = ""
-		if w.row.attempt == a || s.off == savedAttemptOff {
+		if m.row.attempt == a || b.disabled == savedAttemptOff {
 			n.row.state = at.save
 			n.row.version++
 		}
@@ -147,16 +150,16 @@
 	}
 }
 
-// deliver brings a call to its sidecar. The clock there may read one step behind.
-func (w world) deliver(s setting, a uint8, yield func(string, world)) {
-	at := w.attempts[a]
+// deliver delivers a call to its sidecar, whose clock may lag by one tick.
+func (m modelState) deliver(b bounds, a uint8, yield func(string, modelState)) {
+	at := m.attempts[a]
 	for _, behind := range []uint8{0, 1} {
 		for _, full := range []bool{false, true} {
-			v := w.view(at, full)
-			v.Memory = w.sides[at.target].memory[a]
-			v.Now = clock(max(w.now, behind) - behind)
-			weakenCall(s.off, &v)
-			n := w
+			v := m.view(at, full)
+			v.Memory = m.sidecars[at.target].memory[a]
+			v.Now = clock(max(m.now, behind) - behind)
+			weakenCall(b.disabled, &v)
+			n := m
 			n.attempts[a].sent = false
 			verdict, _ := gate.DecideCall(v)
 			if verdict == gate.Refuse {
@@ -168,9 +171,9 @@
 				yield("call replayed", n)
 				continue
 			}
-			n.sides[at.target].memory[a] = gate.NotSent
+			n.sidecars[at.target].memory[a] = gate.NotSent
 			yield("call admitted, not sent", n)
-			n.sides[at.target].memory[a] = gate.Running
+			n.sidecars[at.target].memory[a] = gate.Running
 			n.attempts[a].runs++
 			yield("call admitted", n)
 		}
@@ -188,142 +191,143 @@
 	}
 }
 
-func (w world) sideMoves(s setting, i int, yield func(string, world)) {
-	if w.restarts < s.restarts {
-		n := w
+func (m modelState) sidecarTransitions(b bounds, i int, yield func(string, modelState)) {
+	if m.restarts < b.restarts {
+		n := m
 		n.restarts++
-		n.sides[i] = side{inc: w.sides[i].inc + 1}
+		n.sidecars[i] = sidecar{inc: m.sidecars[i].inc + 1}
 		yield("sidecar restarts", n)
 	}
-	for a := uint8(1); a < w.nextTag; a++ {
-		memory := w.sides[i].memory[a]
+	for a := uint8(1); a < m.nextTag; a++ {
+		memory := m.sidecars[i].memory[a]
 		if memory == gate.Running {
-			n := w
-			n.sides[i].memory[a] = gate.Completed
+			n := m
+			n.sidecars[i].memory[a] = gate.Completed
 			yield("service answers", n)
-			n.sides[i].memory[a] = gate.Lost
+			n.sidecars[i].memory[a] = gate.Lost
 			yield("service's answer lost", n)
 			continue
 		}
-		if memory != gate.Unseen && w.attempts[a].deadline <= w.now {
-			n := w
-			n.sides[i].memory[a] = gate.Unseen
-			n.sides[i].forgotten = max(n.sides[i].forgotten, w.attempts[a].deadline)
+		if memory != gate.Unseen && m.attempts[a].deadline <= m.now {
+			n := m
+			n.sidecars[i].memory[a] = gate.Unseen
+			n.sidecars[i].forgotten = max(n.sidecars[i].forgotten, m.attempts[a].deadline)
 			yield("sidecar forgets", n)
 		}
 	}
 }
 
-func (w world) tryMoves(s setting, i int, yield func(string, world)) {
-	t := w.tries[i]
+func (m modelState) requestTransitions(b bounds, i int, yield func(string, modelState)) {
+	r := m.requests[i]
 	switch {
-	case t.ended:
-	case !t.begun:
-		w.begin(s, i, yield)
-	case t.waiting:
-		w.outOfTime(s, i, yield)
-		w.awaitMoves(s, i, yield)
+	case r.ended:
+	case !r.begun:
+		m.begin(b, i, yield)
+	case r.waiting:
+		m.expire(b, i, yield)
+		m.awaitTransitions(b, i, yield)
 	default:
-		w.outOfTime(s, i, yield)
-		w.stepMoves(s, i, yield)
+		m.expire(b, i, yield)
+		m.stepTransitions(b, i, yield)
 	}
 }
 
-// begin starts a try. All tries are alike, so they begin in order; the third is
-// that of a caller who comes back once another try was answered.
-func (w world) begin(s setting, i int, yield func(string, world)) {
-	early := i > 0 && !w.tries[i-1].begun || i == 2 && !w.tries[0].ended && !w.tries[1].ended
+// begin starts a request. The requests are interchangeable, so they begin in
+// order; the third is a retry after another request was answered.
+func (m modelState) begin(b bounds, i int, yield func(string, modelState)) {
+	early := i > 0 && !m.requests[i-1].begun || i == 2 && !m.requests[0].ended && !m.requests[1].ended
 	if early {
 		return
 	}
-	n := w
-	t := &n.tries[i]
-	t.begun = true
-	t.state, _ = claim.Begin(unwritten(i), 1)
-	t.step = claim.StepClaim
-	yield("try begins", n)
+	n := m
+	r := &n.requests[i]
+	r.begun = true
+	r.state, _ = claim.Begin(placeholderTag(i), 1)
+	r.step = claim.StepClaim
+	yield("request begins", n)
 }
 
-// unwritten is the tag of a try's newest attempt until a write of it may have
-// taken effect. Then it gets the next number, so that attempts which nobody can
-// see don't count.
-func unwritten(i int) types.AttemptTag { return types.AttemptTag(100 + i) }
+// placeholderTag is the tag of a request's newest attempt until a write of it may
+// have taken effect. Then the attempt gets the next number, so that attempts that
+// no one can see don't count.
+func placeholderTag(i int) types.AttemptTag { return types.AttemptTag(100 + i) }
 
-// number gives a try's attempt its number for a write.
-func (w *world) number(i int) uint8 {
-	t := &w.tries[i]
-	if t.state.Attempt == unwritten(i) {
-		t.state.Attempt = types.AttemptTag(w.nextTag)
-		t.own |= 1 << w.nextTag
-		w.nextTag++
+// assignTag returns the number of a request's attempt, and assigns it at its first
+// write.
+func (m *modelState) assignTag(i int) uint8 {
+	r := &m.requests[i]
+	if r.state.Attempt == placeholderTag(i) {
+		r.state.Attempt = types.AttemptTag(m.nextTag)
+		r.own |= 1 << m.nextTag
+		m.nextTag++
 	}
-	return uint8(t.state.Attempt)
+	return uint8(r.state.Attempt)
 }
 
-func (w world) outOfTime(s setting, i int, yield func(string, world)) {
-	w.observe(s, i, claim.Observation{Seen: claim.SeenOutOfTime}, "caller leaves", yield)
+func (m modelState) expire(b bounds, i int, yield func(string, modelState)) {
+	m.observe(b, i, claim.Observation{Result: claim.ResultExpired}, "caller leaves", yield)
 }
 
-func (w world) stepMoves(s setting, i int, yield func(string, world)) {
-	t := w.tries[i]
-	switch t.step {
+func (m modelState) stepTransitions(b bounds, i int, yield func(string, modelState)) {
+	r := m.requests[i]
+	switch r.step {
 	case claim.StepClaim:
-		w.claimMoves(s, i, yield)
+		m.claimTransitions(b, i, yield)
 	case claim.StepRead:
-		w.observe(s, i, w.readRow(), "read", yield)
-		w.observe(s, i, claim.Observation{Seen: claim.SeenTableDown}, "read fails", yield)
+		m.observe(b, i, m.readRow(), "read", yield)
+		m.observe(b, i, claim.Observation{Result: claim.ResultTableUnavailable}, "read fails", yield)
 	case claim.StepDispatch:
-		w.observe(s, i, claim.Observation{Seen: claim.SeenNotRun}, "call not sent", yield)
-		n := w
-		n.tries[i].waiting = true
-		n.attempts[t.state.Attempt].sent = true
+		m.observe(b, i, claim.Observation{Result: claim.ResultNotRun}, "call not sent", yield)
+		n := m
+		n.requests[i].waiting = true
+		n.attempts[r.state.Attempt].sent = true
 		yield("call sent", n)
 	default:
-		w.voidMoves(s, i, yield)
+		m.voidTransitions(b, i, yield)
 	}
 }
 
-func (w world) readRow() claim.Observation {
-	if !w.row.there {
-		return claim.Observation{Seen: claim.SeenNoRow}
+func (m modelState) readRow() claim.Observation {
+	if !m.row.there {
+		return claim.Observation{Result: claim.ResultNoRow}
 	}
-	view := claim.View{State: w.row.state, Attempt: types.AttemptTag(w.row.attempt), Fingerprint: 1, Version: uint64(w.row.version)}
-	return claim.Observation{Seen: claim.SeenRow, Row: view}
+	view := claim.View{State: m.row.state, Attempt: types.AttemptTag(m.row.attempt), Fingerprint: 1, Version: uint64(m.row.version)}
+	return claim.Observation{Result: claim.ResultRow, Row: view}
 }
 
-func (w world) claimMoves(s setting, i int, yield func(string, world)) {
-	st := w.tries[i].state
-	ambiguous := claim.Observation{Seen: claim.SeenAmbiguous}
-	holds := uint64(w.row.version) == st.Version || s.off == casOff
-	w.observe(s, i, claim.Observation{Seen: claim.SeenTableDown}, "table down", yield)
-	w.observe(s, i, claim.Observation{Seen: claim.SeenNoTarget}, "no backend server", yield)
-	if s.off != readBackOff {
-		w.observe(s, i, ambiguous, "ambiguous, no effect", yield)
+func (m modelState) claimTransitions(b bounds, i int, yield func(string, modelState)) {
+	st := m.requests[i].state
+	ambiguous := claim.Observation{Result: claim.ResultAmbiguous}
+	holds := uint64(m.row.version) == st.Version || b.disabled == casOff
+	m.observe(b, i, claim.Observation{Result: claim.ResultTableUnavailable}, "table down", yield)
+	m.observe(b, i, claim.Observation{Result: claim.ResultNoTarget}, "no backend server", yield)
+	if b.disabled != readBackOff {
+		m.observe(b, i, ambiguous, "ambiguous, no effect", yield)
 	}
 	if !holds {
-		w.observe(s, i, claim.Observation{Seen: claim.SeenConflict}, "conflict", yield)
+		m.observe(b, i, claim.Observation{Result: claim.ResultConflict}, "conflict", yield)
 	}
-	if st.Attempt == unwritten(i) && w.nextTag > s.tags {
-		return // the bounds of the search
+	if st.Attempt == placeholderTag(i) && m.nextTag > b.tags {
+		return // the bound on attempts is reached
 	}
-	for target := range uint8(s.sides) {
-		n := w
-		a := n.number(i)
-		n.attempts[a] = attempt{target: target, inc: w.sides[target].inc, deadline: w.now + 1, runs: w.attempts[a].runs}
-		if s.off == readBackOff {
-			n.observe(s, i, ambiguous, "ambiguous, no effect", yield)
+	for target := range uint8(b.sidecars) {
+		n := m
+		a := n.assignTag(i)
+		n.attempts[a] = attempt{target: target, inc: m.sidecars[target].inc, deadline: m.now + 1, runs: m.attempts[a].runs}
+		if b.disabled == readBackOff {
+			n.observe(b, i, ambiguous, "ambiguous, no effect", yield)
 		}
 		late := n
 		late.attempts[a].late, late.attempts[a].lateAt = true, uint8(st.Version)
-		late.observe(s, i, ambiguous, "ambiguous, late effect", yield)
+		late.observe(b, i, ambiguous, "ambiguous, late effect", yield)
 		if holds {
 			n.putClaim(a)
-			n.observe(s, i, claim.Observation{Seen: claim.SeenCommitted}, "committed", yield)
-			n.observe(s, i, ambiguous, "ambiguous, effect", yield)
+			n.observe(b, i, claim.Observation{Result: claim.ResultCommitted}, "committed", yield)
+			n.observe(b, i, ambiguous, "ambiguous, effect", yield)
 		}
 	}
 }
 
-func (w *world) putClaim(a uint8) {
-	w.row = row{there: true, state: claim.RecordClaimed, attempt: a, version: w.row.version + 1}
+func (m *modelState) putClaim(a uint8) {
+	m.row = row{there: true, state: claim.RecordClaimed, attempt: a, version: m.row.version + 1}
 }
--- a/claim/record.go
+++ b/claim/record.go
@@ -15,33 +15,35 @@
 )
 
 const (
-	// KeyPrefix begins the key of each claim row.
+	// KeyPrefix is the prefix of the table keys of claim rows.
 	KeyPrefix = "claim/"
-	// recordFormat is the newest format of a claim row that this code writes and reads.
+	// recordFormat is the row format that this release reads and writes.
 	recordFormat = 1
-	// keyHashBytes of SHA-256 name an idempotency key. 16 bytes make a chance
-	// collision, which would hand one caller another's answer, out of reach.
+	// keyHashBytes is how many bytes of the SHA-256 sum identify an idempotency
+	// key. A collision would give one caller another's answer; 16 bytes make it
+	// negligibly unlikely.
 	keyHashBytes = 16
 	// MaxSavedBody is the largest answer body kept in a claim row.
 	MaxSavedBody = 16 << 10
 )
 
-// ErrRecordFormat reports a claim row that this code can't read. Its key is
-// neither claimed anew nor answered from: a newer router may have written it.
+// ErrRecordFormat reports a claim row that this release can't read. Its key is
+// not claimed again and the row is not used as an answer, since a router of a
+// newer release may have written it.
 var ErrRecordFormat = errors.New("claim: row in an unknown format")
 
-// RecordState is what a claim row says of its attempt.
+// RecordState is the state of a claim row's attempt.
 type RecordState string
 
 // States of a claim row.
 const (
-	RecordClaimed   RecordState = "claimed"   // may have been dispatched; ask the sidecar
-	RecordCompleted RecordState = "completed" // ran; the answer is saved unless it was too large
-	RecordVoided    RecordState = "voided"    // proved: never ran and never will
-	RecordUnknown   RecordState = "unknown"   // may have run; nobody can tell any more
+	RecordClaimed   RecordState = "claimed"   // may have been dispatched; the sidecar knows
+	RecordCompleted RecordState = "completed" // ran; the answer is saved, unless it was too large
+	RecordVoided    RecordState = "voided"    // proven never to have run and never to run
+	RecordUnknown   RecordState = "unknown"   // may have run; this can no longer be found out
 )
 
-// Target is the sidecar, and its backend server, that may run an attempt.
+// Target is the sidecar that may run an attempt, and its backend server.
 type Target struct {
 	BackendServer string            `json:"backend_server"`
 	Process       types.ProcessID   `json:"process"`
@@ -58,7 +60,7 @@
 	Target      Target            `json:"target"`
 	Deadline    time.Time         `json:"deadline"`
 	Fingerprint types.Fingerprint `json:"fingerprint"`
-	Answer      *plain.Answer     `json:"answer,omitempty"` // of a completed attempt, if it was small enough
+	Answer      *plain.Answer     `json:"answer,omitempty"` // of a completed attempt, up to MaxSavedBody
 }
 
 // Encode returns the row's value.
@@ -81,7 +83,7 @@
 }
 
 // finished returns the record of the same attempt in a final state.
-func (r Record) finished(state RecordState, answer *plain.Answer) Record {
+func (r Record) withOutcome(state RecordState, answer *plain.Answer) Record {
 	r.State = state
 	r.Answer = nil
 	if answer != nil && len(answer.Body) <= MaxSavedBody {
--- a/claim/ref.go
+++ b/claim/ref.go
@@ -8,16 +8,16 @@
 	"github.com/pkg/errors"
 )
 
-// ErrMalformedRef reports a claim reference that this system didn't write.
+// ErrMalformedRef reports a string that is not a claim reference.
 var ErrMalformedRef = errors.New("claim: malformed reference")
 
-// Ref is what routers and sidecars call a claim between them (field `claim` of
-// CallRequest and VoidRequest): the row's key and the attempt's deadline. The
-// deadline goes with each question because a sidecar that forgets old attempts
-// can tell by it whether it may have forgotten this one (gate.Memory).
+// Ref identifies a claim in messages between routers and sidecars (field `claim`
+// of CallRequest and VoidRequest): the row's key and the attempt's deadline. The
+// deadline is included because a sidecar forgets old attempts and can tell from
+// the deadline whether it may have forgotten this one (gate.Memory).
 type Ref struct {
 	Key      string
-	Deadline time.Time // to the millisecond
+	Deadline time.Time // with millisecond precision
 }
 
 // String returns `<key>@<deadline in Unix milliseconds>`.
--- a/claim/state.go
+++ b/claim/state.go
@@ -6,15 +6,15 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// Phase is what a try waits for.
+// Phase is what a request waits for.
 type Phase uint8
 
-// Phases of a try.
+// Phases of a request.
 const (
-	PhaseClaim    Phase = iota // its write of the claim row
-	PhaseRead                  // the claim row as it stands
-	PhaseDispatch              // the answer to the one dispatch of its attempt
-	PhaseVoid                  // the sidecar's word on the attempt that the row names
+	PhaseClaim    Phase = iota // the write of the claim row
+	PhaseRead                  // the read of the claim row
+	PhaseDispatch              // the answer to the only dispatch of its attempt
+	PhaseVoid                  // the sidecar's reply about the attempt that the row names
 )
 
 // View is the part of a claim row that decisions depend on.
@@ -22,69 +22,69 @@
 	State       RecordState
 	Attempt     types.AttemptTag
 	Fingerprint types.Fingerprint
-	Version     uint64 // of the row; 0: not known
+	Version     uint64 // of the row; 0: unknown
 }
 
-// State is one try of a caller: a pure value, changed by Next alone.
+// State is the state of one request. It is a plain value that only Next changes.
 type State struct {
-	Phase       Phase
-	Fingerprint types.Fingerprint
-	Attempt     types.AttemptTag // of this try's newest claim
-	Dispatched  bool             // Attempt was handed to the sidecar client
-	Version     uint64           // that the row must have for the claim to be written; 0: absent
-	Proved      types.AttemptTag // newest attempt proved never to run
-	Row         View             // the claim asked about in PhaseVoid
-	Met         bool             // another claim of the key stands, and may have run, as far as is known
-	Looked      bool             // the row, or that there is none, was read
-	Attempts    uint8
-	Reads       uint8
-	Silent      uint8
+	Phase           Phase
+	Fingerprint     types.Fingerprint
+	Attempt         types.AttemptTag // of this request's newest claim
+	Dispatched      bool             // Attempt was passed to the sidecar client
+	Version         uint64           // that the row must have for the claim to be written; 0: no row
+	ProvenNotRun    types.AttemptTag // newest attempt proven never to run
+	Row             View             // the claim to be voided, in PhaseVoid
+	OtherClaim      bool             // another claim of the key was found and, as far as is known, may have run
+	RowRead         bool             // the row was read or found to be absent
+	Attempts        uint8            // claimed so far; at most MaxAttempts
+	Reads           uint8            // of the row so far; at most MaxReads
+	UnansweredVoids uint8            // consecutive unanswered void requests; fewer than MaxUnansweredVoids
 }
 
-// Seen is the kind of an observation.
-type Seen uint8
+// Seen is the result of an action.
+type Result uint8
 
-// Kinds of observations.
+// Results of actions.
 const (
-	SeenCommitted   Seen = iota // the claim is written
-	SeenConflict                // the row has another version
-	SeenAmbiguous               // the claim may be written, now or later
-	SeenTableDown               // the table service did not take the call
-	SeenUnreadable              // the row is in a format of a later release
-	SeenRow                     // the row was read
-	SeenNoRow                   // there is no row
-	SeenCompleted               // the sidecar: it ran, here is the answer
-	SeenNotRun                  // proved: the attempt never ran and never will
-	SeenUnknown                 // the sidecar: it can't tell any more
-	SeenRunning                 // the sidecar: it runs
-	SeenLost                    // the answer to the dispatch was lost after a byte may have left
-	SeenUnreachable             // no answer to a question
-	SeenOutOfTime               // the caller's deadline passed, or the caller left
-	SeenNoTarget                // nothing was written: no backend server takes calls
+	ResultCommitted        Result = iota // the claim was written
+	ResultConflict                       // the row has another version
+	ResultAmbiguous                      // the claim may have been written or may be later
+	ResultTableUnavailable               // the table service did not accept the operation
+	ResultUnreadable                     // the row has the format of a newer release
+	ResultRow                            // the row was read
+	ResultNoRow                          // there is no row
+	ResultCompleted                      // the sidecar: the attempt ran, this is its answer
+	ResultNotRun                         // proven: the attempt never ran and never will
+	ResultUnknown                        // the sidecar can no longer tell whether the attempt ran
+	ResultRunning                        // the sidecar: the attempt is running
+	ResultAnswerLost                     // no answer to the dispatch, of which bytes may have been sent
+	ResultUnreachable                    // no answer to the void request
+	ResultExpired                        // the request's deadline passed or its caller left
+	ResultNoTarget                       // nothing was written: no backend server accepts calls
 )
 
-// Observation is what came of an action.
+// Observation is the result of an action with its details.
 type Observation struct {
-	Seen  Seen
-	Row   View             // for SeenRow
-	Fresh types.AttemptTag // a newly drawn tag, for the case that a new attempt follows
-	Code  types.Code       // the sidecar's reason for SeenNotRun
+	Result Result
+	Row    View             // for ResultRow
+	NewTag types.AttemptTag // a new tag, in case a new attempt follows
+	Code   types.Code       // the sidecar's reason for ResultNotRun
 }
 
-// Step is what a try does next.
+// Step is what a request does next.
 type Step uint8
 
-// Steps of a try.
+// Steps of a request.
 const (
-	StepClaim    Step = iota // write the claim row if it has State.Version
-	StepRead                 // read the claim row
-	StepDispatch             // send the call of State.Attempt, once
-	StepVoid                 // ask the sidecar that State.Row names
-	StepWaitVoid             // the same after a pause
-	StepAnswer               // answer the caller
+	StepClaim       Step = iota // write the claim row if it has State.Version
+	StepRead                    // read the claim row
+	StepDispatch                // send the call of State.Attempt, once
+	StepVoid                    // ask the sidecar that State.Row names to void the attempt
+	StepDelayedVoid             // the same after a delay
+	StepAnswer                  // answer the caller
 )
 
-// Action is a step, and the answer for StepAnswer.
+// Action is a step and, for StepAnswer, the answer.
 type Action struct {
 	Step       Step
 	Outcome    types.Outcome
--- a/claim/stop_test.go
+++ b/claim/stop_test.go
@@ -14,37 +14,35 @@
 	"github.com/pearyard/pearyard/claim"
 )
 
-// A depot prints a label through a router that is being stopped; it ends with
-// this last call. The backend server that printed it is stopped after it, and
-// with it the sidecar that remembers the answer. The depot, whose answer was lost
-// on the way, sends the label again: it is told that nobody knows whether it was
-// printed, as the router ended before it had written the outcome down.
-func TestOutcomeIsSavedBeforeARouterEnds(t *testing.T) {
-	atSite(t, func(s *site) {
+// A router shuts down right after a call has ended, and then the sidecar that
+// remembers the answer stops, too. If the router had not saved the outcome, a
+// retry of the call would be answered "unknown".
+func TestOutcomeIsSavedBeforeShutdown(t *testing.T) {
+	withFixture(t, func(s *fixture) {
 		g := gomega.NewWithT(t)
 		c := claim.New(claim.Options{Table: s.table, Router: "r1", Sidecar: s.net})
 		ctx, stop := context.WithCancel(s.ctx)
 		ended := make(chan error, 1)
 		go func() { ended <- c.Run(ctx) }()
-		first, refusal := c.Do(s.ctx, label("k", "lorry 7"), s.pick)
+		first, refusal := c.Do(s.ctx, newCall("k", "lorry 7"), s.pick)
 		g.Expect(refusal).To(gomega.BeNil())
 		stop()
 		<-ended
 		s.net.setCut("a", true)
 		g.Expect(s.table.claims()).To(gomega.ConsistOf(gomega.HaveField("State", claim.RecordCompleted)))
-		second, refusal := s.router("r2").Do(s.ctx, label("k", "lorry 7"), s.pick)
+		second, refusal := s.router("r2").Do(s.ctx, newCall("k", "lorry 7"), s.pick)
 		g.Expect(refusal).To(gomega.BeNil())
 		g.Expect(second.Body).To(gomega.Equal(first.Body))
 	})
 }
 
-// So it is with two hundred labels that were printed at once, more than are
-// written at a time, when the table service takes a while.
-func TestAllOutcomesAreSavedBeforeARouterEnds(t *testing.T) {
-	atSite(t, func(s *site) {
+// The same with more outcomes than are written concurrently, and with slow reads
+// of the table.
+func TestAllOutcomesAreSavedBeforeShutdown(t *testing.T) {
+	withFixture(t, func(s *fixture) {
 		g := gomega.NewWithT(t)
-		_, end := burst(s, &silentTable{fakeTable: s.table, way: 150 * time.Millisecond})
-		end()
+		_, shutDown := burst(s, &silentTable{fakeTable: s.table, readLatency: 150 * time.Millisecond})
+		shutDown()
 		g.Expect(s.table.claims()).To(gomega.HaveLen(burstSize))
 		g.Expect(s.table.claims()).To(gomega.HaveEach(gomega.HaveField("State", claim.RecordCompleted)))
 	})
@@ -52,8 +50,9 @@
 
 const burstSize = 200
 
-// burst prints labels through a router; end stops it and waits for its end.
-func burst(s *site, table backing.Table) (began func() time.Duration, end func()) {
+// burst runs burstSize concurrent calls through a router. sinceCalls returns the
+// time since they ended; shutDown stops the router and waits for it.
+func burst(s *fixture, table backing.Table) (sinceCalls func() time.Duration, shutDown func()) {
 	c := claim.New(claim.Options{Table: table, Router: "r1", Sidecar: s.net})
 	ctx, stop := context.WithCancel(s.ctx)
 	ended := make(chan error, 1)
@@ -61,7 +60,7 @@
 	var calls sync.WaitGroup
 	for i := range burstSize {
 		calls.Go(func() {
-			if _, refusal := c.Do(s.ctx, label(strconv.Itoa(i), strconv.Itoa(i)), s.pick); refusal != nil {
+			if _, refusal := c.Do(s.ctx, newCall(strconv.Itoa(i), strconv.Itoa(i)), s.pick); refusal != nil {
 				s.t.Error(refusal)
 			}
 		})
@@ -71,11 +70,11 @@
 	return func() time.Duration { return time.Since(at) }, func() { stop(); <-ended }
 }
 
-// silentTable answers nothing from a moment on.
+// silentTable stops responding once silent is set.
 type silentTable struct {
 	*fakeTable
-	silent atomic.Bool
-	way    time.Duration // that a read takes
+	silent      atomic.Bool
+	readLatency time.Duration
 }
 
 func (f *silentTable) Get(ctx context.Context, key string) (backing.Row, error) {
@@ -83,7 +82,7 @@
 		<-ctx.Done()
 		return backing.Row{}, ctx.Err()
 	}
-	time.Sleep(f.way)
+	time.Sleep(f.readLatency)
 	return f.fakeTable.Get(ctx, key)
 }
 
@@ -95,14 +94,14 @@
 	return f.fakeTable.Commit(ctx, txn)
 }
 
-// The table service falls silent when a router ends. The outcomes that wait must
-// not keep it from ending.
-func TestSilentTableDoesNotKeepARouterFromEnding(t *testing.T) {
-	atSite(t, func(s *site) {
+// The table service stops responding when a router shuts down. The queued
+// outcomes must not delay the shutdown beyond its limit.
+func TestUnresponsiveTableDoesNotDelayShutdown(t *testing.T) {
+	withFixture(t, func(s *fixture) {
 		table := &silentTable{fakeTable: s.table}
-		took, end := burst(s, table)
+		sinceCalls, shutDown := burst(s, table)
 		table.silent.Store(true)
-		end()
-		gomega.NewWithT(t).Expect(took()).To(gomega.BeNumerically("<=", 2500*time.Millisecond))
+		shutDown()
+		gomega.NewWithT(t).Expect(sinceCalls()).To(gomega.BeNumerically("<=", 2500*time.Millisecond))
 	})
 }
--- a/claim/sweep.go
+++ b/claim/sweep.go
@@ -11,21 +11,22 @@
 )
 
 const (
-	sweepLimit   = 64 // index rows in one transaction
-	sweepPages   = 16 // transactions in one round
-	sweepBuckets = 48 // hours before the retention's end that are looked at, one a round
-	// sweepRow paces the rounds of all routers together: it holds the time of
-	// the last one. Its name sorts before every bucket.
+	sweepPageSize = 64 // index rows in one transaction
+	maxSweepPages = 16 // maximum number of transactions in one round
+	sweepBuckets  = 48 // number of hourly buckets of expired claims that are searched, one in a round
+	// sweepRow limits the rounds of all routers together: it holds the time of
+	// the last one. Its key sorts before every bucket.
 	sweepRow = indexPrefix + "!last"
 )
 
-// sweeper deletes claims whose retention is over. Every router sweeps; two that
-// meet at a row lose nothing by the conflict.
+// sweeper deletes claims whose retention time has passed. Every router sweeps; a
+// conflict between two of them does no harm.
 //
-// Deleting is safe because the row's deadline lies Retention back: a router
-// that was frozen since before it dispatches into the sidecar's deadline check,
-// and keys are promised to be remembered for Retention only. The row is deleted
-// by its version, so a claim renewed meanwhile stays.
+// The deletion is safe because the row's deadline passed Retention ago: if a
+// router that was paused before then dispatches the attempt, the sidecar's
+// deadline check refuses it, and keys are promised to be remembered for no longer
+// than Retention. A row is deleted only in the version that was read, so that a
+// claim renewed in the meantime stays.
 type sweeper struct {
 	opts    Options
 	metrics *metrics
@@ -37,7 +38,7 @@
 
 func (s *sweeper) run(ctx context.Context) error {
 	for {
-		pause := s.opts.SweepEvery/2 + rand.N(s.opts.SweepEvery)
+		pause := s.opts.SweepInterval/2 + rand.N(s.opts.SweepInterval)
 		select {
 		case <-time.After(pause):
 			s.sweep(ctx, time.Now())
@@ -47,32 +48,33 @@
 	}
 }
 
-// sweep looks at one bucket of deadlines, drawn at random.
+// sweep searches one bucket of deadlines, chosen at random.
 func (s *sweeper) sweep(ctx context.Context, now time.Time) {
-	ctx, cancel := context.WithTimeout(ctx, s.opts.SweepEvery)
+	ctx, cancel := context.WithTimeout(ctx, s.opts.SweepInterval)
 	defer cancel()
-	if !s.due(ctx, now) {
+	if !s.acquireRound(ctx, now) {
 		return
 	}
-	back := time.Duration(1+rand.IntN(sweepBuckets)) * indexBucket
-	prefix := bucketPrefix(now.Add(-s.opts.Retention - back))
-	for range sweepPages {
-		rows, err := s.opts.Table.List(ctx, prefix, sweepLimit)
+	offset := time.Duration(1+rand.IntN(sweepBuckets)) * indexBucket
+	prefix := bucketPrefix(now.Add(-s.opts.Retention - offset))
+	for range maxSweepPages {
+		rows, err := s.opts.Table.List(ctx, prefix, sweepPageSize)
 		if err != nil || len(rows) == 0 || !s.deletePage(ctx, rows, now) {
 			return
 		}
 	}
 }
 
-// due takes the round if no router had one for SweepEvery.
-func (s *sweeper) due(ctx context.Context, now time.Time) bool {
+// acquireRound reports whether this router may sweep: no router has started a
+// round within SweepInterval, and this one has recorded its own.
+func (s *sweeper) acquireRound(ctx context.Context, now time.Time) bool {
 	row, err := s.opts.Table.Get(ctx, sweepRow)
 	if err != nil && !errors.Is(err, backing.ErrNotFound) {
 		return false
 	}
 	last, err := time.Parse(time.RFC3339Nano, string(row.Value))
-	future := last.After(now.Add(s.opts.SweepEvery)) // by a clock gone wrong; not obeyed
-	if err == nil && !future && last.Add(s.opts.SweepEvery).After(now) {
+	future := last.After(now.Add(s.opts.SweepInterval)) // written with a wrong clock; ignored
+	if err == nil && !future && last.Add(s.opts.SweepInterval).After(now) {
 		return false
 	}
 	txn := backing.Txn{
@@ -82,21 +84,22 @@
 	return s.opts.Table.Commit(ctx, txn) == nil
 }
 
-// deletePage reports whether it's worth going on; after a conflict or with the
-// table down it's not, and the bucket comes round again.
+// deletePage reports whether the round should continue. After a conflict or while
+// the table service is unavailable it ends; the bucket is searched again later.
 func (s *sweeper) deletePage(ctx context.Context, rows []backing.Row, now time.Time) bool {
-	txn, deleted := s.expired(ctx, rows, now)
+	txn, deleted := s.deletion(ctx, rows, now)
 	if len(txn.Writes) == 0 || s.opts.Table.Commit(ctx, txn) != nil {
 		return false
 	}
-	s.metrics.swept.Add(float64(deleted))
-	s.opts.Recorder.Emit(EventSwept, "rows", deleted)
+	s.metrics.deleted.Add(float64(deleted))
+	s.opts.Recorder.Emit(EventClaimsDeleted, "rows", deleted)
 	return true
 }
 
-// expired returns the transaction that deletes the claims behind index rows.
-// An index row whose claim was renewed goes alone: the newer claim has its own.
-func (s *sweeper) expired(ctx context.Context, index []backing.Row, now time.Time) (backing.Txn, int) {
+// deletion returns the transaction that deletes index rows and their expired
+// claims. If a claim was renewed, only the index row is deleted: the newer claim
+// has its own.
+func (s *sweeper) deletion(ctx context.Context, index []backing.Row, now time.Time) (backing.Txn, int) {
 	var txn backing.Txn
 	deleted := 0
 	for _, entry := range index {
@@ -105,7 +108,7 @@
 			continue
 		}
 		txn.Writes = append(txn.Writes, backing.Write{Key: entry.Key, Delete: true})
-		if err != nil || !s.over(row, now) {
+		if err != nil || !s.retentionOver(row, now) {
 			continue
 		}
 		txn.If = append(txn.If, backing.Condition{Key: row.Key, Version: row.Version})
@@ -115,8 +118,9 @@
 	return txn, deleted
 }
 
-// over reports whether a claim's retention is over. A row that can't be read is kept.
-func (s *sweeper) over(row backing.Row, now time.Time) bool {
+// retentionOver reports whether a claim's retention time has passed. A row that
+// can't be decoded is kept.
+func (s *sweeper) retentionOver(row backing.Row, now time.Time) bool {
 	record, err := Decode(row.Value)
 	return err == nil && record.Deadline.Add(s.opts.Retention).Before(now)
 }
