--- a/order/dump.go
+++ b/order/dump.go
@@ -10,16 +10,17 @@
 	"github.com/pearyard/pearyard/engine"
 )
 
-// ServerDump is one backend server as the newest pass left it.
+// ServerDump is the state of one backend server after the newest pass.
 type ServerDump struct {
 	Address   string   `json:"address"`
 	Service   string   `json:"service"`
 	Reachable bool     `json:"reachable"`
 	Loading   bool     `json:"loading"`
-	Due       []string `json:"due,omitempty"` // orders that are still to come
+	Due       []string `json:"due,omitempty"` // orders that are still needed
 }
 
-// Dump is the state of a Reconciler; Servers is empty where the lease isn't held.
+// Dump is the state of a Reconciler. Servers is empty on a process that doesn't
+// hold the lease.
 type Dump struct {
 	Fence   uint64       `json:"fence"`
 	Servers []ServerDump `json:"servers,omitempty"`
@@ -27,7 +28,7 @@
 
 type snapshot struct{ atomic.Pointer[Dump] }
 
-// Dump returns what the newest pass saw.
+// Dump returns the state after the newest pass.
 func (r *Reconciler) Dump() Dump {
 	if d := r.dump.Load(); d != nil {
 		return *d
@@ -35,23 +36,23 @@
 	return Dump{}
 }
 
-// publish makes a pass's views readable by Dump and sets the metrics.
-func (r *Reconciler) publish(views []view) {
+// publish stores the result of a pass for Dump and sets the metrics.
+func (r *Reconciler) publish(servers []serverState) {
 	d := &Dump{Fence: r.fence}
 	due, unreachable := 0, 0
-	for _, v := range views {
-		s := ServerDump{
-			Address: v.target.Address, Service: v.target.Service,
-			Reachable: v.reachable, Loading: r.isLoading(v.target.Address),
+	for _, s := range servers {
+		dump := ServerDump{
+			Address: s.target.Address, Service: s.target.Service,
+			Reachable: s.reachable, Loading: r.isLoading(s.target.Address),
 		}
-		for _, o := range v.orders {
-			s.Due = append(s.Due, describe(o))
+		for _, o := range s.orders {
+			dump.Due = append(dump.Due, describe(o))
 		}
-		due += min(1, len(v.orders))
-		if !v.reachable {
+		due += min(1, len(s.orders))
+		if !s.reachable {
 			unreachable++
 		}
-		d.Servers = append(d.Servers, s)
+		d.Servers = append(d.Servers, dump)
 	}
 	r.dump.Store(d)
 	r.metrics.due.Set(float64(due))
@@ -78,9 +79,9 @@
 		orders: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "pearyard_orders_total", Help: "Orders sent to backend servers, by kind and result."}, []string{"kind", "result"}),
 		due: prometheus.NewGauge(prometheus.GaugeOpts{
-			Name: "pearyard_orders_due", Help: "Backend servers that don't serve yet what the text asks."}),
+			Name: "pearyard_orders_due", Help: "Backend servers that don't serve yet what the configuration asks for."}),
 		unreachable: prometheus.NewGauge(prometheus.GaugeOpts{
-			Name: "pearyard_orders_unreachable", Help: "Backend servers whose sidecar didn't say what is loaded."}),
+			Name: "pearyard_orders_unreachable", Help: "Backend servers whose sidecar didn't report what is loaded."}),
 	}
 	if reg != nil {
 		reg.MustRegister(m.orders, m.due, m.unreachable)
--- a/order/fake_test.go
+++ b/order/fake_test.go
@@ -13,7 +13,8 @@
 
 var errDown = errors.New("connection refused")
 
-// fakeEngine loads at once or after a delay; it refuses old numbers only if it checks.
+// fakeEngine executes orders at once or after a delay. It refuses old fencing
+// numbers only if checks is set.
 type fakeEngine struct {
 	mu      sync.Mutex
 	checks  bool
@@ -67,22 +68,22 @@
 	return out
 }
 
-func (e *fakeEngine) taken() int {
+func (e *fakeEngine) orderCount() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.orders)
 }
 
-// fleet reaches guards by address; an order to a paused address waits in the
-// network until the pause ends.
-type fleet struct {
+// fakeSidecars delivers to guards by address. An order to a paused address stays
+// in transit until the pause ends.
+type fakeSidecars struct {
 	mu     sync.Mutex
 	guards map[string]*Guard
 	pause  map[string]chan struct{}
 	down   map[string]bool
 }
 
-func (f *fleet) guard(addr string) (*Guard, chan struct{}, error) {
+func (f *fakeSidecars) guard(addr string) (*Guard, chan struct{}, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.down[addr] || f.guards[addr] == nil {
@@ -91,19 +92,19 @@
 	return f.guards[addr], f.pause[addr], nil
 }
 
-func (f *fleet) Order(ctx context.Context, addr string, o engine.Order) error {
+func (f *fakeSidecars) Order(ctx context.Context, addr string, o engine.Order) error {
 	g, pause, err := f.guard(addr)
 	if err != nil {
 		return err
 	}
 	if pause != nil {
 		<-pause
-		ctx = context.WithoutCancel(ctx) // the datagram is under way, whoever waits for it
+		ctx = context.WithoutCancel(ctx) // the order is in transit and arrives even if the caller has left
 	}
 	return g.Order(ctx, o)
 }
 
-func (f *fleet) Loaded(ctx context.Context, addr string) ([]engine.Loaded, error) {
+func (f *fakeSidecars) Loaded(ctx context.Context, addr string) ([]engine.Loaded, error) {
 	g, _, err := f.guard(addr)
 	if err != nil {
 		return nil, err
@@ -111,7 +112,7 @@
 	return g.Loaded(ctx)
 }
 
-// fakeLease is a hold that tests grant and end.
+// fakeLease is a lease that a test grants for a term.
 type fakeLease struct {
 	mu    sync.Mutex
 	fence uint64
@@ -130,17 +131,17 @@
 	return l.fence, l.until, l.fence != 0 && time.Now().Before(l.until)
 }
 
-// fakeWeights has everything but what is named.
+// fakeWeights is a weight store that has everything except what lacks names.
 type fakeWeights struct {
-	mu    sync.Mutex
-	lacks map[string]bool
-	asked int
+	mu       sync.Mutex
+	lacks    map[string]bool
+	requests int
 }
 
 func (w *fakeWeights) Available(_ context.Context, name, version string) (bool, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.asked++
+	w.requests++
 	return !w.lacks[name+"@"+version], nil
 }
 
@@ -148,6 +149,6 @@
 	return engine.Order{Kind: engine.OrderLoadModel, Name: "pear", Version: version, Fence: fence}
 }
 
-func constant(fence uint64) FenceReader {
+func fixedFence(fence uint64) FenceReader {
 	return func(context.Context) (uint64, error) { return fence, nil }
 }
--- a/order/guard.go
+++ b/order/guard.go
@@ -12,46 +12,47 @@
 	"github.com/pearyard/pearyard/event"
 )
 
-// ErrFenceUnknown: the sidecar has restarted and couldn't read the lease row,
-// so it can't tell an old holder's order from a new one's. Nothing was sent.
+// ErrFenceUnknown reports that the sidecar has restarted and couldn't read the
+// lease row, so that it can't tell whether an order is from the current lease
+// holder. Nothing was sent to the engine.
 var ErrFenceUnknown = errors.New("order: fencing number unknown")
 
-// Engine is the part of an engine that takes orders.
+// Engine is the part of an engine's interface that a Guard uses.
 type Engine interface {
 	Order(ctx context.Context, order engine.Order) error
 	Loaded(ctx context.Context) ([]engine.Loaded, error)
 }
 
-// FenceReader reads the lease row's current fencing number; 0 if there has
-// never been a holder. lease.ReadFence is one.
+// FenceReader reads the current fencing number from the lease row; 0 if the lease
+// was never held. It is implemented with lease.ReadFence.
 type FenceReader func(ctx context.Context) (uint64, error)
 
 // GuardOptions configures a Guard.
 type GuardOptions struct {
 	Engine        Engine
 	ReadFence     FenceReader
-	EngineTimeout time.Duration // how long an engine may take to answer an order
+	EngineTimeout time.Duration // how long to wait for the engine's answer to an order
 	Recorder      *event.Recorder
 	Registerer    prometheus.Registerer
 }
 
-// DefaultEngineTimeout is GuardOptions.EngineTimeout where none is set.
+// DefaultEngineTimeout is the default of GuardOptions.EngineTimeout.
 const DefaultEngineTimeout = time.Minute
 
-// Guard passes orders to one engine, in one at a time, and refuses those of
-// holders that have been replaced, also where the engine ignores the number.
+// Guard passes orders to one engine, one at a time, and refuses those of lease
+// holders that have been replaced, even if the engine ignores fencing numbers.
 type Guard struct {
 	opts    GuardOptions
 	results *prometheus.CounterVec
 
-	turn chan struct{} // held while an order is with the engine
+	executing chan struct{} // semaphore, held while the engine executes an order
 
-	mu      sync.Mutex // guards highest and known
-	highest uint64
-	known   bool
+	mu           sync.Mutex // protects highestFence and fenceRead
+	highestFence uint64
+	fenceRead    bool // the lease row was read
 }
 
-// NewGuard returns a guard that has seen no number yet.
+// NewGuard returns a guard that has not seen any fencing number yet.
 func NewGuard(opts GuardOptions) *Guard {
 	if opts.Recorder == nil {
 		opts.Recorder = event.Discard()
@@ -59,20 +60,20 @@
 	if opts.EngineTimeout == 0 {
 		opts.EngineTimeout = DefaultEngineTimeout
 	}
-	g := &Guard{opts: opts, turn: make(chan struct{}, 1), results: prometheus.NewCounterVec(prometheus.CounterOpts{
-		Name: "pearyard_order_guard_total", Help: "Orders that reached the sidecar, by what became of them."}, []string{"result"})}
+	g := &Guard{opts: opts, executing: make(chan struct{}, 1), results: prometheus.NewCounterVec(prometheus.CounterOpts{
+		Name: "pearyard_order_guard_total", Help: "Orders that reached the sidecar, by result."}, []string{"result"})}
 	if opts.Registerer != nil {
 		opts.Registerer.MustRegister(g.results)
 	}
 	return g
 }
 
-// Order passes an order on, or returns engine.ErrStaleFence or ErrFenceUnknown
-// with nothing sent.
+// Order passes an order to the engine. If it returns engine.ErrStaleFence or
+// ErrFenceUnknown from the guard's own checks, nothing was sent.
 func (g *Guard) Order(ctx context.Context, o engine.Order) error {
 	select {
-	case g.turn <- struct{}{}:
-		defer func() { <-g.turn }()
+	case g.executing <- struct{}{}:
+		defer func() { <-g.executing }()
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -82,7 +83,7 @@
 }
 
 func (g *Guard) order(ctx context.Context, o engine.Order) error {
-	if err := g.learn(ctx); err != nil {
+	if err := g.loadFence(ctx); err != nil {
 		g.opts.Recorder.Emit(EventFenceUnknown, "kind", o.Kind, "name", o.Name, "fence", o.Fence, "error", err)
 		return errors.Wrap(ErrFenceUnknown, err.Error())
 	}
@@ -93,22 +94,24 @@
 	return g.send(ctx, o)
 }
 
-// send waits for the engine's answer also when the caller has gone: were the
-// turn given up with the order still in the engine's hands, a later holder's
-// order could be carried out before it. It shows as an old version loaded after
-// the new one. EngineTimeout ends the wait, since an engine that hangs must not
-// keep later orders out for ever; package doc, case 6, says what then remains.
+// send waits for the engine's answer even if ctx is cancelled. If it released the
+// semaphore while the engine still executes the order, a later holder's order
+// could be executed first, and the old version would be loaded after the new one.
+// EngineTimeout ends the wait, so that an engine that hangs doesn't block later
+// orders for ever; case 6 of the package documentation describes what can happen
+// then.
 func (g *Guard) send(ctx context.Context, o engine.Order) error {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), g.opts.EngineTimeout)
 	defer cancel()
 	return g.opts.Engine.Order(ctx, o)
 }
 
-// learn stops a replaced holder's order after this sidecar has restarted: it
-// would pass as the first number ever seen. The lease row's number is at least
-// that of every order sent before, so nothing older gets by.
-func (g *Guard) learn(ctx context.Context) error {
-	if g.isKnown() {
+// loadFence reads the lease row before the first order. After a restart of this
+// sidecar, a replaced holder's order would otherwise be accepted as the first
+// one. The row's number is at least that of every order sent before, so that no
+// older order is accepted.
+func (g *Guard) loadFence(ctx context.Context) error {
+	if g.hasReadFence() {
 		return nil
 	}
 	fence, err := g.opts.ReadFence(ctx)
@@ -117,30 +120,30 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.known = true
-	g.highest = max(g.highest, fence)
+	g.fenceRead = true
+	g.highestFence = max(g.highestFence, fence)
 	return nil
 }
 
-func (g *Guard) isKnown() bool {
+func (g *Guard) hasReadFence() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.known
+	return g.fenceRead
 }
 
-// admit notes the number before the order goes out: if the answer is lost the
-// order may have taken effect, and an older one must not follow it.
+// admit records the fencing number before the order is sent: if the answer is
+// lost, the order may have taken effect, and an older one must not follow it.
 func (g *Guard) admit(fence uint64) (highest uint64, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if fence < g.highest {
-		return g.highest, false
+	if fence < g.highestFence {
+		return g.highestFence, false
 	}
-	g.highest = fence
+	g.highestFence = fence
 	return fence, true
 }
 
-// Loaded reads back what the engine serves.
+// Loaded returns what the engine has loaded.
 func (g *Guard) Loaded(ctx context.Context) ([]engine.Loaded, error) {
 	return g.opts.Engine.Loaded(ctx)
 }
@@ -148,14 +151,14 @@
 // GuardDump is the state of a Guard.
 type GuardDump struct {
 	HighestFence uint64 `json:"highest_fence"`
-	Known        bool   `json:"known"` // false: the lease row is read before the next order
+	Known        bool   `json:"known"` // false: the lease row will be read before the next order
 }
 
 // Dump returns the guard's state.
 func (g *Guard) Dump() GuardDump {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return GuardDump{HighestFence: g.highest, Known: g.known}
+	return GuardDump{HighestFence: g.highestFence, Known: g.fenceRead}
 }
 
 func resultOf(err error) string {
--- a/order/guard_test.go
+++ b/order/guard_test.go
@@ -13,14 +13,14 @@
 	"github.com/pearyard/pearyard/rpc/order"
 )
 
-// A holder is frozen after its last look at the lease; its successor orders
-// version 2; the frozen one wakes and its order for version 1 arrives. The
-// operator must go on seeing version 2, on engines that check and that don't.
-func TestWokenHoldersOrder(t *testing.T) {
+// A lease holder is paused after its last check of the lease, its successor orders
+// version 2, and then the first holder's order for version 1 arrives. Version 2 must
+// stay loaded, whether or not the engine checks fencing numbers.
+func TestOrderOfAReplacedHolder(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		g := NewWithT(t)
 		e := &fakeEngine{checks: checks}
-		guard := NewGuard(GuardOptions{Engine: e, ReadFence: constant(7)})
+		guard := NewGuard(GuardOptions{Engine: e, ReadFence: fixedFence(7)})
 		g.Expect(guard.Order(t.Context(), load("2", 8))).To(Succeed())
 		g.Expect(guard.Order(t.Context(), load("1", 7))).To(MatchError(engine.ErrStaleFence))
 		g.Expect(e.versions()).To(Equal([]string{"pear@2"}))
@@ -28,21 +28,21 @@
 	}
 }
 
-// The same past the sidecar, straight to the engine: one that checks refuses;
-// for one that ignores the number nothing can, and the stale order takes effect.
+// The same order sent to the engine without the sidecar: an engine that checks
+// refuses it; on one that ignores the number, the stale order takes effect.
 func TestBypassingTheSidecar(t *testing.T) {
 	g := NewWithT(t)
 	checks, ignores := &fakeEngine{checks: true}, &fakeEngine{}
 	for _, e := range []*fakeEngine{checks, ignores} {
-		g.Expect(NewGuard(GuardOptions{Engine: e, ReadFence: constant(8)}).Order(t.Context(), load("2", 8))).To(Succeed())
+		g.Expect(NewGuard(GuardOptions{Engine: e, ReadFence: fixedFence(8)}).Order(t.Context(), load("2", 8))).To(Succeed())
 	}
 	g.Expect(checks.Order(t.Context(), load("1", 7))).To(MatchError(engine.ErrStaleFence))
 	g.Expect(ignores.Order(t.Context(), load("1", 7))).To(Succeed())
-	g.Expect(ignores.versions()).To(Equal([]string{"pear@1"}), "if this fails the package doc's case 7 is out of date")
+	g.Expect(ignores.versions()).To(Equal([]string{"pear@1"}), "if this fails, case 7 of the package documentation is out of date")
 }
 
-// The sidecar restarts between the new holder's order and the old one's, while
-// the table service is down: it can't know better and must refuse both kinds.
+// The sidecar restarts between the new holder's order and the old one's while the
+// table service is unavailable. It can't tell them apart and must refuse both.
 func TestSidecarRestartsBetweenTwoOrders(t *testing.T) {
 	g := NewWithT(t)
 	e := &fakeEngine{}
@@ -54,20 +54,20 @@
 	tableErr = nil
 	g.Expect(guard.Order(t.Context(), load("1", 7))).To(MatchError(engine.ErrStaleFence))
 	g.Expect(guard.Order(t.Context(), load("2", 8))).To(Succeed())
-	g.Expect(e.taken()).To(Equal(1))
+	g.Expect(e.orderCount()).To(Equal(1))
 	tableErr = backing.ErrUnavailable
-	g.Expect(guard.Order(t.Context(), load("3", 8))).To(Succeed(), "once known, the table isn't needed")
+	g.Expect(guard.Order(t.Context(), load("3", 8))).To(Succeed(), "once the number is known, the table isn't needed")
 }
 
-// The router that ordered gives up waiting while the engine still works on its
-// order. The guard must keep the turn, or the next holder's order could be
-// carried out first.
-func TestCallerGoneTurnKept(t *testing.T) {
+// The router stops waiting while the engine still executes its order. The guard
+// must not pass another order before the engine has answered, or the next holder's
+// order could be executed first.
+func TestCancelledCallerDoesNotAdmitTheNextOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		e := &gatedEngine{gates: map[uint64]chan struct{}{1: make(chan struct{}), 2: make(chan struct{})}}
 		close(e.gates[2])
-		guard := NewGuard(GuardOptions{Engine: e, ReadFence: constant(1)})
+		guard := NewGuard(GuardOptions{Engine: e, ReadFence: fixedFence(1)})
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		go func() { _ = guard.Order(ctx, load("1", 1)) }()
@@ -81,7 +81,7 @@
 	})
 }
 
-func TestErrorsSurviveTheWire(t *testing.T) {
+func TestErrorsAreKeptOverRPC(t *testing.T) {
 	g := NewWithT(t)
 	var tableErr error
 	e := &fakeEngine{checks: true}
--- a/order/pass.go
+++ b/order/pass.go
@@ -10,41 +10,42 @@
 	"github.com/pearyard/pearyard/engine"
 )
 
-// pass is what one pass has left to give.
+// pass is one pass over all backend servers, with its remaining limits.
 type pass struct {
 	*Reconciler
 	ctx       context.Context
-	room      map[string]int
+	capacity  map[string]int
 	available map[Artefact]bool
 }
 
-// serve sends a server's orders; false ends the pass, since this process may no
-// longer act.
-func (p *pass) serve(v *view) bool {
-	if len(v.orders) == 0 || p.isLoading(v.target.Address) {
+// sendOrders sends the orders for a server. It returns false to end the pass if
+// this process no longer holds the lease.
+func (p *pass) sendOrders(s *serverState) bool {
+	if len(s.orders) == 0 || p.isLoading(s.target.Address) {
 		return true
 	}
-	heavy := slices.ContainsFunc(v.orders, loads)
-	if heavy && p.room[v.target.Service] <= 0 {
+	fetches := slices.ContainsFunc(s.orders, fetchesWeights)
+	if fetches && p.capacity[s.target.Service] <= 0 {
 		return true
 	}
-	for _, o := range v.orders {
-		if loads(o) && !p.canFetch(o) {
+	for _, o := range s.orders {
+		if fetchesWeights(o) && !p.canFetch(o) {
 			continue
 		}
-		if err := p.send(v.target.Address, o); err != nil {
-			return !errors.Is(err, errNoLease) && !errors.Is(err, engine.ErrStaleFence)
+		if err := p.send(s.target.Address, o); err != nil {
+			return !errors.Is(err, errLeaseNotHeld) && !errors.Is(err, engine.ErrStaleFence)
 		}
-		if heavy && !p.isLoading(v.target.Address) {
-			p.loading[v.target.Address] = time.Now()
-			p.room[v.target.Service]--
+		if fetches && !p.isLoading(s.target.Address) {
+			p.loading[s.target.Address] = time.Now()
+			p.capacity[s.target.Service]--
 		}
 	}
-	return p.readBack(v)
+	return p.readBack(s)
 }
 
-// canFetch asks the weight store once per pass and artefact: it is rate-limited,
-// and an engine ordered to load what isn't there may drop what it serves.
+// canFetch reports whether the weight store has an artefact, since an engine that
+// is ordered to load a missing one may unload what it serves. The store limits
+// the rate of requests, so it is asked once per pass and artefact.
 func (p *pass) canFetch(o engine.Order) bool {
 	a := Artefact{Kind: o.Kind, Name: o.Name, Version: o.Version}
 	if known, ok := p.available[a]; ok {
@@ -52,28 +53,29 @@
 	}
 	ctx, cancel := context.WithTimeout(p.ctx, p.opts.CallTimeout)
 	defer cancel()
-	there, err := p.opts.Weights.Available(ctx, o.Name, o.Version)
-	p.available[a] = there && err == nil
-	if err == nil && !there && !p.absent[a] {
-		p.opts.Recorder.Emit(EventUnavailable, "name", o.Name, "version", o.Version)
+	found, err := p.opts.Weights.Available(ctx, o.Name, o.Version)
+	p.available[a] = found && err == nil
+	if err == nil && !found && !p.reportedAbsent[a] {
+		p.opts.Recorder.Emit(EventArtefactUnavailable, "name", o.Name, "version", o.Version)
 	}
 	if err == nil {
-		p.absent[a] = !there
+		p.reportedAbsent[a] = !found
 	}
 	return p.available[a]
 }
 
-var errNoLease = errors.New("order: lease not held")
+var errLeaseNotHeld = errors.New("order: lease not held")
 
-// send asks the lease again just before the order goes out, since the pass may
-// have been paused since it began: a replaced holder's order would undo the new
-// holder's. The call ends with the hold. What is paused between this look and
-// the send is stopped by the fencing number (package doc, cases 2 and 3).
+// send checks the lease again just before it sends the order, because the process
+// may have been paused since the pass began, and a replaced holder's order would
+// undo the new holder's. The call is cancelled when the lease ends. If the process
+// is paused between the check and the send, the fencing number protects the engine
+// (cases 2 and 3 of the package documentation).
 func (p *pass) send(addr string, o engine.Order) error {
 	fence, until, ok := p.opts.Lease.Held()
 	if !ok || fence != p.fence {
-		p.opts.Recorder.Emit(EventLeaseGone, "backend_server", addr, "order", describe(o), "fence", p.fence)
-		return errNoLease
+		p.opts.Recorder.Emit(EventLeaseLost, "backend_server", addr, "order", describe(o), "fence", p.fence)
+		return errLeaseNotHeld
 	}
 	ctx, cancel := context.WithDeadline(p.ctx, until)
 	defer cancel()
@@ -86,25 +88,26 @@
 		p.opts.Recorder.Emit(EventOrderFailed, "backend_server", addr, "order", describe(o), "fence", fence, "error", err)
 		return err
 	}
-	p.opts.Recorder.Emit(EventOrdered, "backend_server", addr, "order", describe(o), "fence", fence)
+	p.opts.Recorder.Emit(EventOrderSent, "backend_server", addr, "order", describe(o), "fence", fence)
 	return nil
 }
 
-// readBack looks at the result. A larger number there means that another holder
-// acts: this one stops, and that one's passes decide. An older order that came
-// last shows as a difference in the next pass and is corrected by it.
-func (p *pass) readBack(v *view) bool {
-	after := p.read(p.ctx, v.target)
+// readBack reads the result of the orders. A larger fencing number there means
+// that there is a newer lease holder: readBack returns false, and the newer
+// holder's passes decide. An older order that took effect last is seen as a
+// difference by the next pass, which corrects it.
+func (p *pass) readBack(s *serverState) bool {
+	after := p.read(p.ctx, s.target)
 	if !after.reachable {
 		return true
 	}
-	v.loaded, v.orders = after.loaded, after.orders
+	s.loaded, s.orders = after.loaded, after.orders
 	if len(after.orders) == 0 {
-		p.note(&after)
+		p.recordProgress(&after)
 	}
 	for _, l := range after.loaded {
 		if l.Fence > p.fence {
-			p.opts.Recorder.Emit(EventOvertaken, "backend_server", v.target.Address, "fence", p.fence, "by", l.Fence)
+			p.opts.Recorder.Emit(EventOvertaken, "backend_server", s.target.Address, "fence", p.fence, "by", l.Fence)
 			return false
 		}
 	}
--- a/order/plan.go
+++ b/order/plan.go
@@ -12,22 +12,22 @@
 	Version string
 }
 
-// Target is what the text asks of one backend server.
+// Target is what the configuration asks one backend server to serve.
 type Target struct {
 	Address string // of its sidecar
 	Service string
 	Want    []Artefact
 }
 
-// stages is the order in which wants are met: an adapter needs its model, and a
-// role what it serves.
+// stages lists the kinds in the sequence in which they are ordered: an adapter
+// needs its model, and a role needs the models and adapters that it serves.
 var stages = []engine.OrderKind{engine.OrderLoadModel, engine.OrderLoadAdapter, engine.OrderRole}
 
-// plan returns the next orders that bring an engine from loaded to the target:
-// one stage at a time, and what isn't wanted is unloaded only when all that is
-// wanted is there, so that a change of version never leaves the engine without
-// both. With nothing wanted nothing is unloaded: an empty target is more likely
-// a text in the making than a wish to serve nothing.
+// plan returns the next orders on the way from loaded to the target. It orders one
+// stage at a time, and unloads what isn't wanted only when everything wanted is
+// loaded, so that a change of version never leaves the engine without either
+// version. With an empty target nothing is unloaded: it is more likely an
+// unfinished configuration than a wish to serve nothing.
 func plan(t Target, loaded []engine.Loaded) []engine.Order {
 	for _, kind := range stages {
 		if orders := missing(t, kind, loaded); len(orders) > 0 {
@@ -43,14 +43,14 @@
 func missing(t Target, kind engine.OrderKind, loaded []engine.Loaded) []engine.Order {
 	var orders []engine.Order
 	for _, a := range t.Want {
-		if a.Kind == kind && !serves(loaded, a) {
+		if a.Kind == kind && !isLoaded(loaded, a) {
 			orders = append(orders, engine.Order{Kind: kind, Name: a.Name, Version: a.Version})
 		}
 	}
 	return orders
 }
 
-func serves(loaded []engine.Loaded, a Artefact) bool {
+func isLoaded(loaded []engine.Loaded, a Artefact) bool {
 	for _, l := range loaded {
 		if l.Kind == a.Kind && l.Name == a.Name && l.Version == a.Version {
 			return true
@@ -62,14 +62,14 @@
 func surplus(t Target, loaded []engine.Loaded) []engine.Order {
 	var orders []engine.Order
 	for _, l := range loaded {
-		if l.Kind != engine.OrderRole && !wants(t, l) {
+		if l.Kind != engine.OrderRole && !isWanted(t, l) {
 			orders = append(orders, engine.Order{Kind: engine.OrderUnload, Name: l.Name, Version: l.Version})
 		}
 	}
 	return orders
 }
 
-func wants(t Target, l engine.Loaded) bool {
+func isWanted(t Target, l engine.Loaded) bool {
 	for _, a := range t.Want {
 		if l.Kind == a.Kind && l.Name == a.Name && l.Version == a.Version {
 			return true
@@ -78,7 +78,7 @@
 	return false
 }
 
-// loads reports whether an order makes the engine fetch weights.
-func loads(o engine.Order) bool {
+// fetchesWeights reports whether an order makes the engine fetch weights.
+func fetchesWeights(o engine.Order) bool {
 	return o.Kind == engine.OrderLoadModel || o.Kind == engine.OrderLoadAdapter
 }
--- a/order/reconciler.go
+++ b/order/reconciler.go
@@ -18,17 +18,17 @@
 	DefaultLoadTimeout  = 5 * time.Minute
 	DefaultLoadingShare = 0.25
 
-	// parallelReads bounds how many sidecars are asked at once.
+	// parallelReads limits how many sidecars are read concurrently.
 	parallelReads = 32
 )
 
-// Sidecar reaches the sidecars beside backend servers.
+// Sidecar is the client of the sidecars beside backend servers.
 type Sidecar interface {
 	Order(ctx context.Context, addr string, o engine.Order) error
 	Loaded(ctx context.Context, addr string) ([]engine.Loaded, error)
 }
 
-// Lease tells whether this process may act; *lease.Keeper is one.
+// Lease tells whether this process holds the lease. *lease.Keeper implements it.
 type Lease interface {
 	Held() (fence uint64, until time.Time, ok bool)
 }
@@ -38,11 +38,11 @@
 	Lease        Lease           // required
 	Sidecar      Sidecar         // required
 	Weights      backing.Weights // required
-	Desired      func() []Target // required; what the text in force asks now
+	Desired      func() []Target // required; targets of the current configuration
 	Interval     time.Duration   // between passes
-	CallTimeout  time.Duration   // of one call to a sidecar
-	LoadTimeout  time.Duration   // an order whose effect doesn't show is sent again after this
-	LoadingShare float64         // of a service's reachable backend servers that may load at once; at least one may
+	CallTimeout  time.Duration   // of one call to a sidecar or the weight store
+	LoadTimeout  time.Duration   // after which an order without visible effect is sent again
+	LoadingShare float64         // share of a service's reachable backend servers that may load at once; at least one may
 	Recorder     *event.Recorder
 	Registerer   prometheus.Registerer
 }
@@ -66,37 +66,38 @@
 	return o
 }
 
-// Reconciler compares what the text asks of each backend server with what its
-// engine serves and orders the difference, while this process holds the lease.
-// Only Run's goroutine uses its fields, but for the dump.
+// Reconciler compares the target of each backend server with what its engine has
+// loaded, and orders the difference while this process holds the lease. Apart from
+// wake and dump, only Run's goroutine uses its fields.
 type Reconciler struct {
 	opts    Options
 	metrics *metrics
 	wake    chan struct{}
 
-	fence   uint64               // of the hold that the fields below belong to
-	loading map[string]time.Time // by address: when it was ordered to load what doesn't show yet
-	settled map[string]string    // by address: the target that it was seen to meet
-	absent  map[Artefact]bool    // told as unavailable already
-	dump    snapshot
+	fence          uint64               // of the hold that the fields below belong to
+	loading        map[string]time.Time // by address: when the load was ordered that isn't visible yet
+	reached        map[string]string    // by address: fingerprint of the target that was reached
+	reportedAbsent map[Artefact]bool    // reported as unavailable already
+	dump           snapshot
 }
 
-// New returns a reconciler; Run makes it act.
+// New returns a reconciler. It does nothing until Run is called.
 func New(opts Options) *Reconciler {
 	r := &Reconciler{opts: opts.withDefaults(), metrics: newMetrics(opts.Registerer), wake: make(chan struct{}, 1)}
 	r.reset(0)
 	return r
 }
 
-// reset forgets what was known under an earlier hold.
+// reset clears the state of an earlier hold of the lease.
 func (r *Reconciler) reset(fence uint64) {
 	r.fence = fence
 	r.loading = make(map[string]time.Time)
-	r.settled = make(map[string]string)
-	r.absent = make(map[Artefact]bool)
+	r.reached = make(map[string]string)
+	r.reportedAbsent = make(map[Artefact]bool)
 }
 
-// Wake starts a pass now: the text has changed.
+// Wake starts a pass without waiting for the interval, after a change of the
+// configuration.
 func (r *Reconciler) Wake() {
 	select {
 	case r.wake <- struct{}{}:
@@ -119,8 +120,9 @@
 	}
 }
 
-// pass looks at every backend server and orders what is due. Looking needs no
-// lease but only the holder acts, so that others don't load the sidecars.
+// pass reads every backend server and sends the orders that are needed. Reading
+// would not need the lease, but only its holder does it, to keep the load on
+// sidecars low.
 func (r *Reconciler) pass(ctx context.Context) {
 	fence, _, ok := r.opts.Lease.Held()
 	if !ok {
@@ -131,12 +133,12 @@
 	if fence != r.fence {
 		r.reset(fence)
 	}
-	views := r.look(ctx, r.opts.Desired())
-	p := &pass{Reconciler: r, ctx: ctx, room: r.room(views), available: make(map[Artefact]bool)}
-	for i := range views {
-		if !p.serve(&views[i]) {
+	servers := r.readAll(ctx, r.opts.Desired())
+	p := &pass{Reconciler: r, ctx: ctx, capacity: r.loadCapacity(servers), available: make(map[Artefact]bool)}
+	for i := range servers {
+		if !p.sendOrders(&servers[i]) {
 			break
 		}
 	}
-	r.publish(views)
+	r.publish(servers)
 }
--- a/order/reconciler_test.go
+++ b/order/reconciler_test.go
@@ -13,47 +13,47 @@
 	"github.com/pearyard/pearyard/event"
 )
 
-// bench is a service of engines behind guards, and reconcilers over it.
-type bench struct {
-	fleet   *fleet
-	engines []*fakeEngine
-	weights *fakeWeights
-	want    []Artefact
+// fixture is a service whose engines are behind guards, and its configuration.
+type fixture struct {
+	sidecars *fakeSidecars
+	engines  []*fakeEngine
+	weights  *fakeWeights
+	want     []Artefact
 }
 
-func newBench(n int) *bench {
-	b := &bench{
-		fleet:   &fleet{guards: map[string]*Guard{}, pause: map[string]chan struct{}{}, down: map[string]bool{}},
-		weights: &fakeWeights{lacks: map[string]bool{}},
-		want:    []Artefact{{Kind: engine.OrderLoadModel, Name: "pear", Version: "2"}},
+func newFixture(n int) *fixture {
+	f := &fixture{
+		sidecars: &fakeSidecars{guards: map[string]*Guard{}, pause: map[string]chan struct{}{}, down: map[string]bool{}},
+		weights:  &fakeWeights{lacks: map[string]bool{}},
+		want:     []Artefact{{Kind: engine.OrderLoadModel, Name: "pear", Version: "2"}},
 	}
 	for i := range n {
 		e := &fakeEngine{}
 		e.apply(load("1", 0))
-		b.engines = append(b.engines, e)
-		b.fleet.guards[addr(i)] = NewGuard(GuardOptions{Engine: e, ReadFence: constant(1)})
+		f.engines = append(f.engines, e)
+		f.sidecars.guards[addr(i)] = NewGuard(GuardOptions{Engine: e, ReadFence: fixedFence(1)})
 	}
-	return b
+	return f
 }
 
 func addr(i int) string { return fmt.Sprint("s", i) }
 
-func (b *bench) desired() []Target {
+func (f *fixture) desired() []Target {
 	var out []Target
-	for i := range b.engines {
-		out = append(out, Target{Address: addr(i), Service: "pear-models", Want: b.want})
+	for i := range f.engines {
+		out = append(out, Target{Address: addr(i), Service: "pear-models", Want: f.want})
 	}
 	return out
 }
 
-func (b *bench) reconciler(l Lease) *Reconciler {
+func (f *fixture) reconciler(l Lease) *Reconciler {
 	return New(Options{
-		Lease: l, Sidecar: b.fleet, Weights: b.weights, Desired: b.desired, Recorder: event.Discard(),
+		Lease: l, Sidecar: f.sidecars, Weights: f.weights, Desired: f.desired, Recorder: event.Discard(),
 	})
 }
 
-func (b *bench) run(t *testing.T, l Lease) *Reconciler {
-	r := b.reconciler(l)
+func (f *fixture) start(t *testing.T, l Lease) *Reconciler {
+	r := f.reconciler(l)
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
@@ -64,9 +64,9 @@
 	return r
 }
 
-func (b *bench) serving(version string) int {
+func (f *fixture) serving(version string) int {
 	n := 0
-	for _, e := range b.engines {
+	for _, e := range f.engines {
 		for _, v := range e.versions() {
 			if v == "pear@"+version {
 				n++
@@ -82,124 +82,126 @@
 	return l
 }
 
-// A new version is asked for. All engines get it, but never more than a quarter
-// of the service loads at a time, and the weight store is asked once a pass.
+// The configuration asks for a new version. All engines get it, but no more than a
+// quarter of the service may load at a time, and the weight store is asked once a
+// pass.
 func TestNewVersionIsLoadedInShares(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		b := newBench(12)
-		for _, e := range b.engines {
+		f := newFixture(12)
+		for _, e := range f.engines {
 			e.delay = 40 * time.Second
 		}
-		r := b.run(t, held(1))
+		r := f.start(t, held(1))
 		for pass := range 60 {
 			time.Sleep(5 * time.Second)
 			ordered := 0
-			for _, e := range b.engines {
-				ordered += e.taken()
+			for _, e := range f.engines {
+				ordered += e.orderCount()
 			}
-			g.Expect(ordered-b.serving("2")).To(BeNumerically("<=", 3), "pass %d", pass)
+			g.Expect(ordered-f.serving("2")).To(BeNumerically("<=", 3), "pass %d", pass)
 		}
-		g.Expect(b.serving("2")).To(Equal(12))
-		g.Expect(b.serving("1")).To(BeZero())
-		g.Expect(b.weights.asked).To(BeNumerically("<", 60))
+		g.Expect(f.serving("2")).To(Equal(12))
+		g.Expect(f.serving("1")).To(BeZero())
+		g.Expect(f.weights.requests).To(BeNumerically("<", 60))
 		for _, s := range r.Dump().Servers {
 			g.Expect(s.Due).To(BeEmpty())
 		}
 	})
 }
 
-// The lease lapses while its holder is frozen in the middle of a pass, between
-// two servers. It wakes and must send nothing more.
-func TestHolderFrozenInMidPassSendsNothingAfterWaking(t *testing.T) {
+// The lease expires while its holder is paused in the middle of a pass, between two
+// backend servers. It must not send another order after it resumes.
+func TestHolderPausedInAPassSendsNothingAfterwards(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		b, l := newBench(8), &fakeLease{}
+		f, l := newFixture(8), &fakeLease{}
 		l.grant(1, 8*time.Second)
-		frozen := make(chan struct{})
-		b.fleet.pause[addr(0)] = frozen
-		r := b.reconciler(l)
+		resume := make(chan struct{})
+		f.sidecars.pause[addr(0)] = resume
+		r := f.reconciler(l)
 		go r.pass(t.Context())
 		time.Sleep(time.Minute)
-		close(frozen)
+		close(resume)
 		synctest.Wait()
-		g.Expect(b.engines[0].taken()).To(Equal(1), "was under way, and nobody knows better yet")
-		g.Expect(b.engines[1].taken()).To(BeZero())
+		g.Expect(f.engines[0].orderCount()).To(Equal(1), "was in transit, and no newer fencing number is known yet")
+		g.Expect(f.engines[1].orderCount()).To(BeZero())
 		g.Expect(r.opts.Recorder.Entries("")).To(ContainElement(HaveField("Name", "order_lease_gone")))
 	})
 }
 
-// Two reconcilers: the older one's order is on its way to a sidecar when the
-// newer one has ordered. It must come to nothing, and the older one must stop.
+// The order of a replaced lease holder is in transit to a sidecar while the new
+// holder's order is executed. The late order must have no effect.
 func TestTwoReconcilers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		b := newBench(1)
-		old, young := held(1), held(2)
+		f := newFixture(1)
+		old, newer := held(1), held(2)
 		late := make(chan struct{})
-		b.fleet.pause[addr(0)] = late
-		b.want = []Artefact{{Kind: engine.OrderLoadModel, Name: "pear", Version: "old"}}
-		go b.reconciler(old).pass(t.Context())
+		f.sidecars.pause[addr(0)] = late
+		f.want = []Artefact{{Kind: engine.OrderLoadModel, Name: "pear", Version: "old"}}
+		go f.reconciler(old).pass(t.Context())
 		synctest.Wait()
 
-		b.fleet.mu.Lock()
-		delete(b.fleet.pause, addr(0))
-		b.fleet.mu.Unlock()
-		b.want = []Artefact{{Kind: engine.OrderLoadModel, Name: "pear", Version: "2"}}
-		b.reconciler(young).pass(t.Context())
-		g.Expect(b.engines[0].versions()).To(Equal([]string{"pear@2"}))
+		f.sidecars.mu.Lock()
+		delete(f.sidecars.pause, addr(0))
+		f.sidecars.mu.Unlock()
+		f.want = []Artefact{{Kind: engine.OrderLoadModel, Name: "pear", Version: "2"}}
+		f.reconciler(newer).pass(t.Context())
+		g.Expect(f.engines[0].versions()).To(Equal([]string{"pear@2"}))
 		close(late)
 		synctest.Wait()
-		g.Expect(b.engines[0].versions()).To(Equal([]string{"pear@2"}))
-		g.Expect(b.engines[0].taken()).To(Equal(1))
+		g.Expect(f.engines[0].versions()).To(Equal([]string{"pear@2"}))
+		g.Expect(f.engines[0].orderCount()).To(Equal(1))
 	})
 }
 
-// An order reaches the engine past the sidecar and undoes what the holder
-// ordered (package doc, case 7). It can't be prevented on an engine that ignores
-// the number; the next pass must see it, say so and order again.
+// An order reaches the engine without going through its sidecar and undoes the
+// lease holder's (case 7 of the package documentation). On an engine that ignores
+// fencing numbers this can't be prevented; the next pass must detect it, emit an
+// event and send the order again.
 func TestOvertakenOrderIsCorrected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		b := newBench(1)
-		r := b.run(t, held(3))
+		f := newFixture(1)
+		r := f.start(t, held(3))
 		time.Sleep(11 * time.Second)
-		g.Expect(b.serving("2")).To(Equal(1))
-		_ = b.engines[0].Order(t.Context(), load("1", 2))
-		g.Expect(b.serving("1")).To(Equal(1))
+		g.Expect(f.serving("2")).To(Equal(1))
+		_ = f.engines[0].Order(t.Context(), load("1", 2))
+		g.Expect(f.serving("1")).To(Equal(1))
 		time.Sleep(6 * time.Second)
-		g.Expect(b.engines[0].versions()).To(Equal([]string{"pear@2"}))
+		g.Expect(f.engines[0].versions()).To(Equal([]string{"pear@2"}))
 		g.Expect(r.opts.Recorder.Entries("")).To(ContainElement(HaveField("Name", "order_overtaken")))
 	})
 }
 
-// The text asks for a version that the weight store doesn't have yet. Nothing is
-// ordered, the engines keep serving, and once it is there it is loaded.
+// The configuration asks for a version that the weight store doesn't have yet. No
+// order is sent and the engines keep serving; once the store has it, it is loaded.
 func TestUnavailableVersionIsNotOrdered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		b := newBench(4)
-		b.weights.lacks["pear@2"] = true
-		r := b.run(t, held(1))
+		f := newFixture(4)
+		f.weights.lacks["pear@2"] = true
+		r := f.start(t, held(1))
 		time.Sleep(time.Minute)
-		g.Expect(b.serving("1")).To(Equal(4))
-		g.Expect(r.opts.Recorder.Entries("")).To(HaveLen(1), "told once")
-		b.weights.mu.Lock()
-		b.weights.lacks["pear@2"] = false
-		b.weights.mu.Unlock()
+		g.Expect(f.serving("1")).To(Equal(4))
+		g.Expect(r.opts.Recorder.Entries("")).To(HaveLen(1), "one event in all passes")
+		f.weights.mu.Lock()
+		f.weights.lacks["pear@2"] = false
+		f.weights.mu.Unlock()
 		time.Sleep(time.Minute)
-		g.Expect(b.serving("2")).To(Equal(4))
+		g.Expect(f.serving("2")).To(Equal(4))
 	})
 }
 
-// Not the holder: nothing is read or ordered, whatever the text says.
-func TestOthersDoNothing(t *testing.T) {
+// A process that doesn't hold the lease reads nothing and sends no orders.
+func TestProcessWithoutLeaseDoesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		b := newBench(2)
-		r := b.run(t, &fakeLease{})
+		f := newFixture(2)
+		r := f.start(t, &fakeLease{})
 		time.Sleep(time.Minute)
-		g.Expect(b.engines[0].taken()).To(BeZero())
+		g.Expect(f.engines[0].orderCount()).To(BeZero())
 		g.Expect(r.Dump()).To(Equal(Dump{}))
 	})
 }
@@ -229,12 +231,13 @@
 	g.Expect(plan(Target{}, []engine.Loaded{old})).To(BeEmpty())
 }
 
-// BenchmarkPass1600 is one pass of the holder over a settled service of the
-// target's size, without the network.
+// BenchmarkPass1600 measures a pass, without the network, over a service of 1600
+// backend servers that have all reached their target. This is the size for which
+// the system is designed.
 func BenchmarkPass1600(b *testing.B) {
-	bench := newBench(1600)
-	r := bench.reconciler(held(1))
-	for bench.serving("2") < 1600 {
+	f := newFixture(1600)
+	r := f.reconciler(held(1))
+	for f.serving("2") < 1600 {
 		r.pass(b.Context())
 	}
 	b.ReportAllocs()
--- a/order/search_test.go
+++ b/order/search_test.go
@@ -12,30 +12,32 @@
 	"github.com/pearyard/pearyard/engine"
 )
 
-// The search runs the real Guard through every interleaving of two holders' steps
-// and one restart of the sidecar, on an engine that ignores the number.
+// The search runs the real Guard through every interleaving of the steps of two
+// lease holders and one restart of the sidecar, with an engine that ignores fencing
+// numbers.
 //
-// Each holder: takes the lease, looks at it, its order arrives at the sidecar,
-// the engine carries it out. Holder a is replaced by b, so a looks in vain after
-// b took the lease; between look and arrival anything may pass.
+// The steps of a holder: it takes the lease, it checks the lease, its order arrives
+// at the sidecar, the engine executes the order. Holder a is replaced by b, so a's
+// check fails once b has taken the lease. Any steps may happen between a check and
+// the arrival of the order.
 const (
 	stepTake = iota
-	stepLook
+	stepCheck
 	stepArrive
 	stepEffect
-	stepsOfHolder
+	stepCount
 )
 
-// guards tells which guards are in place; the search must find the stale
-// order's effect when any one of them is taken out.
+// guards tells which guards are enabled. If any one of them is disabled, the search
+// must find a stale order that takes effect.
 type guards struct {
-	number  bool // the sidecar refuses numbers below the highest seen
-	reading bool // after a restart it reads the lease row first
-	turns   bool // one order at a time is with the engine
+	checkNumber bool // the sidecar refuses numbers below the highest seen
+	readRow     bool // after a restart the sidecar reads the lease row first
+	oneAtATime  bool // the engine executes one order at a time
 }
 
-// gatedEngine carries an order out when its gate opens, also if whoever sent it
-// has stopped waiting by then.
+// gatedEngine executes an order when its gate opens, even if the sender has stopped
+// waiting by then.
 type gatedEngine struct {
 	gates map[uint64]chan struct{}
 
@@ -72,83 +74,84 @@
 	return false
 }
 
-// world is one run. Orders that a restarted sidecar had handed to the engine
-// are the engine's already; the new run of the sidecar doesn't know of them.
-type world struct {
-	in     guards
-	engine *gatedEngine
-	guard  *Guard
-	row    uint64
-	looked [3]bool
+// simulation is one run. Orders that the sidecar passed to the engine before it
+// restarted stay with the engine; the restarted sidecar doesn't know of them.
+type simulation struct {
+	guards    guards
+	engine    *gatedEngine
+	guard     *Guard
+	row       uint64
+	leaseHeld [3]bool
 }
 
-func newWorld(in guards) *world {
-	w := &world{in: in, engine: &gatedEngine{gates: map[uint64]chan struct{}{1: make(chan struct{}), 2: make(chan struct{})}}}
-	w.restart(false)
-	return w
+func newSimulation(enabled guards) *simulation {
+	s := &simulation{guards: enabled, engine: &gatedEngine{gates: map[uint64]chan struct{}{1: make(chan struct{}), 2: make(chan struct{})}}}
+	s.restart(false)
+	return s
 }
 
-func (w *world) restart(again bool) {
-	w.guard = NewGuard(GuardOptions{Engine: w.engine, ReadFence: func(context.Context) (uint64, error) { return w.row, nil }})
-	w.guard.known = again && !w.in.reading
-	if !w.in.turns {
-		w.guard.turn = make(chan struct{}, 2)
+func (s *simulation) restart(again bool) {
+	s.guard = NewGuard(GuardOptions{Engine: s.engine, ReadFence: func(context.Context) (uint64, error) { return s.row, nil }})
+	s.guard.fenceRead = again && !s.guards.readRow
+	if !s.guards.oneAtATime {
+		s.guard.executing = make(chan struct{}, 2)
 	}
 }
 
-func (w *world) step(fence uint64, step int) {
+func (s *simulation) step(fence uint64, step int) {
 	switch step {
 	case stepTake:
-		w.row = fence
-	case stepLook:
-		w.looked[fence] = w.row == fence
+		s.row = fence
+	case stepCheck:
+		s.leaseHeld[fence] = s.row == fence
 	case stepArrive:
-		if w.looked[fence] {
-			go w.arrive(w.guard, fence)
+		if s.leaseHeld[fence] {
+			go s.arrive(s.guard, fence)
 		}
 	case stepEffect:
-		close(w.engine.gates[fence])
+		close(s.engine.gates[fence])
 	}
 	synctest.Wait()
 }
 
-func (w *world) arrive(g *Guard, fence uint64) {
-	if !w.in.number {
+func (s *simulation) arrive(g *Guard, fence uint64) {
+	if !s.guards.checkNumber {
 		g.mu.Lock()
-		g.highest, g.known = 0, true
+		g.highestFence, g.fenceRead = 0, true
 		g.mu.Unlock()
 	}
 	_ = g.Order(context.Background(), engine.Order{Kind: engine.OrderLoadModel, Fence: fence})
 }
 
-// schedule is a string of a, b and r: whose next step it is, or the restart.
-func (w *world) run(schedule string) {
+// run executes a schedule, a string of a and b for the next step of a holder and r
+// for the restart.
+func (s *simulation) run(schedule string) {
 	next := map[rune]int{}
 	for _, who := range schedule {
 		if who == 'r' {
-			w.restart(true)
+			s.restart(true)
 			continue
 		}
-		w.step(uint64(who-'a')+1, next[who])
+		s.step(uint64(who-'a')+1, next[who])
 		next[who]++
 	}
 }
 
-// schedules lists every interleaving in which a takes the lease before b and,
-// with restart, the sidecar restarts once at any point where it has nothing in
-// the engine's hands (an order that outlives its sidecar is case 6).
+// schedules lists every interleaving in which a takes the lease before b. With
+// restart, the sidecar restarts once, at any point at which the engine executes no
+// order (an order that outlives the run of its sidecar is case 6).
 func schedules(restart bool) []string {
 	var out []string
 	var extend func(s string, a, b, r int)
 	extend = func(s string, a, b, r int) {
-		if a == stepsOfHolder && b == stepsOfHolder && (r == 1 || !restart) {
+		if a == stepCount && b == stepCount && (r == 1 || !restart) {
 			out = append(out, s)
 			return
 		}
-		if a < stepsOfHolder {
+		if a < stepCount {
 			extend(s+"a", a+1, b, r)
 		}
-		if b < stepsOfHolder && a > stepTake {
+		if b < stepCount && a > stepTake {
 			extend(s+"b", a, b+1, r)
 		}
 		if restart && r == 0 && a != stepEffect && b != stepEffect {
@@ -159,13 +162,13 @@
 	return out
 }
 
-func search(t *testing.T, in guards, restart bool) (violations []string, runs int) {
+func search(t *testing.T, enabled guards, restart bool) (violations []string, runs int) {
 	all := schedules(restart)
 	for _, schedule := range all {
 		synctest.Test(t, func(t *testing.T) {
-			w := newWorld(in)
-			w.run(schedule)
-			if w.engine.stale() {
+			s := newSimulation(enabled)
+			s.run(schedule)
+			if s.engine.stale() {
 				violations = append(violations, schedule)
 			}
 		})
@@ -173,27 +176,27 @@
 	return violations, len(all)
 }
 
-// An operator sees an engine serve the old version although the new one was
-// loaded: a replaced holder's order took effect after its successor's. With all
-// guards no interleaving shows it; without any one of them some do.
-func TestSearchForAStaleOrdersEffect(t *testing.T) {
-	all := guards{number: true, reading: true, turns: true}
+// An order of a replaced holder that takes effect after its successor's leaves the
+// old version loaded. With all guards this happens in no interleaving; without any
+// one of them it happens in some.
+func TestNoInterleavingAppliesAStaleOrder(t *testing.T) {
+	all := guards{checkNumber: true, readRow: true, oneAtATime: true}
 	for _, c := range []struct {
 		name    string
-		in      guards
+		enabled guards
 		restart bool
 		found   bool
 	}{
 		{"all guards", all, false, false},
 		{"all guards, restart", all, true, false},
-		{"number not checked", guards{reading: true, turns: true}, false, true},
-		{"row not read after a restart", guards{number: true, turns: true}, true, true},
-		{"orders not one at a time", guards{number: true, reading: true}, false, true},
+		{"number not checked", guards{readRow: true, oneAtATime: true}, false, true},
+		{"row not read after a restart", guards{checkNumber: true, oneAtATime: true}, true, true},
+		{"concurrent orders", guards{checkNumber: true, readRow: true}, false, true},
 	} {
 		t.Run(strings.ReplaceAll(c.name, " ", "_"), func(t *testing.T) {
 			g := NewWithT(t)
-			violations, runs := search(t, c.in, c.restart)
-			t.Logf("%d of %d interleavings show the stale order's effect", len(violations), runs)
+			violations, runs := search(t, c.enabled, c.restart)
+			t.Logf("a stale order takes effect in %d of %d interleavings", len(violations), runs)
 			if !c.found {
 				g.Expect(violations).To(BeEmpty())
 				return
--- a/order/wire.go
+++ b/order/wire.go
@@ -9,12 +9,13 @@
 	"github.com/pearyard/pearyard/rpc/order"
 )
 
-// ErrFailed: the engine answered an order with an error, or not at all.
-var ErrFailed = errors.New("order: not carried out")
+// ErrFailed reports that the engine answered an order with an error, or not at
+// all.
+var ErrFailed = errors.New("order: not executed by the engine")
 
 type server struct{ guard *Guard }
 
-// NewServer serves a guard; mount orderpb.NewOrdersServer on it.
+// NewServer returns the twirp service of a guard, for orderpb.NewOrdersServer.
 func NewServer(guard *Guard) orderpb.Orders { return server{guard: guard} }
 
 // Take implements orderpb.Orders.
@@ -51,8 +52,9 @@
 	connect func(addr string) orderpb.Orders
 }
 
-// NewClient returns a Sidecar over twirp; connect returns the client of one
-// address, such as orderpb.NewOrdersProtobufClient over the process's peer client.
+// NewClient returns a Sidecar that uses twirp. connect returns the client for an
+// address, for example orderpb.NewOrdersProtobufClient with the process's peer
+// client.
 func NewClient(connect func(addr string) orderpb.Orders) Sidecar { return client{connect: connect} }
 
 // Order implements Sidecar.
@@ -77,7 +79,7 @@
 func (c client) Loaded(ctx context.Context, addr string) ([]engine.Loaded, error) {
 	reply, err := c.connect(addr).Loaded(ctx, &orderpb.LoadedRequest{})
 	if err != nil {
-		return nil, errors.Wrapf(err, "loaded of %s", addr)
+		return nil, errors.Wrapf(err, "read what %s has loaded", addr)
 	}
 	out := make([]engine.Loaded, 0, len(reply.GetLoaded()))
 	for _, l := range reply.GetLoaded() {
