--- a/lease/instant.go
+++ b/lease/instant.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// instant is a reading of both clocks. The monotonic one stands still while a
-// VM is suspended on some machines, the wall clock may be set back; elapsed
-// takes the larger of the two, so that either alone ends a lease. A jump of the
-// wall clock forward ends it too early, which is safe.
+// instant is a reading of the monotonic and the wall clock. On some machines the
+// monotonic clock stops while a VM is suspended, and the wall clock may be set
+// back. maxElapsed uses the clock that advanced more, so that either one alone can
+// end a lease. If the wall clock jumps forward, the lease ends too early, which is
+// safe.
 type instant struct {
-	mono time.Time // compared by its monotonic reading
-	wall time.Time // without one
+	mono time.Time // with a monotonic reading
+	wall time.Time // without a monotonic reading
 }
 
 func now() instant {
@@ -16,13 +17,13 @@
 	return instant{mono: t, wall: t.Round(0)}
 }
 
-// elapsed returns how long ago i was, by whichever clock says longer.
-func (i instant) elapsed(at instant) time.Duration {
+// maxElapsed returns the time from i to at by the clock that advanced more.
+func (i instant) maxElapsed(at instant) time.Duration {
 	return max(at.mono.Sub(i.mono), at.wall.Sub(i.wall))
 }
 
-// watched returns how long ago i was, by whichever clock says shorter: a waiter
-// must not take over because its wall clock jumped.
-func (i instant) watched(at instant) time.Duration {
+// minElapsed returns the time from i to at by the clock that advanced less. A
+// waiter uses it, since it must not take over because its wall clock jumped.
+func (i instant) minElapsed(at instant) time.Duration {
 	return min(at.mono.Sub(i.mono), at.wall.Sub(i.wall))
 }
--- a/lease/keeper.go
+++ b/lease/keeper.go
@@ -18,55 +18,56 @@
 const (
 	DefaultTerm = 9 * time.Second
 
-	// marginShare of the term is kept back on both sides for clocks whose rates differ.
-	marginShare = 10
-	// renewShare: the row is renewed (or watched) this many times in a term.
-	renewShare = 3
+	// marginDivisor: the term divided by it is the margin, by which holders count the
+	// term shorter and waiters longer, as the rates of their clocks may differ.
+	marginDivisor = 10
+	// stepsPerTerm is how often the row is renewed, or read by a waiter, in a term.
+	stepsPerTerm = 3
 )
 
 // Options configures a Keeper. Zero values take the defaults.
 type Options struct {
 	Table      backing.Table // required
 	Name       string        // of the lease; the row is lease/<name>
-	Holder     string        // this process and incarnation, for operators to read
+	Holder     string        // process and incarnation, shown to operators
 	Term       time.Duration
-	Candidate  func() bool // whether to wait for the lease; nil: always. Keeps hundreds of waiters from reading the row
+	Candidate  func() bool // whether this process waits for the lease; nil: always. It keeps hundreds of processes from reading the row
 	Recorder   *event.Recorder
 	Registerer prometheus.Registerer
 }
 
-// Keeper tries to hold one lease as long as it runs.
+// Keeper acquires and renews one lease while it runs.
 type Keeper struct {
 	opts    Options
 	margin  time.Duration
 	metrics *metrics
 	now     func() instant
 
-	mu   sync.Mutex // guards held
-	held grant
+	mu   sync.Mutex // protects writes to held, and reads outside Run
+	held hold
 
 	// Only Run uses the fields below.
-	mine    map[uint64]instant // nonces of own writes that may be or become the row, by when they were sent
-	nonce   uint64             // of the newest own write
-	highest Fence              // ever read or written; a row that was deleted must not start again from 1
-	seen    observation
-	lapsed  bool // told already
+	ownWrites     map[uint64]instant // when own writes were sent that are or may become the row, by nonce
+	nonce         uint64             // of the newest own write
+	highest       Fence              // ever read or written; after the row was deleted, numbers must not start again from 1
+	watched       observation
+	lapseReported bool // the end of the current hold was reported
 }
 
-// grant is what the keeper knows of its own hold.
-type grant struct {
-	fence   Fence // 0: not held
-	started instant
+// hold is the keeper's own hold of the lease.
+type hold struct {
+	fence   Fence   // 0: not held
+	started instant // when the write was sent that began the current term
 }
 
-// observation is the row's version that a waiter watches, and since when.
+// observation is the row version that a waiter watches, and since when.
 type observation struct {
 	version uint64
 	since   instant
 	known   bool
 }
 
-// New returns a keeper; Run makes it act.
+// New returns a keeper. It does nothing until Run is called.
 func New(opts Options) *Keeper {
 	if opts.Term == 0 {
 		opts.Term = DefaultTerm
@@ -80,17 +81,18 @@
 	var b [8]byte
 	_, _ = rand.Read(b[:])
 	return &Keeper{
-		opts: opts, margin: opts.Term / marginShare, metrics: newMetrics(opts.Registerer, opts.Name),
-		now: now, mine: make(map[uint64]instant), nonce: binary.BigEndian.Uint64(b[:]),
+		opts: opts, margin: opts.Term / marginDivisor, metrics: newMetrics(opts.Registerer, opts.Name),
+		now: now, ownWrites: make(map[uint64]instant), nonce: binary.BigEndian.Uint64(b[:]),
 	}
 }
 
-// Held returns the fencing number and how long the hold is valid from now on.
-// It is asked just before each use, not once before a series: that stops a
-// holder that was paused in between and wakes after another has taken over. It
-// shows as an order of the old holder after the new one's. The guard holds as
-// the waiter's count of the term ends later than this one. What slips through
-// between this look and the effect is stopped by the fencing number.
+// Held returns the fencing number and the time until which the lease is held, or
+// false if it isn't. Callers must call it just before each action, not once before
+// a series: otherwise a holder that was paused in between acts after another
+// process has taken over, which shows as an order of the old holder after one of
+// the new holder. The check is sufficient because a waiter counts the term longer
+// than Held does. A pause between the check and the effect of the action is covered
+// by the fencing number.
 func (k *Keeper) Held() (Fence, time.Time, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -98,16 +100,16 @@
 		return 0, time.Time{}, false
 	}
 	at := k.now()
-	left := k.opts.Term - k.margin - k.held.started.elapsed(at)
+	left := k.opts.Term - k.margin - k.held.started.maxElapsed(at)
 	if left <= 0 {
 		return 0, time.Time{}, false
 	}
 	return k.held.fence, at.mono.Add(left), true
 }
 
-// Run holds the lease whenever it can, and releases it when ctx ends.
+// Run acquires and renews the lease whenever it can, and releases it when ctx ends.
 func (k *Keeper) Run(ctx context.Context) error {
-	tick := time.NewTicker(k.opts.Term / renewShare)
+	tick := time.NewTicker(k.opts.Term / stepsPerTerm)
 	defer tick.Stop()
 	for {
 		k.step(ctx)
@@ -120,13 +122,13 @@
 	}
 }
 
-// step reads the row and renews it, watches it, or takes it over when it may.
+// step reads the row, and renews it, watches it or takes it over.
 func (k *Keeper) step(ctx context.Context) {
 	if k.held.fence == 0 && !k.opts.Candidate() {
-		k.seen = observation{} // what isn't watched all the time doesn't count
+		k.watched = observation{} // a version counts as unchanged only if it was watched all the time
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, k.opts.Term/renewShare)
+	ctx, cancel := context.WithTimeout(ctx, k.opts.Term/stepsPerTerm)
 	defer cancel()
 	defer k.report()
 	r, version, err := read(ctx, k.opts.Table, k.opts.Name)
@@ -135,108 +137,109 @@
 	}
 	k.highest = max(k.highest, r.Epoch)
 	switch {
-	case k.recognise(r):
+	case k.checkHold(r):
 		k.commit(ctx, row{Holder: k.opts.Holder, Epoch: r.Epoch}, version)
-	case k.mayTake(r, version):
+	case k.mayTakeOver(r, version):
 		k.commit(ctx, row{Holder: k.opts.Holder, Epoch: k.highest + 1}, version)
 	}
 }
 
-// recognise reports whether the row is a write of this run of the keeper, also
-// one whose answer was lost: it counts from when it was sent. The holder's name
-// proves nothing, as an earlier run under the same name may be paused. If the
-// row is another's, a hold is over.
-func (k *Keeper) recognise(r row) bool {
-	if started, ok := k.mine[r.Nonce]; ok && r.Holder != "" {
-		k.granted(r, started)
+// checkHold reports whether the row was written by this run of the keeper, and
+// records the hold, with its term counted from when the write was sent. This
+// includes writes whose response was lost. The holder's name proves nothing, since
+// an earlier run with the same name may be paused. If the row is another holder's,
+// the own hold ends.
+func (k *Keeper) checkHold(r row) bool {
+	if started, ok := k.ownWrites[r.Nonce]; ok && r.Holder != "" {
+		k.recordHold(r, started)
 		return true
 	}
 	if k.held.fence != 0 {
 		k.opts.Recorder.Emit(EventLost, "lease", k.opts.Name, "fence", k.held.fence, "holder", r.Holder)
-		k.set(grant{})
+		k.setHeld(hold{})
 	}
 	return false
 }
 
-// mayTake reports whether the row is free: never held, released, or unchanged
-// for the term and a margin under this process's own eyes.
-func (k *Keeper) mayTake(r row, version uint64) bool {
+// mayTakeOver reports whether the lease is free: never held, released, or watched
+// by this process without a change for the term and a margin.
+func (k *Keeper) mayTakeOver(r row, version uint64) bool {
 	at := k.now()
-	if !k.seen.known || k.seen.version != version {
-		k.seen = observation{version: version, since: at, known: true}
+	if !k.watched.known || k.watched.version != version {
+		k.watched = observation{version: version, since: at, known: true}
 	}
 	if r.Holder == "" {
 		return true
 	}
-	return k.seen.since.watched(at) >= k.opts.Term+k.margin
+	return k.watched.since.minElapsed(at) >= k.opts.Term+k.margin
 }
 
-// commit writes the row if it still has the version. The term counts from
-// before the write is sent: however late it takes effect, a waiter can't have
-// seen it earlier.
+// commit writes the row if it still has the given version. The term counts from
+// before the write is sent: no waiter can have seen the write earlier, however
+// late it takes effect.
 func (k *Keeper) commit(ctx context.Context, r row, version uint64) {
 	k.nonce++
 	r.Nonce = k.nonce
 	started := k.now()
-	k.mine[r.Nonce] = started
+	k.ownWrites[r.Nonce] = started
 	err := write(ctx, k.opts.Table, k.opts.Name, r, version)
 	switch {
 	case err == nil:
-		k.granted(r, started)
+		k.recordHold(r, started)
 	case errors.Is(err, backing.ErrUnavailable), errors.Is(err, backing.ErrThrottled):
-		delete(k.mine, r.Nonce)
+		delete(k.ownWrites, r.Nonce)
 	default:
 		k.resolve(ctx, err)
 	}
 }
 
-// resolve reads the row back after a conflict or a lost answer. A write still
-// under way can't hurt: it is conditional on a version, so it either becomes the
-// row, which the next step recognises, or fails.
+// resolve reads the row back after a conflict or a lost response. A write that is
+// still in transit does no harm: it is conditional on a version, so it either fails
+// or becomes the row, which the next step finds to be its own.
 func (k *Keeper) resolve(ctx context.Context, cause error) {
 	var conflict *backing.ConflictError
 	if !errors.As(cause, &conflict) {
-		k.opts.Recorder.Emit(EventAmbiguous, "lease", k.opts.Name, "error", cause)
+		k.opts.Recorder.Emit(EventWriteAmbiguous, "lease", k.opts.Name, "error", cause)
 	}
 	r, _, err := read(ctx, k.opts.Table, k.opts.Name)
 	if err == nil {
-		k.recognise(r)
+		k.checkHold(r)
 	}
 }
 
-// granted notes a hold and forgets the nonces of earlier writes: they were
-// conditional on versions that are gone.
-func (k *Keeper) granted(r row, started instant) {
+// recordHold records a hold and deletes the nonces of earlier writes, which were
+// conditional on versions that no longer exist.
+func (k *Keeper) recordHold(r row, started instant) {
 	if k.held.fence != r.Epoch {
-		k.opts.Recorder.Emit(EventTaken, "lease", k.opts.Name, "fence", r.Epoch, "holder", k.opts.Holder)
+		k.opts.Recorder.Emit(EventAcquired, "lease", k.opts.Name, "fence", r.Epoch, "holder", k.opts.Holder)
 	}
-	for nonce := range k.mine {
+	for nonce := range k.ownWrites {
 		if nonce < r.Nonce {
-			delete(k.mine, nonce)
+			delete(k.ownWrites, nonce)
 		}
 	}
 	k.highest = max(k.highest, r.Epoch)
-	k.set(grant{fence: r.Epoch, started: started})
+	k.setHeld(hold{fence: r.Epoch, started: started})
 }
 
-func (k *Keeper) set(g grant) {
+func (k *Keeper) setHeld(g hold) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.held = g
 }
 
-// release gives the lease up so that a waiter needn't watch a term out. Held is
-// false before the row says so.
+// release releases the lease, so that a waiter needn't wait for the term to end.
+// Held returns false before the row is written.
 func (k *Keeper) release() {
 	g := k.held
 	if g.fence == 0 {
 		return
 	}
-	k.set(grant{})
-	ctx, cancel := context.WithTimeout(context.Background(), k.opts.Term/renewShare)
+	k.setHeld(hold{})
+	ctx, cancel := context.WithTimeout(context.Background(), k.opts.Term/stepsPerTerm)
 	defer cancel()
 	r, version, err := read(ctx, k.opts.Table, k.opts.Name)
-	if _, own := k.mine[r.Nonce]; err != nil || !own {
+	if _, own := k.ownWrites[r.Nonce]; err != nil || !own {
 		return
 	}
 	if write(ctx, k.opts.Table, k.opts.Name, row{Epoch: r.Epoch}, version) == nil {
@@ -245,18 +248,18 @@
 	k.metrics.held.Set(0)
 }
 
-// report sets the metrics and tells once that a hold has lapsed.
+// report sets the metrics, and emits EventLapsed once for each hold that lapses.
 func (k *Keeper) report() {
 	fence, _, ok := k.Held()
 	if ok {
 		k.metrics.held.Set(1)
 		k.metrics.fence.Set(float64(fence))
-		k.lapsed = false
+		k.lapseReported = false
 		return
 	}
 	k.metrics.held.Set(0)
-	if k.held.fence != 0 && !k.lapsed {
-		k.lapsed = true
+	if k.held.fence != 0 && !k.lapseReported {
+		k.lapseReported = true
 		k.opts.Recorder.Emit(EventLapsed, "lease", k.opts.Name, "fence", k.held.fence)
 	}
 }
@@ -270,7 +273,7 @@
 	LeftMS int64  `json:"left_ms,omitempty"`
 }
 
-// Dump returns whether the lease is held here and for how long yet.
+// Dump returns whether this process holds the lease and for how long.
 func (k *Keeper) Dump() Dump {
 	d := Dump{Name: k.opts.Name, Holder: k.opts.Holder}
 	fence, until, ok := k.Held()
--- a/lease/keeper_test.go
+++ b/lease/keeper_test.go
@@ -13,17 +13,16 @@
 
 const term = 9 * time.Second
 
-// process runs a keeper that can be paused, as a frozen process is: its clocks
-// go on, its code doesn't.
+// process runs a keeper whose table can be made unavailable.
 type process struct {
 	*Keeper
-	table *view
+	table *faultyTable
 	stop  context.CancelFunc
 	done  chan struct{}
 }
 
-func launch(m *memory, holder string) *process {
-	v := &view{memory: m}
+func startProcess(m *memoryTable, holder string) *process {
+	v := &faultyTable{memoryTable: m}
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &process{
 		Keeper: New(Options{Table: v, Name: "orders", Holder: holder, Term: term}),
@@ -36,9 +35,9 @@
 	return p
 }
 
-func (p *process) cut(down bool) { p.table.set(func() { p.table.down = down }) }
+func (p *process) setTableDown(down bool) { p.table.setFault(func() { p.table.down = down }) }
 
-func (p *process) end() {
+func (p *process) stopAndWait() {
 	p.stop()
 	<-p.done
 }
@@ -51,40 +50,41 @@
 	return f
 }
 
-// The holder is cut off from the table service. It must stop before any other
-// takes over, and when it is back it must not act under its old number.
-func TestCutOffHolderStopsBeforeTheNextBegins(t *testing.T) {
+// The holder loses its connection to the table service. It must stop acting before
+// another process takes over, and must not use its old number once it is connected
+// again.
+func TestDisconnectedHolderStopsBeforeTakeover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		m := newMemory()
-		a := launch(m, "a")
-		defer a.end()
+		m := newMemoryTable()
+		a := startProcess(m, "a")
+		defer a.stopAndWait()
 		time.Sleep(time.Second)
-		b := launch(m, "b")
-		defer b.end()
+		b := startProcess(m, "b")
+		defer b.stopAndWait()
 		time.Sleep(time.Minute)
 		g.Expect(a.fence()).To(Equal(Fence(1)))
 		g.Expect(b.fence()).To(BeZero())
 
-		a.cut(true)
+		a.setTableDown(true)
 		for range 300 {
 			time.Sleep(100 * time.Millisecond)
 			g.Expect(a.fence() != 0 && b.fence() != 0).To(BeFalse(), "two holders at once")
 		}
 		g.Expect(b.fence()).To(Equal(Fence(2)))
-		a.cut(false)
+		a.setTableDown(false)
 		time.Sleep(time.Minute)
 		g.Expect(a.fence()).To(BeZero())
 		g.Expect(a.opts.Recorder.Entries("")).To(HaveLen(3), "taken, lapsed, lost")
 	})
 }
 
-// The holder is frozen past its term and wakes. The first thing it does is to
-// look at its hold, with no step of Run in between: it must see that it is over.
-func TestFrozenHolderSeesThatItsHoldIsOver(t *testing.T) {
+// The holder is paused until after its term. Held must return false at the first
+// call after that, without a step of Run in between.
+func TestPausedHolderSeesThatItsHoldHasEnded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		k := New(Options{Table: &view{memory: newMemory()}, Name: "orders", Holder: "a", Term: term})
+		k := New(Options{Table: &faultyTable{memoryTable: newMemoryTable()}, Name: "orders", Holder: "a", Term: term})
 		k.step(t.Context())
 		g.Expect(k.Dump()).To(Equal(Dump{Name: "orders", Holder: "a", Held: true, Fence: 1, LeftMS: 8100}))
 		time.Sleep(8101 * time.Millisecond)
@@ -92,11 +92,11 @@
 	})
 }
 
-// The VM is suspended: its monotonic clock stood still, its wall clock is right
-// again after waking. The hold must count as over.
-func TestSuspendedVMSeesThatItsHoldIsOver(t *testing.T) {
+// The VM was suspended: its monotonic clock stopped, and only the wall clock shows
+// the time that has passed. The hold must have ended.
+func TestSuspendedVMSeesThatItsHoldHasEnded(t *testing.T) {
 	g := NewWithT(t)
-	k := New(Options{Table: &view{memory: newMemory()}, Name: "orders", Holder: "a", Term: term})
+	k := New(Options{Table: &faultyTable{memoryTable: newMemoryTable()}, Name: "orders", Holder: "a", Term: term})
 	k.step(t.Context())
 	_, _, ok := k.Held()
 	g.Expect(ok).To(BeTrue())
@@ -105,44 +105,44 @@
 	g.Expect(ok).To(BeFalse())
 	k.now = func() instant { n := now(); n.wall = n.wall.Add(-time.Hour); return n }
 	_, _, ok = k.Held()
-	g.Expect(ok).To(BeTrue(), "a clock set back ends nothing: the monotonic one counts")
+	g.Expect(ok).To(BeTrue(), "a wall clock set back must not end the hold: the monotonic clock counts")
 }
 
-// The answer to a renewal is lost, with or without effect, now or much later.
-// The holder must neither lose its hold to its own write nor count the term from
-// when it learned of the write instead of from when it sent it.
+// The response to a renewal is lost, and the write takes effect at once or later.
+// The holder must neither take its own write for another holder's, nor count the
+// term from when it learned of the write instead of when it sent it.
 func TestAmbiguousRenewal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		a := launch(newMemory(), "a")
-		defer a.end()
+		a := startProcess(newMemoryTable(), "a")
+		defer a.stopAndWait()
 		time.Sleep(time.Second)
-		a.table.set(func() { a.table.loseAnswer = true })
+		a.table.setFault(func() { a.table.loseAnswer = true })
 		time.Sleep(3 * time.Second)
 		g.Expect(a.fence()).To(Equal(Fence(1)))
 		_, until, _ := a.Held()
 		g.Expect(time.Until(until)).To(Equal(8100*time.Millisecond - time.Second))
 
-		a.table.set(func() { a.table.late = 4 * time.Second }) // lands between two later renewals
+		a.table.setFault(func() { a.table.late = 4 * time.Second }) // takes effect between two later renewals
 		time.Sleep(time.Minute)
 		g.Expect(a.fence()).To(Equal(Fence(1)))
 	})
 }
 
-// A renewal's answer is lost and it takes effect a second later; the holder
-// recognises it only three seconds after sending it. A waiter may have watched
-// the row since that first second, so the term counts from the sending.
+// The response to a renewal is lost, the write takes effect a second later, and the
+// holder finds it three seconds after sending it. A waiter may have watched the row
+// since that first second, so the term must count from the sending.
 func TestLateRenewalCountsFromItsSending(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		v := &view{memory: newMemory()}
+		v := &faultyTable{memoryTable: newMemoryTable()}
 		k := New(Options{Table: v, Name: "orders", Holder: "a", Term: term})
 		k.step(t.Context())
-		v.set(func() { v.late = time.Second })
+		v.setFault(func() { v.late = time.Second })
 		k.step(t.Context())
 		sent := time.Now()
 		time.Sleep(3 * time.Second)
-		v.set(func() { v.readOnly = true })
+		v.setFault(func() { v.readOnly = true })
 		k.step(t.Context())
 		_, until, ok := k.Held()
 		g.Expect(ok).To(BeTrue())
@@ -150,14 +150,14 @@
 	})
 }
 
-// A process becomes a candidate after the holder's death. What it read of the row
-// before it stopped watching must not count as watching.
+// A process stops being a candidate and becomes one again, after the holder has
+// died. The time before the interruption must not count as watching the row.
 func TestCandidateWatchesAFullTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		m, candidate := newMemory(), true
-		New(Options{Table: &view{memory: m}, Name: "orders", Holder: "a", Term: term}).step(t.Context())
-		k := New(Options{Table: &view{memory: m}, Name: "orders", Term: term, Candidate: func() bool { return candidate }})
+		m, candidate := newMemoryTable(), true
+		New(Options{Table: &faultyTable{memoryTable: m}, Name: "orders", Holder: "a", Term: term}).step(t.Context())
+		k := New(Options{Table: &faultyTable{memoryTable: m}, Name: "orders", Term: term, Candidate: func() bool { return candidate }})
 		k.step(t.Context())
 		candidate = false
 		time.Sleep(5 * time.Second)
@@ -172,13 +172,13 @@
 	})
 }
 
-// The answer to the write that takes the lease over is lost: the fencing number
-// must be known from reading back, and no number is used up twice.
+// The response to the write that takes the lease is lost. The fencing number must be
+// known from reading back, and must not be used twice.
 func TestAmbiguousTakeover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		m := newMemory()
-		v := &view{memory: m, loseAnswer: true}
+		m := newMemoryTable()
+		v := &faultyTable{memoryTable: m, loseAnswer: true}
 		k := New(Options{Table: v, Name: "orders", Holder: "a", Term: term})
 		k.step(t.Context())
 		g.Expect(k.Dump().Fence).To(Equal(Fence(1)))
@@ -188,50 +188,52 @@
 	})
 }
 
-// A process restarts under its old name. The run before may be paused, not
-// dead, so the new one waits like any other and gets its own number.
+// A process restarts with the same name. The previous run may be paused instead of
+// dead, so the new one must wait like any other process and get its own number.
 func TestRestartUnderTheSameNameIsAnotherHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		m := newMemory()
-		first := launch(m, "a")
+		m := newMemoryTable()
+		first := startProcess(m, "a")
 		time.Sleep(time.Second)
-		first.cut(true)
-		second := launch(m, "a")
-		defer second.end()
+		first.setTableDown(true)
+		second := startProcess(m, "a")
+		defer second.stopAndWait()
 		time.Sleep(8 * time.Second)
 		g.Expect(second.fence()).To(BeZero())
 		time.Sleep(6 * time.Second)
 		g.Expect(second.fence()).To(Equal(Fence(2)))
-		first.end()
+		first.stopAndWait()
 	})
 }
 
-// A planned stop hands the lease on at once; a deleted row doesn't start the
-// numbers anew, as sidecars would then refuse every order.
+// After a planned stop another process gets the lease at once. After the row was
+// deleted, numbers must continue: with smaller ones, sidecars would refuse every
+// order.
 func TestReleaseAndDeletedRow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		m := newMemory()
-		a, b := launch(m, "a"), launch(m, "b")
+		m := newMemoryTable()
+		a, b := startProcess(m, "a"), startProcess(m, "b")
 		time.Sleep(time.Minute)
 		if a.fence() == 0 {
 			a, b = b, a
 		}
-		a.end()
-		time.Sleep(4 * time.Second) // its next look at the row
+		a.stopAndWait()
+		time.Sleep(4 * time.Second) // until its next read of the row
 		g.Expect(b.fence()).To(Equal(Fence(2)))
 		m.mu.Lock()
 		delete(m.rows, Key("orders"))
 		m.mu.Unlock()
 		time.Sleep(30 * time.Second)
 		g.Expect(b.fence()).To(Equal(Fence(3)))
-		b.end()
+		b.stopAndWait()
 	})
 }
 
-// Three processes, whatever is cut, lost, late or stopped: at no moment do two
-// hold the lease, and each change of holder has a larger number.
+// Three processes with random faults: a disconnected table, lost and late writes,
+// restarts. At no time may two of them hold the lease, and each change of holder
+// must have a larger number.
 func TestNeverTwoHolders(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		type act struct{ who, what, wait int }
@@ -240,23 +242,23 @@
 		}), 1, 15).Draw(rt, "acts")
 		var once sync.Once
 		synctest.Test(t, func(t *testing.T) {
-			m := newMemory()
-			ps := []*process{launch(m, "a"), launch(m, "b"), launch(m, "c")}
+			m := newMemoryTable()
+			ps := []*process{startProcess(m, "a"), startProcess(m, "b"), startProcess(m, "c")}
 			last := Fence(0)
 			for _, a := range acts {
 				p := ps[a.who]
 				switch a.what {
 				case 0:
-					p.cut(true)
+					p.setTableDown(true)
 				case 1:
-					p.cut(false)
+					p.setTableDown(false)
 				case 2:
-					p.table.set(func() { p.table.loseAnswer = true })
+					p.table.setFault(func() { p.table.loseAnswer = true })
 				case 3:
-					p.table.set(func() { p.table.late = time.Duration(a.wait) * time.Millisecond })
+					p.table.setFault(func() { p.table.late = time.Duration(a.wait) * time.Millisecond })
 				case 4:
-					p.end()
-					ps[a.who] = launch(m, "again")
+					p.stopAndWait()
+					ps[a.who] = startProcess(m, "again")
 				}
 				for left := a.wait; left > 0; left -= 250 {
 					time.Sleep(250 * time.Millisecond)
@@ -276,7 +278,7 @@
 				}
 			}
 			for _, p := range ps {
-				p.end()
+				p.stopAndWait()
 			}
 		})
 	})
--- a/lease/table_test.go
+++ b/lease/table_test.go
@@ -8,25 +8,26 @@
 	"github.com/pearyard/pearyard/backing"
 )
 
-// memory is a table service in memory. Its faults are set per client with view.
-type memory struct {
+// memoryTable is a table service in memory. Faults are set for each client, in
+// faultyTable.
+type memoryTable struct {
 	mu      sync.Mutex
 	rows    map[string]backing.Row
-	version uint64 // shared by all rows: versions grow, but not by one
+	version uint64 // shared by all rows: versions increase, but not by one
 }
 
-func newMemory() *memory { return &memory{rows: map[string]backing.Row{}} }
+func newMemoryTable() *memoryTable { return &memoryTable{rows: map[string]backing.Row{}} }
 
-// view is one process's way to the table, with its own faults.
-type view struct {
-	*memory
-	down       bool          // nothing gets through
-	readOnly   bool          // reads get through, commits don't
-	loseAnswer bool          // the next commit takes effect, its answer is lost
-	late       time.Duration // the next commit's answer is lost and it takes effect only after this
+// faultyTable is one process's access to the table, with its own faults.
+type faultyTable struct {
+	*memoryTable
+	down       bool          // all operations fail
+	readOnly   bool          // commits fail
+	loseAnswer bool          // the next commit takes effect but its response is lost
+	late       time.Duration // the next commit takes effect only after this, and its response is lost
 }
 
-func (v *view) Get(_ context.Context, key string) (backing.Row, error) {
+func (v *faultyTable) Get(_ context.Context, key string) (backing.Row, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.down {
@@ -39,9 +40,9 @@
 	return r, nil
 }
 
-func (v *view) List(context.Context, string, int) ([]backing.Row, error) { return nil, nil }
+func (v *faultyTable) List(context.Context, string, int) ([]backing.Row, error) { return nil, nil }
 
-func (v *view) Commit(_ context.Context, txn backing.Txn) error {
+func (v *faultyTable) Commit(_ context.Context, txn backing.Txn) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.down || v.readOnly {
@@ -65,7 +66,7 @@
 	return err
 }
 
-func (v *view) apply(txn backing.Txn) error {
+func (v *faultyTable) apply(txn backing.Txn) error {
 	for _, c := range txn.If {
 		if v.rows[c.Key].Version != c.Version {
 			return &backing.ConflictError{Keys: []string{c.Key}}
@@ -78,7 +79,7 @@
 	return nil
 }
 
-func (v *view) set(fault func()) {
+func (v *faultyTable) setFault(fault func()) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	fault()
