--- a/membership/digest.go
+++ b/membership/digest.go
@@ -8,22 +8,22 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// bucketCount is into how many buckets the member list is cut for comparison:
-// two equal lists are compared for half a kilobyte, and one difference among
-// 2,000 members costs the records of some thirty.
+// bucketCount is the number of buckets into which the member list is split for
+// comparison. Comparing two equal lists takes half a kilobyte, and one difference
+// among 2,000 members transfers about thirty records.
 const bucketCount = 64
 
-// digests holds one digest a bucket: the exclusive or of its records' hashes,
-// so that one change updates it in constant time.
+// digests holds one digest per bucket: the XOR of the hashes of its records, so
+// that a change updates it in constant time.
 type digests [bucketCount]uint64
 
 func bucketOf(id types.ProcessID) uint32 {
 	return uint32(xxhash.Sum64String(string(id)) % bucketCount)
 }
 
-// toggle adds a record to its bucket's digest, or removes it. The dead don't
-// count: members forget them at different times, and would otherwise hand
-// forgotten ones back to each other for ever.
+// toggle adds a record to its bucket's digest, or removes it. Dead members are
+// excluded: processes forget them at different times and would otherwise keep
+// returning forgotten ones to each other.
 func (d *digests) toggle(r record) {
 	if r.Condition == conditionDead {
 		return
@@ -41,7 +41,7 @@
 	d[bucketOf(r.ID)] ^= h.Sum64()
 }
 
-// differing lists the buckets in which other isn't the same.
+// differing returns the buckets whose digests differ from other.
 func (d *digests) differing(other []uint64) []uint32 {
 	var out []uint32
 	for i := range d {
--- a/membership/join_test.go
+++ b/membership/join_test.go
@@ -9,12 +9,12 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// Two of four seeds are gone, and their addresses swallow calls; processes are
-// replaced meanwhile. Each asked one seed after the other, three seconds each, and
-// knew no other member until a sound one's turn came; a router has no backend
-// server to send callers' requests to in that time.
+// Guards against a slow join when two of four seeds are gone and their addresses
+// drop calls. If seeds are asked one after the other, each such seed costs three
+// seconds in which the process knows no other member; a router then has no backend
+// server to send requests to.
 func TestJoiningGoesPastSeedsThatAreGone(t *testing.T) {
-	inBubble(t, func(g *gomega.WithT, n *network) {
+	inVirtualTime(t, func(g *gomega.WithT, n *network) {
 		seeds := func(o *Options) { o.Seeds = []string{address(1), address(2), address(3), address(4)} }
 		nodes := n.startAll(8, seeds)
 		nodes[0].kill()
@@ -27,25 +27,26 @@
 	})
 }
 
-// Joining costs the whole list, 160 KB at 2,000 members. A seed that answers must
-// be the only one that is asked for it.
+// Joining transfers the whole list, 160 KB at 2,000 members, so only one seed may
+// be asked as long as it answers.
 func TestJoiningAsksOneSeedThatAnswers(t *testing.T) {
-	inBubble(t, func(g *gomega.WithT, n *network) {
+	inVirtualTime(t, func(g *gomega.WithT, n *network) {
 		seeds := func(o *Options) { o.Seeds = []string{address(1), address(2), address(3), address(4)} }
 		n.startAll(8, seeds)
 		for i := range 8 {
 			joining := n.start(100+i, types.Incarnation(100+i), seeds)
 			n.within(time.Second, "joined", joining.hasJoined)
 			time.Sleep(2 * time.Second) // before the first comparison after the join
-			g.Expect(n.synced(joining.addr)).To(gomega.Equal(1))
+			g.Expect(n.syncPeers(joining.addr)).To(gomega.Equal(1))
 		}
 	})
 }
 
-// The only seed answers late: it is frozen for a while, or its link is squeezed.
-// Its answer has to count, not the next question's.
+// Guards against discarding a late answer of the only seed, which is frozen for a
+// while or behind a slow link: the process must join by the first answer instead
+// of asking again.
 func TestJoiningWaitsForALateSeed(t *testing.T) {
-	inBubble(t, func(g *gomega.WithT, n *network) {
+	inVirtualTime(t, func(g *gomega.WithT, n *network) {
 		const late = 2800 * time.Millisecond
 		seeds := func(o *Options) { o.Seeds = []string{address(1)} }
 		seed := n.startAll(2, seeds)[0]
--- a/membership/loop.go
+++ b/membership/loop.go
@@ -8,35 +8,40 @@
 )
 
 const (
-	// ticksPerPeriod is how often a period the deadlines are looked at.
+	// ticksPerPeriod is how often per period deadlines are checked.
 	ticksPerPeriod = 10
-	// recontactPeriods is how often a member that isn't in the round robin is
-	// tried: a dead one, a seed or a VM list entry that never answered.
+	// recontactPeriods is the interval, in periods, at which an address outside
+	// the round robin is contacted: a dead member, or a seed or VM list entry that
+	// never answered.
 	recontactPeriods = 5
-	// syncPeriods is how often the list is compared with a random member's,
-	// resyncPeriods how soon after a comparison that found differences, and
-	// firstSyncPeriods how soon until one finds none, since many may join at once.
+	// syncPeriods is the interval, in periods, at which the list is compared with
+	// that of a random member. resyncPeriods applies after a comparison that found
+	// differences, and firstSyncPeriods until the first one that finds none, since
+	// many processes may join at once.
 	syncPeriods      = 60
 	resyncPeriods    = 20
 	firstSyncPeriods = 5
-	// jitterShare spreads periodic work of members that started together.
+	// jitterShare is the relative jitter of periodic work; it spreads the work of
+	// members that were started together.
 	jitterShare = 0.1
-	// burstTokens and burstRate bound the messages that urgent news may cause:
-	// a zone lost at once must not multiply traffic by its size.
+	// burstTokens and burstRate limit the extra messages for urgent changes, so
+	// that the sudden loss of a zone does not multiply traffic by its size.
 	burstTokens = 6.0
-	burstRate   = 2.0 // a period
-	// burstFanout is to how many members urgent news goes at once. Fan-out 3
-	// reaches 94 in 100 within log3(n) hops; probes bring it to the rest.
+	burstRate   = 2.0 // per period
+	// burstFanout is the number of members that are sent urgent changes at once. A
+	// fan-out of 3 reaches 94 of 100 members within log3(n) hops; regular probes
+	// reach the rest.
 	burstFanout = 3
-	// vmPollPerMember stretches the polls of the VM list with the site, so that
-	// all members together ask twice a second and tell each other the result.
+	// vmPollPerMember is multiplied by the size of the site to get the poll
+	// interval of the VM list, so that all members together poll twice a second;
+	// they pass the results on to each other.
 	vmPollPerMember = 500 * time.Millisecond
-	// minVMPoll bounds the polls of a small site's members.
+	// minVMPoll is the shortest poll interval of the VM list, for small sites.
 	minVMPoll = 5 * time.Second
 )
 
-// loop is the schedule of one Run.
-type loop struct {
+// schedule starts the periodic work of one call of Run.
+type schedule struct {
 	m  *Membership
 	wg *sync.WaitGroup
 
@@ -45,9 +50,9 @@
 	recontacting, syncing, polling atomic.Bool
 }
 
-func newLoop(m *Membership, wg *sync.WaitGroup) *loop {
+func newSchedule(m *Membership, wg *sync.WaitGroup) *schedule {
 	now := time.Now()
-	l := &loop{m: m, wg: wg, nextProbe: now, nextRecontact: now, nextVMPoll: now}
+	l := &schedule{m: m, wg: wg, nextProbe: now, nextRecontact: now, nextVMPoll: now}
 	l.nextSync = now.Add(l.m.jitter(firstSyncPeriods * m.opts.Period))
 	return l
 }
@@ -58,8 +63,8 @@
 	return time.Duration(float64(d) * (1 + jitterShare*(2*m.rng.Float64()-1)))
 }
 
-// tick does what is due.
-func (l *loop) tick(ctx context.Context) {
+// tick starts the work that is due.
+func (l *schedule) tick(ctx context.Context) {
 	m := l.m
 	frozen := m.housekeeping()
 	now := time.Now()
@@ -82,8 +87,9 @@
 	l.burst(ctx)
 }
 
-// start runs work beside the loop; of one kind at most one, if busy is given.
-func (l *loop) start(busy *atomic.Bool, work func()) {
+// start runs work in a goroutine. If busy is not nil, work is skipped while the
+// previous work with the same flag is running.
+func (l *schedule) start(busy *atomic.Bool, work func()) {
 	if busy != nil && !busy.CompareAndSwap(false, true) {
 		return
 	}
@@ -97,19 +103,20 @@
 	}()
 }
 
-// burst sends urgent news to a few members at once.
-func (l *loop) burst(ctx context.Context) {
+// burst sends urgent changes to a few members at once.
+func (l *schedule) burst(ctx context.Context) {
 	m := l.m
-	targets := m.takeBurst()
+	targets := m.burstTargets()
 	if len(targets) == 0 {
 		return
 	}
-	l.start(nil, func() { m.tell(ctx, targets) })
+	l.start(nil, func() { m.notify(ctx, targets) })
 }
 
-// takeBurst returns the members to tell urgent news, none if there is none or
-// the budget is used up; the news then waits, marked as urgent.
-func (m *Membership) takeBurst() []record {
+// burstTargets returns the members to send urgent changes to. It returns none if
+// there are no such changes or the budget is used up; the changes then stay marked
+// as urgent.
+func (m *Membership) burstTargets() []record {
 	m.lock()
 	defer m.unlock()
 	if !m.table.urgent {
@@ -127,29 +134,32 @@
 	return m.pickAliveLocked(n, "")
 }
 
-// housekeeping looks at deadlines and at this process's own health. It reports
-// whether the process was frozen for long.
+// housekeeping checks for a freeze of this process, handles expired deadlines and
+// publishes changes. It reports whether the process was frozen for at least
+// SuspectTimeout.
 func (m *Membership) housekeeping() bool {
 	m.lock()
 	defer m.unlock()
 	now := time.Now()
-	frozen := m.noticeFreeze(now)
-	m.table.expire(now, m.health.sound())
-	m.checkRevision()
-	m.checkMajority(now)
+	frozen := m.detectFreeze(now)
+	m.table.expire(now, m.health.reliable())
+	m.updateOwnRevision()
+	m.updateCutOff(now)
 	if m.table.dirty {
 		m.publish(now)
 	}
 	return frozen
 }
 
-// noticeFreeze guards against a frozen and thawed process accusing everyone:
-// its timers all fire at once, its pending probes look failed and its
-// suspicions unrefuted, though it just didn't run. What it saw is discarded.
-func (m *Membership) noticeFreeze(now time.Time) bool {
+// detectFreeze keeps a process that was frozen from suspecting everyone: all its
+// timers fire at once, its pending probes look failed and its suspicions
+// unrefuted, although the process just did not run. Its pending probes are
+// discarded and its suspicions get a new deadline. It reports whether the process
+// was frozen for at least SuspectTimeout.
+func (m *Membership) detectFreeze(now time.Time) bool {
 	gap := now.Sub(m.health.lastTick)
 	m.health.lastTick = now
-	if gap <= m.freezeBound() {
+	if gap <= m.freezeThreshold() {
 		return false
 	}
 	m.health.epoch++
@@ -162,19 +172,19 @@
 	return true
 }
 
-// freezeBound is the gap between ticks past which a probe may have timed out
-// for want of running here.
-func (m *Membership) freezeBound() time.Duration {
+// freezeThreshold is the gap between ticks above which a probe may have timed out
+// because this process was not running.
+func (m *Membership) freezeThreshold() time.Duration {
 	return m.opts.Period/ticksPerPeriod + m.opts.ProbeTimeout
 }
 
-func (m *Membership) checkMajority(now time.Time) {
-	cut := !m.table.majority(now)
-	if cut == m.cutOff {
+func (m *Membership) updateCutOff(now time.Time) {
+	cutOff := !m.table.majority(now)
+	if cutOff == m.cutOff {
 		return
 	}
-	m.cutOff = cut
-	if cut {
+	m.cutOff = cutOff
+	if cutOff {
 		m.metrics.cutOff.Set(1)
 		m.opts.Recorder.Emit(eventCutOff, "members", len(m.table.entries))
 		return
--- a/membership/member.go
+++ b/membership/member.go
@@ -2,20 +2,22 @@
 
 import "github.com/pearyard/pearyard/types"
 
-// State is what is known of a member.
+// State is the state of a member as seen by this process.
 type State string
 
-// States of members. A member in any of them but StateAlive gets no new work.
+// States of members. Only a member in StateAlive gets new work.
 const (
-	// StateAlive: the member answers, or nobody has said otherwise.
+	// StateAlive: the member answers, or nobody has reported otherwise.
 	StateAlive State = "alive"
-	// StateSuspect: probes of the member failed; it may still refute that.
+	// StateSuspect: probes of the member failed; it can still refute the
+	// suspicion.
 	StateSuspect State = "suspect"
-	// StateLeaving: the member is being stopped; it never returns to
-	// StateAlive within this incarnation.
+	// StateLeaving: the member is shutting down; it never returns to StateAlive
+	// within this incarnation.
 	StateLeaving State = "leaving"
 	// StateDead: the suspicion was not refuted in time, or another member has
-	// taken the address. The same incarnation comes back only by refuting it.
+	// taken over the address. The same incarnation returns only by refuting its
+	// death.
 	StateDead State = "dead"
 )
 
@@ -23,12 +25,12 @@
 type Member struct {
 	ID            types.ProcessID   `json:"id"`
 	Role          types.Role        `json:"role"`
-	Address       string            `json:"address"` // IP:port that other processes call
+	Address       string            `json:"address"` // IP:port at which other processes call it
 	Zone          types.Zone        `json:"zone"`
-	BackendServer string            `json:"backend_server,omitempty"` // of a sidecar
+	BackendServer string            `json:"backend_server,omitempty"` // sidecars only
 	Incarnation   types.Incarnation `json:"incarnation"`
 	State         State             `json:"state"`
-	// Revision is the newest revision heard of this member; it lags and is a
-	// lower bound. Who must know asks the member itself.
+	// Revision is the newest configuration revision reported for this member. It
+	// lags and is a lower bound; for the exact value, ask the member itself.
 	Revision types.Revision `json:"revision"`
 }
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -14,50 +14,53 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// publishInterval bounds how often the view is rebuilt while news pours in:
-// at 2,000 members a rebuild costs a good part of a millisecond.
+// publishInterval is the minimum time between two rebuilds of the view while many
+// changes arrive: at 2,000 members a rebuild takes a good part of a millisecond.
 const publishInterval = 50 * time.Millisecond
 
-// Membership is this process's part in knowing who is there.
+// Membership tracks the other processes of the site and makes this process known
+// to them.
 type Membership struct {
 	opts    Options
 	server  memberpb.TwirpServer
 	metrics *metrics
 	view    atomic.Pointer[View]
 
-	// stall lets tests freeze this process: it is called wherever a frozen
-	// process would stop.
-	stall func()
-
-	mu        sync.Mutex // guards all below; never held over a call
-	table     *table
-	rng       *rand.Rand
-	ring      probeRing
-	health    health
-	rounds    int // probe rounds so far
-	changed   chan struct{}
-	published time.Time
-	cutOff    bool
-	behind    types.Incarnation
-	revision  types.Revision // last seen of opts.Revision
-	joined    bool
-	differed  bool // the last comparison of lists found differences
-	settled   bool // a comparison has found none
-	burst     tokens
-	pairs     map[string]vmPair
-	vmDown    bool
-	unknown   []string // addresses of VM list entries that aren't members
-	aloneTold bool
-	ahead     []revisionNews // to hand to OnRevision once the lock is released
-}
-
-// revisionNews says that the process at address has a later revision.
-type revisionNews struct {
+	// freezeHook lets tests freeze this process: it is called before the lock is
+	// taken and blocks while the process is frozen.
+	freezeHook func()
+
+	mu               sync.Mutex // guards the fields below; not held during calls to other members
+	table            *table
+	rng              *rand.Rand
+	ring             probeRing
+	health           health
+	rounds           int // probe rounds so far
+	changed          chan struct{}
+	published        time.Time
+	cutOff           bool
+	laterSelf        types.Incarnation // highest later incarnation of the own ID reported so far
+	revision         types.Revision    // last announced value of opts.Revision
+	joined           bool
+	lastSyncDiffered bool // the last list comparison found differences
+	converged        bool // some list comparison has found no differences
+	burst            tokenBucket
+	vmMatches        map[string]vmMatch
+	vmListDown       bool
+	unjoined         []string // VM list addresses without a known member
+	aloneReported    bool
+	newerRevisions   []newerRevision // passed to OnRevision after the lock is released
+}
+
+// newerRevision is a revision, later than that of this process, which the process
+// at address has in force.
+type newerRevision struct {
 	address  string
 	revision types.Revision
 }
 
-// New returns a Membership that knows only itself; Run makes it look for others.
+// New returns a Membership that knows only this process; Run makes it contact
+// others.
 func New(opts Options) (*Membership, error) {
 	if err := opts.complete(); err != nil {
 		return nil, err
@@ -67,13 +70,13 @@
 	self.Leaving = false
 	self.Revision = opts.Revision()
 	m := &Membership{
-		opts:    opts,
-		metrics: newMetrics(opts.Registerer),
-		table:   newTable(self, opts.SuspectTimeout, now),
-		rng:     rand.New(rand.NewPCG(xxhash.Sum64String(string(self.ID)), uint64(self.Incarnation))),
-		changed: make(chan struct{}),
-		burst:   tokens{count: burstTokens, refilled: now},
-		pairs:   map[string]vmPair{},
+		opts:      opts,
+		metrics:   newMetrics(opts.Registerer),
+		table:     newTable(self, opts.SuspectTimeout, now),
+		rng:       rand.New(rand.NewPCG(xxhash.Sum64String(string(self.ID)), uint64(self.Incarnation))),
+		changed:   make(chan struct{}),
+		burst:     tokenBucket{count: burstTokens, refilled: now},
+		vmMatches: map[string]vmMatch{},
 	}
 	m.table.transitions = nil
 	m.revision = self.Revision
@@ -83,7 +86,7 @@
 	return m, nil
 }
 
-// Handler serves the other members' calls; mount it under PathPrefix.
+// Handler serves the calls of other members; mount it under PathPrefix.
 func (m *Membership) Handler() http.Handler { return m.server }
 
 // PathPrefix is the path under which Handler must be mounted.
@@ -92,22 +95,22 @@
 // Snapshot returns the current view. It takes no lock.
 func (m *Membership) Snapshot() *View { return m.view.Load() }
 
-// Changed returns a channel that is closed when the next view is published.
-// Take the channel first and the snapshot after it, so as to miss nothing.
+// Changed returns a channel that is closed when the next view is published. Obtain
+// the channel before the snapshot, so that no change is missed.
 func (m *Membership) Changed() <-chan struct{} {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.changed
 }
 
-// Leave announces that this process is being stopped. It returns once another
-// member has heard it, or with ctx's error; the mark itself is set at once and
-// never taken back.
+// Leave announces that this process is shutting down. It returns nil once another
+// member has received the announcement or if there is no other member, and ctx's
+// error otherwise; the mark itself is set at once and never removed.
 func (m *Membership) Leave(ctx context.Context) error {
 	m.MarkLeaving(m.opts.Self.ID)
 	for {
 		targets := m.pickAlive(burstFanout, "")
-		if len(targets) == 0 || m.tell(ctx, targets) {
+		if len(targets) == 0 || m.notify(ctx, targets) {
 			return nil
 		}
 		select {
@@ -118,8 +121,9 @@
 	}
 }
 
-// MarkLeaving marks a member's present run as leaving, from an operator's stop
-// or the VM list, and tells the others at once. It reports whether the member is known.
+// MarkLeaving marks a member's current incarnation as leaving, because of an
+// operator's stop request or the VM list, and spreads this at once. It reports
+// whether the member is known.
 func (m *Membership) MarkLeaving(id types.ProcessID) bool {
 	m.lock()
 	defer m.unlock()
@@ -141,36 +145,37 @@
 	m.publish(time.Now())
 }
 
-// Observe takes in direct evidence from any other message that member sent
-// just now: it lives, has this incarnation and, if State says so, is leaving.
+// Observe records direct contact through any other message that member has just
+// sent: it is alive, has this incarnation and, if State says so, is leaving.
 func (m *Membership) Observe(member Member) {
 	now := time.Now()
 	m.lock()
 	defer m.unlock()
 	m.table.apply(now, recordOf(member))
-	held := m.table.hear(now, member.ID, member.Incarnation)
-	m.noteRevision(member.Address, member.Revision)
-	if held {
-		// The member doesn't know that it is suspected; a probe tells it.
-		m.ring.next(member.ID)
+	suspected := m.table.recordContact(now, member.ID, member.Incarnation)
+	m.checkNewerRevision(member.Address, member.Revision)
+	if suspected {
+		// The member does not know that it is suspected; the next probe tells it.
+		m.ring.prioritize(member.ID)
 	}
 }
 
-// AnnounceRevision spreads the news of a revision just taken into force
-// without waiting for the next tick.
+// AnnounceRevision spreads a newly applied configuration revision without waiting
+// for the next tick.
 func (m *Membership) AnnounceRevision() {
 	m.lock()
 	defer m.unlock()
-	m.checkRevision()
+	m.updateOwnRevision()
 }
 
-// Run probes, answers suspicions and follows the VM list until ctx ends.
+// Run probes other members, exchanges changes with them and polls the VM list
+// until ctx ends.
 func (m *Membership) Run(ctx context.Context) error {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	l := newLoop(m, &wg)
+	l := newSchedule(m, &wg)
 	ticker := time.NewTicker(m.opts.Period / ticksPerPeriod)
 	defer ticker.Stop()
 	l.tick(ctx)
@@ -185,22 +190,22 @@
 }
 
 func (m *Membership) lock() {
-	if m.stall != nil {
-		m.stall()
+	if m.freezeHook != nil {
+		m.freezeHook()
 	}
 	m.mu.Lock()
 }
 
-// unlock publishes what changed, unless that was done just before, releases
-// the lock and reports the changes.
+// unlock publishes the view if it has changed and was not published just before,
+// releases the lock, and then reports newer revisions and events.
 func (m *Membership) unlock() {
 	now := time.Now()
 	if m.table.dirty && now.Sub(m.published) >= publishInterval {
 		m.publish(now)
 	}
-	reports := m.takeReports()
-	ahead := m.ahead
-	m.ahead = nil
+	reports := m.takeEvents()
+	ahead := m.newerRevisions
+	m.newerRevisions = nil
 	m.mu.Unlock()
 	for _, a := range ahead {
 		m.opts.OnRevision(a.address, a.revision)
@@ -215,20 +220,22 @@
 	m.view.Store(v)
 	m.table.dirty = false
 	m.published = now
-	m.metrics.show(v, len(m.table.queue.pending))
+	m.metrics.setMembers(v, len(m.table.queue.pending))
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
 
-// noteRevision passes on that addr has a later revision than this process.
-func (m *Membership) noteRevision(addr string, rev types.Revision) {
+// checkNewerRevision queues a call of OnRevision if rev, which the process at addr
+// has, is later than the revision of this process.
+func (m *Membership) checkNewerRevision(addr string, rev types.Revision) {
 	if rev > m.opts.Revision() {
-		m.ahead = append(m.ahead, revisionNews{addr, rev})
+		m.newerRevisions = append(m.newerRevisions, newerRevision{addr, rev})
 	}
 }
 
-// checkRevision makes a revision newly in force here urgent news.
-func (m *Membership) checkRevision() {
+// updateOwnRevision marks a revision that this process has newly applied as an
+// urgent change.
+func (m *Membership) updateOwnRevision() {
 	rev := m.opts.Revision()
 	if rev <= m.revision {
 		return
@@ -239,8 +246,8 @@
 	m.table.urgent = true
 }
 
-// from is this process's own record, the head of every message.
-func (m *Membership) from() *memberpb.Record {
+// ownRecord returns this process's own record, which is part of every message.
+func (m *Membership) ownRecord() *memberpb.Record {
 	own := m.table.own()
 	own.Revision = max(own.Revision, m.opts.Revision())
 	return encode(own.record)
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -14,23 +14,23 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// inBubble runs a story in virtual time and ends all members after it.
-func inBubble(t *testing.T, story func(g *gomega.WithT, n *network)) {
+// inVirtualTime runs scenario in virtual time and stops all members after it.
+func inVirtualTime(t *testing.T, scenario func(g *gomega.WithT, n *network)) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork(t)
 		defer n.stop()
-		story(gomega.NewWithT(t), n)
+		scenario(gomega.NewWithT(t), n)
 	})
 }
 
-// A VM dies without a word. Callers' requests still go to it until the routers
-// know, so all have to know within a few seconds. Cause: no process is left to
-// announce anything; only missing answers tell.
+// Guards against requests to a VM that has died. No process is left there to
+// announce the death, so the other members must learn of it within seconds from
+// failed probes alone.
 func TestDeathIsKnownToAll(t *testing.T) {
-	inBubble(t, func(g *gomega.WithT, n *network) {
+	inVirtualTime(t, func(g *gomega.WithT, n *network) {
 		nodes := n.startAll(20)
 		nodes[7].kill()
-		shunned := n.within(5*time.Second, "gets no new work", func() bool {
+		excluded := n.within(5*time.Second, "gets no new work", func() bool {
 			for i, nd := range nodes {
 				if m, _ := nd.Snapshot().ByID("m8"); i != 7 && m.State == StateAlive {
 					return false
@@ -39,16 +39,16 @@
 			return true
 		})
 		took := n.within(8*time.Second, "death known", func() bool { return holds(nodes, nodes[7], StateDead) })
-		t.Logf("no new work after %s, known to all after %s", shunned, shunned+took)
-		g.Expect(nodes[0].seen(eventDead)).To(gomega.Equal(1))
+		t.Logf("no new work after %s, known to all after %s", excluded, excluded+took)
+		g.Expect(nodes[0].countEvents(eventDead)).To(gomega.Equal(1))
 	})
 }
 
-// A rack goes: 8 of 24 VMs die at once. A third of all probes fails from then
-// on, which must not look like an own fault for long, or callers' requests go
-// to dead backend servers. And nobody who lives may be accused for good.
+// Guards against a rack loss being mistaken for a local fault: when 8 of 24 VMs
+// die at once, a third of all probes fail, and requests would keep going to dead
+// backend servers. No live member may stay suspected either.
 func TestRackLoss(t *testing.T) {
-	inBubble(t, func(g *gomega.WithT, n *network) {
+	inVirtualTime(t, func(g *gomega.WithT, n *network) {
 		nodes := n.startAll(24)
 		for _, nd := range nodes[:8] {
 			nd.kill()
@@ -71,11 +71,11 @@
 	})
 }
 
-// An operator stops a sidecar. It says so, freezes for a while, is suspected and
-// refutes that: without care the refutation ("alive") brings it back and it
-// gets new work while it drains. Leaving must outlive suspicion and refutation.
+// Guards against a leaving sidecar that returns to service. It is frozen and
+// suspected while it shuts down, and its refutation ("alive") must not revert
+// leaving, or it would get new work.
 func TestLeavingIsSticky(t *testing.T) {
-	inBubble(t, func(g *gomega.WithT, n *network) {
+	inVirtualTime(t, func(g *gomega.WithT, n *network) {
 		nodes := n.startAll(12)
 		leaver := nodes[5]
 		g.Expect(leaver.Leave(n.t.Context())).To(gomega.Succeed())
@@ -91,9 +91,10 @@
 	})
 }
 
-// "Alive" news of a sidecar, sent before it began to leave, arrives late over a
-// slow path, with a higher counter even. A router that believes it sends new
-// work to a stopping backend server. Only a later run may count as alive.
+// Guards against a late "alive" record, sent before the sidecar began to leave and
+// with a higher counter, that reverts leaving: a router would send new work to a
+// backend server that is shutting down. Only a later incarnation may count as
+// alive.
 func TestLateAliveAfterLeaving(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Now()
@@ -112,12 +113,12 @@
 	g.Expect(tab.entries["m"].state()).To(gomega.Equal(StateAlive))
 }
 
-// A VM is frozen for half a minute and thaws. Users would see all backend
-// servers out of use for seconds if it then accused everyone: its timers fire
-// at once and its pending probes all look failed. It has to come back by one
-// refutation, with no others accused and no surge of messages.
+// Guards against a thawed VM that suspects everyone: its timers fire at once and
+// all its pending probes look failed, which would take all backend servers out of
+// use for seconds. It must return by one refutation, without suspecting others and
+// without a surge of messages.
 func TestFreezeAndThaw(t *testing.T) {
-	inBubble(t, func(g *gomega.WithT, n *network) {
+	inVirtualTime(t, func(g *gomega.WithT, n *network) {
 		nodes := n.startAll(16)
 		frozen := nodes[3]
 		frozen.freeze()
@@ -129,19 +130,19 @@
 		time.Sleep(10*time.Second - took)
 		perSecond := float64(n.callCount()-before) / 10 / 16
 		t.Logf("back after %s, %.1f messages a second and member in 10 s", took, perSecond)
-		g.Expect(perSecond).To(gomega.BeNumerically("<", 6), "a call counts twice; 2 is the quiet rate")
+		g.Expect(perSecond).To(gomega.BeNumerically("<", 6), "each call counts twice; the idle rate is 2")
 		for _, nd := range nodes {
-			g.Expect(nd.seen(eventSelfAccused) == 0 || nd == frozen).To(gomega.BeTrue(), "%s was accused", nd.addr)
+			g.Expect(nd.countEvents(eventSelfAccused) == 0 || nd == frozen).To(gomega.BeTrue(), "%s was accused", nd.addr)
 		}
-		g.Expect(frozen.seen(eventFrozen)).To(gomega.Equal(1))
+		g.Expect(frozen.countEvents(eventFrozen)).To(gomega.Equal(1))
 	})
 }
 
-// A switch fails: 4 of 16 VMs are cut off for two minutes. If the smaller side
-// declared the larger one dead, mending would take the whole site out of use
-// until each member had refuted it. The smaller side therefore only suspects.
+// Guards against a partition whose smaller side (4 of 16 VMs) declares the larger
+// side dead: after it heals, the whole site would be out of use until each member
+// had refuted that. The smaller side may only suspect.
 func TestPartitionAndMend(t *testing.T) {
-	inBubble(t, func(g *gomega.WithT, n *network) {
+	inVirtualTime(t, func(g *gomega.WithT, n *network) {
 		nodes := n.startAll(16)
 		small, large := nodes[:4], nodes[4:]
 		n.partition(small, large, true)
@@ -160,10 +161,10 @@
 				dead++
 			}
 		}
-		t.Logf("the smaller side holds %d dead", dead)
-		g.Expect(dead).To(gomega.BeNumerically("<=", 4), "of 12: those accused before the cut was noticed")
+		t.Logf("the smaller side considers %d members dead", dead)
+		g.Expect(dead).To(gomega.BeNumerically("<=", 4), "of 12: those declared dead before the partition was detected")
 		n.partition(small, large, false)
-		took := n.within(15*time.Second, "mended", func() bool {
+		took := n.within(15*time.Second, "partition healed", func() bool {
 			for _, nd := range nodes {
 				if !holds(nodes, nd, StateAlive) {
 					return false
@@ -171,15 +172,16 @@
 			}
 			return true
 		})
-		t.Logf("mended after %s", took)
+		t.Logf("healed after %s", took)
 	})
 }
 
-// A VM is replaced and its successor gets the same address with another
-// process id. Probes of the old one are answered, so it would seem alive for
-// ever, and work meant for it reach the new one. The later run takes the address.
+// Guards against a replaced VM that seems alive forever because its replacement,
+// with another process ID, answers probes at the same address; work for the old
+// member would reach the new one. The later incarnation must take over the
+// address.
 func TestReplacedUnderSameAddress(t *testing.T) {
-	inBubble(t, func(g *gomega.WithT, n *network) {
+	inVirtualTime(t, func(g *gomega.WithT, n *network) {
 		nodes := n.startAll(8)
 		old := nodes[6]
 		old.kill()
@@ -190,7 +192,7 @@
 		})
 		m, _ := nodes[0].Snapshot().ByAddress(old.addr)
 		g.Expect(m.ID).To(gomega.Equal(types.ProcessID("m7-successor")))
-		// And a restart in the same slot: same id, later incarnation.
+		// A restart at the same address: same ID, later incarnation.
 		successor.kill()
 		again := n.start(7, 200, func(o *Options) { o.Self.ID = "m7-successor" })
 		n.within(4*time.Second, "restart known", func() bool {
@@ -205,17 +207,17 @@
 	})
 }
 
-// The platform's VM list goes down for an hour, then comes back lagging: it still
-// shows a replaced VM as leaving under the address of its successor. Members
-// must neither vanish with the list nor lose the healthy successor for good.
+// Guards against two faults of the VM list. It is unavailable for an hour: no
+// member may vanish. Then it lags and shows a replaced VM as leaving at the
+// address of its replacement: the new member must not be marked as leaving.
 func TestVMListDownAndLagging(t *testing.T) {
-	inBubble(t, func(g *gomega.WithT, n *network) {
+	inVirtualTime(t, func(g *gomega.WithT, n *network) {
 		list := &vmList{}
 		vm := func(id string, i int, leaving bool) backing.VM {
 			return backing.VM{ID: id, Address: address(i), Leaving: leaving}
 		}
 		list.set(false, vm("v1", 1, false), vm("v2", 2, false), vm("v3", 3, false))
-		// Seeds name nobody: the VM list alone gives the candidates.
+		// There are no seeds: all candidates come from the VM list.
 		nodes := n.startAll(4, func(o *Options) { o.VMList = list; o.Seeds = nil; o.Period = 2 * time.Second })
 		time.Sleep(time.Minute)
 		list.set(true)
@@ -223,7 +225,7 @@
 		for _, nd := range nodes {
 			g.Expect(nd.Snapshot().Alive(types.RoleSidecar)).To(gomega.HaveLen(4))
 		}
-		g.Expect(nodes[0].seen(eventVMListDown)).To(gomega.Equal(1))
+		g.Expect(nodes[0].countEvents(eventVMListDown)).To(gomega.Equal(1))
 
 		nodes[2].kill()
 		successor := n.start(3, 500, func(o *Options) { o.VMList = list; o.Seeds = nil })
@@ -235,40 +237,40 @@
 	})
 }
 
-// One VM can't reach another, though all else works. Without help from others
-// the one would accuse the other again and again, and each accusation takes a
-// healthy backend server out of use for a moment. Cause: an asymmetric cut.
+// Guards against repeated suspicion of a healthy backend server that one VM cannot
+// reach while all others can; each suspicion takes it out of use for a moment.
+// Indirect probes must prevent it.
 func TestAsymmetricCut(t *testing.T) {
-	inBubble(t, func(g *gomega.WithT, n *network) {
+	inVirtualTime(t, func(g *gomega.WithT, n *network) {
 		nodes := n.startAll(8)
 		n.cut(nodes[1], nodes[4], true)
 		time.Sleep(2 * time.Minute)
-		g.Expect(nodes[4].seen(eventSelfAccused)).To(gomega.BeZero())
+		g.Expect(nodes[4].countEvents(eventSelfAccused)).To(gomega.BeZero())
 		g.Expect(holds(nodes, nodes[4], StateAlive)).To(gomega.BeTrue())
 	})
 }
 
-// A router waits for a slow probe of a sidecar while answers of that sidecar
-// keep coming in on other connections. It must not treat it as suspect.
+// Guards against a router that treats a sidecar as suspect because of failed
+// probes while responses of that sidecar still arrive on other connections.
 func TestLiveAnswerClearsSuspicion(t *testing.T) {
-	inBubble(t, func(g *gomega.WithT, n *network) {
+	inVirtualTime(t, func(g *gomega.WithT, n *network) {
 		nodes := n.startAll(3)
 		for _, other := range []int{0, 2} {
 			n.cut(nodes[other], nodes[1], true)
 			n.cut(nodes[1], nodes[other], true)
 		}
 		n.within(10*time.Second, "suspect", func() bool {
-			return holds(nodes[:1], nodes[1], StateSuspect) || holds(nodes[:1], nodes[1], StateAlive) && nodes[0].seen(eventSuspect) > 0
+			return holds(nodes[:1], nodes[1], StateSuspect) || holds(nodes[:1], nodes[1], StateAlive) && nodes[0].countEvents(eventSuspect) > 0
 		})
 		nodes[0].Observe(Member{ID: "m2", Role: types.RoleSidecar, Address: address(2), Incarnation: 2, State: StateAlive})
 		n.within(100*time.Millisecond, "cleared", func() bool { return holds(nodes[:1], nodes[1], StateAlive) })
 	})
 }
 
-// An operator's text is accepted by one router. Every process has to hear that
-// there is a later revision within seconds, and where to get it.
+// A configuration accepted by one router must be announced to every process within
+// seconds, with the address to fetch it from.
 func TestRevisionSpreads(t *testing.T) {
-	inBubble(t, func(g *gomega.WithT, n *network) {
+	inVirtualTime(t, func(g *gomega.WithT, n *network) {
 		const size = 24
 		var revisions [size]atomic.Uint64
 		i := 0
@@ -293,15 +295,15 @@
 	})
 }
 
-// A VM restarts with its clock set back: its new run has a lower incarnation
-// than the one that the others know, so they go on talking to the old run. The
-// operator has to be told, since nothing here can mend a clock.
+// Guards against an unnoticed restart with the clock set back: the new incarnation
+// is lower than the known one, so the others keep addressing the old run. The
+// operator has to be told, since only the clock can be corrected.
 func TestIncarnationBehind(t *testing.T) {
-	inBubble(t, func(g *gomega.WithT, n *network) {
+	inVirtualTime(t, func(g *gomega.WithT, n *network) {
 		nodes := n.startAll(4)
 		nodes[3].kill()
 		restarted := n.start(4, 2)
-		n.within(5*time.Second, "told", func() bool { return restarted.seen(eventIncarnationBehind) == 1 })
+		n.within(5*time.Second, "event reported", func() bool { return restarted.countEvents(eventIncarnationBehind) == 1 })
 	})
 }
 
@@ -311,9 +313,9 @@
 	g.Expect(err).To(gomega.MatchError(ErrBadOptions))
 }
 
-// A process that is stopped while it is alone must not wait for anybody.
+// A process without other members must shut down without waiting.
 func TestLeaveAlone(t *testing.T) {
-	inBubble(t, func(g *gomega.WithT, n *network) {
+	inVirtualTime(t, func(g *gomega.WithT, n *network) {
 		nd := n.start(1, 1)
 		ctx, cancel := context.WithTimeout(n.t.Context(), time.Second)
 		defer cancel()
--- a/membership/metrics.go
+++ b/membership/metrics.go
@@ -9,36 +9,36 @@
 const metricsPrefix = "pearyard_membership_"
 
 type metrics struct {
-	members     *prometheus.GaugeVec
-	pending     prometheus.Gauge
-	cutOff      prometheus.Gauge
-	probes      *prometheus.CounterVec
-	transitions *prometheus.CounterVec
-	records     *prometheus.CounterVec
-	syncs       *prometheus.CounterVec
-	accused     prometheus.Counter
-	frozen      prometheus.Counter
+	members       *prometheus.GaugeVec
+	pending       prometheus.Gauge
+	cutOff        prometheus.Gauge
+	probes        *prometheus.CounterVec
+	transitions   *prometheus.CounterVec
+	records       *prometheus.CounterVec
+	syncs         *prometheus.CounterVec
+	selfSuspected prometheus.Counter
+	frozen        prometheus.Counter
 }
 
 func newMetrics(reg prometheus.Registerer) *metrics {
 	m := &metrics{
-		members:     gauges("members", "Known members by role and state.", "role", "state"),
-		pending:     gauge("pending_changes", "Changes still being passed on."),
-		cutOff:      gauge("cut_off", "1 while this process reaches less than half of the members."),
-		probes:      counters("probes_total", "Probes sent by kind and result.", "kind", "result"),
-		transitions: counters("transitions_total", "Changes of other members by the state reached.", "state"),
-		records:     counters("records_total", "Records on the wire by direction.", "direction"),
-		syncs:       counters("syncs_total", "Comparisons of whole lists by result.", "result"),
-		accused:     counter("self_accused_total", "Times this process was held suspect or dead."),
-		frozen:      counter("frozen_total", "Times this process found that it hadn't run."),
+		members:       gauges("members", "Known members by role and state.", "role", "state"),
+		pending:       gauge("pending_changes", "Changes still being passed on."),
+		cutOff:        gauge("cut_off", "1 while this process reaches less than half of the members."),
+		probes:        counters("probes_total", "Probes sent by kind and result.", "kind", "result"),
+		transitions:   counters("transitions_total", "Changes of other members by the state reached.", "state"),
+		records:       counters("records_total", "Records on the wire by direction.", "direction"),
+		syncs:         counters("syncs_total", "Comparisons of whole lists by result.", "result"),
+		selfSuspected: counter("self_accused_total", "Times this process was held suspect or dead."),
+		frozen:        counter("frozen_total", "Times this process found that it hadn't run."),
 	}
 	if reg != nil {
-		reg.MustRegister(m.members, m.pending, m.cutOff, m.probes, m.transitions, m.records, m.syncs, m.accused, m.frozen)
+		reg.MustRegister(m.members, m.pending, m.cutOff, m.probes, m.transitions, m.records, m.syncs, m.selfSuspected, m.frozen)
 	}
 	return m
 }
 
-func (m *metrics) show(v *View, pending int) {
+func (m *metrics) setMembers(v *View, pending int) {
 	counts := map[types.Role]map[State]int{types.RoleRouter: {}, types.RoleSidecar: {}}
 	for i := range v.Members {
 		if byState, ok := counts[v.Members[i].Role]; ok {
--- a/membership/network_test.go
+++ b/membership/network_test.go
@@ -20,17 +20,17 @@
 
 const linkDelay = time.Millisecond // one way
 
-// network joins members in memory; all waiting in it is in virtual time.
+// network connects members in memory; all waiting is in virtual time.
 type network struct {
 	t     *testing.T
 	mu    sync.Mutex
 	nodes map[string]*node // by address
 	cuts  map[[2]string]bool
 	calls int
-	syncs map[string]map[string]bool // whom an address has compared its list with
+	syncs map[string]map[string]bool // addresses with which each address has compared its list
 }
 
-// node is one run of a member.
+// node is one incarnation of a member.
 type node struct {
 	*Membership
 	net    *network
@@ -49,7 +49,7 @@
 
 func address(i int) string { return fmt.Sprintf("10.0.0.%d:7000", i) }
 
-// start runs member i; its seeds are members 1 and 2. adapt changes options.
+// start runs member i with members 1 and 2 as seeds. adapt changes the options.
 func (n *network) start(i int, inc types.Incarnation, adapt ...func(*Options)) *node {
 	n.t.Helper()
 	nd := &node{net: n, addr: address(i), done: make(chan struct{}), events: event.Discard()}
@@ -66,7 +66,7 @@
 	if err != nil {
 		n.t.Fatal(err)
 	}
-	m.stall = nd.waitThawed
+	m.freezeHook = nd.waitThawed
 	nd.Membership = m
 	ctx, cancel := context.WithCancel(n.t.Context())
 	nd.cancel = cancel
@@ -80,14 +80,14 @@
 	return nd
 }
 
-// startAll runs members 1 to count and waits until all know all.
+// startAll runs members 1 to count and waits until all know each other.
 func (n *network) startAll(count int, adapt ...func(*Options)) []*node {
 	n.t.Helper()
 	nodes := make([]*node, count)
 	for i := range nodes {
 		nodes[i] = n.start(i+1, types.Incarnation(i+1), adapt...)
 	}
-	n.within(20*time.Second, "all know all", func() bool {
+	n.within(20*time.Second, "all members know each other", func() bool {
 		for _, nd := range nodes {
 			if len(nd.Snapshot().Alive(types.RoleSidecar)) != count {
 				return false
@@ -98,7 +98,7 @@
 	return nodes
 }
 
-// stop ends all members.
+// stop stops all members.
 func (n *network) stop() {
 	for _, nd := range n.nodes {
 		if nd.frozen != nil {
@@ -107,7 +107,7 @@
 		nd.cancel()
 		<-nd.done
 	}
-	time.Sleep(time.Second) // for answers under way: a bubble's clock stops with its story
+	time.Sleep(time.Second) // let pending responses finish: the virtual clock stops with the scenario
 }
 
 // within waits in virtual time until cond holds and returns how long it took.
@@ -116,7 +116,7 @@
 	begin := time.Now()
 	for !cond() {
 		if time.Since(begin) > bound {
-			n.t.Fatalf("%s: not within %s", what, bound)
+			n.t.Fatalf("%s: did not happen within %s", what, bound)
 		}
 		time.Sleep(20 * time.Millisecond)
 		synctest.Wait()
@@ -124,7 +124,8 @@
 	return time.Since(begin)
 }
 
-// cut stops what from sends to to; the other direction is another cut.
+// cut blocks (or unblocks) messages from one node to another, in this direction
+// only.
 func (n *network) cut(from, to *node, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -153,7 +154,7 @@
 	return n.calls
 }
 
-func (n *network) noteSync(from string, r *http.Request) {
+func (n *network) recordSync(from string, r *http.Request) {
 	if !strings.HasSuffix(r.URL.Path, "/Sync") {
 		return
 	}
@@ -165,14 +166,15 @@
 	n.syncs[from][r.URL.Host] = true
 }
 
-// synced returns with how many processes an address has compared its list.
-func (n *network) synced(from string) int {
+// synced returns the number of processes with which an address has compared its
+// list.
+func (n *network) syncPeers(from string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.syncs[from])
 }
 
-// kill ends a member without a word; its address then swallows calls.
+// kill stops a member without notice; its address then drops calls.
 func (nd *node) kill() {
 	nd.net.mu.Lock()
 	delete(nd.net.nodes, nd.addr)
@@ -206,7 +208,7 @@
 // Do implements HTTPClient.
 func (nd *node) Do(req *http.Request) (*http.Response, error) {
 	nd.waitThawed()
-	nd.net.noteSync(nd.addr, req)
+	nd.net.recordSync(nd.addr, req)
 	to, cut := nd.net.lookUp(nd.addr, req.URL.Host)
 	if to == nil || cut {
 		<-req.Context().Done()
@@ -231,7 +233,7 @@
 	}
 }
 
-// holds reports whether every node shows the member in that state.
+// holds reports whether every node sees the member in that state.
 func holds(nodes []*node, of *node, state State) bool {
 	for _, nd := range nodes {
 		if nd == of {
@@ -244,8 +246,8 @@
 	return true
 }
 
-// seen reports whether the node recorded an event.
-func (nd *node) seen(kind event.Kind) int {
+// seen returns how often the node recorded an event.
+func (nd *node) countEvents(kind event.Kind) int {
 	count := 0
 	for _, e := range nd.events.Entries("") {
 		if e.ID == kind.ID() {
@@ -255,7 +257,7 @@
 	return count
 }
 
-// vmList is a VM list that can be down.
+// vmList is a VM list that can be made unavailable.
 type vmList struct {
 	mu   sync.Mutex
 	vms  []backing.VM
--- a/membership/options.go
+++ b/membership/options.go
@@ -15,17 +15,20 @@
 
 // Defaults of Options.
 const (
-	// DefaultPeriod is the time between two probes by one member.
+	// DefaultPeriod is the time between two probe rounds of one member.
 	DefaultPeriod = time.Second
-	// DefaultProbeTimeout bounds a direct probe; an indirect one gets twice that.
+	// DefaultProbeTimeout is the timeout of a direct probe; an indirect one gets
+	// twice that.
 	DefaultProbeTimeout = 300 * time.Millisecond
-	// DefaultSuspectTimeout is how long a suspect may take to refute.
+	// DefaultSuspectTimeout is how long a suspect member has to refute the
+	// suspicion.
 	DefaultSuspectTimeout = 2 * time.Second
 	// DefaultVMListLag is how far the platform's VM list may lag.
 	DefaultVMListLag = 30 * time.Second
 )
 
-// HTTPClient sends the calls to other members; package peer's client stamps them.
+// HTTPClient sends the calls to other members; package peer's client adds its
+// headers to them.
 type HTTPClient interface {
 	Do(req *http.Request) (*http.Response, error)
 }
@@ -33,7 +36,7 @@
 // Options configures a Membership. Self, HTTPClient and Recorder are required.
 type Options struct {
 	Self       Member         // this process; State is ignored, Revision comes from Revision
-	Seeds      []string       // addresses (IP:port) from the settings; own address is skipped
+	Seeds      []string       // addresses (IP:port) from the settings; the own address is skipped
 	VMList     backing.VMList // nil: none
 	HTTPClient HTTPClient
 	Recorder   *event.Recorder
@@ -44,28 +47,29 @@
 	SuspectTimeout time.Duration // 0: DefaultSuspectTimeout
 	VMListLag      time.Duration // 0: DefaultVMListLag
 
-	// VMPorts are the ports tried at an address of the VM list that has none;
-	// empty: the port of Self.Address.
+	// VMPorts are the ports to try at a VM list address that has none; if empty,
+	// the port of Self.Address.
 	VMPorts []string
 
-	// Revision returns the revision that this process has in force; nil: 0.
+	// Revision returns the configuration revision that this process has in force;
+	// nil: 0.
 	Revision func() types.Revision
-	// OnRevision is called when a member shows a higher revision than
-	// Revision's. It must not block; it may be called often for one revision
-	// and from several goroutines.
+	// OnRevision is called when a member reports a later revision than Revision
+	// returns. It must not block. It may be called repeatedly for one revision and
+	// from several goroutines.
 	OnRevision func(addr string, rev types.Revision)
 }
 
-// ErrBadOptions reports options that a Membership can't run with.
-var ErrBadOptions = errors.New("membership: bad options")
+// ErrBadOptions reports invalid options.
+var ErrBadOptions = errors.New("membership: invalid options")
 
 func (o *Options) complete() error {
 	if o.Self.ID == "" || o.Self.Incarnation == 0 {
-		return errors.Wrap(ErrBadOptions, "self needs an id and an incarnation")
+		return errors.Wrap(ErrBadOptions, "Self needs an ID and an incarnation")
 	}
 	_, port, err := net.SplitHostPort(o.Self.Address)
 	if err != nil {
-		return errors.Wrapf(ErrBadOptions, "address of self: %v", err)
+		return errors.Wrapf(ErrBadOptions, "Self.Address: %v", err)
 	}
 	if o.HTTPClient == nil || o.Recorder == nil {
 		return errors.Wrap(ErrBadOptions, "HTTPClient and Recorder are required")
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -14,25 +14,28 @@
 )
 
 const (
-	// maxUpdates bounds the changes in one message to about a packet.
+	// maxUpdates limits the changes in one message to about one packet.
 	maxUpdates = 12
-	// indirectProbes is how many members are asked to probe a silent one.
+	// indirectProbes is the number of members asked to probe one that does not
+	// answer.
 	indirectProbes = 3
-	// successorRounds: each so many-th probe goes to the successor.
+	// successorRounds: one in this many probe rounds goes to the successor.
 	successorRounds = 2
-	// maxReprobes bounds the suspects that are probed again each period.
+	// maxReprobes limits the suspects that are probed again in each period.
 	maxReprobes = 2
-	// indirectTimeoutFactor times ProbeTimeout bounds an indirect probe.
+	// indirectTimeoutFactor times ProbeTimeout is the timeout of an indirect
+	// probe.
 	indirectTimeoutFactor = 2
 )
 
-// client returns a client for one address.
+// client returns a client for the member at addr.
 func (m *Membership) client(addr string) memberpb.Members {
 	return memberpb.NewMembersProtobufClient("http://"+addr, m.opts.HTTPClient)
 }
 
-// slim leaves the User-Agent line out of every request: some 30 bytes each.
-func slim(ctx context.Context) context.Context {
+// omitUserAgent removes the User-Agent header from requests, which saves some 30
+// bytes each.
+func omitUserAgent(ctx context.Context) context.Context {
 	out, err := twirp.WithHTTPRequestHeaders(ctx, http.Header{"User-Agent": {""}})
 	if err != nil {
 		return ctx
@@ -40,34 +43,35 @@
 	return out
 }
 
-// probeRound probes the next member of the round robin and the suspects that
-// this process accused: a suspect that answers learns of it and refutes.
+// probeRound probes the next member of the round robin and the suspects that this
+// process has suspected itself: a suspect that answers learns of the suspicion and
+// refutes it.
 func (m *Membership) probeRound(ctx context.Context) {
-	target, epoch, again, ok := m.drawTargets()
+	target, epoch, suspects, ok := m.probeTargets()
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		m.tell(ctx, again)
+		m.notify(ctx, suspects)
 	}()
 	defer func() { <-done }()
 	if !ok {
 		return
 	}
 	if m.probe(ctx, target) {
-		m.noteOutcome(target, epoch, false)
+		m.recordOutcome(target, epoch, false)
 		return
 	}
-	self := make(chan bool, 1)
-	go func() { self <- target.Condition != conditionAlive || m.checkSelf(ctx, target, epoch) }()
+	healthy := make(chan bool, 1)
+	go func() { healthy <- target.Condition != conditionAlive || m.checkSelf(ctx, target, epoch) }()
 	answered := m.probeIndirect(ctx, target)
-	m.noteOutcome(target, epoch, !answered)
-	if sound := <-self; sound && !answered {
-		m.accuse(target, epoch)
+	m.recordOutcome(target, epoch, !answered)
+	if healthyNow := <-healthy; healthyNow && !answered {
+		m.suspect(target, epoch)
 	}
 }
 
-// checkSelf probes a few other members, to learn whether the fault is here,
-// and reports whether nearly all of them answered.
+// checkSelf probes a few other members to find out whether the fault is on this
+// side. It reports whether nearly all of them answered.
 func (m *Membership) checkSelf(ctx context.Context, target record, epoch int) bool {
 	var wg sync.WaitGroup
 	var failures atomic.Int32
@@ -75,7 +79,7 @@
 	for _, other := range others {
 		wg.Go(func() {
 			answered := m.probe(ctx, other)
-			m.noteOutcome(other, epoch, !answered)
+			m.recordOutcome(other, epoch, !answered)
 			if !answered {
 				failures.Add(1)
 			}
@@ -89,7 +93,7 @@
 	return int(failures.Load()) <= allowed
 }
 
-func (m *Membership) drawTargets() (target record, epoch int, again []record, ok bool) {
+func (m *Membership) probeTargets() (target record, epoch int, suspects []record, ok bool) {
 	m.lock()
 	defer m.unlock()
 	id, ok := m.nextTarget()
@@ -97,17 +101,16 @@
 		target = m.table.entries[id].record
 	}
 	for _, e := range m.table.entries {
-		if e.Condition == conditionSuspect && e.raised && e.ID != id && len(again) < maxReprobes {
-			again = append(again, e.record)
+		if e.Condition == conditionSuspect && e.suspectedHere && e.ID != id && len(suspects) < maxReprobes {
+			suspects = append(suspects, e.record)
 		}
 	}
-	return target, m.health.epoch, again, ok
+	return target, m.health.epoch, suspects, ok
 }
 
-// nextTarget alternates between the round robin and the successor on the ring
-// of hashes. With the round robin alone nobody may happen to probe a dead
-// member for k periods, which happens once in e^k times; its predecessor
-// probes it every other period.
+// nextTarget alternates between the round robin and the successor on the hash
+// ring. With the round robin alone, the probability that nobody probes a dead
+// member for k periods is e^-k; its predecessor probes it every other period.
 func (m *Membership) nextTarget() (types.ProcessID, bool) {
 	m.rounds++
 	if m.rounds%successorRounds == 0 {
@@ -115,42 +118,46 @@
 			return id, true
 		}
 	}
-	return m.ring.draw(m.rng, func(id types.ProcessID) bool {
+	return m.ring.next(m.rng, func(id types.ProcessID) bool {
 		e := m.table.entries[id]
 		return e != nil && e.Condition != conditionDead
 	})
 }
 
-// noteOutcome counts a probe for the judgement on this process's own health.
-func (m *Membership) noteOutcome(target record, epoch int, failed bool) {
+// recordOutcome counts a probe result toward this process's own health, if it is
+// valid.
+func (m *Membership) recordOutcome(target record, epoch int, failed bool) {
 	m.lock()
 	defer m.unlock()
-	if m.proves(target, epoch) {
-		m.health.note(failed)
+	if m.isValid(target, epoch) {
+		m.health.record(failed)
 	}
 }
 
-// proves reports whether a probe of target begun in epoch says anything: not
-// if this process was frozen meanwhile, nor if the run probed is no more.
-func (m *Membership) proves(target record, epoch int) bool {
+// isValid reports whether a result of probing target, begun in epoch, can be used.
+// It cannot if this process was frozen meanwhile or if the probed incarnation is
+// no longer current.
+func (m *Membership) isValid(target record, epoch int) bool {
 	e := m.table.entries[target.ID]
 	return e != nil && e.Incarnation == target.Incarnation && epoch == m.health.epoch &&
-		time.Since(m.health.lastTick) <= m.freezeBound()
+		time.Since(m.health.lastTick) <= m.freezeThreshold()
 }
 
-// accuse makes a member that didn't answer a suspect, unless the fault may be here.
-func (m *Membership) accuse(target record, epoch int) {
+// suspect makes a member that did not answer a suspect, unless the fault may be on
+// this side.
+func (m *Membership) suspect(target record, epoch int) {
 	m.lock()
 	defer m.unlock()
 	now := time.Now()
-	if m.proves(target, epoch) && m.health.sound() && m.table.majority(now) {
+	if m.isValid(target, epoch) && m.health.reliable() && m.table.majority(now) {
 		m.table.suspect(now, target.ID, target.Incarnation)
 	}
 }
 
-// probe asks a member directly. It reports whether this very run answered.
+// probe sends a direct probe and reports whether the very incarnation of target
+// answered.
 func (m *Membership) probe(ctx context.Context, target record) bool {
-	ctx, cancel := context.WithTimeout(slim(ctx), m.opts.ProbeTimeout)
+	ctx, cancel := context.WithTimeout(omitUserAgent(ctx), m.opts.ProbeTimeout)
 	defer cancel()
 	req := m.probeRequest(target.ID)
 	resp, err := m.client(target.Address).Probe(ctx, req)
@@ -170,7 +177,7 @@
 func (m *Membership) probeRequest(to types.ProcessID) *memberpb.ProbeRequest {
 	m.lock()
 	defer m.unlock()
-	return &memberpb.ProbeRequest{From: m.from(), Updates: m.encodeUpdates(m.table.updates(to, 0, nil))}
+	return &memberpb.ProbeRequest{From: m.ownRecord(), Updates: m.encodeUpdates(m.table.updates(to, 0, nil))}
 }
 
 func (m *Membership) encodeUpdates(records []record) []*memberpb.Record {
@@ -182,8 +189,8 @@
 	return out
 }
 
-// receive merges the head and changes of a message. The head is direct
-// evidence of its sender's life.
+// receive merges the records of a message. The sender's own record, from, is
+// direct evidence that it is alive.
 func (m *Membership) receive(from *memberpb.Record, updates []*memberpb.Record) {
 	now := time.Now()
 	sender := decode(from)
@@ -194,27 +201,27 @@
 
 func (m *Membership) receiveLocked(now time.Time, sender record, updates []*memberpb.Record) {
 	m.table.apply(now, sender)
-	m.table.hear(now, sender.ID, sender.Incarnation)
+	m.table.recordContact(now, sender.ID, sender.Incarnation)
 	limit := retransmitLimit(len(m.table.entries))
 	for _, u := range updates {
-		if news := m.table.apply(now, decode(u)); !news {
-			m.table.queue.known(types.ProcessID(u.GetId()), limit)
+		if changed := m.table.apply(now, decode(u)); !changed {
+			m.table.queue.recordDuplicate(types.ProcessID(u.GetId()), limit)
 		}
 	}
 	m.metrics.records.WithLabelValues("received").Add(float64(len(updates)))
-	m.noteRevision(sender.Address, sender.Revision)
+	m.checkNewerRevision(sender.Address, sender.Revision)
 }
 
-// probeIndirect asks a few members to probe a target that didn't answer here,
-// and reports whether it answered one of them: then the network between the
-// two is at fault, not the target.
+// probeIndirect asks a few members to probe a target that did not answer this
+// process. It reports whether the target answered one of them: in that case the
+// network path is at fault, not the target.
 func (m *Membership) probeIndirect(ctx context.Context, target record) bool {
 	helpers := m.pickAlive(indirectProbes, target.ID)
-	ctx, cancel := context.WithTimeout(slim(ctx), indirectTimeoutFactor*m.opts.ProbeTimeout)
+	ctx, cancel := context.WithTimeout(omitUserAgent(ctx), indirectTimeoutFactor*m.opts.ProbeTimeout)
 	defer cancel()
 	reached := make(chan bool, len(helpers))
 	for _, helper := range helpers {
-		go func() { reached <- m.askHelper(ctx, helper, target) }()
+		go func() { reached <- m.probeThrough(ctx, helper, target) }()
 	}
 	for range helpers {
 		if <-reached {
@@ -226,7 +233,7 @@
 	return false
 }
 
-func (m *Membership) askHelper(ctx context.Context, helper, target record) bool {
+func (m *Membership) probeThrough(ctx context.Context, helper, target record) bool {
 	resp, err := m.client(helper.Address).ProbeIndirect(ctx, m.indirectRequest(target))
 	if err != nil {
 		return false
@@ -242,23 +249,25 @@
 func (m *Membership) indirectRequest(target record) *memberpb.ProbeIndirectRequest {
 	m.lock()
 	defer m.unlock()
-	return &memberpb.ProbeIndirectRequest{From: m.from(), Target: encode(target)}
+	return &memberpb.ProbeIndirectRequest{From: m.ownRecord(), Target: encode(target)}
 }
 
-// tell probes members at once only to bring news, and reports whether any answered.
-func (m *Membership) tell(ctx context.Context, targets []record) bool {
+// notify probes targets all at once, only to deliver changes, and reports whether
+// any of them answered.
+func (m *Membership) notify(ctx context.Context, targets []record) bool {
 	answers := make(chan bool, len(targets))
 	for _, target := range targets {
 		go func() { answers <- m.probe(ctx, target) }()
 	}
-	any := false
+	answered := false
 	for range targets {
-		any = <-answers || any
+		answered = <-answers || answered
 	}
-	return any
+	return answered
 }
 
-// pickAlive draws up to n members held alive, other than this and except.
+// pickAlive returns up to n random members in conditionAlive, other than this
+// process and except.
 func (m *Membership) pickAlive(n int, except types.ProcessID) []record {
 	m.lock()
 	defer m.unlock()
--- a/membership/queue.go
+++ b/membership/queue.go
@@ -8,21 +8,21 @@
 )
 
 const (
-	// retransmitFactor allows for sends to the ring's predecessor, which are
-	// the same member's each time, and for those that get lost.
+	// retransmitFactor compensates for sends to the predecessor on the hash ring,
+	// which go to the same member each time, and for lost ones.
 	retransmitFactor = 1.5
-	// retransmitMargin: after ln(n)+m sends to random members each, e^-m of all
-	// members are expected to have missed a change. They learn of it only from
-	// the next comparison of lists, up to a minute later.
+	// retransmitMargin: after ln(n)+m sends of each member to random members, a
+	// share of e^-m of all members is expected to have missed a change. These
+	// learn of it only from the next list comparison, up to a minute later.
 	retransmitMargin = 5
 )
 
-// retransmitLimit is how often a change is sent among n members.
+// retransmitLimit returns how often each member sends a change among n members.
 func retransmitLimit(n int) int {
 	return int(math.Ceil(retransmitFactor * (math.Log(float64(n+1)) + retransmitMargin)))
 }
 
-// queue holds the members whose latest change still has to be passed on.
+// queue holds the members whose latest change still has to be sent to others.
 type queue struct {
 	pending map[types.ProcessID]*pendingChange
 	serial  uint64
@@ -36,23 +36,24 @@
 
 func newQueue() *queue { return &queue{pending: map[types.ProcessID]*pendingChange{}} }
 
-// add queues a member's change; an older change of the member is superseded.
+// add queues a member's change; it supersedes an older change of the same member.
 func (q *queue) add(id types.ProcessID) {
 	q.serial++
 	q.pending[id] = &pendingChange{id: id, serial: q.serial}
 }
 
-// backlog is from how many pending changes on repeats count as sends.
-const backlog = 4 * maxUpdates
+// backlog is the number of pending changes from which on received duplicates count
+// as sends.
+const backlogSize = 4 * maxUpdates
 
-// known counts a change that another member has just sent here, though it was
-// known here already: the more often that happens, the fewer lack it. It counts
-// only while there is a backlog, after a mass start, whose time it halves; a
-// single change must not be given up early, since the few that miss it then
-// learn of it only by the next comparison of lists.
-func (q *queue) known(id types.ProcessID, limit int) {
+// recordDuplicate counts a change that was received although it was already known
+// here: the more often that happens, the fewer members lack it. Duplicates count
+// only while there is a backlog, as after a mass start, and halve the time it
+// lasts. A single change must not be dropped early, since the few members that
+// miss it learn of it only from the next list comparison.
+func (q *queue) recordDuplicate(id types.ProcessID, limit int) {
 	p := q.pending[id]
-	if p == nil || len(q.pending) < backlog {
+	if p == nil || len(q.pending) < backlogSize {
 		return
 	}
 	p.sends++
@@ -63,30 +64,31 @@
 
 func (q *queue) remove(id types.ProcessID) { delete(q.pending, id) }
 
-// uncounted, as a limit, keeps sends from being counted.
+// uncounted as a limit means that sends are not counted.
 const uncounted = 0
 
-// take picks at most count changes, those sent least often first and of these
-// the newest, and drops the ones that reach limit sends. skip excludes some.
+// take returns at most count changes, those sent least often first and the newest
+// first among these, and drops the ones that reach limit sends. Changes for which
+// skip returns true are left out.
 func (q *queue) take(count, limit int, skip func(types.ProcessID) bool) []types.ProcessID {
 	if len(q.pending) == 0 {
 		return nil
 	}
-	order := make([]*pendingChange, 0, len(q.pending))
+	candidates := make([]*pendingChange, 0, len(q.pending))
 	for _, p := range q.pending {
 		if !skip(p.id) {
-			order = append(order, p)
+			candidates = append(candidates, p)
 		}
 	}
-	sort.Slice(order, func(i, j int) bool {
-		if order[i].sends != order[j].sends {
-			return order[i].sends < order[j].sends
+	sort.Slice(candidates, func(i, j int) bool {
+		if candidates[i].sends != candidates[j].sends {
+			return candidates[i].sends < candidates[j].sends
 		}
-		return order[i].serial > order[j].serial
+		return candidates[i].serial > candidates[j].serial
 	})
-	order = order[:min(count, len(order))]
-	ids := make([]types.ProcessID, len(order))
-	for i, p := range order {
+	candidates = candidates[:min(count, len(candidates))]
+	ids := make([]types.ProcessID, len(candidates))
+	for i, p := range candidates {
 		ids[i] = p.id
 		if limit == uncounted {
 			continue
--- a/membership/record.go
+++ b/membership/record.go
@@ -4,7 +4,8 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// condition is what probing says of a member; later ones win at equal counters.
+// condition is the result of probing a member; at equal counters the higher one
+// wins.
 type condition uint8
 
 const (
@@ -13,27 +14,27 @@
 	conditionDead
 )
 
-// record is one statement about one run of one member. Two records of a member
-// merge to the same result in any order and any number of times, so news may
-// arrive late, twice and on several paths.
+// record is one statement about one incarnation of a member. Merging records of a
+// member gives the same result in any order and any number of times, so they may
+// arrive late, repeatedly and on several paths.
 type record struct {
 	ID            types.ProcessID
 	Role          types.Role
 	Address       string
 	Zone          types.Zone
 	BackendServer string
-	Incarnation   types.Incarnation // run of the process: a later run replaces all that was known
-	Counter       uint32            // raised by the member itself to refute a suspicion
+	Incarnation   types.Incarnation // a later incarnation replaces all that was known
+	Counter       uint32            // incremented by the member itself to refute a suspicion
 	Condition     condition
 	Leaving       bool
 	Revision      types.Revision
 }
 
-// merge joins two records of one member. The later incarnation wins whole.
-// Within one incarnation, leaving stays once set: a refutation that was under
-// way when the member began to leave would otherwise bring it back and give it
-// new work. Suspicion and death yield only to a higher counter, which the
-// member alone can raise.
+// merge combines two records of one member. The record of the later incarnation
+// wins as a whole. Within one incarnation, leaving stays once set: otherwise a
+// refutation that was under way when the member began to leave would bring it back
+// and give it new work. Suspicion and death are overridden only by a higher
+// counter, which only the member itself can set.
 func merge(a, b record) record {
 	if a.Incarnation != b.Incarnation {
 		if a.Incarnation > b.Incarnation {
@@ -54,7 +55,7 @@
 	return out
 }
 
-// newer reports whether a says more about the member's condition than b.
+// newer reports whether a's condition takes precedence over b's.
 func newer(a, b record) bool {
 	if a.Counter != b.Counter {
 		return a.Counter > b.Counter
@@ -62,7 +63,8 @@
 	return a.Condition > b.Condition
 }
 
-// later orders two members that claim one address.
+// later reports whether a takes precedence over b where two members claim one
+// address.
 func later(a, b record) bool {
 	if a.Incarnation != b.Incarnation {
 		return a.Incarnation > b.Incarnation
@@ -70,23 +72,23 @@
 	return a.ID > b.ID
 }
 
-// covers reports whether a holder of known learns nothing from news.
-func covers(known, news record) bool {
-	if known.Incarnation != news.Incarnation {
-		return known.Incarnation > news.Incarnation
+// covers reports whether a process that holds known learns nothing from update.
+func covers(known, update record) bool {
+	if known.Incarnation != update.Incarnation {
+		return known.Incarnation > update.Incarnation
 	}
-	return !newer(news, known) && (known.Leaving || !news.Leaving)
+	return !newer(update, known) && (known.Leaving || !update.Leaving)
 }
 
-// sameNews reports whether two records differ in nothing that is worth
-// spreading. A revision alone isn't: it travels in every message, and 2,000
-// members taking a new one would fill the budget with records.
-func sameNews(a, b record) bool {
+// equalExceptRevision reports whether two records differ in nothing that is worth
+// spreading. A changed revision alone is not: it is part of every message, and
+// 2,000 members applying a new one would use up the send budget.
+func equalExceptRevision(a, b record) bool {
 	a.Revision, b.Revision = 0, 0
 	return a == b
 }
 
-// state folds condition and leaving into the public state.
+// state combines condition and leaving into the exported state.
 func (r record) state() State {
 	switch {
 	case r.Condition == conditionDead:
--- a/membership/record_test.go
+++ b/membership/record_test.go
@@ -26,8 +26,8 @@
 	return r
 }
 
-// News arrives late, twice and in any order; all members must end up with the
-// same picture, or some would send work where others know it must not go.
+// Records arrive late, repeatedly and in any order; all members must converge to
+// the same state, or some would send work where others know it must not go.
 func TestMergeIsASemilattice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := drawRecord(t, "a"), drawRecord(t, "b"), drawRecord(t, "c")
@@ -40,14 +40,14 @@
 		if merge(a, a) != a || merge(merge(a, b), b) != merge(a, b) {
 			t.Fatalf("not idempotent")
 		}
-		if covers(a, b) && !sameNews(short(merge(a, b)), short(a)) {
-			t.Fatalf("covers says that %+v teaches nothing to %+v", b, a)
+		if covers(a, b) && !equalExceptRevision(short(merge(a, b)), short(a)) {
+			t.Fatalf("covers reports that %+v adds nothing to %+v, but merging changes it", b, a)
 		}
 		if got := decode(encode(a)); got != a {
-			t.Fatalf("wire changed %+v to %+v", a, got)
+			t.Fatalf("encoding and decoding changed %+v to %+v", a, got)
 		}
 	})
 }
 
-// short drops what covers doesn't look at.
+// short drops the fields that covers doesn't compare.
 func short(r record) record { return decode(encodeShort(r)) }
--- a/membership/report.go
+++ b/membership/report.go
@@ -4,38 +4,38 @@
 	"github.com/pearyard/pearyard/event"
 )
 
-// report is an event to emit once the lock is released.
-type report struct {
+// pendingEvent is an event to emit after the lock is released.
+type pendingEvent struct {
 	kind   event.Kind
 	fields []any
 }
 
-func (m *Membership) takeReports() []report {
-	var out []report
+func (m *Membership) takeEvents() []pendingEvent {
+	var out []pendingEvent
 	for _, t := range m.table.transitions {
-		out = append(out, m.reportOf(t)...)
+		out = append(out, m.eventsOf(t)...)
 	}
 	m.table.transitions = nil
-	if m.table.behind > m.behind {
-		m.behind = m.table.behind
-		out = append(out, report{eventIncarnationBehind, []any{
-			"own", uint64(m.opts.Self.Incarnation), "known", uint64(m.behind)}})
+	if m.table.laterSelf > m.laterSelf {
+		m.laterSelf = m.table.laterSelf
+		out = append(out, pendingEvent{eventIncarnationBehind, []any{
+			"own", uint64(m.opts.Self.Incarnation), "known", uint64(m.laterSelf)}})
 	}
 	return out
 }
 
-func (m *Membership) reportOf(t transition) []report {
-	m.noteInRing(t)
-	var out []report
+func (m *Membership) eventsOf(t transition) []pendingEvent {
+	m.updateRing(t)
+	var out []pendingEvent
 	add := func(kind event.Kind, keyvals ...any) {
 		base := []any{"member", t.ID, "address", t.Address, "zone", t.Zone, "incarnation", uint64(t.Incarnation)}
-		out = append(out, report{kind, append(base, keyvals...)})
+		out = append(out, pendingEvent{kind, append(base, keyvals...)})
 	}
-	if t.took != "" {
-		add(eventReplaced, "replaced", t.took)
+	if t.replaced != "" {
+		add(eventReplaced, "replaced", t.replaced)
 	}
 	if t.ID == m.table.self {
-		return append(out, m.reportOwn(t)...)
+		return append(out, m.ownEvents(t)...)
 	}
 	m.metrics.transitions.WithLabelValues(string(t.state())).Inc()
 	switch state := t.state(); {
@@ -54,13 +54,13 @@
 	return out
 }
 
-func (m *Membership) reportOwn(t transition) []report {
+func (m *Membership) ownEvents(t transition) []pendingEvent {
 	if t.Leaving && t.old != StateLeaving {
-		return []report{{eventLeaving, []any{"member", t.ID, "self", true}}}
+		return []pendingEvent{{eventLeaving, []any{"member", t.ID, "self", true}}}
 	}
 	if t.Counter > 0 && t.old == t.state() {
-		m.metrics.accused.Inc()
-		return []report{{eventSelfAccused, []any{"member", t.ID, "counter", t.Counter}}}
+		m.metrics.selfSuspected.Inc()
+		return []pendingEvent{{eventSelfAccused, []any{"member", t.ID, "counter", t.Counter}}}
 	}
 	return nil
 }
--- a/membership/ring.go
+++ b/membership/ring.go
@@ -8,14 +8,14 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// probeRing is the shuffled round robin: every member is probed once a pass,
-// so that no dead member is missed for longer than two passes.
+// probeRing is the shuffled round-robin order: each member is probed once per
+// pass, so that a dead member is found within two passes.
 type probeRing struct {
 	ids []types.ProcessID
 	pos int
 }
 
-// insert puts a new member at a random place of the rest of this pass.
+// insert adds a new member at a random position in the rest of the current pass.
 func (r *probeRing) insert(id types.ProcessID, rng *rand.Rand) {
 	if slices.Contains(r.ids, id) {
 		return
@@ -26,8 +26,8 @@
 	r.ids[at], r.ids[last] = r.ids[last], r.ids[at]
 }
 
-// next makes a member the next one to be probed.
-func (r *probeRing) next(id types.ProcessID) {
+// prioritize makes a member the next one to be probed.
+func (r *probeRing) prioritize(id types.ProcessID) {
 	if i := slices.Index(r.ids[r.pos:], id); i >= 0 {
 		r.ids[r.pos], r.ids[r.pos+i] = r.ids[r.pos+i], r.ids[r.pos]
 		return
@@ -35,8 +35,9 @@
 	r.ids = slices.Insert(r.ids, r.pos, id)
 }
 
-// draw returns the next member that keep accepts; others leave the ring.
-func (r *probeRing) draw(rng *rand.Rand, keep func(types.ProcessID) bool) (types.ProcessID, bool) {
+// next returns the next member for which keep returns true; the others are removed
+// from the ring.
+func (r *probeRing) next(rng *rand.Rand, keep func(types.ProcessID) bool) (types.ProcessID, bool) {
 	for range len(r.ids) {
 		if r.pos >= len(r.ids) {
 			r.pos = 0
@@ -52,21 +53,21 @@
 	return "", false
 }
 
-// noteInRing keeps the ring in step: a member that joins or comes back goes in;
-// draw drops those that are dead.
-func (m *Membership) noteInRing(t transition) {
+// updateRing adds a member that has joined or returned to the ring; probeRing.next
+// removes dead ones.
+func (m *Membership) updateRing(t transition) {
 	if t.ID != m.table.self && t.Condition != conditionDead && (t.old == "" || t.old == StateDead) {
 		m.ring.insert(t.ID, m.rng)
 	}
 }
 
-// tokens is a bucket that bounds messages outside the round robin.
-type tokens struct {
+// tokenBucket limits the messages outside the round robin.
+type tokenBucket struct {
 	count    float64
 	refilled time.Time
 }
 
-func (b *tokens) take(now time.Time, rate, size float64) bool {
+func (b *tokenBucket) take(now time.Time, rate, size float64) bool {
 	b.count = min(size, b.count+rate*now.Sub(b.refilled).Seconds())
 	b.refilled = now
 	if b.count < 1 {
--- a/membership/serve.go
+++ b/membership/serve.go
@@ -10,7 +10,7 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// service answers the other members' calls.
+// service handles the calls of other members.
 type service struct{ m *Membership }
 
 // Probe implements memberpb.Members.
@@ -21,14 +21,14 @@
 	m := s.m
 	now := time.Now()
 	sender := decode(req.GetFrom())
-	had := make(map[types.ProcessID]record, len(req.GetUpdates()))
+	received := make(map[types.ProcessID]record, len(req.GetUpdates()))
 	for _, u := range req.GetUpdates() {
-		had[types.ProcessID(u.GetId())] = decode(u)
+		received[types.ProcessID(u.GetId())] = decode(u)
 	}
 	m.lock()
 	defer m.unlock()
 	m.receiveLocked(now, sender, req.GetUpdates())
-	return &memberpb.ProbeResponse{From: m.from(), Updates: m.encodeUpdates(m.table.updates(sender.ID, sender.Incarnation, had))}, nil
+	return &memberpb.ProbeResponse{From: m.ownRecord(), Updates: m.encodeUpdates(m.table.updates(sender.ID, sender.Incarnation, received))}, nil
 }
 
 // ProbeIndirect implements memberpb.Members.
@@ -39,28 +39,29 @@
 	m := s.m
 	m.receive(req.GetFrom(), nil)
 	target := decode(req.GetTarget())
-	if m.knows(target) {
+	if m.isMember(target) {
 		m.probe(ctx, target)
 	}
-	return m.indirectAnswer(target), nil
+	return m.indirectResponse(target), nil
 }
 
-// knows reports whether target is a member at that address: no caller can make
-// this process connect to just any address.
-func (m *Membership) knows(target record) bool {
+// isMember reports whether target is a known member at its address. Callers must
+// not be able to make this process connect to arbitrary addresses.
+func (m *Membership) isMember(target record) bool {
 	m.lock()
 	defer m.unlock()
 	e := m.table.entries[target.ID]
 	return e != nil && e.Address == target.Address
 }
 
-// indirectAnswer carries the target's record if it was heard within this probe.
-func (m *Membership) indirectAnswer(target record) *memberpb.ProbeIndirectResponse {
+// indirectResponse includes the target's record if the target was contacted during
+// this probe.
+func (m *Membership) indirectResponse(target record) *memberpb.ProbeIndirectResponse {
 	m.lock()
 	defer m.unlock()
-	out := &memberpb.ProbeIndirectResponse{From: m.from()}
+	out := &memberpb.ProbeIndirectResponse{From: m.ownRecord()}
 	e := m.table.entries[target.ID]
-	if e != nil && e.Incarnation == target.Incarnation && time.Since(e.heard) <= m.opts.ProbeTimeout {
+	if e != nil && e.Incarnation == target.Incarnation && time.Since(e.lastContact) <= m.opts.ProbeTimeout {
 		out.Target = encode(e.record)
 	}
 	return out
@@ -77,7 +78,7 @@
 	m.lock()
 	defer m.unlock()
 	m.receiveLocked(now, sender, req.GetRecords())
-	out := &memberpb.SyncResponse{From: m.from()}
+	out := &memberpb.SyncResponse{From: m.ownRecord()}
 	if len(req.GetDigests()) == 0 {
 		return out, nil
 	}
--- a/membership/subset.go
+++ b/membership/subset.go
@@ -8,22 +8,22 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// Subset returns the n sidecars among members that router self works with.
-// All routers that see the same members cover every sidecar equally often, up
-// to one. Pass the routers and the sidecars of one pool (one model or service):
-// a subset over all pools could miss a pool.
+// Subset returns the n sidecars among members that the router self works with.
+// Routers that see the same members cover all sidecars evenly, up to a difference
+// of one. Pass the routers and sidecars of one pool (one model or service): a
+// subset over all pools could miss a pool.
 //
-// Sidecars stand on a ring in the order of a hash, which mixes zones; the
-// routers' arcs start at even distances. When a sidecar goes, each arc shifts
-// by at most one place, when a router goes, by at most the distance of two
-// starts. Suspects stay in, so that a suspicion moves nobody.
+// Sidecars are arranged on a ring by hash, which mixes zones; the routers' arcs
+// start at even distances. When a sidecar goes, each arc shifts by at most one
+// position; when a router goes, by at most the distance between two starts.
+// Suspects are included, so that a suspicion moves no arc.
 func Subset(self types.ProcessID, members []Member, n int) []Member {
-	routers := ring(members, types.RoleRouter)
-	sidecars := ring(members, types.RoleSidecar)
+	routers := hashRing(members, types.RoleRouter)
+	sidecars := hashRing(members, types.RoleSidecar)
 	if n >= len(sidecars) {
 		return sidecars
 	}
-	rank := rankOf(self, routers)
+	rank := indexOf(self, routers)
 	if rank < 0 || n <= 0 {
 		return nil
 	}
@@ -35,30 +35,31 @@
 	return out
 }
 
-// ring returns the members of a role that aren't leaving or dead by their hash.
-func ring(members []Member, role types.Role) []Member {
-	type placed struct {
+// hashRing returns the members of a role that are alive or suspect, in the order
+// of their hashes.
+func hashRing(members []Member, role types.Role) []Member {
+	type position struct {
 		at uint64
 		i  int
 	}
-	places := make([]placed, 0, len(members))
+	positions := make([]position, 0, len(members))
 	for i := range members {
 		m := &members[i]
 		if m.Role == role && (m.State == StateAlive || m.State == StateSuspect) {
-			places = append(places, placed{xxhash.Sum64String(string(m.ID)), i})
+			positions = append(positions, position{xxhash.Sum64String(string(m.ID)), i})
 		}
 	}
-	sort.Slice(places, func(a, b int) bool { return places[a].at < places[b].at })
-	out := make([]Member, len(places))
-	for i, p := range places {
+	sort.Slice(positions, func(a, b int) bool { return positions[a].at < positions[b].at })
+	out := make([]Member, len(positions))
+	for i, p := range positions {
 		out[i] = members[p.i]
 	}
 	return out
 }
 
-func rankOf(id types.ProcessID, ring []Member) int {
-	for i := range ring {
-		if ring[i].ID == id {
+func indexOf(id types.ProcessID, members []Member) int {
+	for i := range members {
+		if members[i].ID == id {
 			return i
 		}
 	}
--- a/membership/subset_test.go
+++ b/membership/subset_test.go
@@ -26,7 +26,7 @@
 	return out
 }
 
-// links returns the pairs of router and sidecar that subsets choose.
+// links returns the pairs of router and sidecar that the subsets select.
 func links(site []Member) map[[2]types.ProcessID]bool {
 	out := map[[2]types.ProcessID]bool{}
 	for _, m := range site {
@@ -40,7 +40,7 @@
 	return out
 }
 
-func moved(before, after map[[2]types.ProcessID]bool) int {
+func newLinks(before, after map[[2]types.ProcessID]bool) int {
 	count := 0
 	for link := range after {
 		if !before[link] {
@@ -50,8 +50,9 @@
 	return count
 }
 
-// If routers chose backend servers at random, some would be chosen by 20
-// routers and some by none: the latter idle while callers are refused.
+// Guards against uneven subsets: if routers chose backend servers at random, some
+// would be chosen by 20 routers and some by none, which would idle while requests
+// are refused.
 func TestSubsetsAreEven(t *testing.T) {
 	g := gomega.NewWithT(t)
 	site := targetSite()
@@ -67,17 +68,17 @@
 	}
 	g.Expect(before).To(gomega.HaveLen(targetRouters * targetSubset))
 
-	// A router or sidecar goes: links that are new then.
+	// Count the new links after a router or a sidecar is gone.
 	for _, gone := range []int{77, targetRouters} {
 		site[gone].State = StateDead
-		count := moved(before, links(site))
+		count := newLinks(before, links(site))
 		t.Logf("%s goes: %d of %d links are new", site[gone].ID, count, len(before))
 		g.Expect(count).To(gomega.BeNumerically("<=", len(before)/10))
 		site[gone].State = StateAlive
 	}
 	site[targetRouters].State = StateSuspect
 	for _, s := range Subset("router-5", site, targetSubset) {
-		g.Expect(before).To(gomega.HaveKey([2]types.ProcessID{"router-5", s.ID}), "a suspicion moves nobody")
+		g.Expect(before).To(gomega.HaveKey([2]types.ProcessID{"router-5", s.ID}), "a suspicion must not change subsets")
 	}
 }
 
--- a/membership/suspicion.go
+++ b/membership/suspicion.go
@@ -6,7 +6,7 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// suspect raises a suspicion from this process's own probe.
+// suspect marks a member as suspect because a probe of this process failed.
 func (t *table) suspect(now time.Time, id types.ProcessID, inc types.Incarnation) {
 	e := t.entries[id]
 	if e == nil || e.Incarnation != inc || e.Condition != conditionAlive {
@@ -15,26 +15,26 @@
 	next := e.record
 	next.Condition = conditionSuspect
 	t.put(now, e, next)
-	e.raised = true
+	e.suspectedHere = true
 }
 
-// expire turns suspicions past their deadline into deaths, and forgets old
-// deaths. A member heard of directly since is given another round instead, and
-// all are while this process's own probes prove nothing (sound).
-func (t *table) expire(now time.Time, sound bool) {
+// expire declares suspects dead whose deadline has passed and removes members that
+// have been dead for long. The deadline is extended instead for a member contacted
+// since, and for all while the failed probes of this process are not reliable.
+func (t *table) expire(now time.Time, reliable bool) {
 	for id, e := range t.entries {
 		switch {
 		case e.Condition == conditionSuspect && !now.Before(e.deadline):
-			t.expireSuspect(now, e, sound)
+			t.expireSuspect(now, e, reliable)
 		case e.Condition == conditionDead && now.Sub(e.since) > deadRetention:
 			t.forget(id, e)
 		}
 	}
 }
 
-func (t *table) expireSuspect(now time.Time, e *entry, sound bool) {
-	heard := e.believedAlive() && now.Sub(e.heard) < t.suspectTimeout
-	if !sound || heard || !t.majority(now) {
+func (t *table) expireSuspect(now time.Time, e *entry, reliable bool) {
+	contacted := e.contactedSince() && now.Sub(e.lastContact) < t.suspectTimeout
+	if !reliable || contacted || !t.majority(now) {
 		e.deadline = now.Add(t.suspectTimeout)
 		return
 	}
@@ -52,16 +52,16 @@
 	t.dirty = true
 }
 
-// majority reports whether this process sees more than half of the members
-// alive. It guards against the smaller side of a partition, or one process cut
-// off, declaring everyone else dead: after mending, that news would take the
-// whole site's backend servers out of use until each had refuted it. Without a
-// majority, suspects stay suspects, which stops new work to them just as well.
+// majority reports whether this process sees more than half of the members alive.
+// Without this check, the smaller side of a partition, or a single process that is
+// cut off, would declare all others dead; once the partition heals, that would
+// take the whole site's backend servers out of use until each had refuted it.
+// Without a majority, suspects stay suspects, which also stops new work to them.
 func (t *table) majority(now time.Time) bool {
 	alive, lost := 0, 0
 	for _, e := range t.entries {
 		switch {
-		case e.Condition == conditionAlive || e.believedAlive():
+		case e.Condition == conditionAlive || e.contactedSince():
 			alive++
 		case e.Leaving || e.Condition == conditionDead && now.Sub(e.since) > deathWindow:
 		default:
@@ -71,7 +71,7 @@
 	return alive > lost
 }
 
-// restartSuspicions gives every suspect a new deadline.
+// restartSuspicions gives every suspicion a new deadline.
 func (t *table) restartSuspicions(now time.Time) {
 	for _, e := range t.entries {
 		e.deadline = now.Add(t.suspectTimeout)
--- a/membership/sync.go
+++ b/membership/sync.go
@@ -11,26 +11,28 @@
 )
 
 const (
-	// maxSyncRecords bounds one answer to about 20 KB, so that a mended
-	// partition of a large site is levelled out over several comparisons
-	// instead of flooding. A joining process gets the whole list once.
+	// maxSyncRecords limits one response to about 20 KB, so that a large site
+	// reconciles over several comparisons after a partition instead of flooding
+	// the network. A joining process gets the whole list at once.
 	maxSyncRecords = 250
-	// syncTimeout bounds a comparison; a joining one carries the whole list.
+	// syncTimeout is the timeout of a comparison; that of a joining process
+	// transfers the whole list.
 	syncTimeout = 3 * time.Second
-	// joinPatience is how long a seed may be silent before another one is asked
-	// beside it; the whole list of 2,000 members, 160 KB, takes 0.13 s at 10 Mbit/s.
-	joinPatience = 500 * time.Millisecond
+	// nextCandidateDelay is how long one seed may take before another is asked
+	// concurrently; the whole list of 2,000 members, 160 KB, takes 0.13 s at 10
+	// Mbit/s.
+	nextCandidateDelay = 500 * time.Millisecond
 )
 
-// recontact tries one address outside the round robin: until the first answer
-// any seed or candidate, later a dead member (a partition may have mended) or
-// a seed or VM that never answered.
+// recontact contacts addresses outside the round robin: before the first answer
+// all seeds and candidates, later one dead member (a partition may have healed),
+// seed or VM that never answered.
 func (m *Membership) recontact(ctx context.Context) {
 	if !m.hasJoined() {
 		m.join(ctx)
 		return
 	}
-	target, ok := m.pickLost()
+	target, ok := m.pickUnreachable()
 	if !ok {
 		return
 	}
@@ -47,57 +49,59 @@
 	return m.joined
 }
 
-// join takes the whole list from the first address that answers. The next one is
-// asked when one fails, or beside one that is silent for joinPatience.
+// join fetches the whole list from the first address that answers. The next
+// address is asked when one fails, or concurrently when one has not answered for
+// nextCandidateDelay.
 //
-// Failure it stops: seeds that are gone, whose addresses swallow calls, were
-// waited out one after the other. It shows as a process that knows no other for
-// three seconds a seed after it has started. While seeds answer, one is asked.
+// Asking one after the other made a starting process wait out each seed that was
+// gone and whose address dropped its calls: it knew no other member for three
+// seconds per such seed. As long as seeds answer, only one is asked.
 func (m *Membership) join(ctx context.Context) {
-	var asking sync.WaitGroup
-	defer asking.Wait()
+	var wg sync.WaitGroup
+	defer wg.Wait()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	candidates := m.candidates()
 	answers := make(chan bool, len(candidates))
-	for open := 0; open > 0 || len(candidates) > 0; {
-		patience := syncTimeout
+	for pending := 0; pending > 0 || len(candidates) > 0; {
+		delay := syncTimeout
 		if len(candidates) > 0 {
 			addr := candidates[0]
-			candidates, patience = candidates[1:], joinPatience
-			asking.Go(func() { answers <- m.sync(ctx, addr, true) })
-			open++
+			candidates, delay = candidates[1:], nextCandidateDelay
+			wg.Go(func() { answers <- m.sync(ctx, addr, true) })
+			pending++
 		}
 		select {
 		case joined := <-answers:
-			open--
+			pending--
 			if joined {
 				return
 			}
-		case <-time.After(patience):
+		case <-time.After(delay):
 		case <-ctx.Done():
 			return
 		}
 	}
-	m.tellAlone()
+	m.reportAlone()
 }
 
-func (m *Membership) tellAlone() {
+func (m *Membership) reportAlone() {
 	m.lock()
 	defer m.unlock()
-	if m.joined || m.aloneTold || len(m.opts.Seeds) == 0 {
+	if m.joined || m.aloneReported || len(m.opts.Seeds) == 0 {
 		return
 	}
-	m.aloneTold = true
+	m.aloneReported = true
 	m.opts.Recorder.Emit(eventAlone, "seeds", len(m.opts.Seeds))
 }
 
-// candidates lists the seeds and VM list addresses where no member is known, shuffled.
+// candidates returns the seeds and VM list addresses without a known member,
+// shuffled.
 func (m *Membership) candidates() []string {
 	m.lock()
 	defer m.unlock()
 	var out []string
-	for _, addr := range slices.Concat(m.opts.Seeds, m.unknown) {
+	for _, addr := range slices.Concat(m.opts.Seeds, m.unjoined) {
 		if addr == m.opts.Self.Address || slices.Contains(out, addr) {
 			continue
 		}
@@ -109,8 +113,9 @@
 	return out
 }
 
-// pickLost draws a dead member or an address without a member; the latter has no id.
-func (m *Membership) pickLost() (record, bool) {
+// pickUnreachable returns a random dead member or address without a known member;
+// the latter has no ID.
+func (m *Membership) pickUnreachable() (record, bool) {
 	var lost []record
 	for _, addr := range m.candidates() {
 		lost = append(lost, record{Address: addr})
@@ -128,7 +133,7 @@
 	return lost[m.rng.IntN(len(lost))], true
 }
 
-// recontactInterval is short until the first member is found.
+// recontactInterval is shorter until the first member is found.
 func (m *Membership) recontactInterval() time.Duration {
 	if m.hasJoined() {
 		return m.jitter(recontactPeriods * m.opts.Period)
@@ -140,26 +145,27 @@
 	m.lock()
 	defer m.unlock()
 	switch {
-	case !m.settled:
+	case !m.converged:
 		return firstSyncPeriods * m.opts.Period
-	case m.differed:
+	case m.lastSyncDiffered:
 		return resyncPeriods * m.opts.Period
 	default:
 		return syncPeriods * m.opts.Period
 	}
 }
 
-// syncRandom compares lists with a random member: what piggybacking missed is
-// found here.
+// syncRandom compares lists with a random member, to find changes that
+// piggybacking has missed.
 func (m *Membership) syncRandom(ctx context.Context) {
 	for _, target := range m.pickAlive(1, "") {
 		m.sync(ctx, target.Address, false)
 	}
 }
 
-// sync compares lists with the process at addr and exchanges what differs.
+// sync compares lists with the process at addr and exchanges the differences. It
+// reports whether the exchange succeeded.
 func (m *Membership) sync(ctx context.Context, addr string, join bool) bool {
-	ctx, cancel := context.WithTimeout(slim(ctx), syncTimeout)
+	ctx, cancel := context.WithTimeout(omitUserAgent(ctx), syncTimeout)
 	defer cancel()
 	client := m.client(addr)
 	resp, err := client.Sync(ctx, m.syncRequest(join))
@@ -167,7 +173,7 @@
 		m.metrics.syncs.WithLabelValues("failed").Inc()
 		return false
 	}
-	push := m.takeSync(resp, join)
+	push := m.mergeSync(resp, join)
 	if len(push) == 0 {
 		m.metrics.syncs.WithLabelValues("equal").Inc()
 		return true
@@ -180,42 +186,43 @@
 func (m *Membership) syncRequest(join bool) *memberpb.SyncRequest {
 	m.lock()
 	defer m.unlock()
-	return &memberpb.SyncRequest{From: m.from(), Digests: slices.Clone(m.table.digests[:]), Join: join}
+	return &memberpb.SyncRequest{From: m.ownRecord(), Digests: slices.Clone(m.table.digests[:]), Join: join}
 }
 
 func (m *Membership) pushRequest(records []record) *memberpb.SyncRequest {
 	m.lock()
 	defer m.unlock()
 	m.metrics.records.WithLabelValues("sent").Add(float64(len(records)))
-	return &memberpb.SyncRequest{From: m.from(), Records: encodeAll(records)}
+	return &memberpb.SyncRequest{From: m.ownRecord(), Records: encodeAll(records)}
 }
 
-// takeSync merges an answer and returns the records that the other side lacks
-// or holds in an older form.
-func (m *Membership) takeSync(resp *memberpb.SyncResponse, join bool) []record {
+// mergeSync merges a response and returns the records that the other side lacks or
+// holds in an older form.
+func (m *Membership) mergeSync(resp *memberpb.SyncResponse, join bool) []record {
 	now := time.Now()
 	m.lock()
 	defer m.unlock()
 	m.joined = true
-	m.differed = len(resp.GetBuckets()) > 0
-	m.settled = m.settled || !m.differed
-	theirs := make(map[types.ProcessID]record, len(resp.GetRecords()))
+	m.lastSyncDiffered = len(resp.GetBuckets()) > 0
+	m.converged = m.converged || !m.lastSyncDiffered
+	remote := make(map[types.ProcessID]record, len(resp.GetRecords()))
 	for _, r := range resp.GetRecords() {
-		theirs[types.ProcessID(r.GetId())] = decode(r)
+		remote[types.ProcessID(r.GetId())] = decode(r)
 	}
 	m.receiveLocked(now, decode(resp.GetFrom()), resp.GetRecords())
-	m.drainQuietly(join)
-	return m.lacking(resp.GetBuckets(), theirs)
+	m.discardTransitions(join)
+	return m.recordsToPush(resp.GetBuckets(), remote)
 }
 
-// drainQuietly reports nothing for the members of a list taken in whole, and
-// doesn't pass them on as news: the others have them already.
-func (m *Membership) drainQuietly(join bool) {
+// discardTransitions discards the events for the members of a list that was
+// fetched as a whole and does not pass these members on: the others already know
+// them.
+func (m *Membership) discardTransitions(join bool) {
 	if !join {
 		return
 	}
 	for _, t := range m.table.transitions {
-		m.noteInRing(t)
+		m.updateRing(t)
 		if t.ID != m.table.self {
 			m.table.queue.remove(t.ID)
 		}
@@ -223,10 +230,10 @@
 	m.table.transitions = nil
 }
 
-func (m *Membership) lacking(buckets []uint32, theirs map[types.ProcessID]record) []record {
+func (m *Membership) recordsToPush(buckets []uint32, remote map[types.ProcessID]record) []record {
 	var out []record
 	for _, r := range m.table.records(buckets, 0) {
-		known, ok := theirs[r.ID]
+		known, ok := remote[r.ID]
 		if r.ID == m.table.self || ok && covers(known, r) || !ok && r.Condition == conditionDead {
 			continue
 		}
--- a/membership/table.go
+++ b/membership/table.go
@@ -9,46 +9,47 @@
 )
 
 const (
-	// deadRetention is how long a dead member is remembered, so that late news
-	// of its life isn't believed and a mended partition is noticed.
+	// deadRetention is how long a dead member is remembered, so that outdated
+	// records do not bring it back and a healed partition is noticed.
 	deadRetention = 24 * time.Hour
-	// deathWindow is how long a death counts against the majority rule.
+	// deathWindow is how long a death counts in table.majority.
 	deathWindow = 5 * time.Minute
 )
 
-// entry is a member as this process holds it: the shared record and what this
-// process alone knows.
+// entry is a member as stored by this process: the shared record and what only
+// this process knows.
 type entry struct {
 	record
-	since    time.Time // when condition last changed here
-	heard    time.Time // last direct evidence of life; never travels
-	deadline time.Time // of a suspicion
-	place    uint64    // on the ring of hashes
-	raised   bool      // this process raised the suspicion, and keeps probing
+	since         time.Time // when the record last changed condition, counter or incarnation here
+	lastContact   time.Time // last direct contact; not sent to others
+	deadline      time.Time // of the suspicion
+	hash          uint64    // position on the hash ring
+	suspectedHere bool      // this process raised the suspicion and keeps probing the member
 }
 
-// believedAlive reports direct evidence of life later than the suspicion.
-func (e *entry) believedAlive() bool { return e.heard.After(e.since) }
+// contactedSince reports whether there was direct contact since the condition last
+// changed.
+func (e *entry) contactedSince() bool { return e.lastContact.After(e.since) }
 
-// shown is the member as the view shows it: a live answer clears a suspicion
-// here at once, before the member's refutation has come round.
-func (e *entry) shown() Member {
+// visible returns the member as the view shows it: direct contact clears a
+// suspicion here at once, before the refutation of the member arrives.
+func (e *entry) visible() Member {
 	m := e.member()
-	if m.State == StateSuspect && e.believedAlive() {
+	if m.State == StateSuspect && e.contactedSince() {
 		m.State = StateAlive
 	}
 	return m
 }
 
-// transition is one change of a member that the caller reports and acts on.
+// transition is one change of a member, to be reported as an event and in metrics.
 type transition struct {
-	record                 // as it is now
-	old    State           // empty for a new member or a later run of a known one
-	took   types.ProcessID // member whose address the new one has taken
+	record                   // the new record
+	old      State           // empty for a new member or a later incarnation of a known one
+	replaced types.ProcessID // member whose address this one has taken over
 }
 
-// table merges news into entries. It does no input or output, takes the time
-// as an argument and is guarded by Membership.mu.
+// table merges records into entries. It performs no I/O, takes the time as an
+// argument and is guarded by Membership.mu.
 type table struct {
 	self           types.ProcessID
 	suspectTimeout time.Duration
@@ -57,9 +58,9 @@
 	queue          *queue
 	digests        digests
 
-	dirty       bool              // the published view is behind
-	urgent      bool              // news that is to be passed on at once
-	behind      types.Incarnation // higher incarnation heard of the own id; 0: none
+	dirty       bool              // the published view is out of date
+	urgent      bool              // there are changes to send at once
+	laterSelf   types.Incarnation // highest later incarnation seen under the own ID; 0: none
 	transitions []transition      // not yet reported
 }
 
@@ -77,17 +78,17 @@
 
 func (t *table) own() *entry { return t.entries[t.self] }
 
-// apply merges one record and reports whether it was news.
+// apply merges one record and reports whether it contained a change.
 func (t *table) apply(now time.Time, r record) bool {
 	if r.ID == "" || r.Incarnation == 0 {
 		return false
 	}
 	if r.ID == t.self {
-		t.applyOwn(now, r)
+		t.applySelf(now, r)
 		return false
 	}
 	e := t.entries[r.ID]
-	if !t.takes(e, r) {
+	if !t.canMerge(e, r) {
 		return false
 	}
 	if e == nil {
@@ -95,7 +96,7 @@
 		return true
 	}
 	merged := merge(e.record, r)
-	if sameNews(merged, e.record) {
+	if equalExceptRevision(merged, e.record) {
 		t.dirty = t.dirty || merged.Revision != e.Revision
 		e.Revision = merged.Revision
 		return false
@@ -104,27 +105,29 @@
 	return true
 }
 
-// takes reports whether a record can be merged at all.
-func (t *table) takes(e *entry, r record) bool {
+// canMerge reports whether a record can be merged into e, the entry of its member
+// or nil.
+func (t *table) canMerge(e *entry, r record) bool {
 	if e == nil {
 		return r.Address != "" && r.Condition != conditionDead
 	}
-	// A short record of a run that isn't known here can't be placed; the next
-	// comparison of lists brings it whole.
+	// A short record of an incarnation that is not known here is incomplete; the
+	// next list comparison transfers the full one.
 	return r.Address != "" || r.Incarnation <= e.Incarnation
 }
 
-// applyOwn answers news of this process. Leaving is taken over: it was marked
-// by an operator or the VM list. A suspicion or death is refuted by a higher
-// counter; the incarnation stays, it names the run and calls depend on it.
-func (t *table) applyOwn(now time.Time, r record) {
+// applySelf handles a record of this process. Leaving is adopted: an operator or
+// the VM list set it. A suspicion or death is refuted with a higher counter; the
+// incarnation stays the same, since it identifies this run of the process and
+// calls depend on it.
+func (t *table) applySelf(now time.Time, r record) {
 	own := t.own()
 	switch {
 	case r.Incarnation > own.Incarnation:
-		t.behind = max(t.behind, r.Incarnation)
+		t.laterSelf = max(t.laterSelf, r.Incarnation)
 		return
 	case r.Incarnation < own.Incarnation || t.byAddress[own.Address] != t.self:
-		return // an earlier run is meant, or a later process has taken the address
+		return // concerns an earlier incarnation, or a later process has taken over the address
 	}
 	next := own.record
 	next.Leaving = own.Leaving || r.Leaving
@@ -139,11 +142,11 @@
 	}
 }
 
-// put stores a record that differs from the entry's and queues it as news.
+// put stores a record that differs from the entry's and queues it for sending.
 func (t *table) put(now time.Time, e *entry, r record) {
 	change := transition{}
 	if e == nil {
-		e = &entry{place: xxhash.Sum64String(string(r.ID))}
+		e = &entry{hash: xxhash.Sum64String(string(r.ID))}
 		t.entries[r.ID] = e
 	} else {
 		if e.Incarnation == r.Incarnation {
@@ -153,11 +156,11 @@
 	}
 	if e.Incarnation != r.Incarnation || e.Condition != r.Condition || e.Counter != r.Counter {
 		e.since = now
-		e.raised = false
+		e.suspectedHere = false
 		e.deadline = now.Add(t.suspectTimeout)
 	}
 	if e.Incarnation != r.Incarnation {
-		e.heard = time.Time{}
+		e.lastContact = time.Time{}
 	}
 	change.record = r
 	if e.Address != r.Address && t.byAddress[e.Address] == r.ID {
@@ -165,22 +168,23 @@
 	}
 	e.record = r
 	t.digests.toggle(r)
-	if r.ID != t.self { // the own record heads every message
+	if r.ID != t.self { // the own record is part of every message
 		t.queue.add(r.ID)
 	}
 	t.dirty = true
 	if s := e.state(); s != change.old && s != StateAlive {
 		t.urgent = true
 	}
-	change.took = t.takeAddress(now, r)
+	change.replaced = t.claimAddress(now, r)
 	t.transitions = append(t.transitions, change)
 }
 
-// takeAddress guards against calls to a VM that no longer exists: a later
-// incarnation under the same address proves that the earlier member is gone,
-// without waiting for suspicion, and no probe could tell, since the address
-// answers. It returns the member replaced.
-func (t *table) takeAddress(now time.Time, r record) types.ProcessID {
+// claimAddress resolves two members at one address. A later incarnation at the
+// same address proves that the earlier member is gone, without waiting for a
+// suspicion. Probes could not tell, since the address still answers, and calls
+// meant for the old VM would reach the new one. It returns the member that was
+// replaced.
+func (t *table) claimAddress(now time.Time, r record) types.ProcessID {
 	holder := t.entries[t.byAddress[r.Address]]
 	if holder == nil || holder.ID == r.ID {
 		t.byAddress[r.Address] = r.ID
@@ -201,27 +205,28 @@
 	return loser.ID
 }
 
-// hear notes direct evidence of life and returns whether the member is held
-// suspect or dead, so that it should be told.
-func (t *table) hear(now time.Time, id types.ProcessID, inc types.Incarnation) bool {
+// recordContact records direct contact with a member and returns whether the
+// member is considered suspect or dead and should be told so.
+func (t *table) recordContact(now time.Time, id types.ProcessID, inc types.Incarnation) bool {
 	e := t.entries[id]
 	if e == nil || id == t.self || e.Incarnation != inc {
 		return false
 	}
-	t.dirty = t.dirty || (e.Condition == conditionSuspect && !e.believedAlive())
-	e.heard = now
+	t.dirty = t.dirty || (e.Condition == conditionSuspect && !e.contactedSince())
+	e.lastContact = now
 	return e.Condition != conditionAlive
 }
 
-// successor returns the next member held alive on the ring of hashes; "" if alone.
+// successor returns the next member in conditionAlive on the hash ring, or "" if
+// there is none.
 func (t *table) successor() types.ProcessID {
-	from := t.own().place
+	from := t.own().hash
 	var next *entry
 	for id, e := range t.entries {
 		if id == t.self || e.Condition != conditionAlive {
 			continue
 		}
-		if next == nil || e.place-from < next.place-from { // unsigned: distances wrap round
+		if next == nil || e.hash-from < next.hash-from { // unsigned: distances wrap around
 			next = e
 		}
 	}
@@ -231,28 +236,29 @@
 	return next.ID
 }
 
-// concerns reports whether a member should hear what is held of it: that it is
-// accused or leaving, or that a later run than run (0: not known) is held alive.
-func (t *table) concerns(e *entry, run types.Incarnation) bool {
+// mustInform reports whether a member should receive its own record: it is
+// suspect, dead or leaving, or the record has a later incarnation than run, the
+// one that the member has sent (0: not known).
+func (t *table) mustInform(e *entry, run types.Incarnation) bool {
 	return e.Condition != conditionAlive || e.Leaving || run != 0 && e.Incarnation > run
 }
 
-// updates picks the changes to piggyback on a message to a member: first what
-// is held of that member itself, if it should answer it, then queued changes.
-// had holds the records that the member has just sent.
-func (t *table) updates(to types.ProcessID, run types.Incarnation, had map[types.ProcessID]record) []record {
+// updates returns the changes to piggyback on a message to a member: first the
+// record of that member itself, if the member has to respond to it, then queued
+// changes. received holds the records that the member has just sent.
+func (t *table) updates(to types.ProcessID, run types.Incarnation, received map[types.ProcessID]record) []record {
 	skip := func(id types.ProcessID) bool {
-		r, ok := had[id]
+		r, ok := received[id]
 		return id == to || ok && covers(r, t.entries[id].record)
 	}
 	var out []record
-	if e := t.entries[to]; e != nil && to != t.self && t.concerns(e, run) {
+	if e := t.entries[to]; e != nil && to != t.self && t.mustInform(e, run) {
 		out = append(out, e.record)
 	}
 	limit := retransmitLimit(len(t.entries))
-	if had == nil && to == t.successor() {
-		// It is probed every other period: counting these sends would use up
-		// half of a change's sends on one member.
+	if received == nil && to == t.successor() {
+		// It is probed every other period: counting these sends would use up half
+		// of a change's sends on one member.
 		limit = uncounted
 	}
 	for _, id := range t.queue.take(maxUpdates-len(out), limit, skip) {
@@ -261,7 +267,7 @@
 	return out
 }
 
-// records returns the records in the given buckets, at most limit (0: all).
+// records returns the records in the given buckets, at most limit (0: no limit).
 func (t *table) records(buckets []uint32, limit int) []record {
 	var want [bucketCount]bool
 	for _, b := range buckets {
@@ -285,7 +291,7 @@
 func (t *table) view() *View {
 	members := make([]Member, 0, len(t.entries))
 	for _, e := range t.entries {
-		members = append(members, e.shown())
+		members = append(members, e.visible())
 	}
 	return newView(t.self, members)
 }
--- a/membership/view.go
+++ b/membership/view.go
@@ -6,9 +6,10 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// View is an immutable picture of all known members, this process included.
+// View is an immutable snapshot of all known members, this process included.
 type View struct {
-	// Members is sorted by id and holds dead members too. Callers must not change it.
+	// Members is sorted by ID and includes dead members. Callers must not modify
+	// it.
 	Members []Member
 
 	self      Member
@@ -45,11 +46,11 @@
 	}
 }
 
-// Self returns this process as the site sees it; StateLeaving once anyone has
-// marked it so.
+// Self returns this process as the site sees it: in StateLeaving once anyone has
+// marked it as such.
 func (v *View) Self() Member { return v.self }
 
-// ByID returns the member of that id.
+// ByID returns the member with the given ID.
 func (v *View) ByID(id types.ProcessID) (Member, bool) {
 	i, ok := v.byID[id]
 	if !ok {
@@ -58,7 +59,7 @@
 	return v.Members[i], true
 }
 
-// ByAddress returns the latest member at an address.
+// ByAddress returns the member with the latest incarnation at an address.
 func (v *View) ByAddress(address string) (Member, bool) {
 	i, ok := v.byAddress[address]
 	if !ok {
@@ -67,6 +68,7 @@
 	return v.Members[i], true
 }
 
-// Alive returns the members of a role that may get new work, sorted by id:
-// neither suspect nor leaving nor dead. Callers must not change the slice.
+// Alive returns the members of a role that may get new work, sorted by ID: those
+// that are neither suspect nor leaving nor dead. Callers must not modify the
+// slice.
 func (v *View) Alive(role types.Role) []Member { return v.alive[role] }
--- a/membership/vmlist.go
+++ b/membership/vmlist.go
@@ -11,9 +11,9 @@
 
 const vmListTimeout = 5 * time.Second
 
-// vmPair says since when a VM of the list and a member's run have stood at one
-// address together.
-type vmPair struct {
+// vmMatch records since when an entry of the VM list and an incarnation of a
+// member have had the same address.
+type vmMatch struct {
 	member      types.ProcessID
 	incarnation types.Incarnation
 	since       time.Time
@@ -23,23 +23,24 @@
 	return max(minVMPoll, time.Duration(len(m.Snapshot().Members))*vmPollPerMember)
 }
 
-// pollVMs reads the VM list. It only adds candidates and marks leaving; that a
-// VM is missing from it, or that it can't be read, changes nothing.
+// pollVMs reads the VM list. It only adds candidates and marks members as leaving.
+// A VM that is missing from the list, or a list that cannot be read, changes
+// nothing.
 func (m *Membership) pollVMs(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, vmListTimeout)
 	defer cancel()
 	vms, err := m.opts.VMList.List(ctx)
 	m.lock()
 	defer m.unlock()
-	m.noteVMList(err)
+	m.updateVMListState(err)
 	if err == nil {
-		m.takeVMs(time.Now(), vms)
+		m.applyVMs(time.Now(), vms)
 	}
 }
 
-func (m *Membership) noteVMList(err error) {
-	if down := err != nil; down != m.vmDown {
-		m.vmDown = down
+func (m *Membership) updateVMListState(err error) {
+	if down := err != nil; down != m.vmListDown {
+		m.vmListDown = down
 		if down {
 			m.opts.Recorder.Emit(eventVMListDown, "error", err)
 		} else {
@@ -48,37 +49,37 @@
 	}
 }
 
-func (m *Membership) takeVMs(now time.Time, vms []backing.VM) {
-	m.unknown = nil
-	pairs := make(map[string]vmPair, len(vms))
+func (m *Membership) applyVMs(now time.Time, vms []backing.VM) {
+	m.unjoined = nil
+	pairs := make(map[string]vmMatch, len(vms))
 	for _, vm := range vms {
 		found := false
 		for _, addr := range m.addressesOf(vm) {
-			found = m.takeVM(now, vm, addr, pairs) || found
+			found = m.applyVM(now, vm, addr, pairs) || found
 		}
 		if !found && !vm.Leaving {
-			m.unknown = append(m.unknown, m.addressesOf(vm)...)
+			m.unjoined = append(m.unjoined, m.addressesOf(vm)...)
 		}
 	}
-	m.pairs = pairs
+	m.vmMatches = pairs
 }
 
-// takeVM marks the member at one of a leaving VM's addresses and reports
-// whether there is one.
+// applyVM marks the member at addr as leaving if the VM is, and reports whether
+// there is such a member.
 //
-// The list lags: it may still show the old VM, leaving, when its replacement
-// has joined under the same address; leaving is sticky, so the new member
-// would never get work. The mark therefore counts only for a run that has
-// stood beside this VM id for longer than the list may lag.
-func (m *Membership) takeVM(now time.Time, vm backing.VM, addr string, pairs map[string]vmPair) bool {
+// The list lags: it may still show the old VM as leaving when its replacement has
+// already joined at the same address. Leaving is never revoked, so the new member
+// would never get work. The mark therefore applies only to an incarnation that has
+// been matched with this VM ID for at least the maximum lag of the list.
+func (m *Membership) applyVM(now time.Time, vm backing.VM, addr string, pairs map[string]vmMatch) bool {
 	e := m.table.entries[m.table.byAddress[addr]]
 	if e == nil || e.Condition == conditionDead {
 		return false
 	}
 	key := vm.ID + " " + addr
-	pair, ok := m.pairs[key]
+	pair, ok := m.vmMatches[key]
 	if !ok || pair.member != e.ID || pair.incarnation != e.Incarnation {
-		pair = vmPair{member: e.ID, incarnation: e.Incarnation, since: now}
+		pair = vmMatch{member: e.ID, incarnation: e.Incarnation, since: now}
 	}
 	pairs[key] = pair
 	if vm.Leaving && now.Sub(pair.since) >= m.opts.VMListLag {
--- a/membership/wire.go
+++ b/membership/wire.go
@@ -5,7 +5,7 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// encode writes a record for the wire, whole.
+// encode converts a record to its full wire format.
 func encode(r record) *memberpb.Record {
 	out := encodeShort(r)
 	out.Role = encodeRole(r.Role)
@@ -15,8 +15,8 @@
 	return out
 }
 
-// encodeShort leaves out what never changes within an incarnation; receivers
-// that don't know the member skip such a record.
+// encodeShort omits the fields that never change within an incarnation; receivers
+// that do not know the member skip such a record.
 func encodeShort(r record) *memberpb.Record {
 	return &memberpb.Record{
 		Id: string(r.ID), Incarnation: uint64(r.Incarnation), Counter: r.Counter,
@@ -24,10 +24,11 @@
 	}
 }
 
-// encodeUpdate writes a change for piggybacking. Suspicions and deaths are
-// short, so that the loss of a zone costs a third of the bytes. Alive and
-// leaving are whole: skipping "leaving" for want of the address would let a
-// later "alive" add the member as one that takes work.
+// encodeUpdate converts a change for piggybacking. Suspicions and deaths are
+// short, which cuts the bytes sent on the loss of a zone to a third. Alive and
+// leaving are sent in full: a receiver that skipped a short leaving record for
+// lack of the address would let a later alive record add the member as one that
+// takes work.
 func encodeUpdate(r record) *memberpb.Record {
 	if r.Condition != conditionAlive && !r.Leaving {
 		return encodeShort(r)
