--- a/membership/health.go
+++ b/membership/health.go
@@ -23,7 +23,7 @@
 // process are evidence against the probed members.
 type health struct {
 	failures [longWindow]bool
-	outcomes int
+	outcomes int // number of outcomes recorded; the latest longWindow are kept in failures
 	lastTick time.Time
 	epoch    int // incremented after a freeze; probes begun in an earlier epoch are discarded
 }
--- a/membership/join_test.go
+++ b/membership/join_test.go
@@ -13,7 +13,7 @@
 // drop calls. If seeds are asked one after the other, each such seed costs three
 // seconds in which the process knows no other member; a router then has no backend
 // server to send requests to.
-func TestJoiningGoesPastSeedsThatAreGone(t *testing.T) {
+func TestJoinSkipsUnreachableSeeds(t *testing.T) {
 	inVirtualTime(t, func(g *gomega.WithT, n *network) {
 		seeds := func(o *Options) { o.Seeds = []string{address(1), address(2), address(3), address(4)} }
 		nodes := n.startAll(8, seeds)
@@ -29,7 +29,7 @@
 
 // Joining transfers the whole list, 160 KB at 2,000 members, so only one seed may
 // be asked as long as it answers.
-func TestJoiningAsksOneSeedThatAnswers(t *testing.T) {
+func TestJoinAsksOnlyOneRespondingSeed(t *testing.T) {
 	inVirtualTime(t, func(g *gomega.WithT, n *network) {
 		seeds := func(o *Options) { o.Seeds = []string{address(1), address(2), address(3), address(4)} }
 		n.startAll(8, seeds)
@@ -45,7 +45,7 @@
 // Guards against discarding a late answer of the only seed, which is frozen for a
 // while or behind a slow link: the process must join by the first answer instead
 // of asking again.
-func TestJoiningWaitsForALateSeed(t *testing.T) {
+func TestJoinAcceptsLateSeed(t *testing.T) {
 	inVirtualTime(t, func(g *gomega.WithT, n *network) {
 		const late = 2800 * time.Millisecond
 		seeds := func(o *Options) { o.Seeds = []string{address(1)} }
--- a/membership/memberbench/command.go
+++ b/membership/memberbench/command.go
@@ -16,29 +16,29 @@
 	defaultRounds = 4
 )
 
-// Command returns the bench as a command of a command line: JSON lines on
-// standard output, a table on standard error.
+// Command returns the CLI command of the benchmark. It writes JSON lines to
+// standard output and a table to standard error.
 func Command() *cli.Command {
 	return &cli.Command{
 		Name:  "members",
-		Usage: "measure membership: bytes and processor time a member, time until all know",
+		Usage: "measure membership: traffic and CPU time per member, propagation times",
 		Flags: []cli.Flag{
-			&cli.IntSliceFlag{Name: flagMembers, Value: cli.NewIntSlice(10, 40, 160, 640), Usage: "sizes to measure"},
-			&cli.DurationFlag{Name: flagWindow, Value: defaultWindow, Usage: "how long a quiet site is watched"},
-			&cli.IntFlag{Name: flagRounds, Value: defaultRounds, Usage: "deaths, stops and revisions at each size"},
+			&cli.IntSliceFlag{Name: flagMembers, Value: cli.NewIntSlice(10, 40, 160, 640), Usage: "site sizes to measure"},
+			&cli.DurationFlag{Name: flagWindow, Value: defaultWindow, Usage: "how long to measure an idle site"},
+			&cli.IntFlag{Name: flagRounds, Value: defaultRounds, Usage: "deaths, stops and revisions per size"},
 		},
-		Action: bench,
+		Action: runBenchmark,
 	}
 }
 
-func bench(c *cli.Context) error {
+func runBenchmark(c *cli.Context) error {
 	opts := Options{Sizes: c.IntSlice(flagMembers), Window: c.Duration(flagWindow), Rounds: c.Int(flagRounds)}
 	if err := WriteHeader(c.App.ErrWriter); err != nil {
 		return errors.Wrap(err, "memberbench: write the table")
 	}
 	var failed error
 	err := Run(c.Context, opts, func(r Result) {
-		if err := report(c, r); err != nil && failed == nil {
+		if err := writeResult(c, r); err != nil && failed == nil {
 			failed = err
 		}
 	})
@@ -48,7 +48,7 @@
 	return errors.Wrap(failed, "memberbench: write a result")
 }
 
-func report(c *cli.Context, r Result) error {
+func writeResult(c *cli.Context, r Result) error {
 	if err := WriteJSON(c.App.Writer, r); err != nil {
 		return err
 	}
--- a/membership/memberbench/site.go
+++ b/membership/memberbench/site.go
@@ -1,5 +1,5 @@
-// Package memberbench measures package membership over loopback sockets: real
-// members, all in one process, with the real calls and headers.
+// Package memberbench measures package membership over loopback sockets: all
+// members run in one process and exchange real calls and headers.
 package memberbench
 
 import (
@@ -21,59 +21,60 @@
 
 const (
 	seedCount     = 3
-	startWave     = 20                    // members started together
-	startInterval = 50 * time.Millisecond // between two waves
+	startWave     = 20                    // members started at once
+	startInterval = 50 * time.Millisecond // between two groups of startWave members
 	pollInterval  = 10 * time.Millisecond
-	// idleTimeout is when the members' idle connections are closed. Package peer
-	// keeps them for longer; with hundreds of members in one process that passes
-	// the limit of open files. It costs bytes: more connections are opened.
+	// idleTimeout is when idle connections of the members are closed. Package peer
+	// keeps them longer, which would exceed the limit on open files with hundreds
+	// of members in one process. The shorter timeout costs bytes, since more
+	// connections are opened.
 	idleTimeout = time.Second
-	// sidecarsPerRouter is the proportion of the target size.
+	// sidecarsPerRouter is the ratio at the target size.
 	sidecarsPerRouter = 4
 )
 
-// traffic counts what passes all listeners: each byte and connection once.
+// traffic counts what passes all listeners, each byte and connection once.
 type traffic struct {
 	bytes       atomic.Int64 // HTTP, headers included
-	segments    atomic.Int64 // reads and writes that moved bytes: about one packet each
+	segments    atomic.Int64 // reads and writes that transferred bytes: about one packet each
 	connections atomic.Int64
 }
 
-type countedListener struct {
+type countingListener struct {
 	net.Listener
 	traffic *traffic
 }
 
 // Accept implements net.Listener.
-func (l countedListener) Accept() (net.Conn, error) {
+func (l countingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
 	l.traffic.connections.Add(1)
-	return countedConn{c, l.traffic}, nil
+	return countingConn{c, l.traffic}, nil
 }
 
-type countedConn struct {
+type countingConn struct {
 	net.Conn
 	traffic *traffic
 }
 
 // Read implements net.Conn.
-func (c countedConn) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.count(n)
 	return n, err
 }
 
 // Write implements net.Conn.
-func (c countedConn) Write(b []byte) (int, error) {
+func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.count(n)
 	return n, err
 }
 
-func (c countedConn) count(n int) {
+func (c countingConn) count(n int) {
 	if n > 0 {
 		c.traffic.bytes.Add(int64(n))
 		c.traffic.segments.Add(1)
@@ -83,13 +84,13 @@
 // process is one member with its listener.
 type process struct {
 	*membership.Membership
-	id       types.ProcessID
-	revision atomic.Uint64
-	silent   atomic.Bool // killed: takes connections as a full backlog would, answers nothing
-	peer     *peer.Peer
-	server   *http.Server
-	cancel   context.CancelFunc
-	done     chan struct{}
+	id           types.ProcessID
+	revision     atomic.Uint64
+	unresponsive atomic.Bool // killed: accepts connections but never responds
+	peer         *peer.Peer
+	server       *http.Server
+	cancel       context.CancelFunc
+	done         chan struct{}
 }
 
 // site is a set of members that find each other by seeds.
@@ -100,7 +101,7 @@
 	stopped   chan struct{}
 }
 
-func (s *site) start(i int) error {
+func (s *site) startProcess(i int) error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return errors.Wrap(err, "listen")
@@ -124,12 +125,12 @@
 		HTTPClient: p.peer.Client(),
 		Recorder:   event.Discard(),
 		Revision:   revision,
-		OnRevision: p.takeRevision,
+		OnRevision: p.applyRevision,
 	})
 	if err != nil {
 		return err
 	}
-	p.serve(countedListener{listener, &s.traffic})
+	p.serve(countingListener{listener, &s.traffic})
 	if len(s.seeds) < seedCount {
 		s.seeds = append(s.seeds, address)
 	}
@@ -138,8 +139,8 @@
 	return nil
 }
 
-// takeRevision stands for the pull of a revision, which takes no time here.
-func (p *process) takeRevision(_ string, rev types.Revision) {
+// applyRevision stands in for fetching a revision, which takes no time here.
+func (p *process) applyRevision(_ string, rev types.Revision) {
 	for old := p.revision.Load(); uint64(rev) > old; old = p.revision.Load() {
 		if p.revision.CompareAndSwap(old, uint64(rev)) {
 			go p.AnnounceRevision()
@@ -151,7 +152,7 @@
 func (p *process) serve(l net.Listener) {
 	handler := p.peer.Handler(p.Handler())
 	p.server = &http.Server{ReadHeaderTimeout: time.Minute, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if p.silent.Load() {
+		if p.unresponsive.Load() {
 			<-r.Context().Done()
 			return
 		}
@@ -166,29 +167,30 @@
 	}()
 }
 
-// kill makes the process silent, as a VM that is gone: no connection is refused.
+// kill makes the process unresponsive like a VM that is gone: connections are not
+// refused.
 func (p *process) kill() {
-	p.silent.Store(true)
+	p.unresponsive.Store(true)
 	p.cancel()
 	<-p.done
 }
 
-// startSite starts n members in waves and waits until all know all.
+// startSite starts n members in groups and waits until all know each other.
 func startSite(n int, bound time.Duration) (*site, error) {
 	s := &site{stopped: make(chan struct{})}
 	for i := range n {
-		if err := s.start(i); err != nil {
+		if err := s.startProcess(i); err != nil {
 			return s, err
 		}
 		if (i+1)%startWave == 0 {
 			time.Sleep(startInterval)
 		}
 	}
-	_, err := s.wait(bound, s.living(), func(p *process) bool {
+	_, err := s.wait(bound, s.alive(), func(p *process) bool {
 		v := p.Snapshot()
 		return len(v.Alive(types.RoleRouter))+len(v.Alive(types.RoleSidecar)) == n
 	})
-	return s, errors.Wrap(err, "all know all")
+	return s, errors.Wrap(err, "wait until all members know each other")
 }
 
 func (p *process) closeIdle(stopped <-chan struct{}) {
@@ -220,43 +222,43 @@
 	wg.Wait()
 }
 
-func (s *site) living() []*process {
+func (s *site) alive() []*process {
 	var out []*process
 	for _, p := range s.processes {
-		if !p.silent.Load() {
+		if !p.unresponsive.Load() {
 			out = append(out, p)
 		}
 	}
 	return out
 }
 
-// errNotInTime reports that a condition didn't come to hold everywhere.
-var errNotInTime = errors.New("memberbench: not in time")
+// errTimeout reports that a condition was not met by all processes in time.
+var errTimeout = errors.New("memberbench: timed out")
 
-// wait returns how long it took until holds was true of all processes.
+// wait returns how long it took until holds was true for all processes.
 func (s *site) wait(bound time.Duration, processes []*process, holds func(*process) bool) (time.Duration, error) {
-	return s.waitEach(pollInterval, bound, processes, holds)
+	return s.poll(pollInterval, bound, processes, holds)
 }
 
-func (s *site) waitEach(interval, bound time.Duration, processes []*process, holds func(*process) bool) (time.Duration, error) {
+func (s *site) poll(interval, bound time.Duration, processes []*process, holds func(*process) bool) (time.Duration, error) {
 	begin := time.Now()
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
-	left := append([]*process(nil), processes...)
+	remaining := append([]*process(nil), processes...)
 	for {
-		rest := left[:0]
-		for _, p := range left {
+		rest := remaining[:0]
+		for _, p := range remaining {
 			if !holds(p) {
 				rest = append(rest, p)
 			}
 		}
-		left = rest
+		remaining = rest
 		took := time.Since(begin)
-		if len(left) == 0 {
+		if len(remaining) == 0 {
 			return took, nil
 		}
 		if took > bound {
-			return took, errors.Wrapf(errNotInTime, "%d processes left after %s", len(left), took)
+			return took, errors.Wrapf(errTimeout, "%d processes left after %s", len(remaining), took)
 		}
 		<-ticker.C
 	}
--- a/membership/memberbench/site_test.go
+++ b/membership/memberbench/site_test.go
@@ -7,8 +7,8 @@
 	"github.com/onsi/gomega"
 )
 
-// Members over real sockets, with package peer's stamps: all find each other
-// from seeds, and all hear of a revision, a stop and a death.
+// Members over real sockets, with package peer's headers, must find each other
+// from seeds and all learn of a revision, a stop and a death.
 func TestSmallSite(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var results []Result
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -131,11 +131,11 @@
 	if e == nil {
 		return false
 	}
-	m.markLeaving(e)
+	m.markEntryLeaving(e)
 	return true
 }
 
-func (m *Membership) markLeaving(e *entry) {
+func (m *Membership) markEntryLeaving(e *entry) {
 	if e.Leaving {
 		return
 	}
@@ -203,14 +203,14 @@
 	if m.table.dirty && now.Sub(m.published) >= publishInterval {
 		m.publish(now)
 	}
-	reports := m.takeEvents()
-	ahead := m.newerRevisions
+	events := m.takeEvents()
+	newer := m.newerRevisions
 	m.newerRevisions = nil
 	m.mu.Unlock()
-	for _, a := range ahead {
+	for _, a := range newer {
 		m.opts.OnRevision(a.address, a.revision)
 	}
-	for _, r := range reports {
+	for _, r := range events {
 		m.opts.Recorder.Emit(r.kind, r.fields...)
 	}
 }
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -132,7 +132,7 @@
 		t.Logf("back after %s, %.1f messages a second and member in 10 s", took, perSecond)
 		g.Expect(perSecond).To(gomega.BeNumerically("<", 6), "each call counts twice; the idle rate is 2")
 		for _, nd := range nodes {
-			g.Expect(nd.countEvents(eventSelfAccused) == 0 || nd == frozen).To(gomega.BeTrue(), "%s was accused", nd.addr)
+			g.Expect(nd.countEvents(eventSelfAccused) == 0 || nd == frozen).To(gomega.BeTrue(), "%s was suspected", nd.addr)
 		}
 		g.Expect(frozen.countEvents(eventFrozen)).To(gomega.Equal(1))
 	})
@@ -141,7 +141,7 @@
 // Guards against a partition whose smaller side (4 of 16 VMs) declares the larger
 // side dead: after it heals, the whole site would be out of use until each member
 // had refuted that. The smaller side may only suspect.
-func TestPartitionAndMend(t *testing.T) {
+func TestPartitionHeals(t *testing.T) {
 	inVirtualTime(t, func(g *gomega.WithT, n *network) {
 		nodes := n.startAll(16)
 		small, large := nodes[:4], nodes[4:]
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -61,11 +61,11 @@
 		m.recordOutcome(target, epoch, false)
 		return
 	}
-	healthy := make(chan bool, 1)
-	go func() { healthy <- target.Condition != conditionAlive || m.checkSelf(ctx, target, epoch) }()
+	selfCheck := make(chan bool, 1)
+	go func() { selfCheck <- target.Condition != conditionAlive || m.checkSelf(ctx, target, epoch) }()
 	answered := m.probeIndirect(ctx, target)
 	m.recordOutcome(target, epoch, !answered)
-	if healthyNow := <-healthy; healthyNow && !answered {
+	if healthy := <-selfCheck; healthy && !answered {
 		m.suspect(target, epoch)
 	}
 }
--- a/membership/table.go
+++ b/membership/table.go
@@ -220,13 +220,13 @@
 // successor returns the next member in conditionAlive on the hash ring, or "" if
 // there is none.
 func (t *table) successor() types.ProcessID {
-	from := t.own().hash
+	start := t.own().hash
 	var next *entry
 	for id, e := range t.entries {
 		if id == t.self || e.Condition != conditionAlive {
 			continue
 		}
-		if next == nil || e.hash-from < next.hash-from { // unsigned: distances wrap around
+		if next == nil || e.hash-start < next.hash-start { // unsigned: distances wrap around
 			next = e
 		}
 	}
--- a/membership/vmlist.go
+++ b/membership/vmlist.go
@@ -51,17 +51,17 @@
 
 func (m *Membership) applyVMs(now time.Time, vms []backing.VM) {
 	m.unjoined = nil
-	pairs := make(map[string]vmMatch, len(vms))
+	matches := make(map[string]vmMatch, len(vms))
 	for _, vm := range vms {
 		found := false
 		for _, addr := range m.addressesOf(vm) {
-			found = m.applyVM(now, vm, addr, pairs) || found
+			found = m.applyVM(now, vm, addr, matches) || found
 		}
 		if !found && !vm.Leaving {
 			m.unjoined = append(m.unjoined, m.addressesOf(vm)...)
 		}
 	}
-	m.vmMatches = pairs
+	m.vmMatches = matches
 }
 
 // applyVM marks the member at addr as leaving if the VM is, and reports whether
@@ -71,19 +71,19 @@
 // already joined at the same address. Leaving is never revoked, so the new member
 // would never get work. The mark therefore applies only to an incarnation that has
 // been matched with this VM ID for at least the maximum lag of the list.
-func (m *Membership) applyVM(now time.Time, vm backing.VM, addr string, pairs map[string]vmMatch) bool {
+func (m *Membership) applyVM(now time.Time, vm backing.VM, addr string, matches map[string]vmMatch) bool {
 	e := m.table.entries[m.table.byAddress[addr]]
 	if e == nil || e.Condition == conditionDead {
 		return false
 	}
 	key := vm.ID + " " + addr
-	pair, ok := m.vmMatches[key]
-	if !ok || pair.member != e.ID || pair.incarnation != e.Incarnation {
-		pair = vmMatch{member: e.ID, incarnation: e.Incarnation, since: now}
+	match, ok := m.vmMatches[key]
+	if !ok || match.member != e.ID || match.incarnation != e.Incarnation {
+		match = vmMatch{member: e.ID, incarnation: e.Incarnation, since: now}
 	}
-	pairs[key] = pair
-	if vm.Leaving && now.Sub(pair.since) >= m.opts.VMListLag {
-		m.markLeaving(e)
+	matches[key] = match
+	if vm.Leaving && now.Sub(match.since) >= m.opts.VMListLag {
+		m.markEntryLeaving(e)
 	}
 	return true
 }
