--- a/route/affinity.go
+++ b/route/affinity.go
@@ -2,11 +2,11 @@
 
 import "github.com/pearyard/pearyard/engine"
 
-// affinity weighs the load of a candidate against the part of the prompt that
-// it is believed to hold. The credit for a prefix is absolute, by its length,
-// not by its share of the prompt; and no credit lifts a candidate over the
-// bound. For a prompt whose prefix nobody is known to hold, rendezvous hashing
-// of its first block names a candidate on which all routers agree.
+// affinity weighs the load of a candidate against the part of the prompt that it
+// is believed to hold. The credit for a prefix depends on its absolute length, not
+// on its share of the prompt, and never admits a candidate above the bound. For a
+// prompt without a known holder, rendezvous hashing of its first block selects a
+// candidate on which all routers agree.
 type affinity struct {
 	base
 	prefixes *prefixMap
@@ -15,29 +15,29 @@
 // Pick implements Policy.
 func (a *affinity) Pick(q *Query, v *View) (*Candidate, bool) {
 	p := a.begin(q, v)
-	if c := p.special(); c != nil {
+	if c := p.pickSpecial(); c != nil {
 		return c, true
 	}
 	if len(q.Blocks) == 0 {
-		return p.finish(p.zoned(byTwo))
+		return p.orLastResort(p.pickZoneFirst(selectBetterOfTwo))
 	}
-	held, cost := a.holder(&p)
-	if held == nil {
+	holder, cost := a.bestHolder(&p)
+	if holder == nil {
 		if home := a.home(&p); home != nil {
-			return p.finish(p.count(home, reasonHome))
+			return p.orLastResort(p.count(home, reasonHome))
 		}
 	}
-	free := p.leastOfFew(a.pool(&p))
-	if held != nil && (free == nil || cost <= p.score(free)) {
-		return p.finish(p.count(held, reasonHolder))
+	candidate := p.leastOfSample(a.pool(&p))
+	if holder != nil && (candidate == nil || cost <= p.score(candidate)) {
+		return p.orLastResort(p.count(holder, reasonHolder))
 	}
-	if free != nil && p.score(free) <= p.bound() {
-		return p.finish(p.count(free, reasonLoad))
+	if candidate != nil && p.score(candidate) <= p.bound() {
+		return p.orLastResort(p.count(candidate, reasonLoad))
 	}
-	return p.finish(p.zoned(byLeast))
+	return p.orLastResort(p.pickZoneFirst(selectLeastLoaded))
 }
 
-// pool is where a prompt without a holder goes.
+// pool returns the candidates for a prompt without a holder.
 func (a *affinity) pool(p *pick) []*Candidate {
 	if local := p.v.zones[p.q.Zone]; a.tuning.ZoneFirst && len(local) > 0 {
 		return local
@@ -45,21 +45,21 @@
 	return p.v.candidates
 }
 
-// holder returns the candidate within the bound whose score less the credit for
-// what it holds is least, and that difference.
-func (a *affinity) holder(p *pick) (*Candidate, float64) {
+// bestHolder returns the candidate within the bound that minimises score less
+// prefix credit, and that difference.
+func (a *affinity) bestHolder(p *pick) (*Candidate, float64) {
 	bound := p.bound()
-	oldest := a.oldest(p.now)
+	oldest := a.oldestStamp(p.now)
 	var handles [ways]uint32
 	var best *Candidate
 	var bestCost float64
 	for n := len(p.q.Blocks); n > 0; n-- {
 		found := a.prefixes.holders(p.q.Blocks[n-1], oldest, &handles)
-		c, score := a.leastOf(p, handles[:found], bound)
+		c, score := a.betterHolder(p, handles[:found], bound)
 		if c == nil {
 			continue
 		}
-		cost := score - a.tuning.PrefixCredit*float64(depth(n))
+		cost := score - a.tuning.PrefixCredit*float64(depthInFineBlocks(n))
 		if best == nil || cost < bestCost {
 			best, bestCost = c, cost
 		}
@@ -67,13 +67,13 @@
 	return best, bestCost
 }
 
-// holderDraws is how many holders of one block are compared.
+// holderDraws is the number of holders of one block that are compared.
 const holderDraws = 2
 
-// leastOf returns the less loaded one of two of the named candidates, drawn by
-// chance, if it is within the bound. It isn't the least loaded of all, for the
-// reason given at leastOfFew.
-func (a *affinity) leastOf(p *pick, handles []uint32, bound float64) (*Candidate, float64) {
+// betterHolder returns the less loaded of two randomly drawn holders, if it is
+// within the bound. It does not compare all holders, for the reason given at
+// leastOfSample.
+func (a *affinity) betterHolder(p *pick, handles []uint32, bound float64) (*Candidate, float64) {
 	for len(handles) > holderDraws {
 		i := int(p.rand() % uint64(len(handles)))
 		last := len(handles) - 1
@@ -93,8 +93,8 @@
 	return best, bound
 }
 
-// home returns the first candidate within the bound in the rendezvous order of
-// the prompt's first block.
+// home returns the first candidate within the bound in the rendezvous order of the
+// prompt's first block.
 func (a *affinity) home(p *pick) *Candidate {
 	bound := p.bound()
 	var best *Candidate
@@ -111,21 +111,21 @@
 	return best
 }
 
-// Learn implements Learner. The depth to which a prompt is noted grows with
-// the depth at which it was known before: a prefix that is shared is noted
-// whole after a few requests, a unique tail doesn't push others out of the map.
+// Learn implements Learner. The recorded depth of a prompt grows with the depth
+// already known: a shared prefix is recorded completely after a few requests,
+// while a unique tail does not evict other entries.
 func (a *affinity) Learn(c *Candidate, blocks []uint64) {
 	now := a.now().UnixNano()
-	known := a.known(blocks, a.oldest(now))
-	for _, block := range blocks[:min(len(blocks), 2*known+firstLearnt)] {
+	known := a.knownDepth(blocks, a.oldestStamp(now))
+	for _, block := range blocks[:min(len(blocks), 2*known+initialDepth)] {
 		a.prefixes.put(block, c.handle, stampOf(now))
 	}
 }
 
-// firstLearnt is the number of blocks noted of a prompt not seen before.
-const firstLearnt = 8
+// initialDepth is the number of blocks recorded of an unknown prompt.
+const initialDepth = 8
 
-func (a *affinity) known(blocks []uint64, oldest uint32) int {
+func (a *affinity) knownDepth(blocks []uint64, oldest uint32) int {
 	for i := len(blocks); i > 0; i-- {
 		if a.prefixes.has(blocks[i-1], oldest) {
 			return i
@@ -134,15 +134,15 @@
 	return 0
 }
 
-// CacheEvents implements Learner. Events only correct what the router has
-// learnt by its own requests: a stored block counts if the map knows the block,
-// an eviction if the entry is older than the lag of events. Lost events leave
-// an entry that is wrong until PrefixTTL; the price is one prefill.
+// CacheEvents implements Learner. Events only correct what the router has learned
+// from its own requests: a stored block is recorded if the map has the block, and
+// an eviction applies if the entry is older than the lag of events. A lost event
+// leaves a wrong entry until PrefixTTL, at the cost of one prefill.
 func (a *affinity) CacheEvents(c *Candidate, events []engine.CacheEvent) {
 	now := a.now().UnixNano()
-	oldest := a.oldest(now)
+	oldest := a.oldestStamp(now)
 	for _, e := range events {
-		c.Stats.sequence(e.Sequence)
+		c.Stats.recordSequence(e.Sequence)
 		switch {
 		case e.Evicted:
 			a.prefixes.drop(e.Block, c.handle, stampOf(now-int64(a.tuning.EventLag)))
@@ -152,4 +152,4 @@
 	}
 }
 
-func (a *affinity) oldest(now int64) uint32 { return stampOf(now - int64(a.tuning.PrefixTTL)) }
+func (a *affinity) oldestStamp(now int64) uint32 { return stampOf(now - int64(a.tuning.PrefixTTL)) }
--- a/route/candidate.go
+++ b/route/candidate.go
@@ -11,25 +11,26 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// Candidate is one backend server as a router sees it. Its facts don't change;
-// what is measured lives in Stats.
+// Candidate is one backend server as a router sees it. Its fields are immutable;
+// measurements are in Stats.
 type Candidate struct {
 	ID          types.ProcessID
 	Address     string
 	Zone        types.Zone
 	Incarnation types.Incarnation
-	Capacity    int    // requests that run at once at the most; DefaultCapacity if 0
+	Capacity    int    // maximum number of concurrent requests; 0: DefaultCapacity
 	Stats       *Stats // set by NewView
 
-	hash   uint64 // of ID; ranks the candidate for a prefix
-	handle uint32 // of ID and Incarnation; names the candidate in the prefix map
+	hash   uint64 // of ID; used for rendezvous hashing of prefixes
+	handle uint32 // derived from ID and Incarnation; identifies the candidate in the prefix map
 }
 
-// DefaultCapacity is assumed of a candidate that names none.
+// DefaultCapacity is the capacity of a candidate that reports none.
 const DefaultCapacity = 16
 
-// View is an immutable set of the candidates of one service, by zone and ID.
-// A router holds the newest one in an atomic.Pointer and builds the next with NewView.
+// View is an immutable set of the candidates of one service, sorted by zone and
+// ID. A router keeps the newest one in an atomic.Pointer and builds the next with
+// NewView.
 type View struct {
 	candidates []*Candidate
 	zones      map[types.Zone][]*Candidate // sub-slices of candidates
@@ -37,10 +38,10 @@
 	sum        summary
 }
 
-// NewView builds a view of members. Statistics of a candidate with the same ID
-// and incarnation in previous (may be nil) are carried over; a candidate that
-// previous lacks begins its slow start at now. In the first view nobody does:
-// there the router is new, not the backend servers.
+// NewView builds a view of members. Statistics of a candidate with the same ID and
+// incarnation in previous (which may be nil) are kept. A candidate that is not in
+// previous begins its slow start at now, except in the first view, where the
+// router is new and not the backend servers.
 func NewView(previous *View, members []Candidate, now time.Time) *View {
 	v := &View{
 		candidates: make([]*Candidate, 0, len(members)),
@@ -48,7 +49,7 @@
 		handles:    make(map[uint32]*Candidate, len(members)),
 	}
 	for i := range members {
-		v.candidates = append(v.candidates, adopt(previous, members[i], now))
+		v.candidates = append(v.candidates, newCandidate(previous, members[i], now))
 	}
 	slices.SortFunc(v.candidates, compareCandidates)
 	for begin := 0; begin < len(v.candidates); {
@@ -63,7 +64,7 @@
 	return v
 }
 
-func adopt(previous *View, c Candidate, now time.Time) *Candidate {
+func newCandidate(previous *View, c Candidate, now time.Time) *Candidate {
 	if c.Capacity <= 0 {
 		c.Capacity = DefaultCapacity
 	}
@@ -96,8 +97,8 @@
 	return end
 }
 
-// Candidates returns the view's candidates by zone and ID. The slice is the
-// view's own and must not be changed.
+// Candidates returns the view's candidates, sorted by zone and ID. The slice is
+// shared and must not be modified.
 func (v *View) Candidates() []*Candidate { return v.candidates }
 
 // Find returns the candidate with the given ID.
@@ -113,15 +114,16 @@
 // Len returns the number of candidates.
 func (v *View) Len() int { return len(v.candidates) }
 
-// Load returns the mean load of the candidates that aren't slow, in parts of
-// what they can take at present, as of a policy's last renewal; 1 and more means
-// that requests wait. retry.RetryAfter takes it.
+// Load returns the mean load of the candidates that are not slow, relative to
+// their effective capacity, as of the last refresh by a policy. At 1 and above,
+// requests wait. It is the argument of retry.RetryAfter.
 func (v *View) Load() float64 { return v.sum.score.load() }
 
-// Subset returns size of the members, chosen by rendezvous hashing of the
-// router's name: it depends on nothing but its arguments, a member that comes
-// or goes changes one place at the most, and each member is in about the same
-// number of routers' subsets. With size 0 or no fewer members, it is all of them.
+// Subset returns size of the members, selected by rendezvous hashing with the
+// router's name. The result depends only on the arguments, changes by at most one
+// member when a member joins or leaves, and covers all members about equally often
+// over all routers. If size is 0 or not less than the number of members, it
+// returns all of them.
 func Subset(router types.ProcessID, members []Candidate, size int) []Candidate {
 	if size <= 0 || len(members) <= size {
 		return members
@@ -151,18 +153,18 @@
 	return h ^ h>>33
 }
 
-// summary holds what a policy needs to know of the view as a whole. It is
-// renewed now and then by one of the picks, with summary.busy held.
+// summary holds what policies need to know about the view as a whole. It is
+// refreshed from time to time by one of the picks, which holds summary.refreshing.
 type summary struct {
-	due   atomic.Int64 // when the next renewal is due, in Unix nanoseconds
-	picks atomic.Int64 // picks since the last renewal
-	busy  atomic.Bool
-	steps []int64 // scratch for the median, only used with busy held
-
-	median    atomic.Int64  // of the step times, in microseconds; 0: unknown
-	others    atomicFloat   // mean of what other routers have running
-	score     atomicFloat   // mean score of candidates that aren't slow
-	slow      atomic.Int64  // number of slow candidates
-	nextProbe atomic.Int64  // when the next probe of a slow one is due
-	probed    atomic.Uint64 // counts probes, to go round the slow ones
+	nextRefresh atomic.Int64 // when the next refresh is due, in Unix nanoseconds
+	picks       atomic.Int64 // picks since the last refresh
+	refreshing  atomic.Bool
+	steps       []int64 // scratch space for the median; guarded by refreshing
+
+	median       atomic.Int64  // median step time in microseconds; 0: unknown
+	otherRouters atomicFloat   // mean number of requests of other routers per candidate
+	score        atomicFloat   // mean score of candidates that are not slow
+	slow         atomic.Int64  // number of slow candidates
+	nextProbe    atomic.Int64  // when the next probe of a slow candidate is due, in Unix nanoseconds
+	probeCount   atomic.Uint64 // number of probes, for a round robin over the slow candidates
 }
--- a/route/doc.go
+++ b/route/doc.go
@@ -1,6 +1,6 @@
-// Package route decides which backend server of a service gets a request. The
-// candidates are data (a View, replaced whole); a Policy picks one of them
-// without a lock, without an allocation and without a call to anyone.
+// Package route selects the backend server of a service for a request. The
+// candidates are an immutable View, replaced as a whole; a Policy picks one of
+// them without taking a lock, allocating memory or making a call.
 //
 // May import of pearyard: engine, event, types.
 package route
--- a/route/helpers_test.go
+++ b/route/helpers_test.go
@@ -30,7 +30,8 @@
 	return p
 }
 
-// send picks a candidate and counts the request as sent, with its first token seen.
+// send picks a candidate and counts the request as sent with its first token
+// received.
 func send(p Policy, q *Query, v *View) *Candidate {
 	c, ok := p.Pick(q, v)
 	if !ok {
@@ -41,7 +42,7 @@
 	return c
 }
 
-// loadAll gives each candidate the same reported load.
+// loadAll reports the same load for each candidate.
 func loadAll(v *View, running int, step time.Duration, at time.Time) {
 	for _, c := range v.Candidates() {
 		c.Stats.Report(types.Load{Running: running, StepMicros: int(step.Microseconds()), At: at})
--- a/route/metrics.go
+++ b/route/metrics.go
@@ -5,7 +5,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// reason says why a candidate was picked.
+// reason is why a candidate was picked.
 type reason int
 
 const (
@@ -15,17 +15,18 @@
 	reasonLoad
 	reasonProbe
 	reasonSuspect
-	reasonLast
+	reasonLastResort
 	reasonCount
 )
 
 var reasonNames = [reasonCount]string{"holder", "home", "zone", "load", "probe", "suspect", "last_resort"}
 
-// metrics are resolved once, so that a pick costs one atomic addition.
+// metrics holds collectors with their labels resolved, so that a pick costs one
+// atomic addition.
 type metrics struct {
-	picks [reasonCount]prometheus.Counter
-	none  prometheus.Counter
-	slow  prometheus.Gauge
+	picks       [reasonCount]prometheus.Counter
+	noCandidate prometheus.Counter
+	slow        prometheus.Gauge
 }
 
 func newMetrics(reg prometheus.Registerer, service string) *metrics {
@@ -41,15 +42,15 @@
 		Name: "pearyard_route_slow_backend_servers",
 		Help: "Backend servers avoided for their step time.",
 	}, []string{"service"}))
-	m := &metrics{none: none.WithLabelValues(service), slow: slow.WithLabelValues(service)}
+	m := &metrics{noCandidate: none.WithLabelValues(service), slow: slow.WithLabelValues(service)}
 	for i, name := range reasonNames {
 		m.picks[i] = picks.WithLabelValues(service, name)
 	}
 	return m
 }
 
-// register returns the collector, or the one registered before under its name:
-// each service has its own policy, and all share the metrics.
+// register registers and returns c, or returns the collector already registered
+// under its name: each service has its own policy, and all share the metrics.
 func register[T prometheus.Collector](reg prometheus.Registerer, c T) T {
 	if reg == nil {
 		return c
--- a/route/pick.go
+++ b/route/pick.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// pick is the work on one request. It lives on the stack of Policy.Pick.
+// pick is the state of one Policy.Pick call. It stays on the stack.
 type pick struct {
 	*base
 	q   *Query
@@ -12,54 +12,55 @@
 
 func (b *base) begin(q *Query, v *View) pick {
 	now := b.now().UnixNano()
-	b.renew(v, now)
+	b.refresh(v, now)
 	return pick{base: b, q: q, v: v, now: now}
 }
 
-// special handles what all policies do alike: suspects and probes.
-func (p *pick) special() *Candidate {
+// pickSpecial handles what all policies have in common: suspect requests and
+// probes.
+func (p *pick) pickSpecial() *Candidate {
 	if p.q.Suspect {
-		return p.count(p.quietest(), reasonSuspect)
+		return p.count(p.pickForSuspect(), reasonSuspect)
 	}
-	return p.count(p.probe(), reasonProbe)
+	return p.count(p.pickProbe(), reasonProbe)
 }
 
-// rule is how to choose among candidates by load. It's a value and not a
-// function, because a pick handed to an unknown function would move to the heap.
-type rule int
+// selector is how to select among candidates by load. It is a value and not a
+// function, because a pick passed to a function value would escape to the heap.
+type selector int
 
 const (
-	byLeast rule = iota
-	byTwo
+	selectLeastLoaded selector = iota
+	selectBetterOfTwo
 )
 
-func (p *pick) choose(r rule, pool []*Candidate) *Candidate {
-	if r == byTwo {
-		return p.lesserOfTwo(pool)
+func (p *pick) selectFrom(r selector, pool []*Candidate) *Candidate {
+	if r == selectBetterOfTwo {
+		return p.betterOfTwo(pool)
 	}
-	return p.least(pool)
+	return p.leastLoaded(pool)
 }
 
-// zoned chooses from the router's own zone, and from the whole view if that
-// gives nothing or only a candidate over the bound.
-func (p *pick) zoned(r rule) *Candidate {
+// pickZoneFirst selects from the router's own zone, or from the whole view if the
+// zone has no candidate or only one above the bound.
+func (p *pick) pickZoneFirst(r selector) *Candidate {
 	local := p.v.zones[p.q.Zone]
-	c := p.choose(r, local)
+	c := p.selectFrom(r, local)
 	if c != nil && p.score(c) <= p.bound() {
 		return p.count(c, reasonZone)
 	}
 	if len(local) == p.v.Len() {
 		return p.count(c, reasonLoad)
 	}
-	other := p.choose(r, p.v.candidates)
+	other := p.selectFrom(r, p.v.candidates)
 	if c == nil || other != nil && p.score(other) < p.score(c) {
 		c = other
 	}
 	return p.count(c, reasonLoad)
 }
 
-// finish falls back to a slow candidate where there is no other.
-func (p *pick) finish(c *Candidate) (*Candidate, bool) {
+// orLastResort returns c, or a slow candidate if c is nil and there is no other.
+func (p *pick) orLastResort(c *Candidate) (*Candidate, bool) {
 	if c != nil {
 		return c, true
 	}
@@ -69,22 +70,23 @@
 		}
 	}
 	if c == nil {
-		p.metrics.none.Inc()
+		p.metrics.noCandidate.Inc()
 		return nil, false
 	}
-	return p.count(c, reasonLast), true
+	return p.count(c, reasonLastResort), true
 }
 
 func (p *pick) avoided(c *Candidate) bool {
 	return len(p.q.Avoid) > 0 && slices.Contains(p.q.Avoid, c.ID)
 }
 
-// usable tells whether c may be picked in the ordinary way.
+// usable reports whether c may be picked normally.
 func (p *pick) usable(c *Candidate) bool { return !c.Stats.slow.Load() && !p.avoided(c) }
 
-// least returns the usable candidate with the least score. Among equals the
-// first after a random place wins, so that routers don't all take the same.
-func (p *pick) least(pool []*Candidate) *Candidate {
+// leastLoaded returns the usable candidate with the lowest score. Among equals the
+// first one after a random position wins, so that routers do not all pick the
+// same.
+func (p *pick) leastLoaded(pool []*Candidate) *Candidate {
 	if len(pool) == 0 {
 		return nil
 	}
@@ -103,16 +105,16 @@
 	return best
 }
 
-// twoDraws bounds the search for two usable candidates by chance.
-const twoDraws = 8
+// maxPairDraws limits the random draws in search of two usable candidates.
+const maxPairDraws = 8
 
-// lesserOfTwo returns the better one of two usable candidates drawn by chance.
-func (p *pick) lesserOfTwo(pool []*Candidate) *Candidate {
+// betterOfTwo returns the less loaded of two randomly drawn usable candidates.
+func (p *pick) betterOfTwo(pool []*Candidate) *Candidate {
 	if len(pool) == 0 {
 		return nil
 	}
 	var first *Candidate
-	for range twoDraws {
+	for range maxPairDraws {
 		c := pool[p.rand()%uint64(len(pool))]
 		if !p.usable(c) || c == first {
 			continue
@@ -126,22 +128,23 @@
 		}
 		return first
 	}
-	return p.least(pool)
+	return p.leastLoaded(pool)
 }
 
-// fewDraws is how many candidates leastOfFew compares.
-const fewDraws = 4
+// sampleSize is the number of candidates that leastOfSample compares.
+const sampleSize = 4
 
-// leastOfFew returns the best one of a few usable candidates drawn by chance.
-// Routers that all take the very least loaded one take the same one until the
-// next reports; the more routers, the longer the queue that they build there.
-func (p *pick) leastOfFew(pool []*Candidate) *Candidate {
-	if len(pool) <= fewDraws {
-		return p.least(pool)
+// leastOfSample returns the least loaded of a few randomly drawn usable
+// candidates. Routers that all pick the least loaded of all candidates pick the
+// same one until the next reports; the more routers, the longer the queue that
+// builds up there.
+func (p *pick) leastOfSample(pool []*Candidate) *Candidate {
+	if len(pool) <= sampleSize {
+		return p.leastLoaded(pool)
 	}
 	var best *Candidate
 	var bestScore float64
-	for range fewDraws {
+	for range sampleSize {
 		c := pool[p.rand()%uint64(len(pool))]
 		if !p.usable(c) {
 			continue
@@ -151,14 +154,15 @@
 		}
 	}
 	if best == nil {
-		return p.least(pool)
+		return p.leastLoaded(pool)
 	}
 	return best
 }
 
-// quietest returns the candidate on which the crash of an engine would hurt
-// least: no other suspect on it, and few requests. A suspect may take a slow one.
-func (p *pick) quietest() *Candidate {
+// pickForSuspect returns the candidate where the crash of an engine would affect
+// the fewest requests: one without other suspect requests and with a low score. It
+// may be a slow one.
+func (p *pick) pickForSuspect() *Candidate {
 	var best *Candidate
 	var bestSuspects int64
 	var bestScore float64
@@ -174,11 +178,11 @@
 	return best
 }
 
-// probe returns a slow candidate whose turn it is. Without this trickle a
-// candidate that is fast again would stay avoided: its step time is only
-// measured by requests. One that still has requests is being measured, and
-// needs no probe; more would only be held up there.
-func (p *pick) probe() *Candidate {
+// pickProbe returns a slow candidate that is due for a probe. Without probes a
+// recovered candidate would stay avoided, since only requests measure its step
+// time. A candidate that still has requests is being measured and needs no probe,
+// which would only be delayed there.
+func (p *pick) pickProbe() *Candidate {
 	slow := p.v.sum.slow.Load()
 	if slow == 0 || p.q.Long {
 		return nil
@@ -188,15 +192,15 @@
 	if p.now < due || !p.v.sum.nextProbe.CompareAndSwap(due, next) {
 		return nil
 	}
-	turn := int64(p.v.sum.probed.Add(1)) % slow
+	skip := int64(p.v.sum.probeCount.Add(1)) % slow
 	for _, c := range p.v.candidates {
 		if !c.Stats.slow.Load() {
 			continue
 		}
-		if turn == 0 && p.idle(c) && !p.avoided(c) {
+		if skip == 0 && p.idle(c) && !p.avoided(c) {
 			return c
 		}
-		turn--
+		skip--
 	}
 	return nil
 }
--- a/route/policy.go
+++ b/route/policy.go
@@ -20,22 +20,23 @@
 	PrefixAffinity = "prefix_affinity"
 )
 
-// DefaultPolicy is the one that the measurements in docs/design/routing.md speak for.
+// DefaultPolicy is the policy that performed best in the measurements in
+// docs/design/routing.md.
 const DefaultPolicy = PrefixAffinity
 
-// Names lists the policies that NewPolicy knows.
+// Names returns the names of all policies.
 func Names() []string { return []string{RoundRobin, LeastLoad, PowerOfTwo, PrefixAffinity} }
 
-// ErrUnknownPolicy is returned by NewPolicy.
+// ErrUnknownPolicy is returned by NewPolicy for an unknown name.
 var ErrUnknownPolicy = errors.New("unknown routing policy")
 
-// Query is what a policy gets to know of a request. It isn't kept.
+// Query describes a request to a policy, which does not retain it.
 type Query struct {
 	Blocks  []uint64          // prefix keys of the prompt (see Blocks), longest last
 	Zone    types.Zone        // the router's zone
-	Avoid   []types.ProcessID // candidates that must not get the request; a few at the most
+	Avoid   []types.ProcessID // candidates that must not get the request; a short list
 	Suspect bool              // the request may have crashed an engine
-	Long    bool              // expected to run for minutes, or a resume: never used as a probe
+	Long    bool              // expected to run for minutes, or a resume; never used as a probe
 }
 
 // Policy picks a candidate for one request. It is safe for concurrent use and
@@ -44,30 +45,30 @@
 	Pick(q *Query, v *View) (*Candidate, bool)
 }
 
-// Learner is a Policy that keeps a view of prefix caches.
+// Learner is a Policy that tracks the contents of prefix caches.
 type Learner interface {
-	// Learn notes that c has prefilled a prompt with these keys.
+	// Learn records that c has prefilled a prompt with these keys.
 	Learn(c *Candidate, blocks []uint64)
-	// CacheEvents corrects the view by what c's engine says of its cache.
-	// The events must speak of keys made by Blocks.
+	// CacheEvents corrects the tracked contents by cache events of c's engine. The
+	// events must use keys made by Blocks.
 	CacheEvents(c *Candidate, events []engine.CacheEvent)
 }
 
-// Learn tells p that c has prefilled a prompt, if p wants to know.
+// Learn records with p that c has prefilled a prompt, if p is a Learner.
 func Learn(p Policy, c *Candidate, blocks []uint64) {
 	if l, ok := p.(Learner); ok {
 		l.Learn(c, blocks)
 	}
 }
 
-// CacheEvents tells p of c's cache events, if p wants to know.
+// CacheEvents passes cache events of c to p, if p is a Learner.
 func CacheEvents(p Policy, c *Candidate, events []engine.CacheEvent) {
 	if l, ok := p.(Learner); ok {
 		l.CacheEvents(c, events)
 	}
 }
 
-// Options of a policy. One policy serves one service.
+// Options configures a policy. Each service has its own policy.
 type Options struct {
 	Service    string                // label of the metrics
 	Tuning     Tuning                // zero fields take their defaults
@@ -77,47 +78,56 @@
 	Rand       func() uint64         // nil: math/rand/v2
 }
 
-// Tuning holds the dials of the policies. docs/design/routing.md has the
-// figures behind the defaults.
+// Tuning holds the parameters of the policies. docs/design/routing.md has the
+// measurements behind the defaults.
 type Tuning struct {
-	// SlowStart is how long a started or resumed candidate takes to reach its full share.
+	// SlowStart is how long a started or resumed candidate takes to reach its full
+	// share.
 	SlowStart time.Duration `json:"slow_start,omitempty"`
-	// SlowStartFloor is the share that it begins with.
+	// SlowStartFloor is the initial share in a slow start.
 	SlowStartFloor float64 `json:"slow_start_floor,omitempty"`
-	// SlowFactor times the median step time makes a candidate slow.
+	// SlowFactor times the median step time is the step time above which a
+	// candidate is slow.
 	SlowFactor float64 `json:"slow_factor,omitempty"`
-	// ProbeEvery is the least time between two probes of one slow candidate.
+	// ProbeEvery is the minimum time between two probes of one slow candidate.
 	ProbeEvery time.Duration `json:"probe_every,omitempty"`
-	// ReportTau is the age at which a load report has lost half its weight.
+	// ReportTau is the age at which the weight of a load report has fallen to a
+	// half.
 	ReportTau time.Duration `json:"report_tau,omitempty"`
-	// FailPenalty is how long a fail keeps requests away, load allowing.
+	// FailPenalty is how long after a failure a candidate gets fewer requests, if
+	// load permits.
 	FailPenalty time.Duration `json:"fail_penalty,omitempty"`
-	// BoundFactor times the mean load bounds the load that affinity may cause.
+	// BoundFactor times the mean load is the maximum load that affinity may cause.
 	BoundFactor float64 `json:"bound_factor,omitempty"`
-	// BoundFloor is the part of a candidate's capacity that it may always fill.
+	// BoundFloor is the part of its capacity up to which affinity may always load
+	// a candidate.
 	BoundFloor float64 `json:"bound_floor,omitempty"`
-	// BoundCeiling is the part of its capacity beyond which BoundFactor doesn't let affinity go.
+	// BoundCeiling is the part of its capacity beyond which BoundFactor does not
+	// let affinity load a candidate.
 	BoundCeiling float64 `json:"bound_ceiling,omitempty"`
-	// PrefixCredit is how much more load, in parts of its capacity, a candidate
-	// may have for each BlockBytes of the prompt that it holds.
+	// PrefixCredit is the additional load, relative to its capacity, that a
+	// candidate may have for each BlockBytes of the prompt that it holds.
 	PrefixCredit float64 `json:"prefix_credit,omitempty"`
-	// WaitWeight is what a request waiting for its first token counts beyond 1.
+	// WaitWeight is the additional weight of a request that waits for its first
+	// token.
 	WaitWeight float64 `json:"wait_weight,omitempty"`
-	// ZoneFirst makes prefix affinity look in the router's own zone first. The
-	// other policies always do.
+	// ZoneFirst makes prefix affinity prefer the router's own zone, as the other
+	// policies always do.
 	ZoneFirst bool `json:"zone_first,omitempty"`
-	// PrefixEntries bounds the prefix map; 16 bytes each, rounded up to a power of two.
+	// PrefixEntries is the size of the prefix map, rounded up to a power of two;
+	// an entry takes 16 bytes.
 	PrefixEntries int `json:"prefix_entries,omitempty"`
-	// PrefixTTL is how long an entry of the prefix map counts without being seen again.
+	// PrefixTTL is how long an entry of the prefix map is valid without being
+	// renewed.
 	PrefixTTL time.Duration `json:"prefix_ttl,omitempty"`
-	// EventLag is how late a cache event may be; an eviction doesn't undo what
-	// was learnt within it.
+	// EventLag is the maximum delay of a cache event; an eviction does not remove
+	// what was learned within that time.
 	EventLag time.Duration `json:"event_lag,omitempty"`
-	// Renew is the time between two renewals of the view's means.
+	// Renew is the time between two updates of the view's means.
 	Renew time.Duration `json:"renew,omitempty"`
 }
 
-// DefaultTuning returns the measured defaults.
+// DefaultTuning returns the defaults, which were derived from measurements.
 func DefaultTuning() Tuning {
 	return Tuning{
 		SlowStart:      5 * time.Second,
@@ -181,7 +191,7 @@
 	}
 }
 
-// base is what all policies share.
+// base is the part common to all policies.
 type base struct {
 	tuning   Tuning
 	metrics  *metrics
--- a/route/policy_test.go
+++ b/route/policy_test.go
@@ -14,8 +14,8 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// Property: whatever the load, a policy never returns a candidate that the
-// query avoids, and finds one exactly if there is one that it doesn't avoid.
+// Property: under any load, a policy never returns a candidate in Query.Avoid, and
+// finds one if and only if there is another.
 func TestPickNeverReturnsAvoided(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 12).Draw(t, "candidates")
@@ -45,7 +45,7 @@
 			}
 			c, ok := p.Pick(q, v)
 			if ok != (left > 0) {
-				t.Fatalf("picked %v with %d candidates left", ok, left)
+				t.Fatalf("Pick found a candidate: %v, with %d candidates left", ok, left)
 			}
 			if ok && slices.Contains(q.Avoid, c.ID) {
 				t.Fatalf("picked avoided %s", c.ID)
@@ -59,8 +59,9 @@
 	})
 }
 
-// Property: however hot a prefix, affinity loads no candidate beyond what the
-// bound allows: the ceiling, or somewhat over the mean when all are beyond it.
+// Property: however popular a prefix, affinity loads no candidate above the bound:
+// the ceiling, or somewhat more than the mean if all candidates are above the
+// ceiling.
 func TestAffinityLoadIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 40).Draw(t, "candidates")
@@ -78,7 +79,7 @@
 			top = max(top, c.Stats.InFlight())
 		}
 		mean := float64(sent) / float64(n)
-		bound := max(DefaultTuning().BoundCeiling*16, mean) + 2 // the request itself, and a mean one renewal old
+		bound := max(DefaultTuning().BoundCeiling*16, mean) + 2 // the request itself, and a mean that is one refresh old
 		if float64(top) > bound {
 			t.Fatalf("%d requests on one of %d candidates, bound %.1f", top, n, bound)
 		}
@@ -95,17 +96,17 @@
 	other := mustPolicy(PrefixAffinity, Options{})
 	fresh := NewView(nil, members(36, 4), testEpoch)
 	agreed := send(other, &Query{Blocks: promptBlocks("preamble", 8)}, fresh)
-	g.Expect(agreed.ID).To(Equal(first.ID), "two routers that know nothing agree on the home")
+	g.Expect(agreed.ID).To(Equal(first.ID), "two routers without any knowledge must pick the same candidate")
 
 	longTail := append(promptBlocks("preamble", 8), promptBlocks("tail", 50)...)
 	again := send(p, &Query{Blocks: longTail}, v)
-	g.Expect(again.ID).To(Equal(first.ID), "a long unique tail doesn't hide the shared preamble")
+	g.Expect(again.ID).To(Equal(first.ID), "a long unique tail must not hide the shared preamble")
 }
 
-// A user sees a slow first token now and then for a hot prompt: the cache
-// events say that a runner holds the prefix, the runner is full, and a router
-// that believes the events alone sends the request into its queue.
-func TestCacheEventsNeverDecideAlone(t *testing.T) {
+// Guards against an occasional slow first token for a popular prompt: cache events
+// name a runner as holder of the prefix, the runner is full, and a router that
+// relies on the events alone sends the request into its queue.
+func TestCacheEventsAloneDoNotDecide(t *testing.T) {
 	g := NewWithT(t)
 	now := testEpoch
 	v := NewView(nil, members(8, 1), now)
@@ -131,14 +132,14 @@
 	a := p.(*affinity)
 	blocks := promptBlocks("x", 4)
 	c := v.Candidates()[3]
-	known := func() int { return a.known(blocks, a.oldest(now.UnixNano())) }
+	known := func() int { return a.knownDepth(blocks, a.oldestStamp(now.UnixNano())) }
 
 	CacheEvents(p, c, stored(1, blocks))
-	g.Expect(known()).To(Equal(0), "blocks of prompts that this router never sees take no room")
+	g.Expect(known()).To(Equal(0), "blocks of prompts that this router never sees must not be recorded")
 	Learn(p, c, blocks)
 	g.Expect(known()).To(Equal(4))
 	CacheEvents(p, c, evicted(5, blocks))
-	g.Expect(known()).To(Equal(4), "an eviction reported late doesn't undo what was prefilled since")
+	g.Expect(known()).To(Equal(4), "an eviction reported late must not undo a later prefill")
 	g.Expect(c.Stats.CacheGaps()).To(Equal(uint64(0)))
 	now = now.Add(10 * time.Second)
 	CacheEvents(p, c, evicted(12, blocks))
@@ -162,9 +163,8 @@
 	return out
 }
 
-// Two engines die of one request that is sent again and again; each of its
-// neighbours' callers sees a cut. Sent to the same engine, two such requests
-// would be blamed on each other.
+// Guards against two suspect requests on one engine: when it crashes, each would
+// be blamed for the other, and the other requests there would be interrupted.
 func TestSuspectsAreSpread(t *testing.T) {
 	g := NewWithT(t)
 	v := NewView(nil, members(6, 2), testEpoch)
@@ -201,7 +201,7 @@
 			for range 120 {
 				zones[send(p, &Query{Zone: "zone-1"}, v).Zone]++
 			}
-			g.Expect(zones).To(HaveLen(4), "a full zone spills over")
+			g.Expect(zones).To(HaveLen(4), "a full zone must spill over")
 		})
 	}
 }
@@ -225,7 +225,8 @@
 	g.Expect(families).To(HaveLen(3))
 }
 
-// Picks, reports, cache events and a new view at the same time, for the race detector.
+// Runs picks, reports, cache events and view updates concurrently, for the race
+// detector.
 func TestConcurrentUse(t *testing.T) {
 	g := NewWithT(t)
 	for _, name := range Names() {
--- a/route/prefixmap.go
+++ b/route/prefixmap.go
@@ -2,15 +2,15 @@
 
 import "sync/atomic"
 
-// ways is how many entries a bucket of the prefix map has, and so how many
-// holders of one block it can name.
+// ways is the associativity of the prefix map: the entries per bucket, and so the
+// maximum number of holders of one block.
 const ways = 8
 
-// prefixMap is a bounded map from prefix keys to the candidates believed to
-// hold them: a fixed table of buckets, in which the entry seen least recently
-// makes room. It has no lock. An entry is two words that may be read one
-// before and one after a change; the wrong holder that comes of it costs one
-// prefill, and the view resolves no handle but those of its own candidates.
+// prefixMap is a bounded map from prefix keys to the candidates believed to hold
+// them: a fixed table of buckets in which the least recently seen entry is
+// replaced. It is lock-free. The two words of an entry may be read before and
+// after a concurrent change; a wrong holder that results costs one prefill, and
+// the view resolves only handles of its own candidates.
 type prefixMap struct {
 	buckets []bucket
 	mask    uint64
@@ -20,7 +20,7 @@
 
 type entry struct {
 	key   atomic.Uint64
-	value atomic.Uint64 // handle in the upper half, stamp in the lower
+	value atomic.Uint64 // handle in the upper half, stamp in the lower half
 }
 
 func newPrefixMap(entries int) *prefixMap {
@@ -34,10 +34,11 @@
 // stampUnit is the resolution of stamps: 2^26 ns, about 67 ms.
 const stampUnit = 26
 
-// stampOf cuts a time in Unix nanoseconds down to 32 bits; it wraps after nine years.
+// stampOf reduces a time in Unix nanoseconds to 32 bits; it wraps around after
+// nine years.
 func stampOf(now int64) uint32 { return uint32(now >> stampUnit) }
 
-// before compares stamps across the wrap.
+// before compares stamps across wraparound.
 func before(a, b uint32) bool { return int32(a-b) < 0 }
 
 func pack(handle, stamp uint32) uint64 { return uint64(handle)<<32 | uint64(stamp) }
@@ -46,7 +47,8 @@
 
 func (m *prefixMap) bucket(key uint64) *bucket { return &m.buckets[mix(key)&m.mask] }
 
-// holders fills dst with the handles of key's entries not seen before oldest.
+// holders fills dst with the handles of key's entries that were seen at oldest or
+// later, and returns their number.
 func (m *prefixMap) holders(key uint64, oldest uint32, dst *[ways]uint32) int {
 	n := 0
 	b := m.bucket(key)
@@ -63,13 +65,13 @@
 	return n
 }
 
-// has tells whether any holder of key is known.
+// has reports whether any holder of key is known.
 func (m *prefixMap) has(key uint64, oldest uint32) bool {
 	var dst [ways]uint32
 	return m.holders(key, oldest, &dst) > 0
 }
 
-// put notes that handle holds key.
+// put records that handle holds key.
 func (m *prefixMap) put(key uint64, handle, stamp uint32) {
 	b := m.bucket(key)
 	for i := range b {
@@ -84,9 +86,9 @@
 	e.value.Store(pack(handle, stamp))
 }
 
-// victim returns an empty entry, or the one seen least recently. Emptiness is
-// told by the key: the stamp of an empty entry, 0, may be in the future as
-// stamps wrap, and then one entry of each bucket would take all the changes.
+// victim returns an empty entry, or the least recently seen one. An empty entry is
+// recognised by its key. Its stamp, 0, may be in the future because stamps wrap
+// around; judged by the stamp, one entry of each bucket would receive all changes.
 func (b *bucket) victim() *entry {
 	oldest := &b[0]
 	for i := range b {
@@ -101,7 +103,8 @@
 	return oldest
 }
 
-// drop forgets that handle holds key, unless that was noted after limit.
+// drop removes the entry that handle holds key, unless it was recorded at limit or
+// later.
 func (m *prefixMap) drop(key uint64, handle, limit uint32) {
 	b := m.bucket(key)
 	for i := range b {
--- a/route/routebench/cases.go
+++ b/route/routebench/cases.go
@@ -8,35 +8,35 @@
 	"github.com/pearyard/pearyard/route"
 )
 
-// Rates of fresh requests a second for each runner.
+// Rates of new requests per second and runner.
 const (
 	steadyRate = 1.0
-	fullRate   = 1.5 // times steadyRate: about what the runners can do
+	fullRate   = 1.5 // multiple of steadyRate: about the maximum that the runners can serve
 )
 
-// variant is a policy with its dials under one fault.
+// variant is a policy with its parameters under one fault.
 type variant struct {
 	name    string
 	options simOptions
 }
 
-// Values that switch a mechanism off.
+// Values that effectively disable a mechanism.
 const (
-	noSlowStart  = time.Nanosecond
-	noSlowFactor = 1e9
-	noAge        = 1000 * time.Hour
-	off          = 1e-9
-	soonReports  = 250 * time.Millisecond
-	lateReports  = 10 * time.Second
-	noBound      = 1e9
+	noSlowStart     = time.Nanosecond
+	noSlowFactor    = 1e9
+	noReportDecay   = 1000 * time.Hour
+	disabled        = 1e-9
+	frequentReports = 250 * time.Millisecond
+	rareReports     = 10 * time.Second
+	noBound         = 1e9
 )
 
-// cases lists what is measured.
+// cases returns the variants to measure.
 func cases(rate float64) []variant {
-	plain := simOptions{rate: rate, reportEvery: reportEvery, policy: route.PrefixAffinity, learn: true, events: true}
+	defaults := simOptions{rate: rate, reportEvery: reportInterval, policy: route.PrefixAffinity, learn: true, events: true}
 	var out []variant
 	add := func(name string, f fault, change func(*simOptions)) {
-		o := plain
+		o := defaults
 		o.fault = f
 		if change != nil {
 			change(&o)
@@ -49,18 +49,18 @@
 		}
 	}
 	policies(noFault, rate)
-	listed := func(f fault, rate float64) {
+	directories := func(f fault, rate float64) {
 		add("directory", f, func(o *simOptions) { o.directory = true; o.rate = rate })
-		add("directory; own load alone", f, func(o *simOptions) { o.directory, o.alone = true, true; o.rate = rate })
+		add("directory; own load alone", f, func(o *simOptions) { o.directory, o.ownLoadOnly = true, true; o.rate = rate })
 	}
-	listed(noFault, rate)
+	directories(noFault, rate)
 	tuned := func(name string, change func(*route.Tuning)) {
 		add(name, noFault, func(o *simOptions) { change(&o.tuning) })
 	}
 	add("affinity; no cache events", noFault, func(o *simOptions) { o.events = false })
 	add("affinity; nothing learnt", noFault, func(o *simOptions) { o.learn = false; o.events = false })
 	tuned("affinity; zone first", func(t *route.Tuning) { t.ZoneFirst = true })
-	tuned("affinity; bound only, no credit", func(t *route.Tuning) { t.PrefixCredit = off })
+	tuned("affinity; bound only, no credit", func(t *route.Tuning) { t.PrefixCredit = disabled })
 	tuned("affinity; credit without bound", func(t *route.Tuning) { t.BoundFactor = noBound; t.BoundCeiling = noBound })
 	tuned("affinity; credit 0.02", func(t *route.Tuning) { t.PrefixCredit = 0.02 })
 	tuned("affinity; credit 0.1", func(t *route.Tuning) { t.PrefixCredit = 0.1 })
@@ -70,24 +70,24 @@
 	tuned("affinity; factor 2", func(t *route.Tuning) { t.BoundFactor = 2 })
 	tuned("affinity; floor 0.5", func(t *route.Tuning) { t.BoundFloor = 0.5 })
 	tuned("affinity; ceiling 0.8", func(t *route.Tuning) { t.BoundCeiling = 0.8 })
-	tuned("affinity; wait weight 0", func(t *route.Tuning) { t.WaitWeight = off })
+	tuned("affinity; wait weight 0", func(t *route.Tuning) { t.WaitWeight = disabled })
 	tuned("affinity; wait weight 1", func(t *route.Tuning) { t.WaitWeight = 1 })
 	tuned("affinity; wait weight 6", func(t *route.Tuning) { t.WaitWeight = 6 })
-	tuned("affinity; report age ignored", func(t *route.Tuning) { t.ReportTau = noAge })
-	add("least load; wait weight 0", noFault, func(o *simOptions) { o.policy = route.LeastLoad; o.tuning.WaitWeight = off })
-	late := func(o *simOptions) { o.reportEvery = lateReports }
-	add("affinity; reports each 250 ms", noFault, func(o *simOptions) { o.reportEvery = soonReports })
+	tuned("affinity; report age ignored", func(t *route.Tuning) { t.ReportTau = noReportDecay })
+	add("least load; wait weight 0", noFault, func(o *simOptions) { o.policy = route.LeastLoad; o.tuning.WaitWeight = disabled })
+	late := func(o *simOptions) { o.reportEvery = rareReports }
+	add("affinity; reports each 250 ms", noFault, func(o *simOptions) { o.reportEvery = frequentReports })
 	add("affinity; reports each 10 s", noFault, late)
-	add("the same, age ignored", noFault, func(o *simOptions) { late(o); o.tuning.ReportTau = noAge })
+	add("the same, age ignored", noFault, func(o *simOptions) { late(o); o.tuning.ReportTau = noReportDecay })
 	add("least load; reports each 10 s", noFault, func(o *simOptions) { late(o); o.policy = route.LeastLoad })
 	add("the same, age ignored", noFault, func(o *simOptions) {
 		late(o)
 		o.policy = route.LeastLoad
-		o.tuning.ReportTau = noAge
+		o.tuning.ReportTau = noReportDecay
 	})
 
 	policies(oneSlow, rate)
-	listed(oneSlow, rate)
+	directories(oneSlow, rate)
 	add("affinity; slow not avoided", oneSlow, func(o *simOptions) { o.tuning.SlowFactor = noSlowFactor })
 	add("affinity; slow factor 2", oneSlow, func(o *simOptions) { o.tuning.SlowFactor = 2 })
 
@@ -100,23 +100,23 @@
 
 	policies(zoneGone, rate)
 	policies(zoneLost, rate)
-	listed(zoneLost, rate)
+	directories(zoneLost, rate)
 	add("affinity; no slow start", zoneLost, func(o *simOptions) { o.tuning.SlowStart = noSlowStart })
 	add("affinity; slow start 20 s", zoneLost, func(o *simOptions) { o.tuning.SlowStart = 20 * time.Second })
 	add("affinity; slow start 10 s", zoneLost, func(o *simOptions) { o.tuning.SlowStart = 10 * time.Second })
 
 	policies(tenthDies, rate*fullRate)
-	listed(tenthDies, rate*fullRate)
-	add("affinity; retries without budget", tenthDies, func(o *simOptions) { o.unbounded = true; o.rate = rate * fullRate })
+	directories(tenthDies, rate*fullRate)
+	add("affinity; retries without budget", tenthDies, func(o *simOptions) { o.noRetryBudget = true; o.rate = rate * fullRate })
 	add("two; retries without budget", tenthDies, func(o *simOptions) {
-		o.unbounded = true
+		o.noRetryBudget = true
 		o.policy = route.PowerOfTwo
 		o.rate = rate * fullRate
 	})
 	return out
 }
 
-// summarise returns the least, median and greatest of each figure.
+// summarise returns the minimum, median and maximum of each figure.
 func summarise(all []figures) (least, median, most figures) {
 	fields := reflect.TypeFor[figures]().NumField()
 	for i := range fields {
--- a/route/routebench/clock.go
+++ b/route/routebench/clock.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// clock is virtual time: a heap of things to do, each at its instant.
+// clock is virtual time: a heap of tasks ordered by time.
 type clock struct {
-	now    time.Duration // since the beginning of the run
+	now    time.Duration // since the start of the run
 	serial int
 	tasks  taskHeap
 }
 
-// epoch is the wall-clock time at which runs begin.
+// epoch is the wall-clock time at which runs start.
 var epoch = time.Unix(1_700_000_000, 0)
 
 func (c *clock) time() time.Time { return epoch.Add(c.now) }
@@ -22,7 +22,7 @@
 	heap.Push(&c.tasks, task{at: c.now + d, serial: c.serial, do: do})
 }
 
-// every runs do each period, for as long as the run goes on.
+// every runs do once per period until the end of the run.
 func (c *clock) every(period time.Duration, do func()) {
 	c.after(period, func() {
 		do()
@@ -40,7 +40,7 @@
 
 type task struct {
 	at     time.Duration
-	serial int // keeps tasks of one instant in the order in which they were set
+	serial int // preserves the scheduling order of tasks with the same time
 	do     func()
 }
 
--- a/route/routebench/command.go
+++ b/route/routebench/command.go
@@ -12,29 +12,30 @@
 	"github.com/urfave/cli/v2"
 )
 
-// Command returns the bench as a command of a command line.
+// Command returns the CLI command of the benchmark.
 func Command() *cli.Command {
 	return &cli.Command{
 		Name:  "route",
-		Usage: "measure routing policies over modelled runners, in virtual time",
+		Usage: "measure routing policies over simulated runners in virtual time",
 		Flags: []cli.Flag{
-			&cli.IntSliceFlag{Name: "runners", Value: cli.NewIntSlice(36, 24), Usage: "sizes to measure"},
+			&cli.IntSliceFlag{Name: "runners", Value: cli.NewIntSlice(36, 24), Usage: "numbers of runners to measure"},
 			&cli.IntFlag{Name: "routers", Value: 3},
-			&cli.Float64Flag{Name: "rate", Value: steadyRate, Usage: "requests a second for each runner"},
+			&cli.Float64Flag{Name: "rate", Value: steadyRate, Usage: "requests per second and runner"},
 			&cli.IntFlag{Name: "seeds", Value: 5},
-			&cli.StringSliceFlag{Name: "case", Usage: "only these cases"},
-			&cli.StringFlag{Name: "json", Usage: "write the figures to this file"},
+			&cli.StringSliceFlag{Name: "case", Usage: "run only these cases"},
+			&cli.StringFlag{Name: "json", Usage: "write the results to this file"},
 			&cli.IntFlag{Name: "organisations", Value: 10},
 			&cli.IntFlag{Name: "subset", Usage: "candidates in a router's view; 0: all"},
-			&cli.IntFlag{Name: "groups", Usage: "groups of routers with the same subset; 0: each its own"},
-			&cli.StringSliceFlag{Name: "variant", Usage: "only these variants"},
-			&cli.IntFlag{Name: "parallel", Value: 4, Usage: "runs at a time"},
+			&cli.IntFlag{Name: "groups", Usage: "groups of routers with the same subset; 0: a separate subset for each"},
+			&cli.StringSliceFlag{Name: "variant", Usage: "run only these variants"},
+			&cli.IntFlag{Name: "parallel", Value: 4, Usage: "concurrent runs"},
 		},
-		Action: bench,
+		Action: runBenchmark,
 	}
 }
 
-// row is one variant under one fault: median, least and greatest figures over the seeds.
+// row holds the results of one variant under one fault: median, minimum and
+// maximum over the seeds.
 type row struct {
 	Runners int     `json:"runners"`
 	Case    string  `json:"case"`
@@ -44,7 +45,7 @@
 	Most    figures `json:"most"`
 }
 
-func bench(ctx *cli.Context) error {
+func runBenchmark(ctx *cli.Context) error {
 	var rows []row
 	for _, runners := range ctx.IntSlice("runners") {
 		for _, c := range cases(ctx.Float64("rate")) {
@@ -66,7 +67,7 @@
 			rows = append(rows, r)
 		}
 	}
-	report(ctx.App.Writer, rows)
+	writeTable(ctx.App.Writer, rows)
 	return writeJSON(ctx.String("json"), rows)
 }
 
@@ -74,9 +75,9 @@
 	all := make([]figures, seeds)
 	failed := make([]error, seeds)
 	slots := make(chan struct{}, max(1, parallel))
-	var wait sync.WaitGroup
+	var wg sync.WaitGroup
 	for i := range seeds {
-		wait.Go(func() {
+		wg.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
 			opts := c.options
@@ -89,7 +90,7 @@
 			all[i] = r.figures()
 		})
 	}
-	wait.Wait()
+	wg.Wait()
 	for _, err := range failed {
 		if err != nil {
 			return row{}, err
@@ -106,12 +107,12 @@
 	}
 	raw, err := json.MarshalIndent(rows, "", "  ")
 	if err != nil {
-		return errors.Wrap(err, "encode figures")
+		return errors.Wrap(err, "encode results")
 	}
-	return errors.Wrap(os.WriteFile(path, append(raw, '\n'), 0o644), "write figures")
+	return errors.Wrap(os.WriteFile(path, append(raw, '\n'), 0o644), "write results")
 }
 
-func report(w io.Writer, rows []row) {
+func writeTable(w io.Writer, rows []row) {
 	last := ""
 	for _, r := range rows {
 		if title := fmt.Sprintf("%d runners, %s", r.Runners, r.Case); title != last {
--- a/route/routebench/directory.go
+++ b/route/routebench/directory.go
@@ -9,30 +9,30 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// Model of entry VMs that tell each other their load.
+// Model of entry VMs that exchange their load.
 const (
-	tellEvery = 20 * time.Millisecond
-	tellLag   = time.Millisecond
-	service   = "models"
+	loadExchangeInterval = 20 * time.Millisecond
+	loadExchangeDelay    = time.Millisecond
+	service              = "models"
 )
 
-// listed chooses by package directory, as entry VMs do on the platform: by what
-// this process has sent and by what the others tell of theirs, without reports,
-// and without regard to prefix caches.
-type listed struct {
-	directory *directory.Directory
-	zone      types.Zone
-	now       func() time.Time
-	position  uint64
-	prompt    int // tokens of the request that is placed now
+// directoryPolicy selects servers with package directory, as entry VMs on the
+// platform do: by what this process has sent and what the others announce, without
+// load reports or prefix caches.
+type directoryPolicy struct {
+	directory    *directory.Directory
+	zone         types.Zone
+	now          func() time.Time
+	position     uint64
+	promptTokens int // tokens of the request being placed
 }
 
-func newListed(zone types.Zone, now func() time.Time) *listed {
-	return &listed{directory: directory.New(), zone: zone, now: now}
+func newDirectoryPolicy(zone types.Zone, now func() time.Time) *directoryPolicy {
+	return &directoryPolicy{directory: directory.New(), zone: zone, now: now}
 }
 
-// list takes in the members that are alive.
-func (l *listed) list(members []route.Candidate) {
+// apply replaces the members with those that are alive.
+func (l *directoryPolicy) apply(members []route.Candidate) {
 	entries := make([]directory.Listing, len(members))
 	for i, m := range members {
 		entries[i] = directory.Listing{
@@ -45,21 +45,21 @@
 }
 
 // Pick implements route.Policy.
-func (l *listed) Pick(q *route.Query, v *route.View) (*route.Candidate, bool) {
+func (l *directoryPolicy) Pick(q *route.Query, v *route.View) (*route.Candidate, bool) {
 	avoid := make(map[directory.Start]bool, len(q.Avoid))
 	for _, id := range q.Avoid {
 		if s := l.server(id); s != nil {
 			avoid[s.Start] = true
 		}
 	}
-	s := l.directory.Pick(directory.Query{Service: service, Zone: string(l.zone), Exclude: avoid, Prompt: l.prompt}, l.now())
+	s := l.directory.Pick(directory.Query{Service: service, Zone: string(l.zone), Exclude: avoid, Prompt: l.promptTokens}, l.now())
 	if s == nil {
 		return nil, false
 	}
 	return v.Find(types.ProcessID(s.ID))
 }
 
-func (l *listed) server(id types.ProcessID) *directory.Server {
+func (l *directoryPolicy) server(id types.ProcessID) *directory.Server {
 	for _, s := range l.directory.View().Service(service) {
 		if s.ID == string(id) {
 			return s
@@ -68,8 +68,9 @@
 	return nil
 }
 
-// begun counts a request on a server. It may be called on nil, as the methods of load.
-func (l *listed) begun(id types.ProcessID, q *request) *load {
+// begin counts a request on a server. It may be called on nil, like the methods of
+// serverLoad.
+func (l *directoryPolicy) begin(id types.ProcessID, q *request) *serverLoad {
 	if l == nil {
 		return nil
 	}
@@ -77,46 +78,47 @@
 	if s == nil {
 		return nil
 	}
-	return &load{listed: l, server: s, running: s.BeginStream(len(q.allBlocks()) * tokensPerBlok)}
+	return &serverLoad{policy: l, server: s, running: s.BeginStream(len(q.allBlocks()) * tokensPerBlock)}
 }
 
-// load is a request's share of a server's load; nil counts nothing.
-type load struct {
-	listed  *listed
+// serverLoad is a request's share of a server's load; nil counts nothing.
+type serverLoad struct {
+	policy  *directoryPolicy
 	server  *directory.Server
 	running *directory.StreamLoad
 }
 
-func (l *load) read() {
+func (l *serverLoad) read() {
 	if l != nil {
 		l.running.PromptRead()
 	}
 }
 
-func (l *load) end() {
+func (l *serverLoad) end() {
 	if l != nil {
 		l.running.End()
 	}
 }
 
-func (l *load) lost() {
+func (l *serverLoad) lost() {
 	if l != nil {
 		l.running.End()
-		l.server.MarkLost(l.listed.now())
+		l.server.MarkLost(l.policy.now())
 	}
 }
 
-// tell hands on what each router has put on servers to all others.
-func (s *sim) tell() {
+// exchangeLoad passes the load that each router has placed on servers to all other
+// routers.
+func (s *sim) exchangeLoad() {
 	for _, from := range s.routers {
-		if from.listed == nil {
+		if from.directoryPolicy == nil {
 			return
 		}
-		own := from.listed.directory.OwnLoad()
-		s.clock.after(tellLag, func() {
+		own := from.directoryPolicy.directory.OwnLoad()
+		s.clock.after(loadExchangeDelay, func() {
 			for _, to := range s.routers {
 				if to != from {
-					to.listed.directory.SetPeerLoad(string(from.name), own)
+					to.directoryPolicy.directory.SetPeerLoad(string(from.name), own)
 				}
 			}
 		})
--- a/route/routebench/fault.go
+++ b/route/routebench/fault.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// fault is what goes wrong in a run.
+// fault is the fault injected into a run.
 type fault string
 
 const (
@@ -16,7 +16,7 @@
 	zoneOfRunner       = "zone-0"
 )
 
-func (f fault) plan(s *sim) {
+func (f fault) schedule(s *sim) {
 	switch f {
 	case oneSlow:
 		s.clock.after(faultAt, func() { s.runners[0].slowdown = slowdown })
@@ -29,7 +29,7 @@
 		})
 	case zoneLost, zoneGone:
 		s.clock.after(faultAt, func() { s.kill(func(r *runner) bool { return r.zone == zoneOfRunner }) })
-		s.clock.after(returnAt, s.startDead)
+		s.clock.after(returnAt, s.restartDead)
 	case tenthDies:
 		s.clock.after(faultAt, func() { s.kill(func(r *runner) bool { return r.index%10 == 0 }) })
 	}
@@ -44,7 +44,7 @@
 	s.membershipChanged()
 }
 
-func (s *sim) startDead() {
+func (s *sim) restartDead() {
 	for _, r := range s.runners {
 		if !r.alive {
 			r.start()
@@ -53,8 +53,8 @@
 	s.membershipChanged()
 }
 
-// affected tells whether the fault is about r.
-func (f fault) affected(r *runner) bool {
+// affects reports whether the fault concerns r.
+func (f fault) affects(r *runner) bool {
 	switch f {
 	case oneSlow, oneStarted:
 		return r.index == 0
@@ -66,7 +66,7 @@
 	return false
 }
 
-// window is the time for which a run's figures are counted.
+// window returns the start and end of the time over which a run is measured.
 func (f fault) window() (time.Duration, time.Duration) {
 	switch f {
 	case oneSlow, zoneGone:
--- a/route/routebench/result.go
+++ b/route/routebench/result.go
@@ -5,69 +5,70 @@
 	"time"
 )
 
-// result gathers the figures of one run; those by time only within the window.
+// result collects the figures of one run; those that depend on time only within
+// the window.
 type result struct {
-	asked, asks, sent, shed, gaveUp, resumed, done int
+	arrived, requests, sent, shed, gaveUp, resumed, done int
 
-	blocks, hits int
-	first        []time.Duration
-	spread       []float64
-	affectedPeak float64 // greatest load of the runners that the fault is about, in parts of the mean of the others
-	toAffected   int
-	dispatched   int
-	askedFrom    [2]int // asks and sent at the window's beginning
-	windowAsks   int
-	windowSent   int
-	windowShed   int
-	shedFrom     int
-	windowDone   int
-	doneFrom     int
-	opened       bool
-	windowed     []*request // requests asked in the window that got a token
+	blocks, hits   int
+	first          []time.Duration
+	spread         []float64
+	affectedPeak   float64 // maximum load of a runner affected by the fault, relative to the mean of the others
+	toAffected     int
+	dispatched     int
+	countsAtStart  [2]int // values of requests and sent at the start of the window
+	windowRequests int
+	windowSent     int
+	windowShed     int
+	shedAtStart    int
+	windowDone     int
+	doneAtStart    int
+	windowOpen     bool
+	measured       []*request // requests that arrived within the window and received a token
 }
 
-func (s *sim) counting() bool {
+func (s *sim) inWindow() bool {
 	from, to := s.opts.fault.window()
 	return s.clock.now >= from && s.clock.now < to
 }
 
-func (r *result) prefilled(s *sim, _ *request, blocks, hit int) {
-	if s.counting() {
+func (r *result) recordPrefill(s *sim, _ *request, blocks, hit int) {
+	if s.inWindow() {
 		r.blocks += blocks
 		r.hits += hit
 	}
 }
 
-func (r *result) firstToken(s *sim, q *request, took time.Duration) {
+func (r *result) recordFirstToken(s *sim, q *request, took time.Duration) {
 	from, to := s.opts.fault.window()
-	if q.asked >= from && q.asked < to {
+	if q.arrivedAt >= from && q.arrivedAt < to {
 		r.first = append(r.first, took)
-		r.windowed = append(r.windowed, q)
+		r.measured = append(r.measured, q)
 	}
 }
 
-func (r *result) dispatch(s *sim, runner *runner) {
-	if !s.counting() {
+func (r *result) recordDispatch(s *sim, runner *runner) {
+	if !s.inWindow() {
 		return
 	}
 	r.dispatched++
-	if s.opts.fault.affected(runner) {
+	if s.opts.fault.affects(runner) {
 		r.toAffected++
 	}
 }
 
-// sample is called once a second.
+// sample updates the time-dependent figures; it is called once a second.
 func (r *result) sample(s *sim) {
-	if !s.counting() {
+	if !s.inWindow() {
 		return
 	}
-	if !r.opened {
-		r.opened = true
-		r.askedFrom = [2]int{r.asks, r.sent}
-		r.shedFrom, r.doneFrom = r.shed, r.done
+	if !r.windowOpen {
+		r.windowOpen = true
+		r.countsAtStart = [2]int{r.requests, r.sent}
+		r.shedAtStart, r.doneAtStart = r.shed, r.done
 	}
-	r.windowAsks, r.windowSent = r.asks-r.askedFrom[0], r.sent-r.askedFrom[1]
-	r.windowShed, r.windowDone = r.shed-r.shedFrom, r.done-r.doneFrom
+	r.windowRequests, r.windowSent = r.requests-r.countsAtStart[0], r.sent-r.countsAtStart[1]
+	r.windowShed, r.windowDone = r.shed-r.shedAtStart, r.done-r.doneAtStart
 	top, sum, n := 0, 0, 0
 	affectedTop, otherSum, others := 0, 0, 0
 	for _, runner := range s.runners {
@@ -75,7 +76,7 @@
 			continue
 		}
 		top, sum, n = max(top, runner.load()), sum+runner.load(), n+1
-		if s.opts.fault.affected(runner) {
+		if s.opts.fault.affects(runner) {
 			affectedTop = max(affectedTop, runner.load())
 			continue
 		}
@@ -89,7 +90,7 @@
 	}
 }
 
-// figures are what a run is judged by.
+// figures are the results of a run.
 type figures struct {
 	HitRate         float64 `json:"hit_rate"`
 	PrefilledTokens float64 `json:"prefilled_tokens"`
@@ -110,7 +111,7 @@
 	slices.Sort(r.first)
 	return figures{
 		HitRate:         ratio(r.hits, r.blocks),
-		PrefilledTokens: float64((r.blocks - r.hits) * tokensPerBlok),
+		PrefilledTokens: float64((r.blocks - r.hits) * tokensPerBlock),
 		FirstP50:        quantile(r.first, 0.50),
 		FirstP95:        quantile(r.first, 0.95),
 		FirstP99:        quantile(r.first, 0.99),
@@ -118,19 +119,19 @@
 		Spread:          mean(r.spread),
 		AffectedShare:   ratio(r.toAffected, r.dispatched),
 		AffectedPeak:    r.affectedPeak,
-		SentPerAsked:    ratio(r.windowSent, r.windowAsks),
+		SentPerAsked:    ratio(r.windowSent, r.windowRequests),
 		Shed:            float64(r.windowShed),
 		Done:            float64(r.windowDone),
 		GaveUp:          float64(r.gaveUp),
 	}
 }
 
-// gaps returns the mean time between two tokens of each request of the window.
+// gaps returns, for each measured request, the mean time between two tokens.
 func (r *result) gaps() []time.Duration {
 	var out []time.Duration
-	for _, q := range r.windowed {
+	for _, q := range r.measured {
 		if q.emitted > 1 {
-			out = append(out, (q.lastAt-q.firstAt)/time.Duration(q.emitted-1))
+			out = append(out, (q.lastTokenAt-q.firstTokenAt)/time.Duration(q.emitted-1))
 		}
 	}
 	slices.Sort(out)
--- a/route/routebench/router.go
+++ b/route/routebench/router.go
@@ -10,40 +10,40 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// Model of the way between routers and runners.
+// Model of the network between routers and runners.
 const (
-	zoneHop     = time.Millisecond // one way between zones
-	reportEvery = time.Second
-	reportLag   = 300 * time.Millisecond
-	eventsEvery = time.Second
-	eventsLag   = 2 * time.Second
-	eventsLost  = 0.1 // of the batches
-	viewLag     = 1500 * time.Millisecond
-	maxTries    = 4 // after the first, since the caller came
-	maxReturns  = 5
+	zoneDelay        = time.Millisecond // one-way delay between zones
+	reportInterval   = time.Second
+	reportDelay      = 300 * time.Millisecond
+	eventsInterval   = time.Second
+	eventsDelay      = 2 * time.Second
+	eventLossRate    = 0.1 // share of lost batches
+	viewDelay        = 1500 * time.Millisecond
+	maxRetries       = 4 // attempts after the first one since the caller last arrived
+	maxCallerRetries = 5
 )
 
-// router is one router with its own view; it runs the real policy.
+// router is one router with its own view; it runs the real policy code.
 type router struct {
-	sim      *sim
-	name     types.ProcessID // decides on the subset
-	zone     types.Zone
-	policy   route.Policy
-	view     *route.View
-	listed   *listed // nil: the policy goes by the view
-	budget   *retry.Budget
-	circuits map[types.ProcessID]*retry.Circuit
+	sim             *sim
+	name            types.ProcessID // determines the subset
+	zone            types.Zone
+	policy          route.Policy
+	view            *route.View
+	directoryPolicy *directoryPolicy // nil unless package directory is used
+	budget          *retry.Budget
+	circuits        map[types.ProcessID]*retry.Circuit
 }
 
-// sending is one try that a runner has accepted.
-type sending struct {
+// attempt is one sending of a request to a runner.
+type attempt struct {
 	route.Sent
 	candidate *route.Candidate
 	at        time.Duration
-	load      *load
+	load      *serverLoad
 }
 
-// rebuild makes the view of the runners that membership knows as alive.
+// rebuild builds the view from the runners that membership reports as alive.
 func (r *router) rebuild() {
 	var members []route.Candidate
 	for _, runner := range r.sim.runners {
@@ -52,8 +52,8 @@
 		}
 	}
 	members = route.Subset(r.name, members, r.sim.opts.subset)
-	if r.listed != nil {
-		r.listed.list(members)
+	if r.directoryPolicy != nil {
+		r.directoryPolicy.apply(members)
 	}
 	r.view = route.NewView(r.view, members, r.sim.clock.time())
 }
@@ -65,18 +65,19 @@
 	return r.circuits[id]
 }
 
-// ask takes in a request from its caller.
-func (r *router) ask(q *request) {
+// receive accepts a request from its caller.
+func (r *router) receive(q *request) {
 	q.router, q.retries = r, 0
-	r.sim.result.asks++
+	r.sim.result.requests++
 	r.budget.RecordRequest()
 	r.send(q, nil)
 }
 
-// send tries one candidate after the other until one accepts, or the budget is spent.
+// send places the request on a candidate; arrive retries elsewhere until one
+// accepts or the budget is exhausted.
 func (r *router) send(q *request, avoid []types.ProcessID) {
-	if r.listed != nil {
-		r.listed.prompt = len(q.blocks) * tokensPerBlok
+	if r.directoryPolicy != nil {
+		r.directoryPolicy.promptTokens = len(q.blocks) * tokensPerBlock
 	}
 	query := route.Query{Blocks: q.blocks[:min(len(q.blocks), route.MaxBlocks)], Zone: r.zone, Avoid: avoid}
 	c, ok := r.policy.Pick(&query, r.view)
@@ -89,25 +90,25 @@
 		return
 	}
 	r.sim.result.sent++
-	sent := &sending{candidate: c, Sent: c.Begin(&query), load: r.listed.begun(c.ID, q)}
-	q.first = false
+	sent := &attempt{candidate: c, Sent: c.Begin(&query), load: r.directoryPolicy.begin(c.ID, q)}
+	q.gotFirstToken = false
 	hop := time.Duration(0)
 	if c.Zone != r.zone {
-		hop = zoneHop
+		hop = zoneDelay
 	}
 	r.sim.clock.after(hop, func() { r.arrive(q, sent, query.Avoid) })
 }
 
-func (r *router) arrive(q *request, sent *sending, avoid []types.ProcessID) {
+func (r *router) arrive(q *request, sent *attempt, avoid []types.ProcessID) {
 	c := sent.candidate
 	runner := r.sim.byID[c.ID]
 	sent.at = r.sim.clock.now
-	q.sentTo = sent
+	q.attempt = sent
 	if runner.incarnation == c.Incarnation && runner.accept(q) {
-		r.sim.result.dispatch(r.sim, runner)
+		r.sim.result.recordDispatch(r.sim, runner)
 		return
 	}
-	q.sentTo.End()
+	q.attempt.End()
 	if runner.alive {
 		sent.load.end()
 	} else {
@@ -116,7 +117,7 @@
 		r.circuit(c.ID).Failure()
 	}
 	q.retries++
-	if q.retries > maxTries || !r.sim.opts.unbounded && !r.budget.Allow() {
+	if q.retries > maxRetries || !r.sim.opts.noRetryBudget && !r.budget.Allow() {
 		r.shed(q)
 		return
 	}
@@ -124,37 +125,37 @@
 	r.sim.clock.after(wait, func() { r.send(q, append(slices.Clip(avoid), c.ID)) })
 }
 
-// shed refuses a request as not run; its caller comes back when told to.
+// shed refuses a request as not run; its caller returns after the time it is told.
 func (r *router) shed(q *request) {
 	r.sim.result.shed++
-	q.returns++
-	if q.returns > maxReturns {
+	q.callerRetries++
+	if q.callerRetries > maxCallerRetries {
 		r.sim.result.gaveUp++
 		return
 	}
 	wait := retry.RetryAfter(r.view.Load())
-	r.sim.clock.after(wait, func() { r.sim.anyRouter().ask(q) })
+	r.sim.clock.after(wait, func() { r.sim.randomRouter().receive(q) })
 }
 
-// token takes in a token.
+// token handles a token emitted by a runner.
 func (r *router) token(q *request, runner *runner) {
-	c := q.sentTo.candidate
-	q.lastAt = r.sim.clock.now
+	c := q.attempt.candidate
+	q.lastTokenAt = r.sim.clock.now
 	if q.emitted%8 == 0 {
 		c.Stats.ObserveStep(runner.lastStep)
 	}
-	if q.first {
+	if q.gotFirstToken {
 		return
 	}
-	q.first = true
-	q.sentTo.load.read()
-	took := r.sim.clock.now - q.asked
-	q.sentTo.FirstToken(r.sim.clock.now - q.sentTo.at)
+	q.gotFirstToken = true
+	q.attempt.load.read()
+	took := r.sim.clock.now - q.arrivedAt
+	q.attempt.FirstToken(r.sim.clock.now - q.attempt.at)
 	c.Stats.Succeeded()
 	r.circuit(c.ID).Success()
 	if q.emitted == 1 {
-		q.firstAt = r.sim.clock.now
-		r.sim.result.firstToken(r.sim, q, took)
+		q.firstTokenAt = r.sim.clock.now
+		r.sim.result.recordFirstToken(r.sim, q, took)
 	}
 	if r.sim.opts.learn {
 		route.Learn(r.policy, c, q.blocks[:min(len(q.blocks), route.MaxBlocks)])
@@ -162,17 +163,17 @@
 }
 
 func (r *router) ended(q *request, _ *runner) {
-	q.sentTo.End()
-	q.sentTo.load.end()
+	q.attempt.End()
+	q.attempt.load.end()
 	r.sim.result.done++
 	r.sim.followUp(q)
 }
 
-// lost resumes a request from what was emitted.
+// lost resumes a request from the emitted tokens after its runner has died.
 func (r *router) lost(q *request, _ *runner) {
-	c := q.sentTo.candidate
-	q.sentTo.End()
-	q.sentTo.load.lost()
+	c := q.attempt.candidate
+	q.attempt.End()
+	q.attempt.load.lost()
 	c.Stats.Failed(r.sim.clock.time())
 	r.circuit(c.ID).Failure()
 	r.sim.result.resumed++
--- a/route/routebench/runner.go
+++ b/route/routebench/runner.go
@@ -9,19 +9,19 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// Model of a runner. A block has 128 tokens.
+// Model of a runner.
 const (
-	batchSize     = 16                      // requests that decode at once
-	queueLimit    = 16                      // requests that may wait; more are refused as not run
-	stepBase      = 18 * time.Millisecond   // time of a step with an empty batch
-	stepPerSlot   = 800 * time.Microsecond  // more for each request in the batch
-	prefillBlock  = 5400 * time.Microsecond // time to prefill one block
-	prefillChunk  = 8                       // blocks prefilled in one step at the most
-	cacheBlocks   = 1000                    // blocks in the prefix cache
-	tokensPerBlok = 128
+	batchSize      = 16                      // requests decoded concurrently
+	queueLimit     = 16                      // requests that may wait; further ones are refused as not run
+	stepBase       = 18 * time.Millisecond   // duration of a step with an empty batch
+	stepPerSlot    = 800 * time.Microsecond  // additional time per request in the batch
+	prefillBlock   = 5400 * time.Microsecond // time to prefill one block
+	prefillChunk   = 8                       // maximum number of blocks prefilled in one step
+	cacheBlocks    = 1000                    // blocks in the prefix cache
+	tokensPerBlock = 128
 )
 
-// runner is a model engine that batches continuously, one step at a time.
+// runner simulates an engine with continuous batching, one step at a time.
 type runner struct {
 	sim         *sim
 	index       int
@@ -60,7 +60,8 @@
 
 func (r *runner) load() int { return len(r.batch) + len(r.queue) }
 
-// step admits what fits, prefills a chunk and decodes one token each.
+// step admits waiting requests, prefills a chunk and decodes one token per
+// request.
 func (r *runner) step() {
 	r.admit()
 	prefilled := r.prefill()
@@ -85,13 +86,13 @@
 		blocks := q.allBlocks()
 		hit := r.cache.match(blocks)
 		q.toPrefill = len(blocks) - hit
-		r.sim.result.prefilled(r.sim, q, len(blocks), hit)
-		r.cache.insert(blocks, r.note)
+		r.sim.result.recordPrefill(r.sim, q, len(blocks), hit)
+		r.cache.insert(blocks, r.recordCacheEvent)
 		r.batch = append(r.batch, q)
 	}
 }
 
-func (r *runner) note(block uint64, evicted bool) {
+func (r *runner) recordCacheEvent(block uint64, evicted bool) {
 	r.sequence++
 	r.events = append(r.events, engine.CacheEvent{Sequence: r.sequence, Block: block, Evicted: evicted})
 }
@@ -124,7 +125,7 @@
 	}
 }
 
-// die loses what the runner has; its requests go back to their routers.
+// die drops the state of the runner; its requests return to their routers.
 func (r *runner) die() {
 	r.alive = false
 	r.stepping = false
@@ -135,7 +136,7 @@
 	}
 }
 
-// start begins a new incarnation with an empty cache.
+// start starts a new incarnation with an empty cache.
 func (r *runner) start() {
 	r.alive = true
 	r.incarnation++
@@ -144,40 +145,41 @@
 	r.cache = newPrefixCache()
 }
 
-// prefixCache keeps blocks by least recent use.
+// prefixCache is an LRU cache of blocks.
 type prefixCache struct {
-	order *list.List
-	at    map[uint64]*list.Element
+	order    *list.List
+	elements map[uint64]*list.Element
 }
 
 func newPrefixCache() *prefixCache {
-	return &prefixCache{order: list.New(), at: make(map[uint64]*list.Element)}
+	return &prefixCache{order: list.New(), elements: make(map[uint64]*list.Element)}
 }
 
-// match returns how many blocks from the beginning are in the cache.
+// match returns the number of leading blocks that are in the cache.
 func (p *prefixCache) match(blocks []uint64) int {
 	for i, b := range blocks {
-		if p.at[b] == nil {
+		if p.elements[b] == nil {
 			return i
 		}
 	}
 	return len(blocks)
 }
 
-// insert marks blocks as used, the first one last, so that a prefix outlives its tail.
+// insert marks blocks as used, in reverse order so that a prefix outlives its
+// tail.
 func (p *prefixCache) insert(blocks []uint64, note func(block uint64, evicted bool)) {
 	for _, b := range slices.Backward(blocks) {
-		if e := p.at[b]; e != nil {
+		if e := p.elements[b]; e != nil {
 			p.order.MoveToFront(e)
 			continue
 		}
-		p.at[b] = p.order.PushFront(b)
+		p.elements[b] = p.order.PushFront(b)
 		note(b, false)
 	}
 	for p.order.Len() > cacheBlocks {
 		last := p.order.Back()
 		b, _ := p.order.Remove(last).(uint64)
-		delete(p.at, b)
+		delete(p.elements, b)
 		note(b, true)
 	}
 }
--- a/route/routebench/sim.go
+++ b/route/routebench/sim.go
@@ -11,7 +11,7 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// Time of a run.
+// Phases of a run.
 const (
 	warmUp   = 40 * time.Second
 	runFor   = 180 * time.Second
@@ -20,28 +20,28 @@
 	returnAt = 120 * time.Second
 )
 
-// simOptions describe one run.
+// simOptions configure one run.
 type simOptions struct {
 	runners       int
 	routers       int
-	rate          float64 // requests a second for each runner, follow-ups not counted
+	rate          float64 // requests per second and runner, without follow-ups
 	policy        string
 	tuning        route.Tuning
 	events        bool // cache events reach the routers
-	learn         bool // routers note where they have sent what
-	unbounded     bool // retries without a budget
-	directory     bool // choice by package directory in place of a policy
-	alone         bool // routers don't tell each other their load; with directory
+	learn         bool // routers learn from their own requests
+	noRetryBudget bool // retries without a budget
+	directory     bool // use package directory instead of a policy
+	ownLoadOnly   bool // with directory: routers do not exchange their load
 	fault         fault
 	reportEvery   time.Duration
 	subset        int // candidates in a router's view; 0: all
-	groups        int // routers of one group have the same subset; 0: each has its own
+	groups        int // number of router groups with a common subset; 0: a separate subset for each router
 	organisations int
 	seed          uint64
 	until         time.Duration // 0: runFor
 }
 
-// sim is one run: callers, routers and runners in virtual time.
+// sim is the simulation of callers, routers and runners in virtual time.
 type sim struct {
 	opts     simOptions
 	clock    clock
@@ -53,7 +53,7 @@
 	result   *result
 }
 
-// run carries out one run.
+// run executes one simulation.
 func run(opts simOptions) (*result, error) {
 	s := &sim{opts: opts, byID: make(map[types.ProcessID]*runner), result: &result{}}
 	s.rand = rand.New(rand.NewPCG(opts.seed, 1))
@@ -66,14 +66,14 @@
 			return nil, err
 		}
 	}
-	s.clock.after(0, s.arrivals)
-	s.clock.every(opts.reportEvery, s.reports)
-	s.clock.every(eventsEvery, s.cacheEvents)
+	s.clock.after(0, s.arrive)
+	s.clock.every(opts.reportEvery, s.sendReports)
+	s.clock.every(eventsInterval, s.sendCacheEvents)
 	s.clock.every(time.Second, func() { s.result.sample(s) })
-	if s.opts.directory && !s.opts.alone {
-		s.clock.every(tellEvery, s.tell)
+	if s.opts.directory && !s.opts.ownLoadOnly {
+		s.clock.every(loadExchangeInterval, s.exchangeLoad)
 	}
-	opts.fault.plan(s)
+	opts.fault.schedule(s)
 	s.clock.run(cmp.Or(opts.until, runFor))
 	return s.result, nil
 }
@@ -100,8 +100,8 @@
 	}
 	r.policy = policy
 	if s.opts.directory {
-		r.listed = newListed(r.zone, s.clock.time)
-		r.policy = r.listed
+		r.directoryPolicy = newDirectoryPolicy(r.zone, s.clock.time)
+		r.policy = r.directoryPolicy
 	}
 	r.budget = retry.NewBudget(retry.BudgetOptions{Now: s.clock.time})
 	r.rebuild()
@@ -109,38 +109,38 @@
 	return nil
 }
 
-// arrivals is a Poisson process.
-func (s *sim) arrivals() {
-	q := s.workload.fresh()
-	q.asked = s.clock.now
-	s.result.asked++
-	s.anyRouter().ask(q)
+// arrive generates a Poisson process of new requests.
+func (s *sim) arrive() {
+	q := s.workload.newRequest()
+	q.arrivedAt = s.clock.now
+	s.result.arrived++
+	s.randomRouter().receive(q)
 	rate := s.opts.rate * float64(s.opts.runners)
-	s.clock.after(time.Duration(s.rand.ExpFloat64()/rate*float64(time.Second)), s.arrivals)
+	s.clock.after(time.Duration(s.rand.ExpFloat64()/rate*float64(time.Second)), s.arrive)
 }
 
 func (s *sim) followUp(done *request) {
-	if s.rand.Float64() >= followShare {
+	if s.rand.Float64() >= followUpShare {
 		return
 	}
-	q := s.workload.follow(done)
-	s.clock.after(time.Duration(s.rand.ExpFloat64()*float64(followAfter)), func() {
-		q.asked = s.clock.now
-		s.result.asked++
-		s.anyRouter().ask(q)
+	q := s.workload.followUp(done)
+	s.clock.after(time.Duration(s.rand.ExpFloat64()*float64(followUpDelay)), func() {
+		q.arrivedAt = s.clock.now
+		s.result.arrived++
+		s.randomRouter().receive(q)
 	})
 }
 
-func (s *sim) anyRouter() *router { return s.routers[s.rand.IntN(len(s.routers))] }
+func (s *sim) randomRouter() *router { return s.routers[s.rand.IntN(len(s.routers))] }
 
-func (s *sim) reports() {
+func (s *sim) sendReports() {
 	for _, r := range s.runners {
 		if !r.alive {
 			continue
 		}
 		id, incarnation := r.id, r.incarnation
 		load := types.Load{Running: len(r.batch), Queued: len(r.queue), Capacity: batchSize, StepMicros: int(r.lastStep.Microseconds()), At: s.clock.time()}
-		s.clock.after(reportLag, func() {
+		s.clock.after(reportDelay, func() {
 			for _, router := range s.routers {
 				router.report(id, incarnation, load)
 			}
@@ -148,15 +148,15 @@
 	}
 }
 
-func (s *sim) cacheEvents() {
+func (s *sim) sendCacheEvents() {
 	for _, r := range s.runners {
 		events := r.events
 		r.events = nil
-		if !s.opts.events || len(events) == 0 || s.rand.Float64() < eventsLost {
+		if !s.opts.events || len(events) == 0 || s.rand.Float64() < eventLossRate {
 			continue
 		}
 		id, incarnation := r.id, r.incarnation
-		s.clock.after(eventsLag, func() {
+		s.clock.after(eventsDelay, func() {
 			for _, router := range s.routers {
 				router.cacheEvents(id, incarnation, events)
 			}
@@ -164,9 +164,10 @@
 	}
 }
 
-// membershipChanged lets the routers know after the lag of membership.
+// membershipChanged rebuilds the views of the routers after the delay of
+// membership.
 func (s *sim) membershipChanged() {
-	s.clock.after(viewLag, func() {
+	s.clock.after(viewDelay, func() {
 		for _, r := range s.routers {
 			r.rebuild()
 		}
--- a/route/routebench/sim_test.go
+++ b/route/routebench/sim_test.go
@@ -10,7 +10,7 @@
 
 func steady(policy string) simOptions {
 	return simOptions{
-		runners: 36, routers: 3, organisations: 10, rate: steadyRate, reportEvery: reportEvery,
+		runners: 36, routers: 3, organisations: 10, rate: steadyRate, reportEvery: reportInterval,
 		policy: policy, learn: true, events: true, fault: noFault, seed: 1, until: faultAt,
 	}
 }
@@ -29,9 +29,9 @@
 	g.Expect(mustRun(t, steady(route.PowerOfTwo))).To(Equal(mustRun(t, steady(route.PowerOfTwo))))
 }
 
-// A change of the policy that loses the prefix caches shows in no other test:
-// all answers are right, only later and dearer.
-func TestAffinityIsWorthItsDefault(t *testing.T) {
+// Guards against a policy change that loses the prefix caches, which no other test
+// shows: all answers stay correct and are only later and more expensive.
+func TestAffinityBeatsLeastLoad(t *testing.T) {
 	g := NewWithT(t)
 	affinity, least := mustRun(t, steady(route.DefaultPolicy)), mustRun(t, steady(route.LeastLoad))
 	g.Expect(affinity.HitRate).To(BeNumerically(">", 1.8*least.HitRate))
@@ -39,8 +39,9 @@
 	g.Expect(affinity.FirstP95).To(BeNumerically("<", least.FirstP95))
 }
 
-// A runner ten times slower is alive and reports: only its step time gives it away.
-func TestSlowRunnerIsLeftAlone(t *testing.T) {
+// A runner that is ten times slower is alive and reports its load; only its step
+// time shows the fault.
+func TestSlowRunnerIsAvoided(t *testing.T) {
 	g := NewWithT(t)
 	for _, policy := range []string{route.RoundRobin, route.DefaultPolicy} {
 		opts := steady(policy)
--- a/route/routebench/workload.go
+++ b/route/routebench/workload.go
@@ -8,14 +8,14 @@
 
 // Model of the callers.
 const (
-	templates       = 40 // of each organisation
+	templates       = 40 // per organisation
 	preambleBlocks  = 4  // shared by all of an organisation's prompts
 	templateBlocks  = 16
-	tailBlocks      = 8    // mean length of the unique rest
-	documentBlocks  = 60   // a long unique rest
-	documentShare   = 0.1  // of the requests
-	followShare     = 0.25 // of the answers that the caller goes on from
-	followAfter     = 10 * time.Second
+	tailBlocks      = 8    // mean length of the unique tail
+	documentBlocks  = 60   // length of a long unique tail
+	documentShare   = 0.1  // share of requests with such a tail
+	followUpShare   = 0.25 // share of answers that the caller continues
+	followUpDelay   = 10 * time.Second
 	shortOutput     = 120 // tokens, median
 	longOutput      = 2500
 	longShare       = 0.04
@@ -23,44 +23,45 @@
 	templateExp     = 1.0
 )
 
-// request is one caller's request on its way.
+// request is one caller's request in progress.
 type request struct {
-	router    *router
-	blocks    []uint64
-	output    int // tokens to emit
-	asked     time.Duration
-	returns   int // times that the caller was shed and came back
-	retries   int // tries after the first since the caller came
-	emitted   int
-	toPrefill int
-	firstAt   time.Duration // first and last token
-	lastAt    time.Duration
-	first     bool // the first token has been seen
-	sentTo    *sending
+	router        *router
+	blocks        []uint64
+	output        int // tokens to emit
+	arrivedAt     time.Duration
+	callerRetries int // how often the caller was refused and has returned
+	retries       int // attempts after the first one since the caller last arrived
+	emitted       int
+	toPrefill     int
+	firstTokenAt  time.Duration // when the first token arrived
+	lastTokenAt   time.Duration // when the last token arrived
+	gotFirstToken bool          // the first token of the current attempt has arrived
+	attempt       *attempt
 }
 
-// allBlocks are the blocks of the prompt and of what was emitted before a loss.
+// allBlocks returns the blocks of the prompt and of the tokens emitted before a
+// loss.
 func (q *request) allBlocks() []uint64 {
 	out := q.blocks
-	for i := range q.emitted / tokensPerBlok {
+	for i := range q.emitted / tokensPerBlock {
 		out = append(out[:len(out):len(out)], chain(out[len(out)-1], uint64(i)))
 	}
 	return out
 }
 
-// workload draws requests.
+// workload generates random requests.
 type workload struct {
-	rand     *rand.Rand
-	orgs     []float64
-	template []float64
-	unique   uint64
+	rand            *rand.Rand
+	organisationCDF []float64
+	templateCDF     []float64
+	lastTail        uint64
 }
 
 func newWorkload(r *rand.Rand, organisations int) *workload {
-	return &workload{rand: r, orgs: zipf(organisations, organisationExp), template: zipf(templates, templateExp)}
+	return &workload{rand: r, organisationCDF: zipf(organisations, organisationExp), templateCDF: zipf(templates, templateExp)}
 }
 
-// zipf returns the cumulative distribution of n ranks.
+// zipf returns the cumulative Zipf distribution over n ranks.
 func zipf(n int, exponent float64) []float64 {
 	out := make([]float64, n)
 	sum := 0.0
@@ -84,15 +85,15 @@
 	return uint64(len(cdf) - 1)
 }
 
-func (w *workload) fresh() *request {
-	org := w.draw(w.orgs)
+func (w *workload) newRequest() *request {
+	org := w.draw(w.organisationCDF)
 	blocks := extend(nil, chain(0, org+1), preambleBlocks)
-	blocks = extend(blocks, w.draw(w.template)+1, templateBlocks)
+	blocks = extend(blocks, w.draw(w.templateCDF)+1, templateBlocks)
 	return &request{blocks: w.tail(blocks), output: w.length()}
 }
 
-// follow goes on from an answered request.
-func (w *workload) follow(q *request) *request {
+// followUp returns a request that continues an answered one.
+func (w *workload) followUp(q *request) *request {
 	return &request{blocks: w.tail(q.allBlocks()), output: w.length()}
 }
 
@@ -101,8 +102,8 @@
 	if w.rand.Float64() < documentShare {
 		n = documentBlocks
 	}
-	w.unique++
-	return extend(blocks, w.unique<<20, n)
+	w.lastTail++
+	return extend(blocks, w.lastTail<<20, n)
 }
 
 func (w *workload) length() int {
@@ -112,21 +113,21 @@
 	return 1 + int(shortOutput*math.Exp(0.6*w.rand.NormFloat64()))
 }
 
-// extend appends n keys that depend on all keys before and on what.
-func extend(blocks []uint64, what uint64, n int) []uint64 {
+// extend appends n keys that depend on all previous keys and on seed.
+func extend(blocks []uint64, seed uint64, n int) []uint64 {
 	out := blocks[:len(blocks):len(blocks)]
 	last := uint64(1)
 	if len(out) > 0 {
 		last = out[len(out)-1]
 	}
 	for i := range n {
-		last = chain(last, what+uint64(i)<<8)
+		last = chain(last, seed+uint64(i)<<8)
 		out = append(out, last)
 	}
 	return out
 }
 
-// chain is one step of a cumulative hash.
+// chain computes one step of a cumulative hash.
 func chain(last, next uint64) uint64 {
 	h := last*0x9e3779b97f4a7c15 ^ next*0xc2b2ae3d27d4eb4f
 	h ^= h >> 29
--- a/route/sent.go
+++ b/route/sent.go
@@ -2,16 +2,17 @@
 
 import "time"
 
-// Sent is one request at a candidate, counted in the candidate's statistics
-// from Begin to End. It is used by one goroutine at a time and not copied.
+// Dispatch is one request at a candidate, counted in the candidate's statistics
+// from Begin to End. It must be used by one goroutine at a time and must not be
+// copied.
 type Sent struct {
 	stats   *Stats
 	suspect bool
 	waiting bool
 }
 
-// Begin counts a request as sent to c. Call it before the request leaves, so
-// that the next pick already sees it; each Begin needs one End.
+// Begin counts a request as sent to c. Call it before sending the request, so that
+// the next pick takes it into account. Each Begin needs one End.
 func (c *Candidate) Begin(q *Query) Sent {
 	s := Sent{stats: c.Stats, suspect: q.Suspect, waiting: len(q.Blocks) > 0}
 	s.stats.inFlight.Add(1)
@@ -24,7 +25,8 @@
 	return s
 }
 
-// FirstToken notes that the first token came, so long after the request was sent.
+// FirstToken records that the first token arrived, the given time after the
+// request was sent.
 func (s *Sent) FirstToken(took time.Duration) {
 	if s.stats == nil {
 		return
@@ -33,7 +35,8 @@
 	s.stopWaiting()
 }
 
-// End counts the end of the request, whatever its outcome. Further calls do nothing.
+// End counts the end of the request, whatever its outcome. Further calls have no
+// effect.
 func (s *Sent) End() {
 	if s.stats == nil {
 		return
--- a/route/stuck_test.go
+++ b/route/stall_test.go
@@ -7,9 +7,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// One request of an engine is set aside while others go on: the engine is at
-// work. It is stuck when one stands still and no token has come since.
-func TestEngineIsStuckIfNobodyGetsATokenThere(t *testing.T) {
+// An engine may preempt one request while others progress: it is still working. It
+// has stalled if one request stopped and none has received a token since.
+func TestCandidateIsStalledWithoutNewTokens(t *testing.T) {
 	g := NewWithT(t)
 	var s Stats
 	now := time.Now()
--- a/route/time_test.go
+++ b/route/time_test.go
@@ -11,9 +11,10 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// A zone's runners come back with empty caches and no load. Every router takes
-// them for the best choice at once; the runners drown in prefills, their
-// callers wait many seconds for a first token, and the zone is lost again.
+// Guards against overload of a returning zone: its runners have empty caches and
+// no load, so every router prefers them at once. They would be flooded with
+// prefills, callers would wait many seconds for a first token, and the zone would
+// be lost again.
 func TestSlowStartAfterReturn(t *testing.T) {
 	for _, name := range []string{LeastLoad, PowerOfTwo, PrefixAffinity} {
 		t.Run(name, func(t *testing.T) {
@@ -29,7 +30,7 @@
 					send(p, &Query{}, v)
 				}
 				for _, c := range back {
-					g.Expect(c.Stats.InFlight()).To(BeNumerically("<=", 2), "in its first moment")
+					g.Expect(c.Stats.InFlight()).To(BeNumerically("<=", 2), "right after the return")
 				}
 				time.Sleep(DefaultTuning().SlowStart)
 				loadAll(v, 10, 30*time.Millisecond, time.Now())
@@ -43,16 +44,16 @@
 				for _, c := range back {
 					total += c.Stats.InFlight()
 				}
-				g.Expect(total).To(BeNumerically(">=", 12), "after the slow start they take their share and more")
+				g.Expect(total).To(BeNumerically(">=", 12), "after the slow start they must get their share and more")
 			})
 		})
 	}
 }
 
-// One runner of nine is alive and answers its probes, but decodes ten times
-// slower. Each caller who gets it waits ten times longer for each token. When
-// it is fast again it must come back, which only requests can show.
-func TestSlowCandidateGetsTrickle(t *testing.T) {
+// Guards against a runner that is alive and answers probes but decodes ten times
+// slower, which would delay every token of its callers. Once fast again it must
+// return to service, which only requests can show.
+func TestSlowCandidateGetsOnlyProbes(t *testing.T) {
 	for _, name := range Names() {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -66,10 +67,10 @@
 					slow.Stats.ObserveStep(300 * time.Millisecond)
 				}
 				probes := requestsTo(p, v, slow, 200)
-				g.Expect(probes).To(Equal(1), "one probe, because it is idle")
+				g.Expect(probes).To(Equal(1), "one probe while it is idle")
 				g.Expect(slow.Stats.Slow()).To(BeTrue())
 				time.Sleep(2 * DefaultTuning().ProbeEvery)
-				g.Expect(requestsTo(p, v, slow, 200)).To(Equal(1), "one more probe when the time has come")
+				g.Expect(requestsTo(p, v, slow, 200)).To(Equal(1), "one more probe after ProbeEvery")
 
 				for range 20 {
 					slow.Stats.ObserveStep(30 * time.Millisecond)
@@ -82,7 +83,7 @@
 	}
 }
 
-// requestsTo counts which of n requests, that end at once, go to c.
+// requestsTo returns how many of n requests, each ending at once, go to c.
 func requestsTo(p Policy, v *View, c *Candidate, n int) int {
 	count := 0
 	for i := range n {
@@ -112,9 +113,9 @@
 	})
 }
 
-// A runner's reports stop, the last one said that it is idle. Its callers see
-// nothing, but all new requests go there, because the others report their load.
-func TestOldReportDoesNotDrawAll(t *testing.T) {
+// Guards against a runner whose reports stop after one that said it was idle: all
+// new requests would go there, because the other runners report their load.
+func TestStaleReportDoesNotAttractAllRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		p := mustPolicy(LeastLoad, Options{})
@@ -128,7 +129,7 @@
 		for range 50 {
 			send(p, &Query{}, v)
 		}
-		g.Expect(silent.Stats.InFlight()).To(BeNumerically("<=", 7), "a fresh report of no load would draw 8 and more")
+		g.Expect(silent.Stats.InFlight()).To(BeNumerically("<=", 7), "a fresh report of no load would attract 8 or more")
 	})
 }
 
--- a/route/view_test.go
+++ b/route/view_test.go
@@ -21,7 +21,7 @@
 
 	g.Expect(mustFind(second, "runner-0001").Stats.InFlight()).To(Equal(1))
 	sent.End()
-	g.Expect(mustFind(second, "runner-0001").Stats.InFlight()).To(Equal(0), "a request sent before the rebuild ends after it")
+	g.Expect(mustFind(second, "runner-0001").Stats.InFlight()).To(Equal(0), "a request sent before the rebuild must be counted down after it")
 	g.Expect(mustFind(second, "runner-0002").Stats).NotTo(BeIdenticalTo(mustFind(first, "runner-0002").Stats))
 	g.Expect(mustFind(second, "runner-0002").Stats.startedAt.Load()).To(Equal(testEpoch.UnixNano()))
 	g.Expect(mustFind(second, "runner-0004").Stats.startedAt.Load()).To(Equal(testEpoch.UnixNano()))
@@ -41,7 +41,7 @@
 	for _, n := range counts {
 		top = max(top, n)
 	}
-	g.Expect(counts).To(HaveLen(1600), "nobody is left out")
+	g.Expect(counts).To(HaveLen(1600), "every member must be in some subset")
 	g.Expect(top).To(BeNumerically("<=", 36), "16 on average")
 
 	before := Subset("router-7", all, 64)
@@ -82,14 +82,15 @@
 	for key := range uint64(100_000) {
 		m.put(key+1, uint32(key), uint32(key))
 	}
-	g.Expect(m.has(100_000, 0)).To(BeTrue(), "the newest is there")
-	g.Expect(m.has(1, 0)).To(BeFalse(), "the oldest made room")
+	g.Expect(m.has(100_000, 0)).To(BeTrue(), "the newest entry must be kept")
+	g.Expect(m.has(1, 0)).To(BeFalse(), "the oldest entry must be evicted")
 	g.Expect(len(m.buckets) * ways).To(Equal(1024))
 }
 
-// Callers of a hot prompt wait for prefills though several runners hold its
-// prefix: the map named one of them only. Stamps wrap, an empty entry's stamp
-// lay in the future, and each note took the place of the one before.
+// Guards against a bucket that keeps only one holder of a popular prefix, so that
+// callers wait for prefills although several runners hold it: stamps wrapped
+// around, the stamp of an empty entry lay in the future, and each new entry
+// replaced the previous one.
 func TestPrefixMapNamesAllHolders(t *testing.T) {
 	g := NewWithT(t)
 	for _, now := range []uint32{1, 1 << 30, stampOf(testEpoch.UnixNano()), math.MaxUint32} {
