--- a/membership/memberbench/measure.go
+++ b/membership/memberbench/measure.go
@@ -64,9 +64,9 @@
 	// Refutations counts refuted false suspicions of all members until all knew
 	// each other.
 	Refutations int `json:"start_refutations"`
-	// RefutationsInAll also includes later ones; none of them is due to an
+	// TotalRefutations also includes later ones; none of them is due to an
 	// injected fault.
-	RefutationsInAll int `json:"refutations"`
+	TotalRefutations int `json:"refutations"`
 	// Pending is the average number of changes that a member still had to send
 	// after settling.
 	Pending   float64 `json:"pending_before_window"`
@@ -106,7 +106,7 @@
 		return r, err
 	}
 	err = measurePropagation(ctx, s, opts.Rounds, &r)
-	r.RefutationsInAll, _ = s.totals()
+	r.TotalRefutations, _ = s.totals()
 	return r, err
 }
 
--- a/route/candidate.go
+++ b/route/candidate.go
@@ -78,7 +78,7 @@
 		c.Stats = old.Stats
 		return &c
 	}
-	c.Stats.Started(now)
+	c.Stats.BeginSlowStart(now)
 	return &c
 }
 
--- a/route/sent.go
+++ b/route/dispatch.go
@@ -5,7 +5,7 @@
 // Dispatch is one request at a candidate, counted in the candidate's statistics
 // from Begin to End. It must be used by one goroutine at a time and must not be
 // copied.
-type Sent struct {
+type Dispatch struct {
 	stats   *Stats
 	suspect bool
 	waiting bool
@@ -13,8 +13,8 @@
 
 // Begin counts a request as sent to c. Call it before sending the request, so that
 // the next pick takes it into account. Each Begin needs one End.
-func (c *Candidate) Begin(q *Query) Sent {
-	s := Sent{stats: c.Stats, suspect: q.Suspect, waiting: len(q.Blocks) > 0}
+func (c *Candidate) Begin(q *Query) Dispatch {
+	s := Dispatch{stats: c.Stats, suspect: q.Suspect, waiting: len(q.Blocks) > 0}
 	s.stats.inFlight.Add(1)
 	if s.suspect {
 		s.stats.suspects.Add(1)
@@ -27,7 +27,7 @@
 
 // FirstToken records that the first token arrived, the given time after the
 // request was sent.
-func (s *Sent) FirstToken(took time.Duration) {
+func (s *Dispatch) FirstToken(took time.Duration) {
 	if s.stats == nil {
 		return
 	}
@@ -37,7 +37,7 @@
 
 // End counts the end of the request, whatever its outcome. Further calls have no
 // effect.
-func (s *Sent) End() {
+func (s *Dispatch) End() {
 	if s.stats == nil {
 		return
 	}
@@ -49,7 +49,7 @@
 	s.stats = nil
 }
 
-func (s *Sent) stopWaiting() {
+func (s *Dispatch) stopWaiting() {
 	if s.waiting {
 		s.waiting = false
 		s.stats.waiting.Add(-1)
--- a/route/policy_test.go
+++ b/route/policy_test.go
@@ -170,7 +170,7 @@
 	v := NewView(nil, members(6, 2), testEpoch)
 	for _, name := range Names() {
 		p := mustPolicy(name, Options{})
-		var sent []Sent
+		var sent []Dispatch
 		used := map[types.ProcessID]bool{}
 		for range 6 {
 			c, ok := p.Pick(&Query{Suspect: true, Blocks: promptBlocks("bad", 4)}, v)
--- a/route/routebench/router.go
+++ b/route/routebench/router.go
@@ -37,7 +37,7 @@
 
 // attempt is one sending of a request to a runner.
 type attempt struct {
-	route.Sent
+	route.Dispatch
 	candidate *route.Candidate
 	at        time.Duration
 	load      *serverLoad
@@ -90,7 +90,7 @@
 		return
 	}
 	r.sim.result.sent++
-	sent := &attempt{candidate: c, Sent: c.Begin(&query), load: r.directoryPolicy.begin(c.ID, q)}
+	sent := &attempt{candidate: c, Dispatch: c.Begin(&query), load: r.directoryPolicy.begin(c.ID, q)}
 	q.gotFirstToken = false
 	hop := time.Duration(0)
 	if c.Zone != r.zone {
@@ -113,7 +113,7 @@
 		sent.load.end()
 	} else {
 		sent.load.lost()
-		c.Stats.Failed(r.sim.clock.time())
+		c.Stats.RecordFailure(r.sim.clock.time())
 		r.circuit(c.ID).Failure()
 	}
 	q.retries++
@@ -151,7 +151,7 @@
 	q.attempt.load.read()
 	took := r.sim.clock.now - q.arrivedAt
 	q.attempt.FirstToken(r.sim.clock.now - q.attempt.at)
-	c.Stats.Succeeded()
+	c.Stats.RecordSuccess()
 	r.circuit(c.ID).Success()
 	if q.emitted == 1 {
 		q.firstTokenAt = r.sim.clock.now
@@ -174,7 +174,7 @@
 	c := q.attempt.candidate
 	q.attempt.End()
 	q.attempt.load.lost()
-	c.Stats.Failed(r.sim.clock.time())
+	c.Stats.RecordFailure(r.sim.clock.time())
 	r.circuit(c.ID).Failure()
 	r.sim.result.resumed++
 	r.send(q, []types.ProcessID{c.ID})
--- a/route/stall_test.go
+++ b/route/stall_test.go
@@ -13,10 +13,10 @@
 	g := NewWithT(t)
 	var s Stats
 	now := time.Now()
-	g.Expect(s.Stuck()).To(BeFalse())
-	s.Progressed(now)
-	s.StoodStill(now.Add(time.Second))
-	g.Expect(s.Stuck()).To(BeTrue())
-	s.Progressed(now.Add(2 * time.Second))
-	g.Expect(s.Stuck()).To(BeFalse())
+	g.Expect(s.Stalled()).To(BeFalse())
+	s.RecordToken(now)
+	s.RecordStall(now.Add(time.Second))
+	g.Expect(s.Stalled()).To(BeTrue())
+	s.RecordToken(now.Add(2 * time.Second))
+	g.Expect(s.Stalled()).To(BeFalse())
 }
--- a/route/stats.go
+++ b/route/stats.go
@@ -60,32 +60,32 @@
 
 // BeginSlowStart begins the slow start of a process that has just started or
 // returned from a pause.
-func (s *Stats) Started(now time.Time) { s.startedAt.Store(now.UnixNano()) }
+func (s *Stats) BeginSlowStart(now time.Time) { s.startedAt.Store(now.UnixNano()) }
 
 // RecordSuccess resets the count of consecutive failures.
-func (s *Stats) Succeeded() {
+func (s *Stats) RecordSuccess() {
 	if s.failures.Load() != 0 {
 		s.failures.Store(0)
 	}
 }
 
 // RecordFailure counts a request that the candidate could not accept or has lost.
-func (s *Stats) Failed(now time.Time) {
+func (s *Stats) RecordFailure(now time.Time) {
 	s.failedAt.Store(now.UnixNano())
 	s.failures.Add(1)
 }
 
 // RecordToken records that a request has received a token.
-func (s *Stats) Progressed(now time.Time) { s.lastTokenAt.Store(now.UnixNano()) }
+func (s *Stats) RecordToken(now time.Time) { s.lastTokenAt.Store(now.UnixNano()) }
 
 // RecordStall records that a request which had received tokens receives none any
 // more.
-func (s *Stats) StoodStill(now time.Time) { s.stalledAt.Store(now.UnixNano()) }
+func (s *Stats) RecordStall(now time.Time) { s.stalledAt.Store(now.UnixNano()) }
 
 // Stalled reports whether the candidate, as far as this router sees, makes no
 // progress for any request: one request has stalled, and no other has received a
 // token since.
-func (s *Stats) Stuck() bool { return s.stalledAt.Load() > s.lastTokenAt.Load() }
+func (s *Stats) Stalled() bool { return s.stalledAt.Load() > s.lastTokenAt.Load() }
 
 // InFlight returns the number of this router's requests at the candidate.
 func (s *Stats) InFlight() int { return int(s.inFlight.Load()) }
@@ -113,7 +113,7 @@
 }
 
 // Failures returns the number of consecutive failures.
-func (s *Stats) Fails() int { return int(s.failures.Load()) }
+func (s *Stats) Failures() int { return int(s.failures.Load()) }
 
 // CacheGaps returns the number of gaps seen in the sequence of the candidate's
 // cache events.
--- a/route/time_test.go
+++ b/route/time_test.go
@@ -149,7 +149,7 @@
 		p := mustPolicy(LeastLoad, Options{})
 		v := NewView(nil, members(2, 1), time.Now())
 		failed := v.Candidates()[0]
-		failed.Stats.Failed(time.Now())
+		failed.Stats.RecordFailure(time.Now())
 		for range 20 {
 			c, _ := p.Pick(&Query{}, v)
 			g.Expect(c).NotTo(Equal(failed))
--- a/router/call.go
+++ b/router/call.go
@@ -204,12 +204,12 @@
 	circuit := sf.circuit(c.ID)
 	switch {
 	case err == nil && resp.GetOutcome() == streampb.CallOutcome_CALL_COMPLETED:
-		c.Stats.Succeeded()
+		c.Stats.RecordSuccess()
 		circuit.Success()
 	case types.Code(resp.GetCode()) == types.CodeLeaving:
 		r.recordLeaving(sf, c)
 	default:
-		c.Stats.Failed(time.Now())
+		c.Stats.RecordFailure(time.Now())
 		circuit.Failure()
 	}
 }
--- a/router/drain.go
+++ b/router/drain.go
@@ -115,7 +115,7 @@
 	}{Draining: r.draining.Load(), Streams: r.Streams(), Services: map[string][]backend{}}
 	for name, sf := range *r.fleet.services.Load() {
 		for _, c := range sf.view.Load().Candidates() {
-			dump.Services[name] = append(dump.Services[name], backend{c.ID, c.Address, c.Zone, c.Stats.InFlight(), c.Stats.Fails(), c.Stats.Slow()})
+			dump.Services[name] = append(dump.Services[name], backend{c.ID, c.Address, c.Zone, c.Stats.InFlight(), c.Stats.Failures(), c.Stats.Slow()})
 		}
 	}
 	return dump
--- a/router/handover.go
+++ b/router/handover.go
@@ -68,7 +68,7 @@
 	if a.handover.heartbeats < stallHeartbeats {
 		return false
 	}
-	return a.progressed || a.candidate != nil && a.candidate.Stats.Stuck()
+	return a.progressed || a.candidate != nil && a.candidate.Stats.Stalled()
 }
 
 // reportStall makes new requests prefer other candidates while this engine is
@@ -77,8 +77,8 @@
 	if a.candidate == nil || !a.progressed || !a.stalled() {
 		return
 	}
-	a.candidate.Stats.StoodStill(time.Now())
-	a.candidate.Stats.Failed(time.Now())
+	a.candidate.Stats.RecordStall(time.Now())
+	a.candidate.Stats.RecordFailure(time.Now())
 }
 
 // mayMove reports whether the generation should continue elsewhere. All tokens
--- a/router/offer.go
+++ b/router/offer.go
@@ -32,7 +32,7 @@
 type offer struct {
 	candidate  *route.Candidate
 	reader     *attemptReader
-	sent       route.Sent
+	sent       route.Dispatch
 	runCounted bool // the suspect ledger counts the offer as a run
 	openedAt   time.Time
 
--- a/router/place.go
+++ b/router/place.go
@@ -122,25 +122,25 @@
 	}
 	switch result.end {
 	case endCompleted:
-		candidate.Stats.Succeeded()
+		candidate.Stats.RecordSuccess()
 	case endCallerLeft:
 		if !g.req.explicitKey {
 			g.router.cancelAttempt(candidate.Address, g.id, attempt)
 		}
 	case endLost:
-		candidate.Stats.Failed(time.Now())
+		candidate.Stats.RecordFailure(time.Now())
 		if result.cause != causeEngineDied {
 			circuit.Failure()
 		}
 		g.router.cancelAttempt(candidate.Address, g.id, attempt)
 	case endSuperseded:
 		if result.cause == causeStalled {
-			candidate.Stats.Failed(time.Now())
+			candidate.Stats.RecordFailure(time.Now())
 		}
 		g.router.cancelAttempt(candidate.Address, g.id, attempt)
 	case endNotStarted:
 		if result.refused == nil {
-			candidate.Stats.Failed(time.Now())
+			candidate.Stats.RecordFailure(time.Now())
 			circuit.Failure()
 		} else if types.Code(result.refused.GetCode()) == types.CodeLeaving {
 			g.router.recordLeaving(g.service, candidate)
--- a/router/reader.go
+++ b/router/reader.go
@@ -15,7 +15,7 @@
 	stream     *frameStream
 	address    string           // of the sidecar
 	candidate  *route.Candidate // nil if attached to a running generation
-	sent       *route.Sent      // nil if attached to a running generation
+	sent       *route.Dispatch  // nil if attached to a running generation
 	attempt    types.AttemptTag
 	lineage    types.Lineage
 	opened     time.Time
@@ -79,7 +79,7 @@
 	fresh := streampb.ToTokens(t.GetTokens()[have-first:])
 	a.recordProgress()
 	if a.candidate != nil {
-		a.candidate.Stats.Progressed(time.Now())
+		a.candidate.Stats.RecordToken(time.Now())
 	}
 	a.run.lineage = a.lineage
 	a.run.tokens = append(a.run.tokens, fresh...)
