--- a/membership/network_test.go
+++ b/membership/network_test.go
@@ -166,7 +166,7 @@
 	n.syncs[from][r.URL.Host] = true
 }
 
-// synced returns the number of processes with which an address has compared its
+// syncPeers returns the number of processes with which an address has compared its
 // list.
 func (n *network) syncPeers(from string) int {
 	n.mu.Lock()
@@ -246,7 +246,7 @@
 	return true
 }
 
-// seen returns how often the node recorded an event.
+// countEvents returns how often the node recorded an event.
 func (nd *node) countEvents(kind event.Kind) int {
 	count := 0
 	for _, e := range nd.events.Entries("") {
--- a/membership/queue.go
+++ b/membership/queue.go
@@ -42,7 +42,7 @@
 	q.pending[id] = &pendingChange{id: id, serial: q.serial}
 }
 
-// backlog is the number of pending changes from which on received duplicates count
+// backlogSize is the number of pending changes from which on received duplicates count
 // as sends.
 const backlogSize = 4 * maxUpdates
 
--- a/route/stats.go
+++ b/route/stats.go
@@ -136,7 +136,7 @@
 func (f *atomicFloat) load() float64   { return math.Float64frombits(f.bits.Load()) }
 func (f *atomicFloat) store(v float64) { f.bits.Store(math.Float64bits(v)) }
 
-// average updates the moving average with sample; the first sample is taken as is.
+// update updates the moving average with sample; the first sample is taken as is.
 func (f *atomicFloat) update(sample float64) {
 	for {
 		old := f.bits.Load()
