--- a/tokenlog/append.go
+++ b/tokenlog/append.go
@@ -7,7 +7,7 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// verdict is what became of one record.
+// verdict is the outcome of applying one record.
 type verdict int
 
 const (
@@ -16,14 +16,14 @@
 	refused
 )
 
-// Append takes a batch of records and returns the generations for which
-// earlier tokens are missing; their writers send them again from the start.
+// Append applies a batch of records and returns the generations for which earlier tokens
+// are missing; their writers send those again from the start.
 func (s *Store) Append(in *streampb.JournalAppend) *streampb.JournalAppended {
 	out := &streampb.JournalAppended{}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, r := range in.GetRecords() {
-		v := s.take(r)
+		v := s.applyRecord(r)
 		s.metrics.records[v].Inc()
 		if v == refused {
 			s.opts.Recorder.Emit(EventRefused, "generation", r.GetGeneration(), "from", in.GetFrom(), "first", r.GetFirst())
@@ -32,11 +32,11 @@
 			out.Missing = append(out.Missing, r.GetGeneration())
 		}
 	}
-	s.gauge()
+	s.updateGauges()
 	return out
 }
 
-func (s *Store) take(r *streampb.JournalRecord) verdict {
+func (s *Store) applyRecord(r *streampb.JournalRecord) verdict {
 	id, err := types.ParseGenerationID(r.GetGeneration())
 	lineage := lineageFromWire(r.GetLineage())
 	first := int(r.GetFirst())
@@ -47,17 +47,17 @@
 		s.forget(id, lineage)
 		return taken
 	}
-	e := s.obtain(id)
-	v := e.take(r, lineage, first)
+	e := s.getOrCreate(id)
+	v := e.applyRecord(r, lineage, first)
 	s.touch(e)
-	s.shrink()
+	s.evict()
 	return v
 }
 
-// take adds a record to the branch of its lineage. Tokens are accepted only at
-// the end of what that branch holds, so no gap and no token of another attempt
-// gets in: a branch is always a prefix of one attempt's answer.
-func (e *entry) take(r *streampb.JournalRecord, lineage types.Lineage, first int) verdict {
+// applyRecord adds a record to the branch of its lineage. Tokens are accepted only at the
+// end of what that branch holds, so a record can neither leave a gap nor mix in tokens of
+// another attempt: a branch is always a prefix of one attempt's answer.
+func (e *entry) applyRecord(r *streampb.JournalRecord, lineage types.Lineage, first int) verdict {
 	b := e.find(lineage)
 	if b == nil {
 		b = &branch{lineage: lineage, lastSeen: time.Now()}
@@ -69,7 +69,7 @@
 	}
 	e.inherit(b, first)
 	if len(r.GetTokens()) == 0 {
-		return b.end(r, first)
+		return b.recordFinish(r, first)
 	}
 	if first > b.log.len() {
 		return missing
@@ -77,28 +77,29 @@
 	if !b.extend(r.GetTokens(), first) {
 		return refused
 	}
-	return b.end(r, first+len(r.GetTokens()))
+	return b.recordFinish(r, first+len(r.GetTokens()))
 }
 
-// inherit fills an empty branch with the first n tokens of a branch whose
-// lineage is the same up to there, so that a resume needs no resend.
+// inherit fills an empty branch with the first n tokens of a branch that has the same
+// lineage up to there, so that the writer of a resumed attempt need not send them again.
 func (e *entry) inherit(b *branch, n int) {
 	if b.log.len() > 0 || n == 0 {
 		return
 	}
-	donor := e.donor(b.lineage, n)
+	donor := e.findPrefix(b.lineage, n)
 	if donor == nil {
 		return
 	}
 	b.log = donor.log.prefix(n)
-	e.drop(func(old *branch) bool { return contains(b, old) })
+	e.drop(func(old *branch) bool { return supersedes(b, old) })
 }
 
-// extend appends tokens at first; those already held must be the same.
+// extend appends the tokens whose first index is first. Tokens that are already held must
+// be identical.
 func (b *branch) extend(tokens []*streampb.Token, first int) bool {
 	held := b.log.len() - first
 	for i, t := range tokens {
-		if i < held && !b.log.same(first+i, t.GetId(), t.GetText()) {
+		if i < held && !b.log.matches(first+i, t.GetId(), t.GetText()) {
 			return false
 		}
 	}
@@ -108,9 +109,9 @@
 	return true
 }
 
-// end notes the finish of an answer of count tokens. A branch that holds no
-// tokens (the generation was too short to journal) only remembers that it ended.
-func (b *branch) end(r *streampb.JournalRecord, count int) verdict {
+// recordFinish records the finish reason of an answer of count tokens. A branch without
+// tokens (the generation was too short to be journalled) records only that it ended.
+func (b *branch) recordFinish(r *streampb.JournalRecord, count int) verdict {
 	if r.GetFinish() == "" {
 		return taken
 	}
@@ -121,13 +122,13 @@
 		return refused
 	}
 	b.finish = types.FinishReason(r.GetFinish())
-	b.count = count
+	b.totalTokens = count
 	return taken
 }
 
-// forget drops the branch that its caller has whole, with those whose writers
-// are silent, and the generation with its last branch. A writer that was only
-// slow is told that its tokens are missing and sends them again.
+// forget drops the branch whose answer the caller has received in full, along with the
+// branches whose writers have fallen silent, and then the generation if no branch is left.
+// A writer that was merely slow is told that its tokens are missing and sends them again.
 func (s *Store) forget(id types.GenerationID, lineage types.Lineage) {
 	e := s.entries[id]
 	if e == nil {
@@ -136,7 +137,7 @@
 	if b := e.find(lineage); b != nil {
 		e.remove(b)
 	}
-	silentSince := time.Now().Add(-silent)
+	silentSince := time.Now().Add(-writerSilenceTimeout)
 	e.drop(func(b *branch) bool { return b.lastSeen.Before(silentSince) })
 	if len(e.branches) == 0 {
 		s.drop(e)
--- a/tokenlog/bench_test.go
+++ b/tokenlog/bench_test.go
@@ -15,13 +15,13 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// batchOf returns the appends of one generation of n tokens, size tokens each.
-func batchOf(id types.GenerationID, n, size int) []*streampb.JournalAppend {
+// makeAppends returns the appends of one generation of n tokens, size tokens per append.
+func makeAppends(id types.GenerationID, n, size int) []*streampb.JournalAppend {
 	var out []*streampb.JournalAppend
 	for first := 0; first < n; first += size {
 		r := record(id, lineage(1, 0), first, min(size, n-first))
 		for _, t := range r.Tokens {
-			t.Text = " pear" // about what a token's text is
+			t.Text = " pear" // typical length of a token's text
 		}
 		out = append(out, &streampb.JournalAppend{From: "10.0.0.1:7070", Records: []*streampb.JournalRecord{r}})
 	}
@@ -32,7 +32,7 @@
 	const tokens = 1024
 	for _, size := range []int{1, 12, 128} {
 		b.Run(fmt.Sprint("batch=", size), func(b *testing.B) {
-			s, batches := NewStore(StoreOptions{}), batchOf(types.NewGenerationID(1), tokens, size)
+			s, batches := NewStore(StoreOptions{}), makeAppends(types.NewGenerationID(1), tokens, size)
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
@@ -50,25 +50,25 @@
 	}
 }
 
-// BenchmarkStoreMemory reports the process's memory for a token that is held,
-// beside what the store accounts for.
+// BenchmarkStoreMemory reports the heap memory per held token next to what the store
+// accounts for.
 func BenchmarkStoreMemory(b *testing.B) {
 	const generations, tokens = 100, 2048
 	for b.Loop() {
 		s := NewStore(StoreOptions{MaxBytes: 1 << 30})
-		before := heap()
+		before := heapBytes()
 		for g := range generations {
-			for _, in := range batchOf(types.GenerationID{Key: types.Key(g), Salt: 1}, tokens, 12) {
+			for _, in := range makeAppends(types.GenerationID{Key: types.Key(g), Salt: 1}, tokens, 12) {
 				s.Append(in)
 			}
 		}
-		b.ReportMetric(float64(heap()-before)/(generations*tokens), "heapB/token")
+		b.ReportMetric(float64(heapBytes()-before)/(generations*tokens), "heapB/token")
 		b.ReportMetric(float64(s.Dump().Bytes)/(generations*tokens), "accountedB/token")
 		runtime.KeepAlive(s)
 	}
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
@@ -77,12 +77,12 @@
 
 func BenchmarkStoreRead(b *testing.B) {
 	s, id := NewStore(StoreOptions{}), types.NewGenerationID(1)
-	for _, in := range batchOf(id, 2048, 128) {
+	for _, in := range makeAppends(id, 2048, 128) {
 		s.Append(in)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := s.Tokens(sawUpTo(id, 1, 2000)); err != nil {
+		if _, err := s.Tokens(seenUpTo(id, 1, 2000)); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -110,13 +110,13 @@
 	}
 }
 
-// counting is a Sender that only counts.
-type counting struct {
+// countingSender is a Sender that only counts what it is given.
+type countingSender struct {
 	mu                     sync.Mutex
 	appends, bytes, tokens int
 }
 
-func (c *counting) Append(_ context.Context, _ string, in *streampb.JournalAppend) (*streampb.JournalAppended, error) {
+func (c *countingSender) Append(_ context.Context, _ string, in *streampb.JournalAppend) (*streampb.JournalAppended, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.appends++
@@ -127,14 +127,14 @@
 	return &streampb.JournalAppended{}, nil
 }
 
-// TestWireCost bounds what journalling costs on the wire, in virtual time: 30
-// generations beside one sidecar, each at 44 ms a token, two copies, either all
-// on the same two peers (a small site) or each on its own two (a large one).
+// TestWireCost limits the network cost of journalling, in virtual time: 30 generations
+// beside one sidecar, each producing a token every 44 ms, with two copies, either all on
+// the same two peers (a small site) or each on its own two (a large site).
 func TestWireCost(t *testing.T) {
 	for _, spread := range []bool{false, true} {
 		for _, batch := range []time.Duration{10, 20, 50, 100, 500} {
 			synctest.Test(t, func(t *testing.T) {
-				c, seconds := &counting{}, 10
+				c, seconds := &countingSender{}, 10
 				w := NewWriter(WriterOptions{Self: "10.0.0.1:7070", Sender: c, Batch: batch * time.Millisecond, After: -1})
 				for g := range 30 {
 					peers := []string{"10.0.0.2:7070", "10.0.0.3:7070"}
@@ -154,7 +154,7 @@
 				w.Close()
 				perToken := float64(c.bytes) / float64(c.tokens)
 				if batch == 500 && perToken > 20 {
-					t.Errorf("%.1f bytes a token and copy at the default batch", perToken)
+					t.Errorf("%.1f bytes per token and copy at the default batch interval", perToken)
 				}
 				t.Logf("spread=%v batch=%4dms: %6.1f bytes/token and copy, %4.1f tokens/append, %6.0f appends/s",
 					spread, batch, perToken, float64(c.tokens)/float64(c.appends), float64(c.appends)/float64(seconds))
--- a/tokenlog/branch.go
+++ b/tokenlog/branch.go
@@ -8,38 +8,38 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// branch is what one attempt's writer has told of a generation.
+// branch is the part of a generation that was reported by one attempt's writer.
 type branch struct {
-	lineage  types.Lineage
-	log      packed
-	runner   string
-	finish   types.FinishReason
-	count    int // tokens of the whole answer, once finish is set
-	lastSeen time.Time
+	lineage     types.Lineage
+	log         tokenBuffer
+	runner      string
+	finish      types.FinishReason
+	totalTokens int // tokens in the complete answer, valid once finish is set
+	lastSeen    time.Time
 }
 
-// whole reports whether the branch holds the complete answer.
-func (b *branch) whole() bool { return b.finish != "" && b.log.len() == b.count }
+// isComplete reports whether the branch holds the complete answer.
+func (b *branch) isComplete() bool { return b.finish != "" && b.log.len() == b.totalTokens }
 
-// entry is all that a store holds of one generation; without branches it is
+// entry is everything that a store holds of one generation. An entry without branches is
 // only a reservation of the request key.
 type entry struct {
-	id       types.GenerationID
-	branches []*branch
-	changed  time.Time
-	age      *list.Element // place in the list of its state
-	state    state
-	bytes    int
+	id             types.GenerationID
+	branches       []*branch
+	lastChanged    time.Time
+	element        *list.Element // in Store.byState[state]
+	state          state
+	accountedBytes int
 }
 
-// state decides what is evicted first.
+// state determines the order of eviction: the lowest state goes first.
 type state int
 
 const (
 	stateFinished state = iota
 	stateReserved
 	stateRunning
-	states
+	numStates
 )
 
 func (e *entry) classify() state {
@@ -54,8 +54,8 @@
 	return stateFinished
 }
 
-// overhead is what an entry and a branch cost beyond tokens, in bytes: structs,
-// map slots, list element and strings.
+// Estimated cost in bytes of an entry, a branch and a lineage segment beyond the tokens:
+// structs, map slots, the list element and strings.
 const (
 	entryOverhead  = 320
 	branchOverhead = 256
@@ -70,7 +70,7 @@
 	return n
 }
 
-// find returns the branch with exactly this lineage.
+// find returns the branch that has exactly this lineage.
 func (e *entry) find(l types.Lineage) *branch {
 	for _, b := range e.branches {
 		if len(b.lineage) == len(l) && sameUpTo(b.lineage, l, maxIndex+1) {
@@ -80,8 +80,8 @@
 	return nil
 }
 
-// donor returns a branch that holds the first n tokens of lineage l.
-func (e *entry) donor(l types.Lineage, n int) *branch {
+// findPrefix returns a branch that holds the first n tokens of lineage l.
+func (e *entry) findPrefix(l types.Lineage, n int) *branch {
 	for _, b := range e.branches {
 		if b.log.len() >= n && sameUpTo(b.lineage, l, n) {
 			return b
@@ -90,7 +90,8 @@
 	return nil
 }
 
-// add appends a branch; beyond maxBranches the one that was silent longest goes.
+// add appends a branch. Beyond maxBranches it removes the one whose writer has been silent
+// the longest.
 func (e *entry) add(b *branch) {
 	e.branches = append(e.branches, b)
 	if len(e.branches) > maxBranches {
@@ -98,13 +99,14 @@
 	}
 }
 
-// drop removes the branches that gone reports.
+// drop removes the branches for which gone returns true.
 func (e *entry) drop(gone func(*branch) bool) {
 	e.branches = slices.DeleteFunc(e.branches, gone)
 }
 
-// contains: every token of old is one of b's, so old tells a reader nothing more.
-func contains(b, old *branch) bool {
+// supersedes reports whether every token of old is also in b, so that old is of no more
+// use to a reader.
+func supersedes(b, old *branch) bool {
 	n := old.log.len()
 	return old != b && n > 0 && old.finish == "" && n <= b.log.len() && sameUpTo(b.lineage, old.lineage, n)
 }
--- a/tokenlog/dump.go
+++ b/tokenlog/dump.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// BranchDump describes one branch for an operator.
+// BranchDump describes one branch in a StoreDump.
 type BranchDump struct {
 	Attempts int    `json:"attempts"`
 	Tokens   int    `json:"tokens"`
@@ -14,7 +14,7 @@
 	Finish   string `json:"finish,omitempty"`
 }
 
-// EntryDump describes one generation for an operator.
+// EntryDump describes one generation in a StoreDump.
 type EntryDump struct {
 	Generation string       `json:"generation"`
 	State      string       `json:"state"`
@@ -22,7 +22,7 @@
 	Branches   []BranchDump `json:"branches,omitempty"`
 }
 
-// StoreDump is the state of a store; texts of tokens are never part of it.
+// StoreDump is the state of a store, for operators. It never includes token texts.
 type StoreDump struct {
 	Bytes    int         `json:"bytes"`
 	MaxBytes int         `json:"max_bytes"`
@@ -30,16 +30,16 @@
 	Newest   []EntryDump `json:"newest"`
 }
 
-// maxDumped bounds the entries of a dump.
+// maxDumped limits the number of entries in a dump.
 const maxDumped = 100
 
-// Dump returns the store's totals and its newest entries.
+// Dump returns the store's totals and its most recently changed entries.
 func (s *Store) Dump() StoreDump {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := StoreDump{Bytes: s.bytes, MaxBytes: s.opts.MaxBytes, Entries: len(s.entries)}
-	for st := states - 1; st >= 0; st-- {
-		for el := s.ages[st].Back(); el != nil && len(out.Newest) < maxDumped; el = el.Prev() {
+	for st := numStates - 1; st >= 0; st-- {
+		for el := s.byState[st].Back(); el != nil && len(out.Newest) < maxDumped; el = el.Prev() {
 			out.Newest = append(out.Newest, el.Value.(*entry).dump())
 		}
 	}
@@ -47,7 +47,7 @@
 }
 
 func (e *entry) dump() EntryDump {
-	out := EntryDump{Generation: e.id.String(), State: stateNames[e.state], AgeMillis: time.Since(e.changed).Milliseconds()}
+	out := EntryDump{Generation: e.id.String(), State: stateNames[e.state], AgeMillis: time.Since(e.lastChanged).Milliseconds()}
 	for _, b := range e.branches {
 		out.Branches = append(out.Branches, BranchDump{
 			Attempts: len(b.lineage), Tokens: b.log.len(), Runner: b.runner, Finish: string(b.finish),
@@ -56,20 +56,20 @@
 	return out
 }
 
-// WriterDump is the state of a writer.
+// WriterDump is the state of a writer, for operators.
 type WriterDump struct {
 	HeldBytes int      `json:"held_bytes"`
 	MaxBytes  int      `json:"max_bytes"`
-	Peers     []string `json:"peers,omitempty"` // that generations are being sent to
-	Down      []string `json:"down,omitempty"`  // that failed and get no generations for a while
+	Peers     []string `json:"peers,omitempty"` // peers that records are currently sent to
+	Down      []string `json:"down,omitempty"`  // peers that failed recently and are not assigned generations
 }
 
-// Dump returns what the writer keeps and whom it sends to.
+// Dump returns the writer's buffered bytes and the state of its peers.
 func (w *Writer) Dump() WriterDump {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return WriterDump{
-		HeldBytes: w.held, MaxBytes: w.opts.MaxBytes,
-		Peers: slices.Sorted(maps.Keys(w.links)), Down: slices.Sorted(maps.Keys(w.down)),
+		HeldBytes: w.heldBytes, MaxBytes: w.opts.MaxBytes,
+		Peers: slices.Sorted(maps.Keys(w.links)), Down: slices.Sorted(maps.Keys(w.downUntil)),
 	}
 }
--- a/tokenlog/fake_test.go
+++ b/tokenlog/fake_test.go
@@ -15,8 +15,8 @@
 
 var errCut = errors.New("connection refused")
 
-// cluster is a set of stores with a network that can be cut, slow, or lose
-// answers after the append took effect.
+// cluster is a set of stores behind a simulated network that can be cut, slow, or lose the
+// reply of an append that took effect.
 type cluster struct {
 	mu        sync.Mutex
 	stores    map[string]*Store
@@ -54,7 +54,7 @@
 	return c.appends
 }
 
-func (c *cluster) reach(ctx context.Context, addr string) (*Store, error) {
+func (c *cluster) connect(ctx context.Context, addr string) (*Store, error) {
 	c.mu.Lock()
 	store, cut, delay := c.stores[addr], c.cut[addr], c.delay[addr]
 	c.mu.Unlock()
@@ -70,7 +70,7 @@
 }
 
 func (c *cluster) Append(ctx context.Context, addr string, in *streampb.JournalAppend) (*streampb.JournalAppended, error) {
-	store, err := c.reach(ctx, addr)
+	store, err := c.connect(ctx, addr)
 	if err != nil {
 		return nil, err
 	}
@@ -86,7 +86,7 @@
 }
 
 func (c *cluster) Lookup(ctx context.Context, addr string, in *streampb.LookupRequest) (*streampb.LookupResponse, error) {
-	store, err := c.reach(ctx, addr)
+	store, err := c.connect(ctx, addr)
 	if err != nil {
 		return nil, err
 	}
@@ -94,20 +94,20 @@
 }
 
 func (c *cluster) Read(ctx context.Context, addr string, in *journalpb.ReadRequest) (*journalpb.ReadResponse, error) {
-	store, err := c.reach(ctx, addr)
+	store, err := c.connect(ctx, addr)
 	if err != nil {
 		return nil, err
 	}
 	return store.Read(in)
 }
 
-// token is the one token that an attempt produces at an index.
+// token returns the token that an attempt produces at an index.
 func token(a types.AttemptTag, i int) types.Token {
 	return types.Token{ID: uint32(a)<<16 | uint32(i), Text: fmt.Sprintf(" a%d-%d", a, i)}
 }
 
-// answerOf is what a lineage's answer must be up to n.
-func answerOf(l types.Lineage, n int) []types.Token {
+// expectedTokens returns the first n tokens of a lineage's answer.
+func expectedTokens(l types.Lineage, n int) []types.Token {
 	out := make([]types.Token, n)
 	for i := range out {
 		out[i] = token(producer(l, i), i)
@@ -146,6 +146,6 @@
 	return l
 }
 
-func sawUpTo(id types.GenerationID, a types.AttemptTag, i int) types.EventID {
+func seenUpTo(id types.GenerationID, a types.AttemptTag, i int) types.EventID {
 	return types.EventID{Generation: id, Attempt: a, Index: i}
 }
--- a/tokenlog/handle.go
+++ b/tokenlog/handle.go
@@ -8,36 +8,37 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// Handle is one attempt's journal on the writing side. Its methods only note
-// what is to be sent and return; they never wait for a peer. Every handle is
-// ended by Forget or Close.
+// Handle is the writer's side of one attempt's journal. Its methods only record what is to
+// be sent and return; they never wait for a peer. Every handle must be ended with Forget
+// or Close.
 type Handle struct {
-	writer  *Writer
-	gen     GenerationInfo
-	name    string
-	started time.Time
-	due     *time.Timer // wakes the links when the generation is old enough
+	writer      *Writer
+	gen         GenerationInfo
+	name        string
+	started     time.Time
+	minAgeTimer *time.Timer // wakes the links once the generation reaches its minimum age
 
-	mu       sync.Mutex // guards all below
-	log      packed
-	finish   types.FinishReason
-	forget   bool
-	closed   bool
-	overflow bool
-	avoid    map[string]bool // peers that had no room for this generation
-	cursors  []*cursor
-	repaired time.Time // when repair last looked for peers
+	mu           sync.Mutex // guards all fields below
+	log          tokenBuffer
+	finish       types.FinishReason
+	forget       bool
+	closed       bool
+	overflow     bool
+	excluded     map[string]bool // peers that lacked the memory for this generation
+	cursors      []*cursor
+	lastAssigned time.Time // when assignPeers last ran
 }
 
-// cursor is how far one peer has been given a generation. Guarded by handle.mu.
+// cursor tracks how much of a generation one peer has acknowledged. It is guarded by
+// handle.mu.
 type cursor struct {
 	handle     *Handle
 	link       *link
 	sent       int // tokens acknowledged
 	registered bool
 	finished   bool // finish acknowledged
-	resends    int  // times in a row that the peer had lost the generation
-	gone       bool // the peer was replaced or all is done
+	resends    int  // consecutive times that the peer had lost the generation
+	detached   bool // the peer was replaced, or has everything
 }
 
 // Append adds the next tokens of the answer.
@@ -52,19 +53,19 @@
 		h.log.add(t.ID, t.Text)
 	}
 	if !h.writer.account(h.log.bytes() - before) {
-		h.giveUp()
+		h.stopJournalling()
 		return
 	}
-	if !h.ripe() {
+	if !h.oldEnough() {
 		return
 	}
-	if len(h.cursors) < h.gen.Copies && time.Since(h.repaired) > repairEvery {
-		h.repair()
+	if len(h.cursors) < h.gen.Copies && time.Since(h.lastAssigned) > assignInterval {
+		h.assignPeers()
 	}
 	h.signalLocked()
 }
 
-// Finish notes that the answer is whole.
+// Finish records that the answer is complete.
 func (h *Handle) Finish(reason types.FinishReason) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -72,7 +73,7 @@
 	h.signalLocked()
 }
 
-// Forget tells the peers to drop the generation: the caller has it all.
+// Forget tells the peers to drop the generation because the caller has received all of it.
 func (h *Handle) Forget() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -81,8 +82,8 @@
 	h.signalLocked()
 }
 
-// Close ends the handle when what was appended has been sent. The peers keep
-// their copies: the attempt was lost and another goes on from them.
+// Close ends the handle once everything appended has been sent. The peers keep their
+// copies: if the attempt was lost, the next one resumes from them.
 func (h *Handle) Close() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -93,31 +94,31 @@
 	}
 }
 
-// ripe: the generation has run long enough to be worth journalling. A resume is
-// ripe at once: it has cost one engine already, and its peers may hold less of
-// the earlier attempt than it continues from.
-func (h *Handle) ripe() bool {
-	if len(h.gen.Emitted) > 0 && h.gen.After < never {
+// oldEnough reports whether the generation has run long enough to be worth journalling. A
+// resumed attempt is always old enough: the generation has already lost one engine, and
+// the peers may hold less of the earlier attempt than this one continues from.
+func (h *Handle) oldEnough() bool {
+	if len(h.gen.Emitted) > 0 && h.gen.After < neverJournal {
 		return true
 	}
 	return h.gen.After < 0 || time.Since(h.started) >= h.gen.After
 }
 
-// giveUp stops journalling a generation for want of room here. The peers keep
-// what they have, which stays a true prefix.
-func (h *Handle) giveUp() {
+// stopJournalling stops journalling a generation because the writer's memory limit is
+// reached. What the peers hold remains a valid prefix of the answer.
+func (h *Handle) stopJournalling() {
 	h.overflow = true
 	h.release()
 	h.writer.opts.Recorder.Emit(EventWriterFull, "generation", h.name, "max_bytes", h.writer.opts.MaxBytes)
 }
 
-// release gives the kept tokens back.
+// release frees the buffered tokens.
 func (h *Handle) release() {
-	if h.due != nil {
-		h.due.Stop()
+	if h.minAgeTimer != nil {
+		h.minAgeTimer.Stop()
 	}
 	h.writer.account(-h.log.bytes())
-	h.log = packed{}
+	h.log = tokenBuffer{}
 }
 
 func (h *Handle) signal() {
@@ -132,15 +133,15 @@
 	}
 }
 
-// repair gives the generation to the next usable peers in rendezvous order
-// until it has its copies.
-func (h *Handle) repair() {
-	h.repaired = time.Now()
+// assignPeers assigns the generation to the next available peers in rendezvous order until
+// it has the configured number of copies.
+func (h *Handle) assignPeers() {
+	h.lastAssigned = time.Now()
 	for _, addr := range h.gen.Peers {
 		if len(h.cursors) >= h.gen.Copies {
 			return
 		}
-		if addr == h.writer.opts.Self || h.uses(addr) || h.avoid[addr] || !h.writer.usable(addr) {
+		if addr == h.writer.opts.Self || h.hasPeer(addr) || h.excluded[addr] || !h.writer.isAvailable(addr) {
 			continue
 		}
 		c := &cursor{handle: h}
@@ -153,7 +154,7 @@
 	}
 }
 
-func (h *Handle) uses(addr string) bool {
+func (h *Handle) hasPeer(addr string) bool {
 	for _, c := range h.cursors {
 		if c.link.addr == addr {
 			return true
@@ -162,8 +163,8 @@
 	return false
 }
 
-// replace moves the generation from a failed peer to the next one, which gets
-// it whole from the start. With avoid the failed one isn't chosen again.
+// replace moves the generation from a failed peer to the next one, which is sent all of it
+// from the start. If avoid is set, the failed peer isn't assigned this generation again.
 func (h *Handle) replace(c *cursor, avoid bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -172,15 +173,15 @@
 		return
 	}
 	if avoid {
-		h.avoid[c.link.addr] = true
+		h.excluded[c.link.addr] = true
 	}
-	h.repair()
+	h.assignPeers()
 	h.signalLocked()
 }
 
-// detach takes a cursor off its link and handle. Callers hold h.mu.
+// detach removes a cursor from its link and handle. Callers must hold h.mu.
 func (h *Handle) detach(c *cursor) {
-	c.gone = true
+	c.detached = true
 	c.link.remove(c)
 	defer h.releaseIfUnused()
 	for i, other := range h.cursors {
@@ -197,12 +198,12 @@
 	}
 }
 
-// next returns what the peer of c is to be told now, at most limit bytes of
-// tokens; nil if it knows all that it should.
-func (h *Handle) next(c *cursor, limit int) *streampb.JournalRecord {
+// nextRecord returns what is to be sent to the peer of c now, with at most limit bytes of
+// tokens, or nil if the peer is up to date.
+func (h *Handle) nextRecord(c *cursor, limit int) *streampb.JournalRecord {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if c.gone || (h.overflow && !h.forget) {
+	if c.detached || (h.overflow && !h.forget) {
 		return nil
 	}
 	r := &streampb.JournalRecord{Generation: h.name, Lineage: lineageToWire(h.gen.Lineage)}
@@ -213,7 +214,7 @@
 	if !c.registered {
 		r.Runner = h.writer.opts.Self
 	}
-	h.fill(r, c, limit)
+	h.fillRecord(r, c, limit)
 	if !c.registered || len(r.Tokens) > 0 || r.Finish != "" {
 		return r
 	}
@@ -223,29 +224,30 @@
 	return nil
 }
 
-// fill adds tokens and finish. A registration without tokens of a resume names
-// the index that it continues from, so that a peer which holds the earlier
-// attempt copies them from there instead of having them sent again.
-func (h *Handle) fill(r *streampb.JournalRecord, c *cursor, limit int) {
+// fillRecord adds tokens and the finish reason. When a resumed attempt is registered
+// without tokens, the record names the index that it continues from, so that a peer which
+// holds the earlier attempt copies the tokens up to there instead of having them sent
+// again.
+func (h *Handle) fillRecord(r *streampb.JournalRecord, c *cursor, limit int) {
 	r.First = uint32(c.sent)
-	if h.ripe() {
-		r.Tokens = h.log.wire(c.sent, limit)
+	if h.oldEnough() {
+		r.Tokens = h.log.toWire(c.sent, limit)
 	}
 	end := c.sent + len(r.Tokens)
 	if !c.registered && len(r.Tokens) == 0 {
 		r.First = uint32(len(h.gen.Emitted))
 	}
-	young := end == 0 && !h.ripe()
-	if h.finish == "" || c.finished || (end < h.log.len() && !young) {
+	tooYoung := end == 0 && !h.oldEnough()
+	if h.finish == "" || c.finished || (end < h.log.len() && !tooYoung) {
 		return
 	}
 	r.Finish = string(h.finish)
-	if young {
+	if tooYoung {
 		r.First = uint32(h.log.len())
 	}
 }
 
-// acknowledge moves the cursor past a record that the peer took.
+// acknowledge advances the cursor past a record that the peer accepted.
 func (h *Handle) acknowledge(c *cursor, r *streampb.JournalRecord) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -254,7 +256,7 @@
 		c.sent = int(r.GetFirst()) + len(r.GetTokens())
 	}
 	if len(r.GetTokens()) > 0 && r.GetFirst() > 0 {
-		c.resends = 0 // it kept what it was given before
+		c.resends = 0 // the peer still had the earlier tokens
 	}
 	if h.closed {
 		c.link.signal()
@@ -267,9 +269,9 @@
 	}
 }
 
-// lost restarts the cursor: the peer misses earlier tokens. It reports false if
-// that happened too often for this peer.
-func (h *Handle) lost(c *cursor) bool {
+// restartCursor resets the cursor because the peer lacks earlier tokens. It returns false
+// if that has happened too often with this peer.
+func (h *Handle) restartCursor(c *cursor) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	c.sent, c.registered, c.finished = 0, false, false
--- a/tokenlog/http_bench_test.go
+++ b/tokenlog/http_bench_test.go
@@ -11,7 +11,7 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// storeServer serves Append only.
+// storeServer implements only Append.
 type storeServer struct {
 	streampb.Sidecar
 	store *Store
@@ -21,14 +21,14 @@
 	return s.store.Append(in), nil
 }
 
-// BenchmarkAppendOverHTTP is one append of 11 tokens, the mean of a 500 ms batch
-// where generations have their own peers, over loopback. cpu-us counts the
-// process's time for both ends.
+// BenchmarkAppendOverHTTP measures one append of 11 tokens over loopback: the mean of a
+// 500 ms batch when each generation has its own peers. cpu-us is the CPU time of the
+// process, both ends included.
 func BenchmarkAppendOverHTTP(b *testing.B) {
 	srv := httptest.NewServer(streampb.NewSidecarServer(storeServer{store: NewStore(StoreOptions{})}))
 	defer srv.Close()
 	client := streampb.NewSidecarProtobufClient(srv.URL, http.DefaultClient)
-	in := batchOf(types.NewGenerationID(1), 11, 11)[0]
+	in := makeAppends(types.NewGenerationID(1), 11, 11)[0]
 	before := cpuMicros()
 	for b.Loop() {
 		if _, err := client.Append(b.Context(), in); err != nil {
--- a/tokenlog/lineage.go
+++ b/tokenlog/lineage.go
@@ -7,11 +7,11 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// maxIndex bounds token indexes taken from the wire.
+// maxIndex limits token indexes received from other processes.
 const maxIndex = 1 << 24
 
-// agreed returns the part of a lineage that decides the first n tokens.
-func agreed(l types.Lineage, n int) types.Lineage {
+// segmentsBefore returns the segments of a lineage that produced its first n tokens.
+func segmentsBefore(l types.Lineage, n int) types.Lineage {
 	for i, s := range l {
 		if s.From >= n {
 			return l[:i]
@@ -20,12 +20,13 @@
 	return l
 }
 
-// sameUpTo reports whether two lineages have the same first n tokens.
+// sameUpTo reports whether two lineages share their first n tokens.
 func sameUpTo(a, b types.Lineage, n int) bool {
-	return slices.Equal(agreed(a, n), agreed(b, n))
+	return slices.Equal(segmentsBefore(a, n), segmentsBefore(b, n))
 }
 
-// validLineage: it starts at 0, grows, and names an attempt in each segment.
+// validLineage reports whether a lineage starts at 0, has increasing start indexes, and
+// names an attempt in each segment.
 func validLineage(l types.Lineage) bool {
 	if len(l) == 0 || l[0].From != 0 {
 		return false
--- a/tokenlog/link.go
+++ b/tokenlog/link.go
@@ -10,8 +10,8 @@
 	"github.com/pearyard/pearyard/rpc/stream"
 )
 
-// link sends to one peer: one append at a time, each with what gathered since
-// the last. It ends when no generation is left on it.
+// link sends appends to one peer, one at a time, each with everything that accumulated
+// since the last. It ends when it has no generations left.
 type link struct {
 	writer *Writer
 	addr   string
@@ -20,7 +20,7 @@
 	mu      sync.Mutex // guards cursors
 	cursors map[*cursor]struct{}
 
-	failures int // in a row; only run uses it
+	failures int // consecutive failed sends; accessed only by run
 }
 
 func (l *link) add(c *cursor) {
@@ -54,8 +54,8 @@
 	return out
 }
 
-// run sends whenever woken, at most once per batch interval. A link without
-// work costs nothing: there is no ticker.
+// run sends an append when woken, at most one per batch interval. It uses no ticker, so an
+// idle link costs nothing.
 func (l *link) run() {
 	defer l.writer.done.Done()
 	for {
@@ -64,18 +64,19 @@
 			return
 		case <-l.wake:
 		}
-		if l.retire() {
+		if l.closeIfIdle() {
 			return
 		}
 		l.flush()
-		if !l.pause() {
+		if !l.waitBatchInterval() {
 			return
 		}
 	}
 }
 
-// retire ends a link that has no generations.
-func (l *link) retire() bool {
+// closeIfIdle removes the link from the writer if it has no generations, and reports
+// whether it did.
+func (l *link) closeIfIdle() bool {
 	l.writer.mu.Lock()
 	defer l.writer.mu.Unlock()
 	l.mu.Lock()
@@ -87,8 +88,8 @@
 	return true
 }
 
-func (l *link) pause() bool {
-	timer := time.NewTimer(l.writer.batch())
+func (l *link) waitBatchInterval() bool {
+	timer := time.NewTimer(l.writer.batchInterval())
 	defer timer.Stop()
 	select {
 	case <-l.writer.ctx.Done():
@@ -98,52 +99,52 @@
 	}
 }
 
-// flush sends one append with what each generation has for this peer.
+// flush sends one append with the pending records of every generation on this link.
 func (l *link) flush() {
-	batch, cursors, more := l.gather()
+	batch, cursors, more := l.buildBatch()
 	if len(batch.Records) == 0 {
 		return
 	}
 	reply, err := l.send(batch)
 	if err != nil {
-		l.failed()
+		l.handleFailure()
 		return
 	}
 	l.failures = 0
-	l.settle(batch, cursors, reply)
+	l.applyReply(batch, cursors, reply)
 	if more {
 		l.signal()
 	}
 }
 
-func (l *link) gather() (*streampb.JournalAppend, []*cursor, bool) {
+func (l *link) buildBatch() (*streampb.JournalAppend, []*cursor, bool) {
 	batch := &streampb.JournalAppend{From: l.writer.opts.Self}
 	var cursors []*cursor
-	room := maxAppendBytes
+	remaining := maxAppendBytes
 	for _, c := range l.snapshot() {
-		if room <= 0 {
+		if remaining <= 0 {
 			return batch, cursors, true
 		}
-		r := c.handle.next(c, room)
+		r := c.handle.nextRecord(c, remaining)
 		if r == nil {
 			continue
 		}
-		room -= proto.Size(r)
+		remaining -= proto.Size(r)
 		batch.Records = append(batch.Records, r)
 		cursors = append(cursors, c)
 	}
-	return batch, cursors, room <= 0
+	return batch, cursors, remaining <= 0
 }
 
 func (l *link) send(batch *streampb.JournalAppend) (*streampb.JournalAppended, error) {
 	ctx, cancel := context.WithTimeout(l.writer.ctx, l.writer.opts.SendTimeout)
 	defer cancel()
 	reply, err := l.writer.opts.Sender.Append(ctx, l.addr, batch)
-	l.count(batch, err)
+	l.recordMetrics(batch, err)
 	return reply, err
 }
 
-func (l *link) count(batch *streampb.JournalAppend, err error) {
+func (l *link) recordMetrics(batch *streampb.JournalAppend, err error) {
 	result := "ok"
 	if err != nil {
 		result = "failed"
@@ -157,9 +158,10 @@
 	l.writer.metrics.wire.Add(float64(proto.Size(batch)))
 }
 
-// failed retries once and then hands the peer's generations to others. A lost
-// answer is safe to retry: repeats of what a store holds are accepted as such.
-func (l *link) failed() {
+// handleFailure has the first failure retried; after maxFailures it reassigns the peer's
+// generations. Retrying is safe even if only the reply was lost, because a store accepts
+// tokens that it already holds.
+func (l *link) handleFailure() {
 	l.failures++
 	l.signal()
 	if l.failures < maxFailures || l.writer.ctx.Err() != nil {
@@ -169,36 +171,37 @@
 	l.writer.markDown(l.addr)
 	cursors := l.snapshot()
 	l.writer.opts.Recorder.Emit(EventPeerReplaced, "peer", l.addr, "generations", len(cursors), "reason", "unreachable")
-	l.replace(cursors, false)
+	l.replacePeer(cursors, false)
 }
 
-func (l *link) replace(cursors []*cursor, avoid bool) {
+func (l *link) replacePeer(cursors []*cursor, avoid bool) {
 	for _, c := range cursors {
 		l.writer.metrics.replaced.Inc()
 		c.handle.replace(c, avoid)
 	}
 }
 
-// settle applies the answer: generations that the peer misses start again.
-func (l *link) settle(batch *streampb.JournalAppend, cursors []*cursor, reply *streampb.JournalAppended) {
+// applyReply processes the reply to an append: generations that the peer reports as
+// missing are sent again from the start.
+func (l *link) applyReply(batch *streampb.JournalAppend, cursors []*cursor, reply *streampb.JournalAppended) {
 	missing := make(map[string]bool, len(reply.GetMissing()))
 	for _, name := range reply.GetMissing() {
 		missing[name] = true
 	}
-	var full []*cursor
+	var exhausted []*cursor
 	for i, c := range cursors {
 		if !missing[batch.Records[i].GetGeneration()] {
 			c.handle.acknowledge(c, batch.Records[i])
 			continue
 		}
 		l.signal()
-		if !c.handle.lost(c) {
-			full = append(full, c)
+		if !c.handle.restartCursor(c) {
+			exhausted = append(exhausted, c)
 		}
 	}
-	if len(full) == 0 {
+	if len(exhausted) == 0 {
 		return
 	}
-	l.writer.opts.Recorder.Emit(EventPeerReplaced, "peer", l.addr, "generations", len(full), "reason", "no room")
-	l.replace(full, true)
+	l.writer.opts.Recorder.Emit(EventPeerReplaced, "peer", l.addr, "generations", len(exhausted), "reason", "no room")
+	l.replacePeer(exhausted, true)
 }
--- a/tokenlog/metrics.go
+++ b/tokenlog/metrics.go
@@ -3,27 +3,27 @@
 import "github.com/prometheus/client_golang/prometheus"
 
 var (
-	stateNames   = [states]string{"finished", "reserved", "running"}
+	stateNames   = [numStates]string{"finished", "reserved", "running"}
 	verdictNames = [...]string{taken: "taken", missing: "missing", refused: "refused"}
 )
 
 type storeMetrics struct {
 	bytes     prometheus.Gauge
-	entries   [states]prometheus.Gauge
+	entries   [numStates]prometheus.Gauge
 	evictions *prometheus.CounterVec
 	records   [len(verdictNames)]prometheus.Counter
 }
 
 func newStoreMetrics(reg prometheus.Registerer) *storeMetrics {
 	entries := prometheus.NewGaugeVec(prometheus.GaugeOpts{
-		Name: "pearyard_journal_held_generations", Help: "Generations in the token journal by state."}, []string{"state"})
+		Name: "pearyard_journal_held_generations", Help: "Generations in the token journal, by state."}, []string{"state"})
 	records := prometheus.NewCounterVec(prometheus.CounterOpts{
-		Name: "pearyard_journal_records_total", Help: "Records received, by what became of them."}, []string{"verdict"})
+		Name: "pearyard_journal_records_total", Help: "Records received, by outcome."}, []string{"verdict"})
 	m := &storeMetrics{
 		bytes: prometheus.NewGauge(prometheus.GaugeOpts{
 			Name: "pearyard_journal_held_bytes", Help: "Bytes that the token journal holds for other sidecars."}),
 		evictions: prometheus.NewCounterVec(prometheus.CounterOpts{
-			Name: "pearyard_journal_evictions_total", Help: "Generations dropped for want of room, by state."}, []string{"state"}),
+			Name: "pearyard_journal_evictions_total", Help: "Generations evicted because the store was full, by state."}, []string{"state"}),
 	}
 	for st, name := range stateNames {
 		m.entries[st] = entries.WithLabelValues(name)
@@ -35,9 +35,9 @@
 	return m
 }
 
-func (s *Store) gauge() {
+func (s *Store) updateGauges() {
 	s.metrics.bytes.Set(float64(s.bytes))
-	for st, ages := range s.ages {
+	for st, ages := range s.byState {
 		s.metrics.entries[st].Set(float64(ages.Len()))
 	}
 }
@@ -55,13 +55,13 @@
 		appends: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "pearyard_journal_appends_total", Help: "Batches sent to journal peers, by result."}, []string{"result"}),
 		tokens: prometheus.NewCounter(prometheus.CounterOpts{
-			Name: "pearyard_journal_sent_tokens_total", Help: "Tokens sent to journal peers, copies and resends counted."}),
+			Name: "pearyard_journal_sent_tokens_total", Help: "Tokens sent to journal peers, including copies and resends."}),
 		wire: prometheus.NewCounter(prometheus.CounterOpts{
-			Name: "pearyard_journal_sent_bytes_total", Help: "Encoded bytes of batches sent, without HTTP."}),
+			Name: "pearyard_journal_sent_bytes_total", Help: "Encoded bytes of the batches sent, without HTTP overhead."}),
 		replaced: prometheus.NewCounter(prometheus.CounterOpts{
-			Name: "pearyard_journal_peers_replaced_total", Help: "Generations moved to another journal peer."}),
+			Name: "pearyard_journal_peers_replaced_total", Help: "Generations reassigned to another journal peer."}),
 		held: prometheus.NewGauge(prometheus.GaugeOpts{
-			Name: "pearyard_journal_writer_bytes", Help: "Bytes of own generations kept to journal them."}),
+			Name: "pearyard_journal_writer_bytes", Help: "Bytes of this sidecar's own generations buffered for journalling."}),
 	}
 	register(reg, m.appends, m.tokens, m.wire, m.replaced, m.held)
 	return m
--- a/tokenlog/place.go
+++ b/tokenlog/place.go
@@ -9,23 +9,23 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// Site is a sidecar that can hold journals, and where it is.
+// Site is a sidecar that can hold journals, and its location.
 type Site struct {
 	Address string
 	Zone    types.Zone
 }
 
-type placed struct {
+type candidate struct {
 	Site
 	score uint64
 }
 
-// Place returns the addresses of up to n journal peers of a key in rendezvous
-// order: the best of each availability zone first, then the second best of
-// each, and so on. exclude, the runner itself, is dropped after ordering and
-// peers in its zone go last, so that the loss of a zone doesn't take a runner and
-// its journal together. Place(n, exclude) is always within Place(n+1, ""): a
-// router that doesn't know the runner finds all peers by asking for one more.
+// Place returns the addresses of up to n journal peers of a key in rendezvous order: the
+// highest-scoring member of each availability zone, then the second of each, and so on.
+// exclude, if set, is the runner: it is removed after ordering, and peers in its zone are
+// moved to the end, so that the loss of a zone doesn't take a runner and its journal
+// together. Place(n, exclude) is always a subset of Place(n+1, ""), so a router that
+// doesn't know the runner finds all peers by asking for one more.
 func Place(key types.Key, members []Site, n int, exclude string) []string {
 	if n <= 0 {
 		return nil
@@ -34,9 +34,9 @@
 	if exclude != "" {
 		want++
 	}
-	order := interleave(bestOfZones(key, members, want), want)
+	order := interleave(topPerZone(key, members, want), want)
 	if exclude != "" {
-		order = away(order, members, exclude)
+		order = deprioritizeZone(order, members, exclude)
 	}
 	out := make([]string, 0, n)
 	for _, p := range order[:min(n, len(order))] {
@@ -45,20 +45,20 @@
 	return out
 }
 
-// away drops the runner and moves peers of its zone behind the others.
-func away(order []placed, members []Site, runner string) []placed {
+// deprioritizeZone removes the runner and moves the peers of its zone to the end.
+func deprioritizeZone(order []candidate, members []Site, runner string) []candidate {
 	zone := zoneOf(members, runner)
-	var far, near []placed
+	var otherZones, sameZone []candidate
 	for _, p := range order {
 		switch {
 		case p.Address == runner:
 		case p.Zone == zone:
-			near = append(near, p)
+			sameZone = append(sameZone, p)
 		default:
-			far = append(far, p)
+			otherZones = append(otherZones, p)
 		}
 	}
-	return append(far, near...)
+	return append(otherZones, sameZone...)
 }
 
 func zoneOf(members []Site, address string) types.Zone {
@@ -70,22 +70,22 @@
 	return ""
 }
 
-// bestOfZones returns the best `want` members of each zone, best first.
-func bestOfZones(key types.Key, members []Site, want int) map[types.Zone][]placed {
-	zones := make(map[types.Zone][]placed)
+// topPerZone returns the highest-scoring want members of each zone in descending order.
+func topPerZone(key types.Key, members []Site, want int) map[types.Zone][]candidate {
+	zones := make(map[types.Zone][]candidate)
 	for _, m := range members {
-		p := placed{Site: m, score: score(key, m.Address)}
-		zones[m.Zone] = insert(zones[m.Zone], p, want)
+		p := candidate{Site: m, score: score(key, m.Address)}
+		zones[m.Zone] = insertRanked(zones[m.Zone], p, want)
 	}
 	return zones
 }
 
-func insert(best []placed, p placed, limit int) []placed {
-	if len(best) == limit && !better(p, best[limit-1]) {
+func insertRanked(best []candidate, p candidate, limit int) []candidate {
+	if len(best) == limit && !ranksBefore(p, best[limit-1]) {
 		return best
 	}
-	at := sort.Search(len(best), func(i int) bool { return better(p, best[i]) })
-	best = append(best, placed{})
+	at := sort.Search(len(best), func(i int) bool { return ranksBefore(p, best[i]) })
+	best = append(best, candidate{})
 	copy(best[at+1:], best[at:])
 	best[at] = p
 	if len(best) > limit {
@@ -94,21 +94,22 @@
 	return best
 }
 
-// interleave takes rank 0 of all zones by score, then rank 1, up to want.
-func interleave(zones map[types.Zone][]placed, want int) []placed {
-	var out []placed
+// interleave returns the members of rank 0 of all zones by score, then those of rank 1,
+// until it has want of them.
+func interleave(zones map[types.Zone][]candidate, want int) []candidate {
+	var out []candidate
 	for rank := 0; len(out) < want; rank++ {
-		var row []placed
+		var ranked []candidate
 		for _, best := range zones {
 			if rank < len(best) {
-				row = append(row, best[rank])
+				ranked = append(ranked, best[rank])
 			}
 		}
-		if len(row) == 0 {
+		if len(ranked) == 0 {
 			break
 		}
-		sort.Slice(row, func(i, j int) bool { return better(row[i], row[j]) })
-		out = append(out, row...)
+		sort.Slice(ranked, func(i, j int) bool { return ranksBefore(ranked[i], ranked[j]) })
+		out = append(out, ranked...)
 	}
 	if len(out) > want {
 		out = out[:want]
@@ -116,14 +117,14 @@
 	return out
 }
 
-func better(a, b placed) bool {
+func ranksBefore(a, b candidate) bool {
 	if a.score != b.score {
 		return a.score > b.score
 	}
 	return a.Address < b.Address
 }
 
-// score hashes the address and mixes the key in with splitmix64's finaliser.
+// score hashes the address and the key, and mixes them with the finalizer of splitmix64.
 func score(key types.Key, address string) uint64 {
 	var k [8]byte
 	binary.BigEndian.PutUint64(k[:], uint64(key))
--- a/tokenlog/place_test.go
+++ b/tokenlog/place_test.go
@@ -43,14 +43,14 @@
 		g.Expect(Place(key, members, n, runner)).NotTo(ContainElement(runner))
 		for i, addr := range Place(key, members, n, runner) {
 			if i < len(zones)-1 {
-				g.Expect(inZone[addr]).NotTo(Equal(inZone[runner]), "a zone's loss takes runner and journal")
+				g.Expect(inZone[addr]).NotTo(Equal(inZone[runner]), "losing a zone would take both runner and journal")
 			}
 		}
 	})
 }
 
-// One VM of 1,600 is replaced: only the generations that it held a journal of
-// move, so that a reader with a slightly old member list still finds the rest.
+// When one VM of 1,600 is replaced, only the generations that it held a journal of may
+// move, so that a reader with a slightly outdated member list still finds the others.
 func TestOneMemberLessMovesLittle(t *testing.T) {
 	g := NewWithT(t)
 	members := sites(1600, 21)
--- a/tokenlog/read.go
+++ b/tokenlog/read.go
@@ -11,16 +11,17 @@
 )
 
 var (
-	// ErrNotHeld: nothing is known of the generation.
+	// ErrNotHeld means that the generation is unknown.
 	ErrNotHeld = errors.New("journal: generation not held")
-	// ErrTooShort: the journal holds fewer tokens of the caller's branch than the
-	// caller has seen.
+	// ErrTooShort means that the journal holds fewer tokens of the caller's branch than
+	// the caller has seen.
 	ErrTooShort = errors.New("journal: fewer tokens held than the caller has seen")
-	// ErrDiverged: no branch held contains the caller's last token; continuing any
-	// of them would mix two attempts in one answer.
-	ErrDiverged = errors.New("journal: no branch continues what the caller has seen")
-	// ErrUnsure: not all peers could be asked, so it isn't proved that nobody holds it.
-	ErrUnsure = errors.New("journal: peers unreachable, absence not proved")
+	// ErrDiverged means that no branch held contains the caller's last token; continuing
+	// any of them would mix two attempts in one answer.
+	ErrDiverged = errors.New("journal: no held branch contains the caller's last token")
+	// ErrUnsure means that not all peers could be asked, so the generation may still be
+	// held by one of them.
+	ErrUnsure = errors.New("journal: some peers unreachable, absence not proven")
 )
 
 // Branch is one attempt's answer so far.
@@ -29,13 +30,13 @@
 	Lineage    types.Lineage
 	Tokens     []types.Token
 	Runner     string             // address of the sidecar that ran the attempt
-	Finish     types.FinishReason // set if Tokens are the whole answer
-	Held       int                // tokens held, also where Tokens is left out
+	Finish     types.FinishReason // set if Tokens is the complete answer
+	Held       int                // number of tokens held, also if Tokens is omitted
 }
 
-// Tokens returns the branch that continues what the caller has seen: want names
-// the attempt and index of its last token; with attempt 0 it has seen none.
-// With ErrTooShort the branch still names its lineage and runner.
+// Tokens returns the branch that continues what the caller has seen. want names the
+// attempt and index of the caller's last token; with attempt 0 it has seen none. With
+// ErrTooShort the branch still names its lineage and runner.
 func (s *Store) Tokens(want types.EventID) (Branch, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -43,47 +44,48 @@
 	if e == nil || len(e.branches) == 0 {
 		return Branch{}, ErrNotHeld
 	}
-	b := e.choose(want)
+	b := e.bestBranch(want)
 	if b == nil {
 		return Branch{}, ErrDiverged
 	}
 	out := b.describe(e.id)
-	if b.log.len() < seen(want) {
+	if b.log.len() < tokensSeen(want) {
 		return out, ErrTooShort
 	}
 	out.Tokens = b.log.tokens()
 	return out, nil
 }
 
-// seen is how many tokens a caller has that saw the one at want.Index.
-func seen(want types.EventID) int {
+// tokensSeen returns the number of tokens that a caller has whose last one is want.
+func tokensSeen(want types.EventID) int {
 	if want.Attempt == 0 {
 		return 0
 	}
 	return want.Index + 1
 }
 
-// choose returns the best branch that has the caller's last token in its
-// lineage. This is what keeps answers unmixed: an attempt's tag is random and
-// has one lineage, so every branch that produced (attempt, index) agrees with
-// the caller on all tokens up to index.
-func (e *entry) choose(want types.EventID) *branch {
+// bestBranch returns the best branch whose lineage includes the caller's last token. This
+// keeps attempts from being mixed: an attempt's tag is random and has one lineage, so
+// every branch that produced (attempt, index) agrees with the caller on all tokens up to
+// index.
+func (e *entry) bestBranch(want types.EventID) *branch {
 	var best *branch
 	for _, b := range e.branches {
 		if want.Attempt != 0 && !b.lineage.Produced(want.Attempt, want.Index) {
 			continue
 		}
-		if best == nil || b.beats(best) {
+		if best == nil || b.preferredOver(best) {
 			best = b
 		}
 	}
 	return best
 }
 
-// beats prefers a whole answer, then the longer, then the more recent.
-func (b *branch) beats(other *branch) bool {
-	if b.whole() != other.whole() {
-		return b.whole()
+// preferredOver prefers a complete answer, then the longer branch, then the more recently
+// updated one.
+func (b *branch) preferredOver(other *branch) bool {
+	if b.isComplete() != other.isComplete() {
+		return b.isComplete()
 	}
 	if b.log.len() != other.log.len() {
 		return b.log.len() > other.log.len()
@@ -93,17 +95,17 @@
 
 func (b *branch) describe(id types.GenerationID) Branch {
 	out := Branch{Generation: id, Lineage: b.lineage, Runner: b.runner, Held: b.log.len()}
-	if b.whole() {
+	if b.isComplete() {
 		out.Finish = b.finish
 	}
 	return out
 }
 
-// Read serves Tokens over the wire.
+// Read handles a request for Tokens from another process.
 func (s *Store) Read(in *journalpb.ReadRequest) (*journalpb.ReadResponse, error) {
 	id, err := types.ParseGenerationID(in.GetGeneration())
 	if err != nil {
-		return nil, errors.Wrap(err, "journal read")
+		return nil, errors.Wrap(err, "journal read: parse generation")
 	}
 	want := types.EventID{Generation: id, Attempt: types.AttemptTag(in.GetAttempt()), Index: int(in.GetIndex())}
 	found, err := s.Tokens(want)
@@ -128,22 +130,22 @@
 	ErrDiverged: journalpb.ReadStatus_READ_DIVERGED,
 }
 
-// Lookup finds the generation of a request key, or describes a generation. If
-// a key is unknown and in.Reserve names a generation, that one is noted: the
-// first noted wins, so that an idempotency key sent twice attaches to the
-// generation that runs. Found is false for a note just made.
+// Lookup finds the generation of a request key, or describes a generation. If the key is
+// unknown and in.Reserve names a generation, the key is reserved for it: the first
+// reservation wins, so that an idempotency key sent twice attaches to the running
+// generation. Found is false for a reservation that this call made.
 func (s *Store) Lookup(in *streampb.LookupRequest) (*streampb.LookupResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if in.GetGeneration() != "" {
 		id, err := types.ParseGenerationID(in.GetGeneration())
 		if err != nil {
-			return nil, errors.Wrap(err, "journal lookup")
+			return nil, errors.Wrap(err, "journal lookup: parse generation")
 		}
-		return s.respond(id), nil
+		return s.lookupResponse(id), nil
 	}
 	if id, ok := s.byKey[types.Key(in.GetKey())]; ok {
-		return s.respond(id), nil
+		return s.lookupResponse(id), nil
 	}
 	if in.GetReserve() == "" {
 		return &streampb.LookupResponse{}, nil
@@ -154,17 +156,17 @@
 func (s *Store) reserve(in *streampb.LookupRequest) (*streampb.LookupResponse, error) {
 	id, err := types.ParseGenerationID(in.GetReserve())
 	if err != nil || id.Key != types.Key(in.GetKey()) {
-		return nil, fmt.Errorf("journal lookup: cannot note %q for key %016x", in.GetReserve(), in.GetKey())
+		return nil, fmt.Errorf("journal lookup: cannot reserve %q for key %016x: malformed or of another key", in.GetReserve(), in.GetKey())
 	}
-	e := s.obtain(id)
+	e := s.getOrCreate(id)
 	s.touch(e)
-	s.shrink()
+	s.evict()
 	return &streampb.LookupResponse{Generation: in.GetReserve()}, nil
 }
 
-// respond describes the newest branch, without tokens: they are read with Read
-// once it is known what the caller has seen.
-func (s *Store) respond(id types.GenerationID) *streampb.LookupResponse {
+// lookupResponse describes the most recently updated branch, without tokens: those are
+// read with Read once it is known what the caller has seen.
+func (s *Store) lookupResponse(id types.GenerationID) *streampb.LookupResponse {
 	e := s.entries[id]
 	if e == nil {
 		return &streampb.LookupResponse{}
--- a/tokenlog/reader.go
+++ b/tokenlog/reader.go
@@ -20,7 +20,7 @@
 	DefaultPatience    = 150 * time.Millisecond
 )
 
-// Client asks the sidecar at addr.
+// Client sends journal queries to the sidecar at addr.
 type Client interface {
 	Lookup(ctx context.Context, addr string, in *streampb.LookupRequest) (*streampb.LookupResponse, error)
 	Read(ctx context.Context, addr string, in *journalpb.ReadRequest) (*journalpb.ReadResponse, error)
@@ -29,9 +29,9 @@
 // ReaderOptions configures a Reader. Zero values take the defaults.
 type ReaderOptions struct {
 	Client    Client        // required
-	FirstWave int           // peers that are asked at once; the others only if these don't hold it
-	Timeout   time.Duration // of one wave
-	Patience  time.Duration // once one peer holds it, the others may still bring a longer branch
+	FirstWave int           // peers queried first; the others are queried only if none of these holds the generation
+	Timeout   time.Duration // per wave
+	Patience  time.Duration // wait for the other peers, which may hold a longer branch, after the first hit
 }
 
 // Reader finds journalled generations for a router.
@@ -51,9 +51,9 @@
 	return &Reader{opts: opts}
 }
 
-// FindError tells why no branch was found. It unwraps to ErrNotHeld,
-// ErrTooShort, ErrDiverged or ErrUnsure. Best still names a runner if any peer
-// knew one: a runner that lives holds more than its journal.
+// FindError reports why no branch was found. It unwraps to ErrNotHeld, ErrTooShort,
+// ErrDiverged or ErrUnsure. Best still names a runner if any peer knew one: a runner that
+// is alive holds more than its journal.
 type FindError struct {
 	Reason      error
 	Best        Branch
@@ -71,34 +71,34 @@
 // Unwrap returns the reason.
 func (e *FindError) Unwrap() error { return e.Reason }
 
-// answer is what one peer said.
+// answer is the result of querying one peer.
 type answer struct {
 	addr string
 	resp *journalpb.ReadResponse
 	err  error
 }
 
-// Find returns the longest branch held by peers that continues what the caller
-// has seen (want; Attempt 0 if it has seen nothing).
+// Find returns the longest branch held by peers that continues what the caller has seen:
+// want is its last token, with Attempt 0 if it has seen none.
 func (r *Reader) Find(ctx context.Context, want types.EventID, peers []string) (Branch, error) {
 	s := search{want: want}
-	first, rest := split(peers, r.opts.FirstWave)
+	first, rest := splitPeers(peers, r.opts.FirstWave)
 	for _, wave := range [][]string{first, rest} {
 		r.ask(ctx, wave, &s)
 		if s.found {
 			return s.best, nil
 		}
 	}
-	return Branch{}, s.failure()
+	return Branch{}, s.err()
 }
 
-func split(peers []string, n int) (first, rest []string) {
+func splitPeers(peers []string, n int) (first, rest []string) {
 	n = min(n, len(peers))
 	return peers[:n], peers[n:]
 }
 
-// ask puts the question to all peers of a wave at once and returns when all
-// have answered, the time is over, or patience with those behind has run out.
+// ask queries all peers of a wave in parallel. It returns when all have answered, on
+// timeout, or when the wait for slower peers after the first hit has run out.
 func (r *Reader) ask(ctx context.Context, wave []string, s *search) {
 	ctx, cancel := context.WithTimeout(ctx, r.opts.Timeout)
 	defer cancel()
@@ -109,21 +109,21 @@
 			answers <- answer{addr: addr, resp: resp, err: err}
 		}()
 	}
-	var enough <-chan time.Time
+	var stragglerTimeout <-chan time.Time
 	waiting := append([]string(nil), wave...)
 	for len(waiting) > 0 {
 		select {
 		case a := <-answers:
 			waiting = without(waiting, a.addr)
-			s.note(a)
+			s.recordAnswer(a)
 		case <-ctx.Done():
 			s.unreachable = append(s.unreachable, waiting...)
 			return
-		case <-enough:
+		case <-stragglerTimeout:
 			return
 		}
-		if s.found && enough == nil {
-			enough = time.After(r.opts.Patience)
+		if s.found && stragglerTimeout == nil {
+			stragglerTimeout = time.After(r.opts.Patience)
 		}
 	}
 }
@@ -138,10 +138,10 @@
 	return out
 }
 
-// search gathers the answers of all waves.
+// search accumulates the answers of all waves.
 type search struct {
 	want        types.EventID
-	best        Branch // longest if found, else the one that knows most
+	best        Branch // the longest if found, otherwise the most informative miss
 	found       bool
 	reason      error
 	unreachable []string
@@ -153,7 +153,7 @@
 	}
 }
 
-func (s *search) note(a answer) {
+func (s *search) recordAnswer(a answer) {
 	if a.err != nil {
 		s.unreachable = append(s.unreachable, a.addr)
 		return
@@ -164,23 +164,23 @@
 	}
 	switch a.resp.GetStatus() {
 	case journalpb.ReadStatus_READ_HELD:
-		s.take(b)
+		s.accept(b)
 	case journalpb.ReadStatus_READ_TOO_SHORT:
-		s.miss(ErrTooShort, b)
+		s.recordMiss(ErrTooShort, b)
 	case journalpb.ReadStatus_READ_DIVERGED:
-		s.miss(ErrDiverged, b)
+		s.recordMiss(ErrDiverged, b)
 	case journalpb.ReadStatus_READ_NOT_HELD:
-		s.miss(ErrNotHeld, b)
+		s.recordMiss(ErrNotHeld, b)
 	default:
 		s.unreachable = append(s.unreachable, a.addr)
 	}
 }
 
-// take keeps the longer branch. It checks again what the store promised: a
-// branch without the caller's last token is never used, whoever sent it.
-func (s *search) take(b Branch) {
-	if len(b.Tokens) < seen(s.want) || (s.want.Attempt != 0 && !b.Lineage.Produced(s.want.Attempt, s.want.Index)) {
-		s.miss(ErrDiverged, Branch{})
+// accept keeps the longer branch. It verifies the store's answer: a branch that lacks the
+// caller's last token is never used, whichever peer sent it.
+func (s *search) accept(b Branch) {
+	if len(b.Tokens) < tokensSeen(s.want) || (s.want.Attempt != 0 && !b.Lineage.Produced(s.want.Attempt, s.want.Index)) {
+		s.recordMiss(ErrDiverged, Branch{})
 		return
 	}
 	if !s.found || (s.best.Finish == "" && (b.Finish != "" || len(b.Tokens) > len(s.best.Tokens))) {
@@ -189,20 +189,20 @@
 	s.found = true
 }
 
-// knowledge ranks what failed answers prove about a generation.
-var knowledge = map[error]int{nil: 0, ErrNotHeld: 1, ErrDiverged: 2, ErrTooShort: 3}
+// reasonRank orders the reasons for a miss by how much they say about a generation.
+var reasonRank = map[error]int{nil: 0, ErrNotHeld: 1, ErrDiverged: 2, ErrTooShort: 3}
 
-func (s *search) miss(reason error, b Branch) {
-	if s.found || knowledge[reason] < knowledge[s.reason] {
+func (s *search) recordMiss(reason error, b Branch) {
+	if s.found || reasonRank[reason] < reasonRank[s.reason] {
 		return
 	}
-	if knowledge[reason] > knowledge[s.reason] || b.Held > s.best.Held {
+	if reasonRank[reason] > reasonRank[s.reason] || b.Held > s.best.Held {
 		s.best = b
 	}
 	s.reason = reason
 }
 
-func (s *search) failure() error {
+func (s *search) err() error {
 	reason := s.reason
 	if len(s.unreachable) > 0 || reason == nil {
 		reason = ErrUnsure
@@ -210,23 +210,23 @@
 	return &FindError{Reason: reason, Best: s.best, Unreachable: s.unreachable}
 }
 
-// KeyFound is what the peers know of a request key.
+// KeyFound is the result of looking up a request key.
 type KeyFound struct {
 	Generation types.GenerationID
-	Known      bool   // false: it is the reservation that this call made
+	Known      bool   // false if this call made the reservation
 	Runner     string // empty if the generation is only reserved
 	Finish     types.FinishReason
 }
 
-// ErrNoPeers: no journal peer answered a key lookup, so the key isn't noted.
+// ErrNoPeers means that no journal peer answered a key lookup, so the key isn't reserved.
 var ErrNoPeers = errors.New("journal: no peer answered")
 
-// FindKey returns the generation of a request key, noting reserve for it if none
-// is known. All peers are asked at once. A generation with a runner wins over a
-// reservation, then the peer that comes first in rendezvous order decides, so
-// two routers that ask at once agree whenever both reach that peer. If they
-// don't, two generations run: that costs an engine's work, but their tokens
-// can't be mixed, as they have different ids.
+// FindKey returns the generation of a request key, and reserves the key for reserve if
+// none is known. All peers are asked in parallel. A generation with a runner takes
+// precedence over a reservation; otherwise the first peer in rendezvous order decides, so
+// two routers that ask at the same time agree whenever both reach that peer. If they
+// don't, two generations run: that costs engine time, but their tokens can't be mixed
+// because their IDs differ.
 func (r *Reader) FindKey(ctx context.Context, reserve types.GenerationID, peers []string) (KeyFound, error) {
 	ctx, cancel := context.WithTimeout(ctx, r.opts.Timeout)
 	defer cancel()
@@ -242,16 +242,17 @@
 	}
 	id, err := types.ParseGenerationID(chosen.GetGeneration())
 	if err != nil {
-		return KeyFound{}, errors.Wrap(err, "journal lookup")
+		return KeyFound{}, errors.Wrap(err, "journal lookup: parse generation")
 	}
 	return KeyFound{
 		Generation: id, Known: id != reserve, Runner: chosen.GetRunner(), Finish: types.FinishReason(chosen.GetFinish()),
 	}, nil
 }
 
-// lookupAll returns the peers' answers in the order of peers; nil for none. Once
-// one has answered the others get no more than patience: a frozen peer must not
-// add its timeout to the first token of every request that it is a peer of.
+// lookupAll returns the peers' responses in the order of peers, nil for those that failed.
+// After the first response the others get only the configured patience, so that a frozen
+// peer doesn't add its timeout to the time to first token of every request that it is a
+// peer of.
 func (r *Reader) lookupAll(ctx context.Context, reserve types.GenerationID, peers []string) []*streampb.LookupResponse {
 	in := &streampb.LookupRequest{Key: uint64(reserve.Key), Reserve: reserve.String()}
 	type indexed struct {
@@ -269,15 +270,15 @@
 		}()
 	}
 	out := make([]*streampb.LookupResponse, len(peers))
-	var enough <-chan time.Time
+	var stragglerTimeout <-chan time.Time
 	for range peers {
 		select {
 		case a := <-answers:
 			out[a.i] = a.resp
-			if a.resp != nil && enough == nil {
-				enough = time.After(r.opts.Patience)
+			if a.resp != nil && stragglerTimeout == nil {
+				stragglerTimeout = time.After(r.opts.Patience)
 			}
-		case <-enough:
+		case <-stragglerTimeout:
 			return out
 		case <-ctx.Done():
 			return out
--- a/tokenlog/server.go
+++ b/tokenlog/server.go
@@ -10,7 +10,8 @@
 
 type server struct{ store *Store }
 
-// NewServer serves a store's Read; mount journalpb.NewJournalServer on it.
+// NewServer returns an RPC server for the store's Read, to be mounted with
+// journalpb.NewJournalServer.
 func NewServer(store *Store) journalpb.Journal { return server{store: store} }
 
 // Read implements journalpb.Journal.
--- a/tokenlog/store.go
+++ b/tokenlog/store.go
@@ -20,20 +20,21 @@
 	DefaultReserve    = 30 * time.Second
 	DefaultAbandon    = 10 * time.Minute
 
-	// maxBranches bounds the attempts that are kept apart in one generation.
-	maxBranches = 4
-	sweepEvery  = time.Second
-	// silent: a branch of which nothing was heard this long has likely lost its writer.
-	silent = 10 * time.Second
+	// maxBranches limits the attempts that are kept separately for one generation.
+	maxBranches   = 4
+	sweepInterval = time.Second
+	// writerSilenceTimeout is how long a branch may go without a record before its writer
+	// is presumed lost.
+	writerSilenceTimeout = 10 * time.Second
 )
 
 // StoreOptions configures a Store. Zero values take the defaults.
 type StoreOptions struct {
-	MaxBytes   int           // held tokens and their bookkeeping
-	MaxEntries int           // generations and reservations
-	Retain     time.Duration // finished generations are kept this long
-	Reserve    time.Duration // a reservation that no generation follows is kept this long
-	Abandon    time.Duration // a generation that runs but of which nothing is heard is kept this long
+	MaxBytes   int           // limit on held tokens and their overhead
+	MaxEntries int           // limit on generations and reservations
+	Retain     time.Duration // how long finished generations are kept
+	Reserve    time.Duration // how long a reservation is kept if no generation follows
+	Abandon    time.Duration // how long a running generation is kept without a record
 	Recorder   *event.Recorder
 	Registerer prometheus.Registerer
 }
@@ -60,16 +61,16 @@
 	return o
 }
 
-// Store holds, in memory and within bounds, what writers elsewhere journal.
+// Store holds in bounded memory the tokens that writers on other sidecars journal.
 type Store struct {
 	opts    StoreOptions
 	metrics *storeMetrics
 
-	mu      sync.Mutex // guards all below; not on the path of a token to its caller
+	mu      sync.Mutex // guards all fields below; not taken on a token's path to its caller
 	entries map[types.GenerationID]*entry
 	byKey   map[types.Key]types.GenerationID
 	retain  time.Duration
-	ages    [states]*list.List // of *entry, longest unchanged first
+	byState [numStates]*list.List // of *entry, least recently changed first
 	bytes   int
 }
 
@@ -82,13 +83,13 @@
 		byKey:   make(map[types.Key]types.GenerationID),
 	}
 	s.retain = s.opts.Retain
-	for i := range s.ages {
-		s.ages[i] = list.New()
+	for i := range s.byState {
+		s.byState[i] = list.New()
 	}
 	return s
 }
 
-// SetRetain puts the text's retainMillis in force.
+// SetRetain applies a new value of retainMillis.
 func (s *Store) SetRetain(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,7 +98,7 @@
 
 // Run expires entries until ctx ends.
 func (s *Store) Run(ctx context.Context) error {
-	tick := time.NewTicker(sweepEvery)
+	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -109,7 +110,7 @@
 	}
 }
 
-// Sweep drops what has been kept long enough.
+// Sweep drops the entries whose retention has expired.
 func (s *Store) Sweep() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,44 +118,45 @@
 	s.expire(stateFinished, now.Add(-s.retain))
 	s.expire(stateReserved, now.Add(-s.opts.Reserve))
 	s.expire(stateRunning, now.Add(-s.opts.Abandon))
-	s.gauge()
+	s.updateGauges()
 }
 
 func (s *Store) expire(st state, before time.Time) {
-	for front := s.ages[st].Front(); front != nil; front = s.ages[st].Front() {
+	for front := s.byState[st].Front(); front != nil; front = s.byState[st].Front() {
 		e := front.Value.(*entry)
-		if e.changed.After(before) {
+		if e.lastChanged.After(before) {
 			return
 		}
 		s.drop(e)
 	}
 }
 
-// obtain returns the entry of a generation, made if it is new.
-func (s *Store) obtain(id types.GenerationID) *entry {
+// getOrCreate returns the entry of a generation, creating it if necessary.
+func (s *Store) getOrCreate(id types.GenerationID) *entry {
 	e := s.entries[id]
 	if e == nil {
 		e = &entry{id: id, state: stateReserved}
-		e.age = s.ages[stateReserved].PushBack(e)
+		e.element = s.byState[stateReserved].PushBack(e)
 		s.entries[id] = e
 	}
 	return e
 }
 
-// touch accounts for a change of e and moves it to the young end of its list.
+// touch updates the accounting after a change of e and moves it to the most recently
+// changed end of its list.
 func (s *Store) touch(e *entry) {
-	e.changed = time.Now()
-	s.bytes -= e.bytes
-	e.bytes = e.size()
-	s.bytes += e.bytes
-	s.ages[e.state].Remove(e.age)
+	e.lastChanged = time.Now()
+	s.bytes -= e.accountedBytes
+	e.accountedBytes = e.size()
+	s.bytes += e.accountedBytes
+	s.byState[e.state].Remove(e.element)
 	e.state = e.classify()
-	e.age = s.ages[e.state].PushBack(e)
+	e.element = s.byState[e.state].PushBack(e)
 	s.claimKey(e)
 }
 
-// claimKey notes e as its request key's generation, unless the one noted is
-// more than a reservation: the first generation noted for a key wins.
+// claimKey maps the request key of e to it, unless the key is already mapped to another
+// generation that has branches, or both are only reservations: the first generation wins.
 func (s *Store) claimKey(e *entry) {
 	held, ok := s.byKey[e.id.Key]
 	if ok && held != e.id && len(s.entries[held].branches) > 0 {
@@ -167,42 +169,42 @@
 }
 
 func (s *Store) drop(e *entry) {
-	s.bytes -= e.bytes
-	s.ages[e.state].Remove(e.age)
+	s.bytes -= e.accountedBytes
+	s.byState[e.state].Remove(e.element)
 	delete(s.entries, e.id)
 	if s.byKey[e.id.Key] == e.id {
 		delete(s.byKey, e.id.Key)
 	}
 }
 
-// shrink evicts until the store is within its bounds. Finished generations go
-// first: their callers have been served by the runner already. Then
-// reservations: losing one may start a second generation, never mix two. A
-// running one goes last and is reported, for its answer is then unprotected.
-func (s *Store) shrink() {
+// evict drops entries until the store is within its limits. Finished generations go first,
+// because their runner has served their callers already, and reservations second: losing
+// one may start a second generation but never mixes two. Running generations go last, and
+// this is reported because their answers are then no longer protected.
+func (s *Store) evict() {
 	lost, tokens, example := 0, 0, ""
-	for st := stateFinished; st < states; st++ {
-		for s.over() && s.ages[st].Len() > 0 {
-			e := s.ages[st].Front().Value.(*entry)
+	for st := stateFinished; st < numStates; st++ {
+		for s.overLimits() && s.byState[st].Len() > 0 {
+			e := s.byState[st].Front().Value.(*entry)
 			s.drop(e)
 			s.metrics.evictions.WithLabelValues(stateNames[st]).Inc()
 			if st == stateRunning {
 				lost, example = lost+1, e.id.String()
-				tokens += longest(e)
+				tokens += maxBranchTokens(e)
 			}
 		}
 	}
 	if lost > 0 {
 		s.opts.Recorder.Emit(EventEvictedRunning, "generations", lost, "tokens", tokens, "generation", example)
 	}
-	s.gauge()
+	s.updateGauges()
 }
 
-func (s *Store) over() bool {
+func (s *Store) overLimits() bool {
 	return s.bytes > s.opts.MaxBytes || len(s.entries) > s.opts.MaxEntries
 }
 
-func longest(e *entry) int {
+func maxBranchTokens(e *entry) int {
 	n := 0
 	for _, b := range e.branches {
 		n = max(n, b.log.len())
--- a/tokenlog/store_test.go
+++ b/tokenlog/store_test.go
@@ -15,27 +15,27 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// A caller's router and runner both die. It comes back having seen token 9; the
-// journal peer got only tokens 0-6. Going on from 7 would send 7-9 twice or,
-// sampled anew, differently: the store must say that it holds too little.
+// A caller's router and runner both die, and it comes back having seen token 9 while the
+// journal peer holds only tokens 0-6. Resuming from 7 would send 7-9 twice or, sampled
+// again, differently: the store must report that it holds too few tokens.
 func TestFewerTokensHeldThanTheCallerHasSeen(t *testing.T) {
 	g := NewWithT(t)
 	s, id := NewStore(StoreOptions{}), types.NewGenerationID(1)
 	g.Expect(send(s, record(id, lineage(1, 0), 0, 7))).To(BeEmpty())
 
-	b, err := s.Tokens(sawUpTo(id, 1, 9))
+	b, err := s.Tokens(seenUpTo(id, 1, 9))
 	g.Expect(err).To(MatchError(ErrTooShort))
 	g.Expect(b.Runner).To(Equal("runner"), "the runner may still live and hold more")
 	g.Expect(b.Tokens).To(BeEmpty())
 
-	b, err = s.Tokens(sawUpTo(id, 1, 6))
+	b, err = s.Tokens(seenUpTo(id, 1, 6))
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(b.Tokens).To(Equal(answerOf(lineage(1, 0), 7)))
+	g.Expect(b.Tokens).To(Equal(expectedTokens(lineage(1, 0), 7)))
 }
 
-// Two routers take the same generation for lost and resume it at once from
-// token 5, as attempts 2 and 3. Both journal to the same peer. Each caller must
-// go on with the attempt whose tokens it has seen, and nobody with a mixture.
+// Two routers consider the same generation lost and resume it concurrently from token 5,
+// as attempts 2 and 3, and both journal to the same peer. Each caller must continue with
+// the attempt whose tokens it has seen, and none may get a mixture.
 func TestTwoRoutersResumeAtOnce(t *testing.T) {
 	g := NewWithT(t)
 	s, id := NewStore(StoreOptions{}), types.NewGenerationID(1)
@@ -43,22 +43,22 @@
 	send(s, record(id, lineage(1, 0), 0, 7))
 	g.Expect(send(s, record(id, two, 5, 3), record(id, three, 5, 4))).To(BeEmpty())
 
-	b, err := s.Tokens(sawUpTo(id, 2, 6))
+	b, err := s.Tokens(seenUpTo(id, 2, 6))
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(b.Tokens).To(Equal(answerOf(two, 8)))
-	b, err = s.Tokens(sawUpTo(id, 3, 6))
+	g.Expect(b.Tokens).To(Equal(expectedTokens(two, 8)))
+	b, err = s.Tokens(seenUpTo(id, 3, 6))
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(b.Tokens).To(Equal(answerOf(three, 9)))
-	b, err = s.Tokens(sawUpTo(id, 1, 6))
+	g.Expect(b.Tokens).To(Equal(expectedTokens(three, 9)))
+	b, err = s.Tokens(seenUpTo(id, 1, 6))
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(b.Tokens).To(Equal(answerOf(lineage(1, 0), 7)))
-	_, err = s.Tokens(sawUpTo(id, 4, 6))
+	g.Expect(b.Tokens).To(Equal(expectedTokens(lineage(1, 0), 7)))
+	_, err = s.Tokens(seenUpTo(id, 4, 6))
 	g.Expect(err).To(MatchError(ErrDiverged))
 }
 
-// Whatever records of racing attempts arrive, in whatever order, repeated,
-// lost, with the peer restarting empty between them: what a reader gets is a
-// prefix of one attempt's answer and contains the caller's last token.
+// Records of concurrent attempts arrive in any order, repeated or lost, with the peer
+// possibly restarting empty in between. A reader must always get a prefix of one attempt's
+// answer that contains the caller's last token.
 func TestAnyInterleavingReadsAsOneAttemptsPrefix(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		id := types.NewGenerationID(7)
@@ -93,14 +93,14 @@
 func checkReads(t *rapid.T, s *Store, id types.GenerationID, lineages []types.Lineage) {
 	for _, l := range lineages {
 		for i := range 20 {
-			b, err := s.Tokens(sawUpTo(id, producer(l, i), i))
+			b, err := s.Tokens(seenUpTo(id, producer(l, i), i))
 			if err != nil {
 				continue
 			}
 			if len(b.Tokens) <= i {
 				t.Fatalf("caller saw token %d, got %d", i, len(b.Tokens))
 			}
-			for j, want := range answerOf(b.Lineage, len(b.Tokens)) {
+			for j, want := range expectedTokens(b.Lineage, len(b.Tokens)) {
 				if b.Tokens[j] != want {
 					t.Fatalf("token %d of lineage %v is %v", j, b.Lineage, b.Tokens[j])
 				}
@@ -112,15 +112,15 @@
 	}
 }
 
-// A record that skips tokens (the peer restarted empty) or contradicts what is
-// held (a fault in a writer) must leave the branch as it was.
+// A record that skips tokens (the peer restarted empty) or contradicts the held ones (a
+// bug in a writer) must leave the branch unchanged.
 func TestGapsAndContradictionsAreNotTaken(t *testing.T) {
 	g := NewWithT(t)
 	s, id := NewStore(StoreOptions{}), types.NewGenerationID(1)
 	l := lineage(1, 0)
 	g.Expect(send(s, record(id, l, 3, 2))).To(Equal([]string{id.String()}))
 	g.Expect(send(s, record(id, l, 0, 5))).To(BeEmpty())
-	g.Expect(send(s, record(id, l, 2, 5))).To(BeEmpty(), "an exact repeat with more is fine")
+	g.Expect(send(s, record(id, l, 2, 5))).To(BeEmpty(), "an exact repeat that adds tokens is accepted")
 
 	bad := record(id, l, 5, 4)
 	bad.Tokens[0].Text = "other"
@@ -128,15 +128,15 @@
 	for _, broken := range []types.Lineage{nil, lineage(1, 2), lineage(1, 0, 2, 0), lineage(0, 0)} {
 		g.Expect(send(s, record(id, broken, 0, 0))).To(HaveLen(1))
 	}
-	b, err := s.Tokens(sawUpTo(id, 1, 0))
+	b, err := s.Tokens(seenUpTo(id, 1, 0))
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(b.Tokens).To(Equal(answerOf(l, 7)))
+	g.Expect(b.Tokens).To(Equal(expectedTokens(l, 7)))
 	g.Expect(s.opts.Recorder.Entries("")).To(HaveLen(5))
 }
 
-// An answer is shown as whole only if all its tokens are held: a short
-// generation ends before its tokens were journalled, and its peer must not pass
-// "stop" on as if the answer were empty.
+// An answer is reported as finished only if all its tokens are held: a short generation
+// ends before its tokens were journalled, and its peer must not report "stop" as if the
+// answer were empty.
 func TestFinishIsShownOnlyWithTheWholeAnswer(t *testing.T) {
 	g := NewWithT(t)
 	s, id := NewStore(StoreOptions{}), types.NewGenerationID(1)
@@ -152,9 +152,9 @@
 	g.Expect(b.Finish).To(Equal(types.FinishStop))
 }
 
-// A small peer is flooded. Answers that are whole go first, since their runner
-// still has them; a running one goes only when nothing else is left, and the
-// operator is told how many tokens lost their protection.
+// A store runs out of space. Complete answers are evicted first, since their runner still
+// has them; a running one is evicted only when nothing else is left, and the operator is
+// told how many tokens lost their protection.
 func TestEvictionUnderPressure(t *testing.T) {
 	g := NewWithT(t)
 	reg := prometheus.NewRegistry()
@@ -176,7 +176,7 @@
 
 	run(5, "")
 	_, err = s.Tokens(types.EventID{Generation: first})
-	g.Expect(err).To(MatchError(ErrNotHeld), "the longest silent")
+	g.Expect(err).To(MatchError(ErrNotHeld), "the least recently updated")
 	events := s.opts.Recorder.Entries("")
 	g.Expect(events).To(HaveLen(1))
 	g.Expect(events[0].Fields).To(HaveKeyWithValue("tokens", "4"))
@@ -186,7 +186,8 @@
 	g.Expect(s.Dump().Entries).To(Equal(3))
 }
 
-// A flood by size: bytes stay within the bound and are all given back.
+// When records exceed the byte limit, the held bytes stay within it, and all are released
+// when the generations are forgotten.
 func TestBytesAreBoundedAndReturned(t *testing.T) {
 	g := NewWithT(t)
 	s := NewStore(StoreOptions{MaxBytes: 100_000})
@@ -204,8 +205,8 @@
 	g.Expect(s.Dump()).To(Equal(StoreDump{MaxBytes: 100_000}))
 }
 
-// Finished answers, reservations and generations whose runner fell silent go
-// after their own times, and a reservation never outlives a real generation.
+// Finished answers, reservations and generations whose runner fell silent expire after
+// their own retention times.
 func TestExpiry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
--- a/tokenlog/packed.go
+++ b/tokenlog/tokenbuffer.go
@@ -5,27 +5,27 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// packed keeps tokens in three flat slices: 8 bytes and its text for a token,
-// and nothing for the garbage collector to follow.
-type packed struct {
+// tokenBuffer stores tokens in three flat slices. A token takes 8 bytes plus its text, and
+// there are no pointers for the garbage collector to trace.
+type tokenBuffer struct {
 	ids  []uint32
-	ends []uint32 // end of each token's text
+	ends []uint32 // end offset of each token's text
 	text []byte
 }
 
-// bytesPerToken is what packed keeps for a token besides its text.
+// bytesPerToken is the memory of a token besides its text.
 const bytesPerToken = 8
 
-func (p *packed) len() int   { return len(p.ids) }
-func (p *packed) bytes() int { return bytesPerToken*len(p.ids) + len(p.text) }
+func (p *tokenBuffer) len() int   { return len(p.ids) }
+func (p *tokenBuffer) bytes() int { return bytesPerToken*len(p.ids) + len(p.text) }
 
-func (p *packed) add(id uint32, text string) {
+func (p *tokenBuffer) add(id uint32, text string) {
 	p.ids = append(p.ids, id)
 	p.text = append(p.text, text...)
 	p.ends = append(p.ends, uint32(len(p.text)))
 }
 
-func (p *packed) at(i int) (id uint32, text []byte) {
+func (p *tokenBuffer) at(i int) (id uint32, text []byte) {
 	start := uint32(0)
 	if i > 0 {
 		start = p.ends[i-1]
@@ -33,26 +33,26 @@
 	return p.ids[i], p.text[start:p.ends[i]]
 }
 
-func (p *packed) same(i int, id uint32, text string) bool {
+func (p *tokenBuffer) matches(i int, id uint32, text string) bool {
 	heldID, heldText := p.at(i)
 	return heldID == id && string(heldText) == text
 }
 
 // prefix returns a copy of the first n tokens.
-func (p *packed) prefix(n int) packed {
+func (p *tokenBuffer) prefix(n int) tokenBuffer {
 	if n == 0 {
-		return packed{}
+		return tokenBuffer{}
 	}
-	return packed{
+	return tokenBuffer{
 		ids:  append([]uint32(nil), p.ids[:n]...),
 		ends: append([]uint32(nil), p.ends[:n]...),
 		text: append([]byte(nil), p.text[:p.ends[n-1]]...),
 	}
 }
 
-// wire returns tokens from index `from` on, at most limit bytes of them but
-// at least one.
-func (p *packed) wire(from, limit int) []*streampb.Token {
+// toWire returns the tokens from index from on, limited to limit bytes but at least one
+// token.
+func (p *tokenBuffer) toWire(from, limit int) []*streampb.Token {
 	var out []*streampb.Token
 	for i := from; i < p.len(); i++ {
 		id, text := p.at(i)
@@ -65,7 +65,7 @@
 	return out
 }
 
-func (p *packed) tokens() []types.Token {
+func (p *tokenBuffer) tokens() []types.Token {
 	out := make([]types.Token, p.len())
 	for i := range out {
 		id, text := p.at(i)
--- a/tokenlog/writer.go
+++ b/tokenlog/writer.go
@@ -22,39 +22,41 @@
 	DefaultSendTimeout    = time.Second
 	DefaultWriterMaxBytes = 32 << 20
 
-	// maxAppendBytes bounds one append, so that a resend of a long answer
-	// doesn't hold up the others on the same peer.
+	// maxAppendBytes limits one append, so that resending a long answer doesn't delay
+	// other generations on the same peer.
 	maxAppendBytes = 256 << 10
-	// maxFailures in a row make a peer count as down.
+	// maxFailures is the number of consecutive failures after which a peer counts as down.
 	maxFailures = 2
-	// maxResends: a peer that loses a generation this often has no room for it.
+	// maxResends is how often a generation is sent in full again to a peer that keeps
+	// losing it; beyond that the peer is assumed to lack memory for it.
 	maxResends = 3
-	// downFor is how long a peer that failed gets no generations.
-	downFor = 10 * time.Second
-	// repairEvery is how often a generation with too few peers looks for more.
-	repairEvery = 3 * time.Second
-	// never: an After as long as this means that no tokens are journalled at all,
-	// also not those of a resume.
-	never = 24 * time.Hour
+	// downDuration is how long a failed peer isn't assigned generations.
+	downDuration = 10 * time.Second
+	// assignInterval is the minimum time between attempts to find more peers for a
+	// generation that has too few.
+	assignInterval = 3 * time.Second
+	// neverJournal is the value of After from which on no tokens are journalled at all,
+	// not even those of a resumed attempt.
+	neverJournal = 24 * time.Hour
 )
 
-// ErrClosed: the writer was closed before the append was answered.
+// ErrClosed means that the writer was closed before the append was acknowledged.
 var ErrClosed = errors.New("journal: writer closed")
 
-// Sender carries one append to the sidecar at addr.
+// Sender sends an append to the sidecar at addr.
 type Sender interface {
 	Append(ctx context.Context, addr string, in *streampb.JournalAppend) (*streampb.JournalAppended, error)
 }
 
 // WriterOptions configures a Writer. Zero values take the defaults.
 type WriterOptions struct {
-	Self        string        // address of this sidecar, noted as the runner
+	Self        string        // address of this sidecar, recorded as the runner
 	Sender      Sender        // required
-	Batch       time.Duration // tokens gather this long before an append (journalBatchMillis)
-	After       time.Duration // generations younger than this send no tokens (journalAfterMillis); negative: at once
+	Batch       time.Duration // how long tokens accumulate before an append (journalBatchMillis)
+	After       time.Duration // age from which on a generation's tokens are sent (journalAfterMillis); negative: at once
 	Copies      int           // peers per generation
 	SendTimeout time.Duration
-	MaxBytes    int // bound on the tokens kept here to be sent
+	MaxBytes    int // limit on the tokens buffered for sending
 	Recorder    *event.Recorder
 	Registerer  prometheus.Registerer
 }
@@ -81,43 +83,44 @@
 	return o
 }
 
-// Writer journals the generations that run beside this sidecar. Tokens wait in
-// the handle's own log and each peer has a cursor into it, so there is no queue
-// to fill: a slow peer falls behind and never slows the token path.
+// Writer journals the generations that run beside this sidecar. Each handle buffers its
+// own tokens and each peer has a cursor into that buffer, so there is no shared queue that
+// could fill up: a slow peer falls behind but never delays tokens on their way to the
+// caller.
 type Writer struct {
-	opts    WriterOptions
-	metrics *writerMetrics
-	ctx     context.Context
-	cancel  context.CancelFunc
-	done    sync.WaitGroup
-	gather  atomic.Int64 // batch wait in nanoseconds, see SetBatch
-
-	mu    sync.Mutex // guards links, down, held and closing
-	links map[string]*link
-	down  map[string]time.Time // when a failed peer may be tried again
-	held  int
+	opts       WriterOptions
+	metrics    *writerMetrics
+	ctx        context.Context
+	cancel     context.CancelFunc
+	done       sync.WaitGroup
+	batchNanos atomic.Int64 // set by SetBatch; 0: the option's value
+
+	mu        sync.Mutex // guards links, downUntil, heldBytes and the cancelling of ctx
+	links     map[string]*link
+	downUntil map[string]time.Time // per failed peer, when it may be used again
+	heldBytes int
 }
 
-// NewWriter returns a writer; Close ends it.
+// NewWriter returns a writer. It must be ended with Close.
 func NewWriter(opts WriterOptions) *Writer {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Writer{
 		opts: opts.withDefaults(), metrics: newWriterMetrics(opts.Registerer),
 		ctx: ctx, cancel: cancel,
-		links: make(map[string]*link), down: make(map[string]time.Time),
+		links: make(map[string]*link), downUntil: make(map[string]time.Time),
 	}
 }
 
-// SetBatch changes how long tokens gather before an append: a new revision of
-// the text may have another recovery dial.
+// SetBatch changes how long tokens accumulate before an append, when a new revision of the
+// configuration changes journalBatchMillis.
 func (w *Writer) SetBatch(d time.Duration) {
 	if d > 0 {
-		w.gather.Store(int64(d))
+		w.batchNanos.Store(int64(d))
 	}
 }
 
-func (w *Writer) batch() time.Duration {
-	if d := w.gather.Load(); d > 0 {
+func (w *Writer) batchInterval() time.Duration {
+	if d := w.batchNanos.Load(); d > 0 {
 		return time.Duration(d)
 	}
 	return w.opts.Batch
@@ -134,12 +137,12 @@
 // GenerationInfo describes an attempt that starts on this sidecar.
 type GenerationInfo struct {
 	ID      types.GenerationID
-	Lineage types.Lineage // its last segment is this attempt
-	Emitted []types.Token // what the attempt continues from
-	Peers   []string      // candidates in rendezvous order, more of them than copies
+	Lineage types.Lineage // the last segment is this attempt
+	Emitted []types.Token // tokens that the attempt continues from
+	Peers   []string      // candidates in rendezvous order, more than Copies
 
-	// After and Copies are the recovery dial in force when the attempt started;
-	// 0: as the writer's options say. Copies below 0 keeps no journal.
+	// After and Copies are the recovery settings in force when the attempt started. 0
+	// means the writer's options; negative Copies disables the journal for this attempt.
 	After  time.Duration
 	Copies int
 }
@@ -154,35 +157,35 @@
 	return g
 }
 
-// Start registers the attempt with its journal peers, so that any router finds
-// the runner, and returns the handle that its tokens are appended to.
+// Start registers the attempt with its journal peers, so that any router can find the
+// runner, and returns the handle to which its tokens are appended.
 func (w *Writer) Start(gen GenerationInfo) *Handle {
 	gen = gen.withDefaults(w.opts)
-	h := &Handle{writer: w, gen: gen, name: gen.ID.String(), started: time.Now(), avoid: make(map[string]bool)}
+	h := &Handle{writer: w, gen: gen, name: gen.ID.String(), started: time.Now(), excluded: make(map[string]bool)}
 	for _, t := range gen.Emitted {
 		h.log.add(t.ID, t.Text)
 	}
 	w.account(h.log.bytes())
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.repair()
+	h.assignPeers()
 	if gen.After > 0 {
-		h.due = time.AfterFunc(gen.After, h.signal)
+		h.minAgeTimer = time.AfterFunc(gen.After, h.signal)
 	}
 	return h
 }
 
-// account adds to the bytes kept and reports whether they are within bounds.
+// account adds n to the buffered bytes and reports whether they are within the limit.
 func (w *Writer) account(n int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.held += n
-	w.metrics.held.Set(float64(w.held))
-	return w.held <= w.opts.MaxBytes
+	w.heldBytes += n
+	w.metrics.held.Set(float64(w.heldBytes))
+	return w.heldBytes <= w.opts.MaxBytes
 }
 
-// attach puts a cursor of a generation on the link to addr; false if the writer
-// is closed.
+// attach adds a cursor to the link to addr, creating the link if necessary. It returns
+// false if the writer is closed.
 func (w *Writer) attach(addr string, c *cursor) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -201,20 +204,20 @@
 	return true
 }
 
-// usable reports whether addr may be given a generation.
-func (w *Writer) usable(addr string) bool {
+// isAvailable reports whether addr may be assigned a generation.
+func (w *Writer) isAvailable(addr string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	until, failed := w.down[addr]
+	until, failed := w.downUntil[addr]
 	if failed && time.Now().Before(until) {
 		return false
 	}
-	delete(w.down, addr)
+	delete(w.downUntil, addr)
 	return true
 }
 
 func (w *Writer) markDown(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.down[addr] = time.Now().Add(downFor)
+	w.downUntil[addr] = time.Now().Add(downDuration)
 }
--- a/tokenlog/writer_test.go
+++ b/tokenlog/writer_test.go
@@ -13,8 +13,8 @@
 
 const tokenGap = 40 * time.Millisecond
 
-// produce appends tokens [from, to) of attempt 1 at the pace of an engine.
-func produce(h *Handle, from, to int) {
+// appendTokens appends tokens [from, to) of attempt 1 at the pace of an engine.
+func appendTokens(h *Handle, from, to int) {
 	for i := from; i < to; i++ {
 		h.Append(token(1, i))
 		time.Sleep(tokenGap)
@@ -37,26 +37,26 @@
 	return b.Held
 }
 
-// A journal peer is replaced by the platform in mid-generation and comes back
-// empty under its address. The writer hears "missing" and sends all again.
+// A journal peer is replaced while a generation runs and comes back empty at the same
+// address. The writer is told that tokens are missing and sends all of them again.
 func TestPeerRestartsEmptyInMidGeneration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		c := newCluster("a", "b")
 		h, id := start(newWriter(t, c, -1), "a", "b")
 		defer h.Forget()
-		produce(h, 0, 20)
+		appendTokens(h, 0, 20)
 		c.restart("a")
-		produce(h, 20, 40)
+		appendTokens(h, 20, 40)
 		time.Sleep(time.Second)
 		g.Expect(heldBy(c, "a", id)).To(Equal(40))
 		g.Expect(heldBy(c, "b", id)).To(Equal(40))
 	})
 }
 
-// A journal peer dies without notice. Its generations must have their two
-// copies again within a few batches: the next peer gets all from the start, and
-// a router that asks the peers in order finds the longest.
+// A journal peer dies without notice. Its generations must have two copies again within a
+// few batches: the next peer is sent everything from the start, and a router that queries
+// the peers finds the longest branch.
 func TestDeadPeerIsReplacedByTheNext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -64,23 +64,23 @@
 		w := newWriter(t, c, -1)
 		h, id := start(w, "a", "b", "c")
 		defer h.Forget()
-		produce(h, 0, 20)
+		appendTokens(h, 0, 20)
 		c.setCut("a", true)
-		produce(h, 20, 40)
+		appendTokens(h, 20, 40)
 		time.Sleep(time.Second)
 		g.Expect(heldBy(c, "c", id)).To(Equal(40))
 		g.Expect(w.opts.Recorder.Entries("")).To(HaveLen(1))
 
-		c.setCut("a", false) // back, with its old half
-		b, err := NewReader(ReaderOptions{Client: c}).Find(t.Context(), sawUpTo(id, 1, 5), []string{"a", "b", "c"})
+		c.setCut("a", false) // reachable again, with only the first half
+		b, err := NewReader(ReaderOptions{Client: c}).Find(t.Context(), seenUpTo(id, 1, 5), []string{"a", "b", "c"})
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(b.Tokens).To(Equal(answerOf(lineage(1, 0), 40)))
+		g.Expect(b.Tokens).To(Equal(expectedTokens(lineage(1, 0), 40)))
 		g.Expect(b.Runner).To(Equal("self"))
 	})
 }
 
-// All peers hang. A caller must not see its tokens slow down: appending takes
-// no time, and once the peers answer again they catch up.
+// All peers hang. Appending must take no time, so that the caller's tokens aren't delayed,
+// and the peers catch up once they answer again.
 func TestHangingPeersNeverSlowTheTokenPath(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -98,41 +98,41 @@
 		c.delay["a"], c.delay["b"] = 0, 0
 		c.mu.Unlock()
 		time.Sleep(time.Minute)
-		produce(h, 10_000, 10_001)
+		appendTokens(h, 10_000, 10_001)
 		time.Sleep(time.Minute)
 		g.Expect(heldBy(c, "a", id)).To(Equal(10_001))
 	})
 }
 
-// The answer to an append is lost after it took effect. The writer sends the
-// same tokens again; the peer must hold them once.
+// The reply to an append is lost after the append took effect. The writer sends the same
+// tokens again, and the peer must hold them once.
 func TestLostAnswerToAnAppend(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		c := newCluster("a", "b")
 		h, id := start(newWriter(t, c, -1), "a", "b")
 		defer h.Forget()
-		produce(h, 0, 10)
+		appendTokens(h, 0, 10)
 		c.mu.Lock()
 		c.loseReply["a"] = 1
 		c.mu.Unlock()
-		produce(h, 10, 20)
+		appendTokens(h, 10, 20)
 		time.Sleep(time.Second)
-		b, err := c.stores["a"].Tokens(sawUpTo(id, 1, 19))
+		b, err := c.stores["a"].Tokens(seenUpTo(id, 1, 19))
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(b.Tokens).To(Equal(answerOf(lineage(1, 0), 20)))
+		g.Expect(b.Tokens).To(Equal(expectedTokens(lineage(1, 0), 20)))
 	})
 }
 
-// Most generations are short. They are registered, so that a second router
-// finds the runner, but send no tokens; forgetting leaves nothing behind.
+// Most generations are short. They are registered, so that a second router finds the
+// runner, but send no tokens, and forgetting them leaves nothing behind.
 func TestShortGenerationsSendNoTokens(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		c := newCluster("a", "b")
 		w := newWriter(t, c, 5*time.Second)
 		h, id := start(w, "a", "b")
-		produce(h, 0, 20)
+		appendTokens(h, 0, 20)
 		found, err := NewReader(ReaderOptions{Client: c}).FindKey(t.Context(), types.NewGenerationID(1), []string{"a", "b"})
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(found).To(Equal(KeyFound{Generation: id, Known: true, Runner: "self"}))
@@ -146,29 +146,29 @@
 	})
 }
 
-// A generation that grows old is journalled whole and, once finished, readable
-// as whole, even though its engine stops right after the end.
+// A generation that reaches the minimum age is journalled from its first token and, once
+// finished, can be read as complete even though its engine stops right afterwards.
 func TestLongGenerationIsJournalledFromTheStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		c := newCluster("a", "b")
 		w := newWriter(t, c, time.Second)
 		h, id := start(w, "a", "b")
-		produce(h, 0, 20)
+		appendTokens(h, 0, 20)
 		g.Expect(heldBy(c, "a", id)).To(BeZero())
-		produce(h, 20, 40)
+		appendTokens(h, 20, 40)
 		h.Finish(types.FinishLength)
 		h.Close()
 		time.Sleep(time.Second)
-		b, err := c.stores["b"].Tokens(sawUpTo(id, 1, 39))
+		b, err := c.stores["b"].Tokens(seenUpTo(id, 1, 39))
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(b.Finish).To(Equal(types.FinishLength))
-		g.Expect(w.Dump().HeldBytes).To(BeZero(), "closed and sent: given back")
+		g.Expect(w.Dump().HeldBytes).To(BeZero(), "released once closed and sent")
 	})
 }
 
-// The writer's own bound is reached: the newest tokens go unjournalled, the
-// generation itself goes on, and what the peers hold stays a true prefix.
+// The writer's memory limit is reached: later tokens aren't journalled, the generation
+// itself continues, and what the peers hold remains a valid prefix.
 func TestWriterBoundStopsJournallingNotTheGeneration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -176,35 +176,36 @@
 		w := NewWriter(WriterOptions{Self: "self", Sender: c, After: -1, MaxBytes: 500})
 		defer w.Close()
 		h, id := start(w, "a", "b")
-		produce(h, 0, 100)
+		appendTokens(h, 0, 100)
 		h.Finish(types.FinishStop)
 		time.Sleep(time.Second)
-		b, err := c.stores["a"].Tokens(sawUpTo(id, 1, 0))
+		b, err := c.stores["a"].Tokens(seenUpTo(id, 1, 0))
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(b.Finish).To(BeEmpty())
-		g.Expect(b.Tokens).To(Equal(answerOf(lineage(1, 0), b.Held)))
+		g.Expect(b.Tokens).To(Equal(expectedTokens(lineage(1, 0), b.Held)))
 		g.Expect(w.Dump().HeldBytes).To(BeZero())
 		h.Forget()
 	})
 }
 
-// One peer is too small to keep the generation and loses it after each append.
-// The writer must not send the whole answer to it for ever.
-func TestPeerWithoutRoomIsLeft(t *testing.T) {
+// One peer lacks the memory for the generation and loses it after each append. The writer
+// must not send the whole answer to it forever.
+func TestPeerWithoutMemoryIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		c := newCluster("a", "b", "c")
 		c.stores["a"] = NewStore(StoreOptions{MaxBytes: 700})
 		h, id := start(newWriter(t, c, -1), "a", "b", "c")
 		defer h.Forget()
-		produce(h, 0, 100)
+		appendTokens(h, 0, 100)
 		g.Expect(heldBy(c, "c", id)).To(BeNumerically(">", 90))
 	})
 }
 
-// The text is changed under way, or turns journalling off: the generation that
-// runs goes on as it began, the batch wait changes at once.
-func TestDialOfTheTextAppliesToNewGenerations(t *testing.T) {
+// The configuration changes while a generation runs, or disables journalling: the running
+// generation keeps the settings that it started with, except that the batch interval
+// changes at once.
+func TestRecoverySettingsApplyToNewGenerations(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		c := newCluster("a", "b")
@@ -212,17 +213,17 @@
 		h, id := start(w, "a", "b")
 		w.SetBatch(time.Second)
 		off := w.Start(GenerationInfo{ID: types.NewGenerationID(2), Lineage: lineage(1, 0), Copies: -1, Peers: []string{"a", "b"}})
-		named := GenerationInfo{ID: types.NewGenerationID(3), Lineage: lineage(1, 0), After: never, Peers: []string{"a", "b"}}
-		named.Emitted = answerOf(named.Lineage, 5)
+		named := GenerationInfo{ID: types.NewGenerationID(3), Lineage: lineage(1, 0), After: neverJournal, Peers: []string{"a", "b"}}
+		named.Emitted = expectedTokens(named.Lineage, 5)
 		w.Start(named).Close()
-		produce(off, 0, 50)
+		appendTokens(off, 0, 50)
 		before := c.count()
-		produce(h, 0, 50)
+		appendTokens(h, 0, 50)
 		time.Sleep(2 * time.Second)
 		g.Expect(heldBy(c, "b", id)).To(Equal(50))
-		g.Expect(c.count()-before).To(BeNumerically("<=", 8), "two peers, one append a second")
+		g.Expect(c.count()-before).To(BeNumerically("<=", 8), "two peers, one append per second")
 		g.Expect(c.stores["a"].Dump().Entries).To(Equal(2))
-		g.Expect(heldBy(c, "a", named.ID)).To(BeZero(), "only its runner is noted")
+		g.Expect(heldBy(c, "a", named.ID)).To(BeZero(), "only its runner is registered")
 		h.Forget()
 		off.Forget()
 		g.Expect(w.opts.Recorder.Entries("")).To(BeEmpty())
@@ -235,30 +236,30 @@
 		c := newCluster("a", "b", "c")
 		r, id := NewReader(ReaderOptions{Client: c, FirstWave: 2}), types.NewGenerationID(1)
 		peers := []string{"a", "b", "c"}
-		_, err := r.Find(t.Context(), sawUpTo(id, 1, 3), peers)
+		_, err := r.Find(t.Context(), seenUpTo(id, 1, 3), peers)
 		g.Expect(err).To(MatchError(ErrNotHeld))
 
 		send(c.stores["a"], record(id, lineage(1, 0), 0, 3))
 		send(c.stores["b"], record(id, lineage(2, 0), 0, 9))
-		_, err = r.Find(t.Context(), sawUpTo(id, 1, 3), peers)
+		_, err = r.Find(t.Context(), seenUpTo(id, 1, 3), peers)
 		g.Expect(err).To(MatchError(ErrTooShort))
-		_, err = r.Find(t.Context(), sawUpTo(id, 3, 3), peers)
+		_, err = r.Find(t.Context(), seenUpTo(id, 3, 3), peers)
 		g.Expect(err).To(MatchError(ErrDiverged))
 
 		c.setCut("c", true)
-		_, err = r.Find(t.Context(), sawUpTo(id, 1, 3), peers)
+		_, err = r.Find(t.Context(), seenUpTo(id, 1, 3), peers)
 		g.Expect(err).To(MatchError(ErrUnsure))
 		c.setCut("c", false)
 		send(c.stores["c"], record(id, lineage(1, 0), 0, 8))
-		b, err := r.Find(t.Context(), sawUpTo(id, 1, 3), peers)
+		b, err := r.Find(t.Context(), seenUpTo(id, 1, 3), peers)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(b.Tokens).To(HaveLen(8))
 	})
 }
 
-// One peer of a request is frozen. The first token must not wait for the
-// peer's timeout, neither with a new request nor with one that comes back.
-func TestFrozenPeerCostsPatienceOnly(t *testing.T) {
+// One peer of a request is frozen. The first token must not wait for that peer's timeout,
+// neither for a new request nor for one that reconnects.
+func TestFrozenPeerDelaysOnlyByStragglerTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		c := newCluster("a", "b")
@@ -272,16 +273,17 @@
 
 		send(c.stores["b"], record(id, lineage(1, 0), 0, 5))
 		began = time.Now()
-		b, err := r.Find(t.Context(), sawUpTo(id, 1, 3), []string{"a", "b"})
+		b, err := r.Find(t.Context(), seenUpTo(id, 1, 3), []string{"a", "b"})
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(b.Tokens).To(HaveLen(5))
 		g.Expect(time.Since(began)).To(Equal(DefaultPatience))
 	})
 }
 
-// A caller sends its request again through another router while the first still
-// runs it. Both ask with an id of their own and must get the same generation;
-// when a peer has restarted empty, the runner's registration elsewhere wins.
+// A caller sends its request again through another router while the first router still
+// runs it. Both routers query with their own generation ID and must get the same
+// generation; if a peer has restarted empty, the runner's registration on another peer
+// takes precedence.
 func TestSameKeyAttachesToOneGeneration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -303,6 +305,6 @@
 		_, err = r.FindKey(t.Context(), two, peers)
 		g.Expect(err).To(MatchError(ErrNoPeers))
 		_, err = c.stores["a"].Lookup(&streampb.LookupRequest{Key: 9, Reserve: one.String()})
-		g.Expect(err).To(HaveOccurred(), "a generation of another key")
+		g.Expect(err).To(HaveOccurred(), "the reserved generation belongs to another key")
 	})
 }
