--- a/sidecar/admission.go
+++ b/sidecar/admission.go
@@ -5,26 +5,27 @@
 	"sync"
 )
 
-// admission decides whether new work may enter and counts what is inside.
+// admission decides whether new work is accepted and counts the work in progress.
 //
-// Failure it stops: work that slips in while the backend server begins to
-// leave, and is cut when the process ends. It would show as a planned stop
-// that cuts a request. The check for leaving and the count are one step under
-// mu, so a drain that sees the count at zero knows that nothing can enter.
+// It guards against work that is accepted while the backend server begins to drain and is
+// then cut off when the process ends: a planned stop that breaks a request. Checking
+// draining and counting are one step under mu, so once a drain sees the count at zero, no
+// more work can be accepted.
 type admission struct {
 	mu       sync.Mutex
-	leaving  bool
+	draining bool
 	inFlight int
-	idle     chan struct{} // closed when leaving and nothing is in flight
+	idle     chan struct{} // closed when draining and nothing is in flight
 }
 
 func newAdmission() *admission { return &admission{idle: make(chan struct{})} }
 
-// enter reports whether work may enter; a caller that got true must call exit once.
+// enter reports whether work is accepted. A caller that got true must call exit exactly
+// once.
 func (a *admission) enter() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.leaving {
+	if a.draining {
 		return false
 	}
 	a.inFlight++
@@ -35,25 +36,25 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.inFlight--
-	a.checkIdle()
+	a.closeIdleLocked()
 }
 
-// leave closes the gate for good. It reports whether this call closed it.
-func (a *admission) leave() bool {
+// drain rejects new work from now on. It reports whether this call was the first.
+func (a *admission) drain() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.leaving {
+	if a.draining {
 		return false
 	}
-	a.leaving = true
-	a.checkIdle()
+	a.draining = true
+	a.closeIdleLocked()
 	return true
 }
 
-func (a *admission) isLeaving() bool {
+func (a *admission) isDraining() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.leaving
+	return a.draining
 }
 
 func (a *admission) count() int {
@@ -62,7 +63,7 @@
 	return a.inFlight
 }
 
-// wait returns when the gate is closed and nothing is inside, or ctx ends.
+// wait returns when draining has begun and nothing is in flight, or with ctx's error.
 func (a *admission) wait(ctx context.Context) error {
 	select {
 	case <-a.idle:
@@ -72,10 +73,10 @@
 	}
 }
 
-// checkIdle must be called with mu held. Nothing enters after leaving, so the
-// count reaches zero once.
-func (a *admission) checkIdle() {
-	if a.leaving && a.inFlight == 0 {
+// closeIdleLocked closes idle if the drain is complete. Callers must hold mu. Nothing is
+// accepted while draining, so the count reaches zero only once.
+func (a *admission) closeIdleLocked() {
+	if a.draining && a.inFlight == 0 {
 		select {
 		case <-a.idle:
 		default:
--- a/sidecar/attempt.go
+++ b/sidecar/attempt.go
@@ -17,20 +17,21 @@
 
 const (
 	refusedRetryAfter = 500 * time.Millisecond
-	// maxEnginePriority and minEnginePriority bound what a text may ask of an engine.
+	// maxEnginePriority and minEnginePriority limit the priority that a configuration can
+	// request from an engine.
 	maxEnginePriority = 100
 	minEnginePriority = -100
 )
 
-// refusal is the reason why nothing of an attempt ran here.
+// refusal is the reason why no part of an attempt ran here.
 type refusal struct {
 	code       types.Code
 	message    string
 	retryAfter time.Duration
 }
 
-// start admits an attempt and hands it to the engine, or says why nothing of
-// it ran. An attempt that is already here is joined instead.
+// start admits an attempt and hands it to the engine, or returns the reason why no part of
+// it ran. If the attempt is already known here, its existing run is returned.
 func (s *Sidecar) start(req *streampb.GenerateRequest) (*run, *refusal) {
 	id, err := types.ParseGenerationID(req.GetGeneration())
 	if err != nil {
@@ -40,7 +41,7 @@
 	if old := s.runs.get(runKey{id, lineage.Last()}); old != nil {
 		return old, nil
 	}
-	if r := s.mayStart(req); r != nil {
+	if r := s.checkAdmission(req); r != nil {
 		s.metrics.refused.WithLabelValues(string(r.code)).Inc()
 		s.opts.Recorder.Emit(eventRefused, event.FieldRequest, req.GetRequestId(), "code", r.code)
 		return nil, r
@@ -51,26 +52,26 @@
 	return s.admit(id, lineage, req)
 }
 
-func (s *Sidecar) mayStart(req *streampb.GenerateRequest) *refusal {
+func (s *Sidecar) checkAdmission(req *streampb.GenerateRequest) *refusal {
 	if s.opts.Engine == nil {
-		return &refusal{code: types.CodeUnknownModel, message: "no engine here"}
+		return &refusal{code: types.CodeUnknownModel, message: "this backend server has no engine"}
 	}
-	if s.admission.isLeaving() {
+	if s.admission.isDraining() {
 		return &refusal{code: types.CodeLeaving, message: "backend server is leaving"}
 	}
-	if s.watch.isDown() {
+	if s.monitor.isDown() {
 		return &refusal{code: types.CodeNoBackend, message: "engine does not answer", retryAfter: refusedRetryAfter}
 	}
 	if deadlinePassed(req.GetDeadlineUnixMs()) {
 		return &refusal{code: types.CodeDeadline, message: "the caller's deadline has passed"}
 	}
-	return s.mayStartSuspect(types.Fingerprint(req.GetFingerprint()), req.GetSuspect())
+	return s.checkSuspect(types.Fingerprint(req.GetFingerprint()), req.GetSuspect())
 }
 
-// mayStartSuspect keeps two suspects of one crash apart. Otherwise both would
-// be there at the next death, and the innocent one would gain a second
-// suspicion and be quarantined with the guilty one.
-func (s *Sidecar) mayStartSuspect(fp types.Fingerprint, toldSuspect bool) *refusal {
+// checkSuspect keeps two suspects of the same crash from running together. Otherwise both
+// would be running at the next engine death, and the innocent one would be suspected again
+// and quarantined along with the guilty one.
+func (s *Sidecar) checkSuspect(fp types.Fingerprint, toldSuspect bool) *refusal {
 	isSuspect := toldSuspect
 	if s.opts.Suspects != nil {
 		verdict := s.opts.Suspects.Verdict(fp)
@@ -83,8 +84,8 @@
 		return nil
 	}
 	for _, r := range s.runs.all() {
-		if r.suspect && !r.proven() && r.log.Look(0).Phase == generation.Running {
-			return &refusal{code: types.CodeOverloaded, message: "another suspect runs here", retryAfter: refusedRetryAfter}
+		if r.suspect && !r.isProven() && r.log.Look(0).Phase == generation.Running {
+			return &refusal{code: types.CodeOverloaded, message: "another suspect request is running on this backend server", retryAfter: refusedRetryAfter}
 		}
 	}
 	return nil
@@ -94,7 +95,8 @@
 	return unixMs != 0 && time.Now().UnixMilli() > unixMs
 }
 
-// admit must be called after admission.enter; the run's end calls exit.
+// admit creates and starts the run of an accepted attempt. It must be called after
+// admission.enter; exit is called when the run ends.
 func (s *Sidecar) admit(id types.GenerationID, lineage types.Lineage, req *streampb.GenerateRequest) (*run, *refusal) {
 	emitted := streampb.ToTokens(req.GetEmitted())
 	ctx, cancel := context.WithCancel(context.Background())
@@ -115,14 +117,14 @@
 		return stored, nil
 	}
 	s.opts.Recorder.Emit(eventAccepted, event.FieldRequest, req.GetRequestId(), "generation", id, "emitted", len(emitted))
-	go s.drive(ctx, r, req, emitted)
+	go s.runAttempt(ctx, r, req, emitted)
 	return r, nil
 }
 
-// drive runs an attempt on the engine to its end.
-func (s *Sidecar) drive(ctx context.Context, r *run, req *streampb.GenerateRequest, emitted []types.Token) {
+// runAttempt runs an attempt on the engine until it ends.
+func (s *Sidecar) runAttempt(ctx context.Context, r *run, req *streampb.GenerateRequest, emitted []types.Token) {
 	defer s.admission.exit()
-	defer s.runs.ended()
+	defer s.runs.recordEnd()
 	defer r.cancel()
 	handle := s.openJournal(r, emitted)
 	defer handle.close()
@@ -153,9 +155,9 @@
 		r.log.Finish(result.Finish)
 		handle.finish(result.Finish)
 	case errors.Is(err, engine.ErrDied):
-		s.lose(r, s.watch.died(s.runs.running()))
+		s.markLost(r, s.monitor.markDied(s.runs.activeCount()))
 	default:
-		// Cancelled, refused by the engine, or already lost by the watch.
+		// Cancelled, refused by the engine, or already marked as lost by the monitor.
 		r.log.Lose(err)
 	}
 	state := r.log.Look(0)
@@ -170,14 +172,14 @@
 	}
 }
 
-// retain keeps an ended run for a while: a caller whose router died after the
-// last token but before the end of the stream comes back for the rest.
+// retain keeps an ended run for a while, because a caller whose router died after the last
+// token but before the end of the stream comes back for the rest.
 func (s *Sidecar) retain(r *run) {
 	key := runKey{r.log.ID(), r.log.Lineage().Last()}
 	time.AfterFunc(s.opts.Dial().Retain, func() { s.runs.remove(key) })
 }
 
-// journalHandle is a tokenlog.Handle that may be absent.
+// journalHandle wraps a tokenlog.Handle that may be nil.
 type journalHandle struct{ h *tokenlog.Handle }
 
 func (s *Sidecar) openJournal(r *run, emitted []types.Token) journalHandle {
--- a/sidecar/drain.go
+++ b/sidecar/drain.go
@@ -9,25 +9,26 @@
 	"github.com/pearyard/pearyard/inspect"
 )
 
-// BeginLeave closes the sidecar to new work. What runs is finished; what still
-// runs after the drain time is asked to move. It is safe to call many times.
+// BeginLeave stops accepting new work. Running work is finished; generations that still
+// run after the drain time are asked to move to another backend server. It may be called
+// repeatedly.
 func (s *Sidecar) BeginLeave(reason string) {
-	if !s.admission.leave() {
+	if !s.admission.drain() {
 		return
 	}
-	s.leftAt.Store(time.Now().UnixNano())
+	s.drainStarted.Store(time.Now().UnixNano())
 	close(s.stopping)
 	s.opts.Recorder.Emit(eventLeaving, "backend_server", s.opts.BackendServer, "reason", reason, "in_flight", s.InFlight())
 	if s.opts.OnLeaving != nil {
 		s.opts.OnLeaving()
 	}
-	time.AfterFunc(s.opts.Dial().DrainLong, s.moveRunning)
+	time.AfterFunc(s.opts.Dial().DrainLong, s.requestMoves)
 }
 
-// Stopping is closed when the backend server begins to leave.
+// Stopping returns a channel that is closed when the backend server begins to drain.
 func (s *Sidecar) Stopping() <-chan struct{} { return s.stopping }
 
-// Drained returns when nothing is inside any more, or ctx ends.
+// Drained returns when nothing is in flight any more, or with ctx's error.
 func (s *Sidecar) Drained(ctx context.Context) error {
 	if err := s.admission.wait(ctx); err != nil {
 		return err
@@ -36,9 +37,10 @@
 	return nil
 }
 
-// moveRunning asks the readers of what still runs to resume elsewhere. A run
-// whose reader finds no other place goes on here: a stop never cuts it.
-func (s *Sidecar) moveRunning() {
+// requestMoves asks the readers of running generations to resume them elsewhere. A run
+// whose reader finds no other backend server continues here: a planned stop never
+// interrupts it.
+func (s *Sidecar) requestMoves() {
 	for _, r := range s.runs.all() {
 		if r.log.Look(0).Phase != generation.Running {
 			continue
@@ -48,10 +50,10 @@
 	}
 }
 
-// Drain says how a planned stop goes.
+// Drain reports the progress of a planned stop.
 func (s *Sidecar) Drain() inspect.Drain {
-	drain := inspect.Drain{Active: s.admission.isLeaving(), Streams: s.InFlight()}
-	if at := s.leftAt.Load(); at != 0 {
+	drain := inspect.Drain{Active: s.admission.isDraining(), Streams: s.InFlight()}
+	if at := s.drainStarted.Load(); at != 0 {
 		drain.Since = time.Unix(0, at)
 	}
 	for _, r := range s.runs.all() {
@@ -62,7 +64,7 @@
 	return drain
 }
 
-// Dump returns the state for an operator, without prompts or tokens.
+// Dump returns the sidecar's state for operators, without prompts or tokens.
 func (s *Sidecar) Dump() any {
 	type runDump struct {
 		Generation string
--- a/sidecar/lookup_test.go
+++ b/sidecar/lookup_test.go
@@ -15,7 +15,7 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// gatedEngine gives its only token when it is told to.
+// gatedEngine emits its only token once release is closed.
 type gatedEngine struct {
 	stuckEngine
 	release, ended chan struct{}
@@ -27,10 +27,10 @@
 	return e.stuckEngine.Generate(ctx, r, emit)
 }
 
-// An engine and the router before it die together; the sidecar lives and still
-// has every token. The caller comes back through another router, which asks
-// all sidecars who holds the generation. It was told "lost": the sidecar named
-// itself only for generations that run or have finished.
+// An engine and the router in front of it die together, while the sidecar survives and
+// still has every token. The caller comes back through another router, which asks all
+// sidecars for the generation. The caller was told that it was lost, because the sidecar
+// named itself only for generations that were running or finished.
 func TestLookupNamesHolderOfLostGeneration(t *testing.T) {
 	for name, lostBeforeFirstToken := range map[string]bool{"lost after the first token": false, "lost before the first token": true} {
 		t.Run(name, func(t *testing.T) {
--- a/sidecar/runs.go
+++ b/sidecar/runs.go
@@ -11,44 +11,44 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// runKey names one attempt at a generation.
+// runKey identifies one attempt at a generation.
 type runKey struct {
 	generation types.GenerationID
 	attempt    types.AttemptTag
 }
 
-// run is one attempt on this engine: its log and what is needed to end it.
+// run is one attempt on this engine.
 type run struct {
 	log         *generation.Log
 	request     types.RequestID
 	fingerprint types.Fingerprint
 	suspect     bool
-	emitted     int // tokens that the attempt began with
+	emitted     int // tokens that the attempt continues from
 	started     time.Time
 	cancel      context.CancelFunc
-	death       death // set before the log is lost
+	death       death // set before the log is marked lost
 	prefilled   int   // set before the log is finished
 
-	mu      sync.Mutex // guards all below
-	stalled int        // tokens of the last stall that was told
-	grace   *time.Timer
-	readers map[*reader]struct{} // connections that read the log now
+	mu        sync.Mutex           // guards all fields below
+	stalledAt int                  // token count at the last reported stall
+	grace     *time.Timer          // runs while nobody reads
+	readers   map[*reader]struct{} // connections that currently read the log
 }
 
-// reader is one connection over which a router reads a run's log.
+// reader is one connection through which a router reads a run's log.
 type reader struct{ router types.ProcessID }
 
-// disclaim notes that a router has no more use for the run, and reports whether
-// another router reads it. The router's connections may be seen to end later;
-// until then they would count as somebody who waits for the answer.
-func (r *run) disclaim(router types.ProcessID) (wanted bool) {
+// removeReadersOf removes the readers of a router that no longer needs the run, and
+// reports whether another router reads it. The end of the router's connections may be
+// noticed only later; until then they would count as readers that wait for the answer.
+func (r *run) removeReadersOf(router types.ProcessID) (wanted bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	maps.DeleteFunc(r.readers, func(held *reader, _ struct{}) bool { return held.router == router })
 	return len(r.readers) > 0
 }
 
-// addReader notes that a router reads, which ends the grace time.
+// addReader adds a reader for a router and cancels the grace period.
 func (r *run) addReader(router types.ProcessID) *reader {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -61,8 +61,8 @@
 	return added
 }
 
-// removeReader notes that a connection has ended; when it was the last one,
-// expired is called after the grace time.
+// removeReader removes a reader whose connection has ended. If it was the last one,
+// expired is called after the grace period.
 func (r *run) removeReader(ended *reader, grace time.Duration, expired func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -72,50 +72,53 @@
 	}
 }
 
-func (r *run) unread() bool {
+func (r *run) hasNoReader() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.readers) == 0
 }
 
-// awaited reports whether a router reads, or one that has left may be replaced.
-func (r *run) awaited() bool {
+// mayBeRead reports whether a router reads the run, or the grace period for a new reader
+// is still running.
+func (r *run) mayBeRead() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.readers) > 0 || r.grace != nil
 }
 
-// firstStallAt reports whether a stall after so many tokens is a new one.
-func (r *run) firstStallAt(tokens int) bool {
+// isNewStall reports whether a stall at this token count has not been reported yet, and
+// records it.
+func (r *run) isNewStall(tokens int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	first := r.stalled != tokens
-	r.stalled = tokens
+	first := r.stalledAt != tokens
+	r.stalledAt = tokens
 	return first
 }
 
-// proven reports whether the request has produced enough tokens on this engine
-// that the engine's death says little against it.
-func (r *run) proven() bool {
+// isProven reports whether the request has produced so many tokens on this engine that it
+// is unlikely to be the cause if the engine dies.
+func (r *run) isProven() bool {
 	return r.log.Look(0).Count-r.emitted >= suspect.ProvenTokens
 }
 
-// death names one death of the engine, the same for all that ran on it.
+// death identifies one death of the engine, shared by all runs that it ended.
 type death struct {
 	id      string
 	running int
 }
 
-// runs holds the attempts that run here, and for the retention time those that ended.
+// runs holds the attempts that run here and, during the retention time, those that have
+// ended.
 type runs struct {
-	mu   sync.Mutex
-	byID map[types.GenerationID]map[types.AttemptTag]*run
-	live int
+	mu     sync.Mutex
+	byID   map[types.GenerationID]map[types.AttemptTag]*run
+	active int
 }
 
 func newRuns() *runs { return &runs{byID: map[types.GenerationID]map[types.AttemptTag]*run{}} }
 
-// add stores r unless its attempt is already there; it returns the stored one.
+// add stores r unless its attempt is already present. It returns the stored run.
 func (s *runs) add(r *run) (stored *run, added bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -129,21 +132,21 @@
 		return old, false
 	}
 	attempts[tag] = r
-	s.live++
+	s.active++
 	return r, true
 }
 
-// ended notes that an attempt no longer uses the engine.
-func (s *runs) ended() {
+// recordEnd records that an attempt no longer uses the engine.
+func (s *runs) recordEnd() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.live--
+	s.active--
 }
 
-func (s *runs) running() int {
+func (s *runs) activeCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.live
+	return s.active
 }
 
 func (s *runs) get(key runKey) *run {
@@ -152,10 +155,11 @@
 	return s.byID[key.generation][key.attempt]
 }
 
-// best returns the attempt that a reader should follow: one that holds the
-// token which the reader has seen (attempt seen at index from-1; 0: none seen),
-// and of those a running or finished one before a broken one, then the longest.
-func (s *runs) best(id types.GenerationID, seen types.AttemptTag, from int) *run {
+// bestAttempt returns the attempt that a reader should follow: one that includes the last
+// token that the reader has seen (produced by attempt seen at index from-1; seen is 0 if
+// it has seen none). Running and finished attempts are preferred to lost and cancelled
+// ones, then the longest.
+func (s *runs) bestAttempt(id types.GenerationID, seen types.AttemptTag, from int) *run {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var found *run
@@ -163,14 +167,14 @@
 		if seen != 0 && from > 0 && !r.log.Lineage().Produced(seen, from-1) {
 			continue
 		}
-		if found == nil || better(r.log.Look(0), found.log.Look(0)) {
+		if found == nil || preferredOver(r.log.Look(0), found.log.Look(0)) {
 			found = r
 		}
 	}
 	return found
 }
 
-func better(a, b generation.State) bool {
+func preferredOver(a, b generation.State) bool {
 	usable := func(s generation.State) bool { return s.Phase == generation.Running || s.Phase == generation.Finished }
 	if usable(a) != usable(b) {
 		return usable(a)
--- a/sidecar/service.go
+++ b/sidecar/service.go
@@ -14,8 +14,8 @@
 // service implements streampb.Sidecar.
 type service struct{ s *Sidecar }
 
-// Call runs one call of the plain service, under the gate of at-most-once
-// calls. The answer names the request that it belongs to.
+// Call runs one call of the plain service with at-most-once semantics (package gate). The
+// response carries the ID of its request.
 func (v service) Call(ctx context.Context, req *streampb.CallRequest) (*streampb.CallResponse, error) {
 	resp := v.s.call(ctx, req)
 	resp.RequestId = req.GetRequestId()
@@ -24,7 +24,7 @@
 
 func (s *Sidecar) call(ctx context.Context, req *streampb.CallRequest) *streampb.CallResponse {
 	if s.calls == nil {
-		return notRun(types.CodeUnknownService, "no plain service here")
+		return notRun(types.CodeUnknownService, "this backend server has no plain service")
 	}
 	if !s.admission.enter() {
 		return notRun(types.CodeLeaving, "backend server is leaving")
@@ -35,25 +35,24 @@
 	return resp
 }
 
-// Void asks that an attempt never run; see package gate.
+// Void requests that an attempt never run; see package gate.
 func (v service) Void(ctx context.Context, req *streampb.VoidRequest) (*streampb.CallResponse, error) {
 	if v.s.calls == nil {
-		return nil, twirp.NewError(twirp.FailedPrecondition, "no plain service here")
+		return nil, twirp.NewError(twirp.FailedPrecondition, "this backend server has no plain service")
 	}
 	return v.s.calls.Void(ctx, req), nil
 }
 
-// Seen says whether an attempt under a claim's key ran here.
+// Seen reports whether an attempt under a claim's key ran here.
 func (v service) Seen(_ context.Context, req *streampb.SeenRequest) (*streampb.SeenResponse, error) {
 	return &streampb.SeenResponse{Ran: v.s.calls != nil && v.s.calls.Ran(req.GetClaimKey())}, nil
 }
 
-// Cancel stops an attempt that its router has no more use for.
+// Cancel stops an attempt that its router no longer needs, unless another router reads it.
 //
-// Failure it stops: a router that was frozen wakes, finds its caller gone and
-// cancels, while the caller already reads the same attempt through another
-// router. A caller would see a needless pause and an engine work twice. An
-// attempt that another router reads is left alone.
+// It guards against a router that was frozen, finds its caller gone when it resumes, and
+// cancels, while the caller already reads the same attempt through another router. The
+// caller would see a needless pause and an engine would repeat the work.
 func (v service) Cancel(ctx context.Context, req *streampb.CancelRequest) (*streampb.CancelResponse, error) {
 	id, err := types.ParseGenerationID(req.GetGeneration())
 	if err != nil {
@@ -67,7 +66,7 @@
 }
 
 func (s *Sidecar) cancel(r *run, router types.ProcessID) *streampb.CancelResponse {
-	if r.disclaim(router) {
+	if r.removeReadersOf(router) {
 		return &streampb.CancelResponse{}
 	}
 	was := r.log.Cancel()
@@ -75,19 +74,19 @@
 	return &streampb.CancelResponse{WasRunning: was}
 }
 
-// Append keeps tokens of generations that run elsewhere.
+// Append stores tokens of generations that run elsewhere.
 func (v service) Append(_ context.Context, req *streampb.JournalAppend) (*streampb.JournalAppended, error) {
 	if v.s.opts.Journal == nil {
-		return nil, twirp.NewError(twirp.FailedPrecondition, "no journal here")
+		return nil, twirp.NewError(twirp.FailedPrecondition, "this sidecar keeps no journal")
 	}
 	return v.s.opts.Journal.Append(req), nil
 }
 
-// Lookup says what is known here of a generation: one that runs here comes
-// before what the journal holds.
+// Lookup reports what is known of a generation. A run on this sidecar takes precedence
+// over the journal.
 func (v service) Lookup(_ context.Context, req *streampb.LookupRequest) (*streampb.LookupResponse, error) {
 	if id, err := types.ParseGenerationID(req.GetGeneration()); err == nil {
-		if r := v.s.runs.best(id, 0, 0); r != nil {
+		if r := v.s.runs.bestAttempt(id, 0, 0); r != nil {
 			return v.s.describe(r), nil
 		}
 	}
@@ -110,20 +109,20 @@
 		Tokens:     streampb.FromTokens(state.Tokens),
 		Finish:     string(state.Finish),
 	}
-	// A lost log is whole up to the engine's death: a router resumes from it.
+	// A lost log is complete up to the engine's death, so a router can resume from it.
 	if state.Phase != generation.Cancelled {
 		resp.Runner = s.opts.Peer.Self().Address
 	}
 	return resp
 }
 
-// Stop begins a planned stop and says how much work is still inside.
+// Stop begins a planned stop and returns the number of requests in flight.
 func (v service) Stop(_ context.Context, req *streampb.StopRequest) (*streampb.StopResponse, error) {
 	v.s.BeginLeave(req.GetReason())
 	return &streampb.StopResponse{InFlight: uint32(v.s.InFlight())}, nil
 }
 
-// Status says how the backend server stands.
+// Status reports the state of the backend server.
 func (v service) Status(context.Context, *streampb.StatusRequest) (*streampb.StatusResponse, error) {
 	self := v.s.opts.Peer.Self()
 	return &streampb.StatusResponse{
@@ -139,9 +138,9 @@
 
 func (s *Sidecar) stateName() string {
 	switch {
-	case s.admission.isLeaving():
+	case s.admission.isDraining():
 		return "leaving"
-	case s.watch.isDown():
+	case s.monitor.isDown():
 		return "engine-down"
 	default:
 		return "serving"
--- a/sidecar/set_aside_test.go
+++ b/sidecar/set_aside_test.go
@@ -15,7 +15,7 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// pausingEngine gives one token, nothing for a while, and another one.
+// pausingEngine emits one token, pauses, and emits another one.
 type pausingEngine struct {
 	stuckEngine
 	pause time.Duration
@@ -33,16 +33,16 @@
 	return engine.Result{}, emit(types.Token{ID: 2, Text: " b"})
 }
 
-// A sound engine sets a generation aside for four seconds, as it has run out of
-// memory, and answers probes all the while. The generation was given up after
-// three, before anybody had looked whether another engine would go on with it:
-// the sidecar took silence for a death. PY3010 stood at the third second, and the
-// router's PY2100 behind it named the same backend server again.
+// A healthy engine preempts a generation for four seconds because it has run out of
+// memory, and responds to probes all the while. The generation was given up after three
+// seconds, before anyone had checked whether another engine could continue it: the sidecar
+// treated the pause as a death. PY3010 was logged at the third second, followed by the
+// router's PY2100, which named the same backend server again.
 func TestGenerationThatIsSetAsideIsNotGivenUpForNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		s := New(Options{
-			Peer: newTestPeer("sidecar"), Engine: pausingEngine{pause: stallAfter + time.Second}, Revision: func() types.Revision { return 1 },
+			Peer: newTestPeer("sidecar"), Engine: pausingEngine{pause: stallTimeout + time.Second}, Revision: func() types.Revision { return 1 },
 			Dial:     func() Dial { return Dial{RouterGrace: time.Second, Retain: time.Minute, DrainLong: time.Second} },
 			Recorder: event.Discard(), Registerer: prometheus.NewRegistry(),
 		})
@@ -53,7 +53,7 @@
 		g.Expect(refused).To(BeNil())
 		defer r.cancel()
 		r.addReader("router-1")
-		time.Sleep(stallAfter + 2*time.Second)
+		time.Sleep(stallTimeout + 2*time.Second)
 		state := r.log.Look(0)
 		cancel()
 		time.Sleep(2 * time.Minute) // past the retention, so that its timer has fired
--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -21,15 +21,15 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// Dial is the part of the recovery settings that a sidecar acts on. It is read
-// anew for each generation, so that a new revision takes effect at once.
+// Dial holds the recovery settings that a sidecar uses. They are read again for each
+// generation, so a new revision takes effect at once.
 type Dial struct {
-	RouterGrace time.Duration // how long a generation runs on without a reader
+	RouterGrace time.Duration // how long a generation continues without a reader
 	Retain      time.Duration // how long an ended generation can still be read
-	DrainLong   time.Duration // how long a stop waits before it moves what still runs
+	DrainLong   time.Duration // how long a stop waits before it asks running generations to move
 }
 
-// Calls is the gate of plain calls (package gate).
+// Calls runs plain calls at most once (package gate).
 type Calls interface {
 	Call(ctx context.Context, req *streampb.CallRequest) *streampb.CallResponse
 	Void(ctx context.Context, req *streampb.VoidRequest) *streampb.CallResponse
@@ -43,30 +43,30 @@
 	BackendServer string
 	Engine        engine.Engine
 	Plain         plain.Service
-	Calls         func(leaving func() bool) Calls // builds the gate; nil beside an engine
+	Calls         func(leaving func() bool) Calls // builds the call gate; nil if Engine is set
 	Dial          func() Dial
 	Revision      func() types.Revision
 	Suspects      *suspect.Ledger                                // may be nil
-	Journal       *tokenlog.Store                                // tokens kept for others; may be nil
-	OpenJournal   func(tokenlog.GenerationInfo) *tokenlog.Handle // tokens sent to others; may be nil, or return nil
-	OnLeaving     func()                                         // told once, when the backend server begins to leave
+	Journal       *tokenlog.Store                                // tokens stored for other sidecars; may be nil
+	OpenJournal   func(tokenlog.GenerationInfo) *tokenlog.Handle // opens the journal of an attempt on other sidecars; may be nil or return nil
+	OnLeaving     func()                                         // called once, when the backend server begins to drain
 	Recorder      *event.Recorder
 	Registerer    prometheus.Registerer
 }
 
-// Sidecar guards one backend server.
+// Sidecar controls access to one backend server.
 type Sidecar struct {
-	opts      Options
-	admission *admission
-	runs      *runs
-	watch     *watch
-	calls     Calls
-	metrics   *metrics
-	stopping  chan struct{} // closed when leaving begins
-	leftAt    atomic.Int64  // when that was, in Unix nanoseconds; 0: not yet
+	opts         Options
+	admission    *admission
+	runs         *runs
+	monitor      *healthMonitor
+	calls        Calls
+	metrics      *metrics
+	stopping     chan struct{} // closed when draining begins
+	drainStarted atomic.Int64  // when draining began, in Unix nanoseconds; 0: not yet
 }
 
-// New returns a sidecar; Run must be running for it to see its engine die.
+// New returns a sidecar. Run must be running for it to detect the death of its engine.
 func New(opts Options) *Sidecar {
 	s := &Sidecar{
 		opts:      opts,
@@ -76,27 +76,27 @@
 		stopping:  make(chan struct{}),
 	}
 	self := opts.Peer.Self()
-	s.watch = &watch{
-		process:  types.ProcessID(fmt.Sprintf("%s@%d", self.ID, self.Incarnation)),
-		probe:    s.probe,
-		readLoad: s.readLoad,
-		onDeath:  s.engineDied,
-		onBack:   func() { opts.Recorder.Emit(eventEngineBack, "backend_server", opts.BackendServer) },
+	s.monitor = &healthMonitor{
+		process:    types.ProcessID(fmt.Sprintf("%s@%d", self.ID, self.Incarnation)),
+		probe:      s.probe,
+		readLoad:   s.readLoad,
+		onDeath:    s.engineDied,
+		onRecovery: func() { opts.Recorder.Emit(eventEngineBack, "backend_server", opts.BackendServer) },
 	}
-	s.watch.onCheck = s.lookAtStalled
+	s.monitor.onCheck = s.checkStalled
 	if opts.Calls != nil {
-		s.calls = opts.Calls(s.admission.isLeaving)
+		s.calls = opts.Calls(s.admission.isDraining)
 	}
 	return s
 }
 
-// Run watches the backend server until ctx ends.
+// Run monitors the backend server until ctx ends.
 func (s *Sidecar) Run(ctx context.Context) error {
 	s.opts.Recorder.Emit(eventStarted, "backend_server", s.opts.BackendServer, "zone", s.opts.Zone)
-	return s.watch.run(ctx)
+	return s.monitor.run(ctx)
 }
 
-// Handler serves the sidecar's side of rpc/stream.
+// Handler returns the handler of the sidecar's part of rpc/stream.
 func (s *Sidecar) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+streampb.PathGenerate, s.serveGenerate)
@@ -106,10 +106,10 @@
 	return mux
 }
 
-// Leaving reports whether the backend server takes no new work.
-func (s *Sidecar) Leaving() bool { return s.admission.isLeaving() }
+// Leaving reports whether the backend server has stopped accepting new work.
+func (s *Sidecar) Leaving() bool { return s.admission.isDraining() }
 
-// InFlight returns how much work is inside.
+// InFlight returns the number of requests and generations in progress.
 func (s *Sidecar) InFlight() int { return s.admission.count() }
 
 func (s *Sidecar) probe(ctx context.Context) error {
@@ -126,53 +126,54 @@
 	return types.Load{Running: s.admission.count()}, nil
 }
 
-// engineDied ends every generation that ran there, all by the same death.
+// engineDied marks every running generation as lost to the same death.
 func (s *Sidecar) engineDied(d death) {
 	lost := 0
 	for _, r := range s.runs.all() {
-		if s.lose(r, d) {
+		if s.markLost(r, d) {
 			lost++
 		}
 	}
 	s.opts.Recorder.Emit(eventEngineDied, "backend_server", s.opts.BackendServer, "death", d.id, "lost", lost)
 }
 
-// errStalled: an engine that answers probes has stopped working on a request.
-var errStalled = errors.New("sidecar: generation stands still")
+// errStalled means that an engine which responds to probes has stopped producing tokens
+// for a request.
+var errStalled = errors.New("sidecar: generation has stalled")
 
-// lookAtStalled tells of generations that stand still, and gives up those that
-// nobody waits for.
+// checkStalled reports generations that have stalled, and gives up those that nobody waits
+// for.
 //
-// Failure it stops: an engine whose own loop is stuck, or whose connection is cut
-// one way only, still answers probes; its generations would hold it for good. An
-// engine that has set a generation aside for want of memory looks the same, and
-// goes on with it later: given up here, its answer is lost if there is no other
-// place, or its prompt is read again. Only the router that reads knows whether
-// there is one, so the end is that router's to decide. A run whose reader has
-// left keeps its grace time, for the caller to come back.
-func (s *Sidecar) lookAtStalled() {
+// It guards against an engine whose own loop is stuck, or whose connection is cut in one
+// direction, and which still responds to probes: its generations would occupy it forever.
+// An engine that has preempted a generation for lack of memory looks the same and
+// continues it later. If it were given up here, its answer would be lost when there is no
+// other backend server, or its prompt would be prefilled again. Only the router that reads
+// it knows whether there is another one, so that router decides. A run whose reader has
+// left keeps its grace period, so that the caller can come back.
+func (s *Sidecar) checkStalled() {
 	for _, r := range s.runs.all() {
 		state := r.log.Look(0)
-		if state.Phase != generation.Running || state.Count == r.emitted || time.Since(state.Last) < stallAfter {
+		if state.Phase != generation.Running || state.Count == r.emitted || time.Since(state.Last) < stallTimeout {
 			continue
 		}
-		given := !r.awaited() && r.log.Lose(errStalled)
-		if given {
+		givenUp := !r.mayBeRead() && r.log.Lose(errStalled)
+		if givenUp {
 			r.cancel()
 		}
-		if given || r.firstStallAt(state.Count) {
-			s.opts.Recorder.Emit(eventStalled, event.FieldRequest, r.request, "generation", r.log.ID(), "tokens", state.Count, "given_up", given)
+		if givenUp || r.isNewStall(state.Count) {
+			s.opts.Recorder.Emit(eventStalled, event.FieldRequest, r.request, "generation", r.log.ID(), "tokens", state.Count, "given_up", givenUp)
 		}
 	}
 }
 
-func (s *Sidecar) lose(r *run, d death) bool {
+func (s *Sidecar) markLost(r *run, d death) bool {
 	if r.log.Look(0).Phase != generation.Running {
 		return false
 	}
 	r.setDeath(d)
 	if s.opts.Suspects != nil {
-		s.opts.Suspects.RecordWeightedDeath(d.id, r.fingerprint, r.proven())
+		s.opts.Suspects.RecordWeightedDeath(d.id, r.fingerprint, r.isProven())
 	}
 	lost := r.log.Lose(engine.ErrDied)
 	r.cancel()
--- a/sidecar/sidecar_test.go
+++ b/sidecar/sidecar_test.go
@@ -20,7 +20,7 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// stuckEngine gives one token and then nothing, but answers probes.
+// stuckEngine emits one token and then hangs, but responds to probes.
 type stuckEngine struct{ engine.Engine }
 
 func (stuckEngine) Generate(ctx context.Context, _ engine.Request, emit func(types.Token) error) (engine.Result, error) {
@@ -53,9 +53,9 @@
 	}
 }
 
-// A caller's router freezes; the caller moves on and reads the same attempt
-// through another router. The first router thaws, finds its caller gone and
-// cancels. The caller's stream must not be cut by that.
+// A caller's router freezes, and the caller goes on reading the same attempt through
+// another router. The first router resumes, finds its caller gone and cancels. That must
+// not interrupt the caller's stream.
 func TestCancelLeavesOthersReaders(t *testing.T) {
 	g := NewWithT(t)
 	s, p := newTestSidecar()
@@ -91,10 +91,10 @@
 	g.Expect(cancelBy("router-2")).To(BeTrue())
 }
 
-// Two routers read an attempt. Both give it up, one soon after the other, and
-// the sidecar hasn't yet seen that the first one's connection has ended. Each
-// has said that it has no more use for the attempt, so the second cancel stops
-// it; taken for still being read, it would hold its engine for the grace time.
+// Two routers read an attempt and cancel it shortly after one another, before the sidecar
+// has noticed that the first one's connection has ended. Both have said that they no
+// longer need the attempt, so the second cancel must stop it; if the first router still
+// counted as a reader, the attempt would occupy its engine for the grace period.
 func TestCancelCountsBeforeItsConnectionEnds(t *testing.T) {
 	g := NewWithT(t)
 	s, _ := newTestSidecar()
@@ -111,14 +111,14 @@
 	g.Expect(cancelBy("router-1")).To(BeFalse())
 	g.Expect(r.log.Look(0).Phase).To(Equal(generation.Running))
 	g.Expect(cancelBy("router-2")).To(BeTrue())
-	// The ended connection is noticed at last; that changes nothing more.
+	// Noticing the ended connection later must change nothing.
 	r.removeReader(stays, time.Hour, func() {})
-	g.Expect(r.unread()).To(BeTrue())
+	g.Expect(r.hasNoReader()).To(BeTrue())
 }
 
-// A router cancels, and its caller comes back through it before the sidecar has
-// seen that the first connection has ended. The new reader must not be
-// forgotten with the old one.
+// A router cancels, and its caller comes back through it before the sidecar has noticed
+// that the first connection has ended. The new reader must not be removed along with the
+// old one.
 func TestReaderAfterCancelIsKept(t *testing.T) {
 	g := NewWithT(t)
 	s, _ := newTestSidecar()
@@ -131,12 +131,12 @@
 	r.addReader("router-1")
 	r.removeReader(old, time.Hour, func() {})
 	r.removeReader(other, time.Hour, func() {})
-	g.Expect(r.unread()).To(BeFalse())
+	g.Expect(r.hasNoReader()).To(BeFalse())
 }
 
-// An engine answers probes, but its loop is stuck: a caller's stream stops
-// after a token and never ends. The sidecar gives the attempt up, so that the
-// router resumes it elsewhere.
+// An engine responds to probes while its loop is stuck, so a caller's stream stops after
+// one token and never ends. The sidecar must give the attempt up, so that the router can
+// resume it elsewhere.
 func TestStalledGenerationIsGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -146,7 +146,7 @@
 		go func() { _ = s.Run(ctx) }()
 		r, refused := s.start(request(types.NewGenerationID(7), 5))
 		g.Expect(refused).To(BeNil())
-		time.Sleep(stallAfter - probeInterval)
+		time.Sleep(stallTimeout - probeInterval)
 		g.Expect(r.log.Look(0).Phase).To(Equal(generation.Running))
 		time.Sleep(2 * probeInterval)
 		g.Expect(r.log.Look(0).Phase).To(Equal(generation.Lost))
@@ -157,14 +157,14 @@
 	})
 }
 
-// A backend server begins to leave while work enters. Nothing may enter
-// afterwards, and the stop waits for what is inside.
+// A backend server begins to drain while work is accepted. Nothing may be accepted
+// afterwards, and the drain must wait for the work in progress.
 func TestDrainSeesAllThatEntered(t *testing.T) {
 	g := NewWithT(t)
 	a := newAdmission()
 	g.Expect(a.enter()).To(BeTrue())
-	g.Expect(a.leave()).To(BeTrue())
-	g.Expect(a.leave()).To(BeFalse())
+	g.Expect(a.drain()).To(BeTrue())
+	g.Expect(a.drain()).To(BeFalse())
 	g.Expect(a.enter()).To(BeFalse())
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
 	defer cancel()
--- a/sidecar/stream.go
+++ b/sidecar/stream.go
@@ -23,7 +23,7 @@
 	out := newFrameWriter(w)
 	running, refused := s.start(&req)
 	if refused != nil {
-		out.refuse(refused)
+		out.writeRefusal(refused)
 		return
 	}
 	s.follow(r.Context(), out, running, len(req.GetEmitted()))
@@ -38,30 +38,31 @@
 	out := newFrameWriter(w)
 	id, err := types.ParseGenerationID(req.GetGeneration())
 	if err != nil {
-		out.refuse(&refusal{code: types.CodeBadRequest, message: err.Error()})
+		out.writeRefusal(&refusal{code: types.CodeBadRequest, message: err.Error()})
 		return
 	}
-	running := s.runs.best(id, types.AttemptTag(req.GetAttempt()), int(req.GetFrom()))
+	running := s.runs.bestAttempt(id, types.AttemptTag(req.GetAttempt()), int(req.GetFrom()))
 	if running == nil {
-		out.refuse(&refusal{code: types.CodeGenerationLost, message: "not held here"})
+		out.writeRefusal(&refusal{code: types.CodeGenerationLost, message: "this sidecar does not hold the generation"})
 		return
 	}
-	// The reader gets the answer from its first token on: it needs them all to
-	// resume elsewhere, should this engine die as well.
+	// The reader gets the answer from its first token on, because it needs all tokens to
+	// resume elsewhere if this engine dies too.
 	s.follow(r.Context(), out, running, 0)
 }
 
-// follow writes a run's frames from index from on until it ends or the reader leaves.
+// follow writes a run's frames, starting at token index from, until the run ends or the
+// reader disconnects.
 func (s *Sidecar) follow(ctx context.Context, out *frameWriter, r *run, from int) {
 	self := r.addReader(peer.Sender(ctx).ID)
-	defer r.removeReader(self, s.opts.Dial().RouterGrace, func() { s.orphan(r) })
+	defer r.removeReader(self, s.opts.Dial().RouterGrace, func() { s.cancelOrphan(r) })
 	accepted := &streampb.Accepted{Lineage: streampb.FromLineage(r.log.Lineage()), Incarnation: uint64(s.opts.Peer.Self().Incarnation)}
 	if out.write(&streampb.Frame{Body: &streampb.Frame_Accepted{Accepted: accepted}, Load: s.loadFrame()}) != nil {
 		return
 	}
 	heartbeat := time.NewTicker(streampb.HeartbeatInterval)
 	defer heartbeat.Stop()
-	told := false
+	moveSent := false
 	for {
 		state := r.log.Look(from)
 		if s.writeTokens(out, r, state, from) != nil {
@@ -72,8 +73,8 @@
 			_ = out.write(s.lastFrame(r, state))
 			return
 		}
-		if state.Moving && !told {
-			told = true
+		if state.Moving && !moveSent {
+			moveSent = true
 			if out.write(&streampb.Frame{Body: &streampb.Frame_Moving{Moving: &streampb.Moving{}}}) != nil {
 				return
 			}
@@ -117,7 +118,7 @@
 	if state.Cause != nil {
 		message = state.Cause.Error()
 	}
-	frame.Body = &streampb.Frame_Lost{Lost: &streampb.Lost{Message: message, Death: d.id, Running: uint64(d.running), Proven: r.proven()}}
+	frame.Body = &streampb.Frame_Lost{Lost: &streampb.Lost{Message: message, Death: d.id, Running: uint64(d.running), Proven: r.isProven()}}
 	return frame
 }
 
@@ -127,7 +128,7 @@
 }
 
 func (s *Sidecar) loadFrame() *streampb.Load {
-	load, age, ok := s.watch.lastLoad()
+	load, age, ok := s.monitor.lastLoad()
 	if !ok {
 		return nil
 	}
@@ -141,10 +142,10 @@
 	}
 }
 
-// orphan stops a run that no router has read for the grace time: its router may
+// cancelOrphan stops a run that no router has read for the grace period: its router may
 // have died, and its caller hasn't come back through another one.
-func (s *Sidecar) orphan(r *run) {
-	if !r.unread() || !r.log.Cancel() {
+func (s *Sidecar) cancelOrphan(r *run) {
+	if !r.hasNoReader() || !r.log.Cancel() {
 		return
 	}
 	r.cancel()
@@ -152,7 +153,7 @@
 	s.opts.Recorder.Emit(eventOrphaned, event.FieldRequest, r.request, "generation", r.log.ID())
 }
 
-// frameWriter writes frames and flushes each, so that no token waits for the next.
+// frameWriter writes frames and flushes each one, so that no token waits for the next.
 type frameWriter struct {
 	w       http.ResponseWriter
 	control *http.ResponseController
@@ -170,7 +171,7 @@
 	return f.control.Flush()
 }
 
-func (f *frameWriter) refuse(r *refusal) {
+func (f *frameWriter) writeRefusal(r *refusal) {
 	_ = f.write(&streampb.Frame{Body: &streampb.Frame_Refused{Refused: &streampb.Refused{
 		Code:         string(r.code),
 		Message:      r.message,
