--- a/node/admin.go
+++ b/node/admin.go
@@ -19,8 +19,8 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// pushTimeout bounds the spread of a new text to all members; who isn't
-// reached by then learns of it from the stamps of ordinary traffic.
+// pushTimeout limits the time for pushing a new configuration to all members. A member
+// that isn't reached by then learns of it from the stamps on ordinary traffic.
 const pushTimeout = 4 * time.Second
 
 func (r *Router) newAdmin() error {
@@ -28,7 +28,7 @@
 		return nil
 	}
 	server, err := admin.New(admin.Options{
-		Token: r.opts.AdminToken, Process: r.opts.ID, Texts: texts{r},
+		Token: r.opts.AdminToken, Process: r.opts.ID, Texts: textStore{r},
 		InForce: r.inForce, Members: r.adminMembers, Quarantines: r.quarantines,
 		Backends: r.backends, Stopper: stopper{r}, Recorder: r.recorder, Registerer: r.registry, HTTP: r.peer.Client(),
 	})
@@ -36,29 +36,29 @@
 	return err
 }
 
-// texts implements admin.Texts over the store of this router.
-type texts struct{ r *Router }
+// textStore implements admin.Texts with this router's store.
+type textStore struct{ r *Router }
 
-// Accept commits a text, brings it into force here and hands it to all others.
-func (t texts) Accept(ctx context.Context, change admin.Change) (types.Revision, findings.List, error) {
+// Accept commits a configuration, applies it here and pushes it to all members.
+func (t textStore) Accept(ctx context.Context, change admin.Change) (types.Revision, findings.List, error) {
 	rev, found, err := t.r.store.Accept(ctx, change.Base, change.Raw, change.Who, change.Note)
 	if err != nil {
-		return 0, found, t.failure(ctx, err)
+		return 0, found, t.translateError(ctx, err)
 	}
-	// The text is accepted whatever comes now: an error here would tell the
-	// operator that it isn't. The holder logs what it can't take.
+	// The configuration is committed whatever happens from here on: returning an error
+	// would tell the operator that it isn't. The holder logs what it can't apply.
 	_, _ = t.r.holder.Offer(rev, change.Raw)
-	go t.r.push()
+	go t.r.pushText()
 	return rev, found, nil
 }
 
-func (r *Router) push() {
+func (r *Router) pushText() {
 	ctx, cancel := context.WithTimeout(context.Background(), pushTimeout)
 	defer cancel()
-	r.pusher.Push(ctx, r.others())
+	r.pusher.Push(ctx, r.peerAddresses())
 }
 
-func (t texts) failure(ctx context.Context, err error) error {
+func (t textStore) translateError(ctx context.Context, err error) error {
 	var race *config.RaceError
 	if errors.As(err, &race) {
 		winner := admin.Text{Revision: race.Winner, Who: race.By, Note: race.Note}
@@ -71,8 +71,8 @@
 	return err
 }
 
-// Load returns one accepted text.
-func (t texts) Load(ctx context.Context, revision types.Revision) (admin.Text, error) {
+// Load returns one committed configuration.
+func (t textStore) Load(ctx context.Context, revision types.Revision) (admin.Text, error) {
 	raw, err := t.r.store.Load(ctx, revision)
 	if errors.Is(err, backing.ErrNotFound) {
 		return admin.Text{}, admin.ErrNoRevision
@@ -81,19 +81,19 @@
 		return admin.Text{}, err
 	}
 	out := admin.Text{Revision: revision, Raw: raw}
-	if e, err := t.r.store.Entry(ctx, revision); err == nil { // the text matters more than who accepted it
+	if e, err := t.r.store.Entry(ctx, revision); err == nil { // the text is useful even without its metadata
 		out.Base, out.Who, out.Note, out.At = e.Base, e.By, e.Note, e.At
 	}
 	return out, nil
 }
 
-// History returns the accepted texts, the newest first, without their bodies.
-func (t texts) History(ctx context.Context, limit int) ([]admin.Text, error) {
+// History returns the committed configurations without their contents, newest first.
+func (t textStore) History(ctx context.Context, limit int) ([]admin.Text, error) {
 	entries, err := t.r.store.History(ctx, limit)
 	if err != nil {
 		return nil, err
 	}
-	if err := t.behind(entries); err != nil {
+	if err := t.checkHistory(entries); err != nil {
 		return nil, err
 	}
 	out := make([]admin.Text, 0, len(entries))
@@ -103,12 +103,12 @@
 	return out, nil
 }
 
-// behind reports a history that ends before the text in force here.
+// checkHistory returns an error if the history ends before the revision in force here.
 //
-// Failure it stops: the store answers from an old copy, and an operator is shown
-// an older text, or none, as the newest. Whoever asked for the newest text gets
-// the one in force instead.
-func (t texts) behind(entries []config.Entry) error {
+// It guards against a store that answers from an outdated copy: an operator would be shown
+// an older configuration, or none, as the newest. A caller who asked for the newest one
+// gets the one in force instead.
+func (t textStore) checkHistory(entries []config.Entry) error {
 	var newest types.Revision
 	if len(entries) > 0 {
 		newest = entries[0].Revision
@@ -146,8 +146,8 @@
 	return out
 }
 
-// backends lists the backend servers of the text in force, so that one whose
-// sidecar was never heard of is named as absent.
+// backends lists the backend servers of the configuration in force, so that one whose
+// sidecar was never heard of is reported as absent.
 func (r *Router) backends() []admin.Backend {
 	in := r.text()
 	if in == nil {
@@ -177,11 +177,11 @@
 // stopper implements admin.Stopper.
 type stopper struct{ r *Router }
 
-// Stop tells a process to begin its planned stop, and the members at once, so
-// that no router waits for the process's own announcement.
+// Stop tells a process to begin its planned stop, and tells the members immediately, so
+// that no router has to wait for that process's own announcement.
 func (s stopper) Stop(ctx context.Context, m admin.Member, who string) (int, error) {
 	req := &streampb.StopRequest{Reason: "operator " + who}
-	ctx = peer.Repeatable(ctx) // a second order to stop changes nothing
+	ctx = peer.Repeatable(ctx) // a second stop request changes nothing
 	var resp *streampb.StopResponse
 	var err error
 	if m.Role == types.RoleSidecar {
@@ -196,8 +196,8 @@
 	return int(resp.GetInFlight()), nil
 }
 
-// desired lists what the text in force asks of each engine.
-func (r *Router) desired() []order.Target {
+// desiredArtefacts lists what the configuration in force requires of each engine.
+func (r *Router) desiredArtefacts() []order.Target {
 	in := r.text()
 	if in == nil {
 		return nil
--- a/node/common.go
+++ b/node/common.go
@@ -29,23 +29,23 @@
 
 const (
 	defaultStaleAfter = 4 * time.Second
-	// askTimeout bounds the wait for peers' texts at the start.
-	askTimeout = 2 * time.Second
-	// leaveTimeout bounds the announcement that this process is leaving.
+	// initialTextTimeout limits the wait at startup for the configuration of peers.
+	initialTextTimeout = 2 * time.Second
+	// leaveTimeout limits the announcement that this process is leaving.
 	leaveTimeout      = time.Second
 	readHeaderTimeout = 10 * time.Second
-	// shutdownTimeout bounds how long an ending process serves what is of no
-	// caller's request, and anything when it ends by a failure.
+	// shutdownTimeout limits how long a process that is ending serves requests that don't
+	// come from callers, or, after a failure, any requests.
 	shutdownTimeout = 2 * time.Second
-	// answersTimeout bounds how long answers may take to get out once all requests
-	// have run. The largest, of 8 MB, takes 6.4 s on a link of 10 Mbit/s.
-	answersTimeout  = time.Minute
-	routerPollText  = time.Second
-	sidecarPollText = 20 * time.Second
+	// responseDrainTimeout limits how long responses may take to be sent once all requests
+	// have run. The largest, 8 MB, takes 6.4 s on a 10 Mbit/s link.
+	responseDrainTimeout = time.Minute
+	routerPollInterval   = time.Second
+	sidecarPollInterval  = 20 * time.Second
 )
 
-// Platform is what the platform gives a process. Any part may be nil for a
-// sidecar; a router needs them all.
+// Platform holds the services that the platform provides to a process. Any of them may be
+// nil for a sidecar; a router needs all of them.
 type Platform struct {
 	Table   backing.Table
 	Objects backing.Objects
@@ -53,23 +53,23 @@
 	Weights backing.Weights
 }
 
-// Common is what routers and sidecars are both told.
+// Common holds the options that routers and sidecars share.
 type Common struct {
 	ID        types.ProcessID
 	Zone      types.Zone
 	Peers     net.Listener // for other processes
-	Advertise string       // ip:port under which others reach Peers; empty: its address
-	Seeds     []string     // ip:port of peers that are asked first
+	Advertise string       // ip:port at which others reach Peers; empty: the listener's address
+	Seeds     []string     // ip:port of the peers that are contacted first
 	Platform  Platform
 	Logger    log.Logger
-	RingSize  int           // events kept; 0: event.DefaultRingSize
-	Poll      time.Duration // between polls of the store for a newer text; 0: by role
-	Drain     time.Duration // longest wait of a planned stop; 0: no bound
-	// StaleAfter is the age of the newest confirmation of the text past which
-	// new work is refused: the process may have been frozen or cut off
-	// meanwhile. 0: four seconds; below 0: never.
+	RingSize  int           // number of events kept; 0: event.DefaultRingSize
+	Poll      time.Duration // interval of polling the store for a newer configuration; 0: depends on the role
+	Drain     time.Duration // limit on a planned stop; 0: none
+	// StaleAfter is the age of the last confirmation of the configuration from which on
+	// new work is refused, because the process may have been frozen or cut off meanwhile.
+	// 0: four seconds; negative: never.
 	StaleAfter time.Duration
-	VMListLag  time.Duration // how far the platform's VM list may lag; 0: membership's default
+	VMListLag  time.Duration // maximum lag of the platform's VM list; 0: membership's default
 }
 
 func (c Common) withDefaults(role types.Role) Common {
@@ -83,39 +83,39 @@
 		c.StaleAfter = defaultStaleAfter
 	}
 	if c.Poll == 0 && role == types.RoleRouter {
-		c.Poll = routerPollText
+		c.Poll = routerPollInterval
 	}
 	if c.Poll == 0 {
-		c.Poll = sidecarPollText
+		c.Poll = sidecarPollInterval
 	}
 	return c
 }
 
-// base holds the parts that every process has.
+// base holds the parts that routers and sidecars share.
 type base struct {
-	opts     Common
-	role     types.Role
-	created  time.Time
-	recorder *event.Recorder
-	registry *prometheus.Registry
-	inspect  *inspect.Registry
-	peer     *peer.Peer
-	holder   *config.Holder
-	store    *config.Store // nil without a table service
-	spreader *config.Spreader
-	pusher   *config.Pusher
-	members  *membership.Membership
-	suspects *suspect.Ledger
-	news     *suspect.Gossiper
-	mux      *http.ServeMux // of the peer listener
-	left     chan struct{}  // closed when the others have heard that this process leaves, or won't
-	leaving  sync.Once
-	stopBy   atomic.Pointer[time.Time] // end of a bounded planned stop; nil: none
+	opts           Common
+	role           types.Role
+	startedAt      time.Time
+	recorder       *event.Recorder
+	registry       *prometheus.Registry
+	inspect        *inspect.Registry
+	peer           *peer.Peer
+	holder         *config.Holder
+	store          *config.Store // nil without a table service
+	spreader       *config.Spreader
+	pusher         *config.Pusher
+	members        *membership.Membership
+	suspects       *suspect.Ledger
+	gossiper       *suspect.Gossiper
+	mux            *http.ServeMux // serves the peer listener
+	leaveAnnounced chan struct{}  // closed when the announcement of leaving has been delivered or has failed
+	leaveOnce      sync.Once
+	drainDeadline  atomic.Pointer[time.Time] // deadline of a limited planned stop; nil: none
 }
 
 func newBase(opts Common, role types.Role, backendServer string) (*base, error) {
 	opts = opts.withDefaults(role)
-	b := &base{opts: opts, role: role, created: time.Now(), registry: prometheus.NewRegistry(), mux: http.NewServeMux(), left: make(chan struct{})}
+	b := &base{opts: opts, role: role, startedAt: time.Now(), registry: prometheus.NewRegistry(), mux: http.NewServeMux(), leaveAnnounced: make(chan struct{})}
 	b.recorder = event.NewRecorder(log.With(opts.Logger, "ts", log.DefaultTimestampUTC, "process", opts.ID), opts.RingSize)
 	b.holder = config.NewHolder(config.HolderOptions{Recorder: b.recorder, Registerer: b.registry})
 	b.peer = peer.New(peer.Options{
@@ -127,7 +127,7 @@
 		return nil, err
 	}
 	b.newSuspects()
-	b.peer.OnSeen(b.seen)
+	b.peer.OnSeen(b.onStamp)
 	return b, b.newInspect()
 }
 
@@ -175,21 +175,23 @@
 	return nil
 }
 
-// seen learns from the stamp on a message. It is on the path of every call.
-func (b *base) seen(stamp peer.Stamp) {
+// onStamp processes the stamp on a message. It is called for every message, so it must be
+// fast.
+func (b *base) onStamp(stamp peer.Stamp) {
 	b.spreader.Seen(stamp.Address, stamp.Revision)
 	b.holder.Confirmed(stamp.Revision, stamp.AsOf)
 	m, ok := b.members.Snapshot().ByID(stamp.ID)
 	if !ok || m.State != membership.StateSuspect || m.Incarnation != stamp.Incarnation {
 		return
 	}
-	// A suspect that answers is alive, whatever the probes said.
+	// A suspect that responds is alive, whatever the probes said.
 	m.State = membership.StateAlive
 	b.members.Observe(m)
 }
 
-// followText returns an actor that calls apply with the text in force and with
-// each one after it. The channel is taken before the text, so that none is missed.
+// followText returns an actor that calls apply with the configuration in force and with
+// each later one. The channel is obtained before the configuration, so that no change is
+// missed.
 func (b *base) followText(apply func(*config.Snapshot)) func(context.Context) error {
 	return func(ctx context.Context) error {
 		for {
@@ -206,7 +208,7 @@
 	}
 }
 
-// text returns the text in force, nil if there is none.
+// text returns the configuration in force, or nil if there is none.
 func (b *base) text() *text.Text {
 	if snapshot := b.holder.Current(); snapshot != nil {
 		return snapshot.Text
@@ -214,34 +216,35 @@
 	return nil
 }
 
-func (b *base) fresh() bool {
+func (b *base) isFresh() bool {
 	return b.opts.StaleAfter < 0 || b.holder.Freshness() < b.opts.StaleAfter
 }
 
-// drainContext bounds the wait of a planned stop, if it is to be bounded.
+// drainContext applies the limit on a planned stop, if there is one, to ctx.
 func (b *base) drainContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	if b.opts.Drain <= 0 {
 		return ctx, func() {}
 	}
 	end := time.Now().Add(b.opts.Drain)
-	b.stopBy.Store(&end)
+	b.drainDeadline.Store(&end)
 	return context.WithDeadline(ctx, end)
 }
 
-// answersPatience returns how long answers may still take to get out.
-func (b *base) answersPatience() time.Duration {
-	end := b.stopBy.Load()
+// responseTimeout returns how long responses may still take to be sent.
+func (b *base) responseTimeout() time.Duration {
+	end := b.drainDeadline.Load()
 	if end == nil {
-		return answersTimeout
+		return responseDrainTimeout
 	}
-	return min(answersTimeout, max(shutdownTimeout, time.Until(*end)))
+	return min(responseDrainTimeout, max(shutdownTimeout, time.Until(*end)))
 }
 
-// shortPatience is for listeners without callers' answers.
-func shortPatience() time.Duration { return shutdownTimeout }
+// shortResponseTimeout is for listeners that don't serve callers' responses.
+func shortResponseTimeout() time.Duration { return shutdownTimeout }
 
-// mount fills the peer listener with what every process serves.
-func (b *base) mount(own http.Handler) http.Handler {
+// peerHandler returns the handler of the peer listener: what every process serves, and
+// own.
+func (b *base) peerHandler(own http.Handler) http.Handler {
 	b.mux.Handle(b.members.PathPrefix(), b.members.Handler())
 	b.mux.Handle(configpb.ConfigPathPrefix, config.NewServer(b.holder, b.spreader).Handler())
 	b.mux.Handle(suspectpb.SuspectsPathPrefix, b.suspects.Handler())
@@ -253,27 +256,27 @@
 	return b.peer.Handler(b.mux)
 }
 
-// actors adds to group what every process runs.
-func (b *base) actors(group *run.Group) {
-	actor(group, b.members.Run)
-	actor(group, b.suspects.Run)
-	actor(group, b.news.Run)
-	actor(group, b.followText(b.applySuspicion))
-	actor(group, func(ctx context.Context) error {
-		asking, cancel := context.WithTimeout(ctx, askTimeout)
-		b.spreader.Ask(asking, b.opts.Seeds)
+// addActors adds the actors that every process runs.
+func (b *base) addActors(group *run.Group) {
+	addActor(group, b.members.Run)
+	addActor(group, b.suspects.Run)
+	addActor(group, b.gossiper.Run)
+	addActor(group, b.followText(b.applySuspicionLimits))
+	addActor(group, func(ctx context.Context) error {
+		askCtx, cancel := context.WithTimeout(ctx, initialTextTimeout)
+		b.spreader.Ask(askCtx, b.opts.Seeds)
 		cancel()
 		return b.spreader.Run(ctx)
 	})
 }
 
-// actor adds a function that runs until its context is cancelled.
-func actor(group *run.Group, f func(context.Context) error) {
+// addActor adds a function that runs until its context is cancelled.
+func addActor(group *run.Group, f func(context.Context) error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	group.Add(func() error { return ignoreCancelled(f(ctx), ctx) }, func(error) { cancel() })
 }
 
-// ignoreCancelled lets an actor that was asked to end end without an error.
+// ignoreCancelled drops the error of an actor that was asked to end.
 func ignoreCancelled(err error, ctx context.Context) error {
 	if ctx.Err() != nil {
 		return nil
@@ -281,15 +284,16 @@
 	return err
 }
 
-// serve adds an HTTP server on listener. When a planned stop ends it, answers
-// have the time of patience to get out.
+// addServer adds an HTTP server on listener. When a planned stop ends it, responses have
+// the time returned by timeout to be sent.
 //
-// Failure it stops: a request leaves the count of a planned stop when it has run
-// or its handler returns, while its answer is still on its way over a slow link.
-// Closed two seconds later, the answer is cut; of a call that may run at most
-// once the caller then doesn't know the outcome. The end waits only until all
-// answers are out, so a stop without slow ones takes no longer.
-func serve(group *run.Group, listener net.Listener, handler http.Handler, patience func() time.Duration, recorder *event.Recorder) {
+// It guards against responses that are cut off: a request stops counting towards a planned
+// stop when it has run or its handler returns, while its response may still be on its way
+// over a slow link. If the connection were closed two seconds later, the response would be
+// lost, and for a call that may run at most once the caller would not know the outcome.
+// The server ends as soon as all responses are sent, so a stop without slow responses
+// takes no longer.
+func addServer(group *run.Group, listener net.Listener, handler http.Handler, timeout func() time.Duration, recorder *event.Recorder) {
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout}
 	clients := inbound.New(listener, inbound.Options{Recorder: recorder})
 	clients.Attach(server)
@@ -302,7 +306,7 @@
 	}, func(ended error) {
 		bound := shutdownTimeout
 		if ended == nil {
-			bound = patience()
+			bound = timeout()
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), bound)
 		defer cancel()
@@ -312,12 +316,12 @@
 	})
 }
 
-// leave tells the others, beside what else a stop does, that this process takes
-// no new work. It is safe to call many times.
-func (b *base) leave() {
-	b.leaving.Do(func() {
+// announceLeave tells the other processes that this one accepts no new work. It doesn't
+// wait, and may be called repeatedly.
+func (b *base) announceLeave() {
+	b.leaveOnce.Do(func() {
 		go func() {
-			defer close(b.left)
+			defer close(b.leaveAnnounced)
 			ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 			defer cancel()
 			_ = b.members.Leave(ctx)
@@ -325,14 +329,14 @@
 	})
 }
 
-// untilLeft waits for what leave has begun.
+// waitLeaveAnnounced waits until the announcement that announceLeave began has ended.
 //
-// Failure it stops: a process without work drains in no time and ends before any
-// other has heard that it leaves. It shows as a planned stop that the others
-// take for a failure. The wait is bounded by leaveTimeout.
-func (b *base) untilLeft(ctx context.Context) {
+// It guards against a process without work that drains immediately and ends before any
+// other has heard that it is leaving: the others would treat the planned stop as a
+// failure. The wait is limited by leaveTimeout.
+func (b *base) waitLeaveAnnounced(ctx context.Context) {
 	select {
-	case <-b.left:
+	case <-b.leaveAnnounced:
 	case <-ctx.Done():
 	}
 }
--- a/node/journal_test.go
+++ b/node/journal_test.go
@@ -18,11 +18,11 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// appended notes who was sent a journal.
-type appended chan string
+// appendRecorder is a tokenlog.Sender that records the addresses it sends to.
+type appendRecorder chan string
 
 // Append implements tokenlog.Sender.
-func (a appended) Append(_ context.Context, addr string, _ *streampb.JournalAppend) (*streampb.JournalAppended, error) {
+func (a appendRecorder) Append(_ context.Context, addr string, _ *streampb.JournalAppend) (*streampb.JournalAppended, error) {
 	select {
 	case a <- addr:
 	default:
@@ -30,9 +30,9 @@
 	return &streampb.JournalAppended{}, nil
 }
 
-// A sidecar starts anew and gets a generation before it has fetched the text.
-// The generation was never journalled, however long it ran: when its VM and its
-// router died it was lost, and its idempotency key was nowhere known.
+// A sidecar has just started and gets a generation before it has fetched the
+// configuration. The generation was never journalled, however long it ran: when its VM and
+// its router died it was lost, and its idempotency key was unknown everywhere.
 func TestGenerationBeforeTheTextIsJournalled(t *testing.T) {
 	g := NewWithT(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -43,7 +43,7 @@
 		BackendServer: "a", Engine: httpapi.New(httpapi.Options{Address: "127.0.0.1:9"}),
 	})
 	g.Expect(err).NotTo(HaveOccurred())
-	sent := make(appended, 1)
+	sent := make(appendRecorder, 1)
 	writer := tokenlog.NewWriter(tokenlog.WriterOptions{Self: s.Address(), Sender: sent, Recorder: event.Discard(), Registerer: prometheus.NewRegistry()})
 	defer writer.Close()
 	s.writer.Store(writer)
@@ -57,7 +57,7 @@
 		"backendServers": []any{map[string]any{"name": "b", "zone": "z2", "sidecar": "127.0.0.1:8"}},
 	}}, "recovery": map[string]any{"journalAfterMillis": 0}})
 	g.Expect(err).NotTo(HaveOccurred())
-	time.AfterFunc(textPatience/4, func() { _, _ = s.holder.Offer(1, raw) })
+	time.AfterFunc(firstTextTimeout/4, func() { _, _ = s.holder.Offer(1, raw) })
 	var handle *tokenlog.Handle
 	g.Eventually(opened, "5s").Should(Receive(&handle))
 	g.Expect(handle).NotTo(BeNil())
--- a/node/leave_test.go
+++ b/node/leave_test.go
@@ -19,7 +19,7 @@
 	"github.com/pearyard/pearyard/standin"
 )
 
-func loopback(t *testing.T) net.Listener {
+func listenLoopback(t *testing.T) net.Listener {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -29,19 +29,19 @@
 	return listener
 }
 
-// A router without work is stopped as planned. It says so to the others, but
-// ended at once, before any had heard it. For them it was a failure: a member
-// that was alive no longer answers probes, and is suspected and called dead.
+// A router without work is stopped as planned. It announced that to the others, but ended
+// before any of them had received it. They treated it as a failure: a member that was
+// alive no longer answered probes, and was suspected and declared dead.
 func TestPlannedStopIsHeardBeforeTheEnd(t *testing.T) {
 	g := NewWithT(t)
 	var delay atomic.Int64
-	peers := loopback(t)
+	peers := listenLoopback(t)
 	other, err := NewSidecar(SidecarOptions{
 		Common:        Common{ID: "other", Zone: "z1", Peers: peers, Logger: log.NewNopLogger()},
 		BackendServer: "a", Engine: enginehttp.New(enginehttp.Options{Address: "127.0.0.1:9"}),
 	})
 	g.Expect(err).NotTo(HaveOccurred())
-	handler := other.mount(nil)
+	handler := other.peerHandler(nil)
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(time.Duration(delay.Load()))
 		handler.ServeHTTP(w, r)
@@ -53,9 +53,9 @@
 	t.Cleanup(platform.Close)
 	at := httpapi.Options{Address: strings.TrimPrefix(platform.URL, "http://")}
 	router, err := NewRouter(RouterOptions{
-		Common: Common{ID: "r", Zone: "z1", Peers: loopback(t), Seeds: []string{other.Address()}, Logger: log.NewNopLogger(),
+		Common: Common{ID: "r", Zone: "z1", Peers: listenLoopback(t), Seeds: []string{other.Address()}, Logger: log.NewNopLogger(),
 			Platform: Platform{Table: httpapi.NewTable(at), Objects: httpapi.NewObjects(at), Weights: httpapi.NewWeights(at)}},
-		Callers: loopback(t),
+		Callers: listenLoopback(t),
 	})
 	g.Expect(err).NotTo(HaveOccurred())
 	ctx, stop := context.WithCancel(t.Context())
@@ -68,7 +68,7 @@
 	g.Eventually(state, "5s").Should(Equal(membership.StateAlive))
 	g.Eventually(func() bool { _, ok := router.members.Snapshot().ByID("other"); return ok }, "5s").Should(BeTrue())
 
-	delay.Store(int64(100 * time.Millisecond)) // a longer way, within what a member may take to answer
+	delay.Store(int64(100 * time.Millisecond)) // slower network, within a member's response timeout
 	stop()
 	g.Eventually(ended, "10s").Should(Receive(BeNil()))
 	g.Expect(state()).To(Equal(membership.StateLeaving))
--- a/node/router.go
+++ b/node/router.go
@@ -23,11 +23,11 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// RouterOptions configure a router process.
+// RouterOptions configures a router process.
 type RouterOptions struct {
 	Common
-	Callers    net.Listener // for callers
-	Admin      net.Listener // for operators; nil: no administration API
+	Callers    net.Listener // serves callers
+	Admin      net.Listener // serves operators; nil: no administration API
 	AdminToken string
 	Policy     string // routing policy; empty: the default
 }
@@ -35,14 +35,14 @@
 // Router is one router process.
 type Router struct {
 	*base
-	opts    RouterOptions
-	router  *router.Router
-	limiter *limit.Limiter
-	claims  *claim.Coordinator
-	admin   *admin.Server // nil without a listener for it
-	keeper  *lease.Keeper
-	orders  *order.Reconciler
-	usage   usageExchange
+	opts        RouterOptions
+	router      *router.Router
+	limiter     *limit.Limiter
+	claims      *claim.Coordinator
+	admin       *admin.Server // nil if there is no Admin listener
+	leaseKeeper *lease.Keeper
+	orders      *order.Reconciler
+	usage       usageExchange
 }
 
 // NewRouter assembles a router; Run starts it.
@@ -60,7 +60,7 @@
 	}
 	b.inspect.Add("router", r.router.Dump)
 	b.inspect.Add("orders", func() any { return r.orders.Dump() })
-	b.inspect.Add("lease", func() any { return r.keeper.Dump() })
+	b.inspect.Add("lease", func() any { return r.leaseKeeper.Dump() })
 	b.inspect.Add(inspect.SectionDrain, func() any { return r.router.Drain() })
 	server := streampb.NewRouterServer(routerService{r})
 	b.mux.Handle(server.PathPrefix(), server)
@@ -75,35 +75,35 @@
 	})
 	r.router = router.New(router.Options{
 		Peer: r.peer, Zone: r.opts.Zone, Policy: r.opts.Policy,
-		Text: r.text, Fresh: r.fresh, Members: r.members.Snapshot, Changed: r.changed,
+		Text: r.text, Fresh: r.isFresh, Members: r.members.Snapshot, Changed: r.viewChanges,
 		MarkLeaving: func(id types.ProcessID) { r.members.MarkLeaving(id) },
-		Limiter:     r.limiter, Claims: r.claims, Suspects: r.suspects, Grants: r.news,
+		Limiter:     r.limiter, Claims: r.claims, Suspects: r.suspects, Grants: r.gossiper,
 		Recorder: r.recorder, Registerer: r.registry,
 	})
 }
 
 func (r *Router) newOrders() {
-	r.keeper = lease.New(lease.Options{
-		Table: r.opts.Platform.Table, Name: ordersLease, Holder: fmt.Sprintf("%s@%d", r.opts.ID, r.peer.Self().Incarnation), Candidate: r.leaseCandidate,
+	r.leaseKeeper = lease.New(lease.Options{
+		Table: r.opts.Platform.Table, Name: ordersLease, Holder: fmt.Sprintf("%s@%d", r.opts.ID, r.peer.Self().Incarnation), Candidate: r.isLeaseCandidate,
 		Recorder: r.recorder, Registerer: r.registry,
 	})
 	client := r.peer.Client()
 	r.orders = order.New(order.Options{
-		Lease: r.keeper,
+		Lease: r.leaseKeeper,
 		Sidecar: order.NewClient(func(addr string) orderpb.Orders {
 			return orderpb.NewOrdersProtobufClient("http://"+addr, client)
 		}),
-		Weights: r.opts.Platform.Weights, Desired: r.desired,
+		Weights: r.opts.Platform.Weights, Desired: r.desiredArtefacts,
 		Recorder: r.recorder, Registerer: r.registry,
 	})
 }
 
-// leaseCandidates is how many routers wait for a lease, so that hundreds of
-// them don't read its row all the time.
+// leaseCandidates is how many routers compete for a lease, so that hundreds of them don't
+// keep reading its row.
 const leaseCandidates = 5
 
-// leaseCandidate reports whether this router is among those that wait.
-func (r *Router) leaseCandidate() bool {
+// isLeaseCandidate reports whether this router is among those that compete for the lease.
+func (r *Router) isLeaseCandidate() bool {
 	var sites []tokenlog.Site
 	for _, m := range r.routers() {
 		sites = append(sites, tokenlog.Site{Address: m.Address, Zone: m.Zone})
@@ -112,41 +112,42 @@
 	return slices.Contains(tokenlog.Place(key, sites, leaseCandidates, ""), r.Address())
 }
 
-// changed lists the channels that are closed when the views must be rebuilt.
-func (r *Router) changed() []<-chan struct{} {
+// viewChanges returns channels that are closed when the router must rebuild its view.
+func (r *Router) viewChanges() []<-chan struct{} {
 	return []<-chan struct{}{r.holder.Changed(), r.members.Changed()}
 }
 
-// CallersAddress returns where callers reach this router.
+// CallersAddress returns the address at which callers reach this router.
 func (r *Router) CallersAddress() string { return r.opts.Callers.Addr().String() }
 
-// Address returns where other processes reach this one.
+// Address returns the address at which other processes reach this one.
 func (r *Router) Address() string { return r.peer.Self().Address }
 
 // Run serves until ctx ends or the router is told to stop, then drains.
 func (r *Router) Run(ctx context.Context) error {
 	var group run.Group
-	// The callers' server ends first: while their answers get out, the others say how it goes.
-	serve(&group, r.opts.Callers, r.router.Handler(), r.answersPatience, r.recorder)
-	serve(&group, r.opts.Peers, r.mount(nil), shortPatience, r.recorder)
+	// The callers' server ends first: while its responses are sent, the other servers
+	// still report the progress.
+	addServer(&group, r.opts.Callers, r.router.Handler(), r.responseTimeout, r.recorder)
+	addServer(&group, r.opts.Peers, r.peerHandler(nil), shortResponseTimeout, r.recorder)
 	if r.admin != nil {
-		serve(&group, r.opts.Admin, r.admin.Handler(), shortPatience, r.recorder)
+		addServer(&group, r.opts.Admin, r.admin.Handler(), shortResponseTimeout, r.recorder)
 	}
-	r.actors(&group)
-	actor(&group, r.router.Run)
-	actor(&group, r.limiter.Run)
-	actor(&group, r.claims.Run)
-	actor(&group, r.keeper.Run)
-	actor(&group, r.orders.Run)
-	actor(&group, r.exchangeUsage)
-	actor(&group, r.followText(r.apply))
-	actor(&group, func(actorCtx context.Context) error { return r.untilDrained(ctx, actorCtx) })
+	r.addActors(&group)
+	addActor(&group, r.router.Run)
+	addActor(&group, r.limiter.Run)
+	addActor(&group, r.claims.Run)
+	addActor(&group, r.leaseKeeper.Run)
+	addActor(&group, r.orders.Run)
+	addActor(&group, r.exchangeUsage)
+	addActor(&group, r.followText(r.applyText))
+	addActor(&group, func(actorCtx context.Context) error { return r.waitDrained(ctx, actorCtx) })
 	return group.Run()
 }
 
-// untilDrained waits for the order to stop, by ctx or over the network, and
-// returns when no request is in flight any more. actorCtx ends it at once.
-func (r *Router) untilDrained(ctx, actorCtx context.Context) error {
+// waitDrained waits for a planned stop, requested by ctx or over the network, and returns
+// when no request is in flight any more, or when actorCtx ends.
+func (r *Router) waitDrained(ctx, actorCtx context.Context) error {
 	select {
 	case <-ctx.Done():
 		r.beginDrain("signal")
@@ -159,24 +160,24 @@
 	if err := r.router.Drained(drain); err != nil {
 		return err
 	}
-	r.untilLeft(drain)
+	r.waitLeaveAnnounced(drain)
 	return nil
 }
 
 func (r *Router) beginDrain(reason string) {
 	r.router.BeginDrain(reason)
-	r.leave()
+	r.announceLeave()
 }
 
-// apply hands a new text to the parts that keep something of it.
-func (r *Router) apply(snapshot *config.Snapshot) {
+// applyText passes a new configuration to the parts that keep data derived from it.
+func (r *Router) applyText(snapshot *config.Snapshot) {
 	limits := make([]limit.OrganisationLimits, 0, len(snapshot.Text.Organisations))
 	for i := range snapshot.Text.Organisations {
 		o := &snapshot.Text.Organisations[i]
 		limits = append(limits, limit.OrganisationLimits{
 			Name: types.Organisation(o.Name), Weight: float64(o.Weight),
 			RequestsPerSecond: o.Limits.RequestsPerSecond, Burst: o.Limits.Burst,
-			Concurrent: o.Limits.Concurrent, Queued: queued(o.Limits.Queued), Priority: o.Priority,
+			Concurrent: o.Limits.Concurrent, Queued: queueLimit(o.Limits.Queued), Priority: o.Priority,
 		})
 	}
 	r.limiter.Apply(limits)
@@ -184,15 +185,16 @@
 	r.orders.Wake()
 }
 
-// unboundedQueue is the queue of an organisation whose text sets no bound: long
-// enough that fair sharing decides, short enough to end within a deadline.
-const unboundedQueue = 1024
+// defaultQueueLimit is the queue limit of an organisation whose configuration sets none:
+// long enough that fair sharing takes effect, and short enough to be worked off within a
+// deadline.
+const defaultQueueLimit = 1024
 
-// queued translates a text's bound, where 0 sets none, for the limiter, where 0
-// is no queue.
-func queued(bound int) int {
+// queueLimit converts the limit of a configuration, where 0 means none is set, to that of
+// the limiter, where 0 means no queue.
+func queueLimit(bound int) int {
 	if bound == 0 {
-		return unboundedQueue
+		return defaultQueueLimit
 	}
 	return bound
 }
@@ -200,15 +202,15 @@
 // routerService implements streampb.Router.
 type routerService struct{ r *Router }
 
-// Stop begins a planned stop and says how many requests are in flight.
+// Stop begins a planned stop and returns the number of requests in flight.
 func (s routerService) Stop(_ context.Context, req *streampb.StopRequest) (*streampb.StopResponse, error) {
 	s.r.beginDrain(req.GetReason())
 	return &streampb.StopResponse{InFlight: uint32(s.r.router.Streams())}, nil
 }
 
-// Usage reports what this router uses of the organisations' limits.
+// Usage returns this router's usage of the organisations' limits.
 func (s routerService) Usage(context.Context, *streampb.UsageRequest) (*streampb.UsageReport, error) {
-	return s.r.usage.report(), nil
+	return s.r.usage.toWire(), nil
 }
 
 func (r *Router) routers() []membership.Member {
--- a/node/sidecar.go
+++ b/node/sidecar.go
@@ -26,26 +26,30 @@
 )
 
 const (
-	// ordersLease is the name of the lease under which orders are given.
+	// ordersLease is the name of the lease whose holder gives orders to the engines.
 	ordersLease = "orders"
-	// spareJournalPeers are the candidates that stand by for journal peers that fail.
+	// spareJournalPeers is the number of additional candidates that can replace journal
+	// peers that fail.
 	spareJournalPeers = 6
-	// drainLong is how long a planned stop lets generations finish before those
-	// that still run are moved to another backend server.
-	drainLong = 2 * time.Second
-	// drainLinger keeps a drained sidecar answering for a moment, so that routers
+	// moveDelay is how long a planned stop lets generations finish before those still
+	// running are asked to move to another backend server.
+	moveDelay = 2 * time.Second
+	// drainLinger is how long a drained sidecar continues to respond, so that routers can
 	// read the ends of their streams.
 	drainLinger = 300 * time.Millisecond
-	// textPatience is how long a first generation waits for the first text; the
-	// stamp on the router's request has it fetched from there at once.
-	textPatience = 300 * time.Millisecond
-	// leastBatch is the batch of a text that asks for none.
-	leastBatch = time.Millisecond
-	// noTokens is an age that no generation reaches: its tokens aren't journalled.
-	noTokens = 1 << 62
+	// firstTextTimeout is how long a generation waits for the first configuration, which
+	// is fetched at once from the router that sent the request, as the stamp on the
+	// request names its revision.
+	firstTextTimeout = 300 * time.Millisecond
+	// minJournalBatch replaces a batch interval of 0 in a configuration.
+	minJournalBatch = time.Millisecond
+	// neverJournalAge is an age that no generation reaches, so that its tokens aren't
+	// journalled.
+	neverJournalAge = 1 << 62
 )
 
-// SidecarOptions configure a sidecar process. Exactly one of Engine and Plain is set.
+// SidecarOptions configures a sidecar process. Exactly one of Engine and Plain must be
+// set.
 type SidecarOptions struct {
 	Common
 	BackendServer string
@@ -57,11 +61,11 @@
 // Sidecar is one sidecar process.
 type Sidecar struct {
 	*base
-	opts    SidecarOptions
-	sidecar *sidecar.Sidecar
-	journal *tokenlog.Store
-	created time.Time
-	writer  atomic.Pointer[tokenlog.Writer]
+	opts      SidecarOptions
+	sidecar   *sidecar.Sidecar
+	journal   *tokenlog.Store
+	createdAt time.Time
+	writer    atomic.Pointer[tokenlog.Writer]
 }
 
 // NewSidecar assembles a sidecar; Run starts it.
@@ -70,14 +74,14 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Sidecar{base: b, opts: opts, created: time.Now()}
+	s := &Sidecar{base: b, opts: opts, createdAt: time.Now()}
 	s.journal = tokenlog.NewStore(tokenlog.StoreOptions{MaxBytes: opts.JournalBytes, Recorder: b.recorder, Registerer: b.registry})
-	guard := s.newGuard()
+	guard := s.newOrderGuard()
 	s.sidecar = sidecar.New(sidecar.Options{
 		Peer: b.peer, Zone: opts.Zone, BackendServer: opts.BackendServer,
-		Engine: opts.Engine, Plain: opts.Plain, Calls: s.newCalls(),
-		Dial: s.dial, Revision: b.holder.Revision, Suspects: b.suspects,
-		Journal: s.journal, OpenJournal: s.openJournal, OnLeaving: b.leave,
+		Engine: opts.Engine, Plain: opts.Plain, Calls: s.newCallGate(),
+		Dial: s.recoverySettings, Revision: b.holder.Revision, Suspects: b.suspects,
+		Journal: s.journal, OpenJournal: s.openJournal, OnLeaving: b.announceLeave,
 		Recorder: b.recorder, Registerer: b.registry,
 	})
 	b.inspect.Add("sidecar", s.sidecar.Dump)
@@ -92,7 +96,7 @@
 	return s, nil
 }
 
-func (s *Sidecar) newGuard() *order.Guard {
+func (s *Sidecar) newOrderGuard() *order.Guard {
 	if s.opts.Engine == nil || s.opts.Platform.Table == nil {
 		return nil
 	}
@@ -105,7 +109,7 @@
 	})
 }
 
-func (s *Sidecar) newCalls() func(func() bool) sidecar.Calls {
+func (s *Sidecar) newCallGate() func(func() bool) sidecar.Calls {
 	if s.opts.Plain == nil {
 		return nil
 	}
@@ -119,41 +123,42 @@
 	}
 }
 
-func (s *Sidecar) dial() sidecar.Dial {
+func (s *Sidecar) recoverySettings() sidecar.Dial {
 	recovery := text.DefaultRecovery()
 	if in := s.text(); in != nil {
 		recovery = in.Recovery
 	}
-	return sidecar.Dial{RouterGrace: recovery.RouterGrace(), Retain: recovery.Retain(), DrainLong: drainLong}
+	return sidecar.Dial{RouterGrace: recovery.RouterGrace(), Retain: recovery.Retain(), DrainLong: moveDelay}
 }
 
-// openJournal starts the journal of one attempt with the recovery dial in force.
+// openJournal starts the journal of one attempt with the recovery settings in force.
 func (s *Sidecar) openJournal(gen tokenlog.GenerationInfo) *tokenlog.Handle {
-	in, recovery := s.firstText()
-	sites := router.Sites(s.members.Snapshot(), in, time.Since(s.created))
+	in, recovery := s.waitFirstText()
+	sites := router.Sites(s.members.Snapshot(), in, time.Since(s.createdAt))
 	gen.Peers = tokenlog.Place(gen.ID.Key, sites, recovery.JournalPeers+spareJournalPeers, s.peer.Self().Address)
 	gen.After, gen.Copies = recovery.JournalAfter(), recovery.JournalPeers
 	if gen.After == 0 {
 		gen.After = -1 // at once
 	}
 	if gen.Copies == 0 {
-		gen.Copies, gen.After = 1, noTokens // a peer still learns who runs it
+		gen.Copies, gen.After = 1, neverJournalAge // one peer still records the runner
 	}
 	writer := s.writer.Load()
-	// The writer takes a batch of 0 for none given, and would wait half a second.
-	writer.SetBatch(max(recovery.JournalBatch(), leastBatch))
+	// For the writer a batch interval of 0 means unset, and it would use its default of
+	// half a second.
+	writer.SetBatch(max(recovery.JournalBatch(), minJournalBatch))
 	return writer.Start(gen)
 }
 
-// firstText returns the text and its recovery dial; it waits a moment for the
-// first text, and goes by the defaults if there is none.
+// waitFirstText returns the configuration and its recovery settings. It waits for the
+// first configuration for up to firstTextTimeout, and then returns the default settings.
 //
-// Failure it stops: a sidecar that has just started gets a generation before it
-// has fetched the text, and runs it without a journal to its end. It shows as
-// generation_lost when VM and router die, and as a second run of an idempotency key.
-func (s *Sidecar) firstText() (*text.Text, text.Recovery) {
-	patience := time.NewTimer(textPatience)
-	defer patience.Stop()
+// It guards against a sidecar that has just started, gets a generation before it has
+// fetched the configuration, and runs it to the end without a journal. The effect is
+// generation_lost when the VM and the router die, or a second run for one idempotency key.
+func (s *Sidecar) waitFirstText() (*text.Text, text.Recovery) {
+	timer := time.NewTimer(firstTextTimeout)
+	defer timer.Stop()
 	for {
 		changed := s.holder.Changed()
 		if in := s.text(); in != nil {
@@ -161,13 +166,13 @@
 		}
 		select {
 		case <-changed:
-		case <-patience.C:
+		case <-timer.C:
 			return nil, text.DefaultRecovery()
 		}
 	}
 }
 
-// Address returns where other processes reach this one.
+// Address returns the address at which other processes reach this one.
 func (s *Sidecar) Address() string { return s.peer.Self().Address }
 
 // Run serves until ctx ends or the sidecar is told to stop, then drains.
@@ -178,18 +183,18 @@
 	defer writer.Close()
 	s.writer.Store(writer)
 	var group run.Group
-	serve(&group, s.opts.Peers, s.mount(s.sidecar.Handler()), s.answersPatience, s.recorder)
-	s.actors(&group)
-	actor(&group, s.sidecar.Run)
-	actor(&group, s.journal.Run)
-	actor(&group, s.followText(s.apply))
-	actor(&group, func(actorCtx context.Context) error { return s.untilDrained(ctx, actorCtx) })
+	addServer(&group, s.opts.Peers, s.peerHandler(s.sidecar.Handler()), s.responseTimeout, s.recorder)
+	s.addActors(&group)
+	addActor(&group, s.sidecar.Run)
+	addActor(&group, s.journal.Run)
+	addActor(&group, s.followText(s.applyText))
+	addActor(&group, func(actorCtx context.Context) error { return s.waitDrained(ctx, actorCtx) })
 	return group.Run()
 }
 
-// untilDrained waits for the order to stop, by ctx or over the network, and
-// returns when nothing runs here any more. actorCtx ends it at once.
-func (s *Sidecar) untilDrained(ctx, actorCtx context.Context) error {
+// waitDrained waits for a planned stop, requested by ctx or over the network, and returns
+// when nothing runs here any more, or when actorCtx ends.
+func (s *Sidecar) waitDrained(ctx, actorCtx context.Context) error {
 	select {
 	case <-ctx.Done():
 		s.sidecar.BeginLeave("signal")
@@ -206,12 +211,12 @@
 	case <-time.After(drainLinger):
 	case <-actorCtx.Done():
 	}
-	s.untilLeft(drain)
+	s.waitLeaveAnnounced(drain)
 	return nil
 }
 
-// apply hands a new text to the parts that keep something of it.
-func (s *Sidecar) apply(snapshot *config.Snapshot) {
+// applyText passes a new configuration to the parts that keep data derived from it.
+func (s *Sidecar) applyText(snapshot *config.Snapshot) {
 	s.journal.SetRetain(snapshot.Text.Recovery.Retain())
 }
 
--- a/node/stop_test.go
+++ b/node/stop_test.go
@@ -23,26 +23,26 @@
 const (
 	// linkRate is 10 Mbit/s.
 	linkRate = 10_000_000 / 8
-	// sendBuffer is what a kernel takes of an answer beyond what was read.
-	sendBuffer = 256 << 10
-	segment    = 1 << 10
+	// sendBuffer is how many unread bytes the simulated kernel buffers.
+	sendBuffer  = 256 << 10
+	segmentSize = 1 << 10
 )
 
-// link is a listener whose connections carry rate bytes a second from server to
-// client, with a kernel's buffer before them: Write returns when its bytes are
-// in the buffer, and what is there still comes after Close.
-type link struct {
+// slowLink is a listener whose connections carry rate bytes per second from server to
+// client, behind a buffer like the kernel's: Write returns when its bytes are in the
+// buffer, and buffered bytes are still delivered after Close.
+type slowLink struct {
 	rate   int
 	accept chan net.Conn
 	closed chan struct{}
 	once   sync.Once
 }
 
-func newLink(rate int) *link {
-	return &link{rate: rate, accept: make(chan net.Conn), closed: make(chan struct{})}
+func newLink(rate int) *slowLink {
+	return &slowLink{rate: rate, accept: make(chan net.Conn), closed: make(chan struct{})}
 }
 
-func (l *link) Accept() (net.Conn, error) {
+func (l *slowLink) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.accept:
 		return c, nil
@@ -51,14 +51,14 @@
 	}
 }
 
-func (l *link) Close() error {
+func (l *slowLink) Close() error {
 	l.once.Do(func() { close(l.closed) })
 	return nil
 }
 
-func (l *link) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 7100} }
+func (l *slowLink) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 7100} }
 
-func (l *link) client() *http.Client {
+func (l *slowLink) client() *http.Client {
 	return &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: func(context.Context, string, string) (net.Conn, error) {
 		near, far := net.Pipe()
 		s := newSlowConn(far)
@@ -72,12 +72,12 @@
 	}}}
 }
 
-// slowConn is the server's side. As in the kernel of Linux, a writer that has
+// slowConn is the server's end of a connection. As in the Linux kernel, a writer that has
 // found the buffer full waits until a third of it is free.
 type slowConn struct {
 	net.Conn
 	mu     sync.Mutex
-	change *sync.Cond
+	cond   *sync.Cond
 	queue  []byte
 	full   bool
 	closed bool
@@ -85,7 +85,7 @@
 
 func newSlowConn(c net.Conn) *slowConn {
 	s := &slowConn{Conn: c}
-	s.change = sync.NewCond(&s.mu)
+	s.cond = sync.NewCond(&s.mu)
 	return s
 }
 
@@ -94,7 +94,7 @@
 	defer s.mu.Unlock()
 	for n < len(p) {
 		for s.full && !s.closed {
-			s.change.Wait()
+			s.cond.Wait()
 		}
 		if s.closed {
 			return n, net.ErrClosed
@@ -103,7 +103,7 @@
 		s.queue = append(s.queue, p[n:n+part]...)
 		s.full = len(s.queue) == sendBuffer
 		n += part
-		s.change.Broadcast()
+		s.cond.Broadcast()
 	}
 	return n, nil
 }
@@ -112,27 +112,28 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
-	s.change.Broadcast()
+	s.cond.Broadcast()
 	return nil
 }
 
-// next takes the next segment off the buffer; none is left after the end.
-func (s *slowConn) next() []byte {
+// nextSegment removes the next segment from the buffer. It returns an empty one after the
+// end.
+func (s *slowConn) nextSegment() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for len(s.queue) == 0 && !s.closed {
-		s.change.Wait()
+		s.cond.Wait()
 	}
-	out := bytes.Clone(s.queue[:min(segment, len(s.queue))])
+	out := bytes.Clone(s.queue[:min(segmentSize, len(s.queue))])
 	s.queue = s.queue[len(out):]
 	s.full = s.full && len(s.queue) > sendBuffer*2/3
-	s.change.Broadcast()
+	s.cond.Broadcast()
 	return out
 }
 
 func (s *slowConn) pump(rate int) {
 	defer func() { _ = s.Conn.Close() }()
-	for part := s.next(); len(part) > 0; part = s.next() {
+	for part := s.nextSegment(); len(part) > 0; part = s.nextSegment() {
 		time.Sleep(time.Second * time.Duration(len(part)) / time.Duration(rate))
 		if _, err := s.Conn.Write(part); err != nil {
 			return
@@ -140,7 +141,7 @@
 	}
 }
 
-// largeAnswers is a plain service whose answers are as large as they may be.
+// largeAnswers is a plain service whose answers have the maximum size.
 type largeAnswers struct{ ran chan struct{} }
 
 const largeAnswer = 8 << 20
@@ -152,10 +153,10 @@
 	return plain.Answer{Status: http.StatusOK, Body: make([]byte, largeAnswer)}, nil
 }
 
-// A backend server is stopped as planned while the answer to a call that may run
-// at most once, 8 MB on a link of 10 Mbit/s, is on its way to the router. The
-// call has left the sidecar's count when it has run; 2.3 s after that the
-// process closed the connection, and the caller's outcome was unknown.
+// A backend server is stopped as planned while an 8 MB response to a call that may run at
+// most once is being sent to the router over a 10 Mbit/s link. The call stopped counting
+// towards the drain when it had run; 2.3 s later the process closed the connection, and
+// the caller didn't know the outcome.
 func TestPlannedStopOfASidecarLetsALargeAnswerOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -180,13 +181,13 @@
 	})
 }
 
-// A reader of an answer has frozen. It must not keep a process from ending, which
-// an operator has bounded to five seconds; without a bound, a minute is enough.
+// The reader of a response has frozen. It must not keep a process from ending: an operator
+// has limited the stop to five seconds, and without a limit a minute is enough.
 func TestFrozenReaderDoesNotKeepASidecarFromEnding(t *testing.T) {
-	for bound, want := range map[time.Duration]time.Duration{5 * time.Second: 7 * time.Second, 0: answersTimeout + shutdownTimeout} {
+	for bound, want := range map[time.Duration]time.Duration{5 * time.Second: 7 * time.Second, 0: responseDrainTimeout + shutdownTimeout} {
 		synctest.Test(t, func(t *testing.T) {
 			g := NewWithT(t)
-			peers, service := newLink(segment), largeAnswers{make(chan struct{})}
+			peers, service := newLink(segmentSize), largeAnswers{make(chan struct{})}
 			s, err := NewSidecar(SidecarOptions{
 				Common:        Common{ID: "s", Zone: "z1", Peers: peers, Logger: log.NewNopLogger(), Drain: bound},
 				BackendServer: "a", Plain: service,
@@ -205,15 +206,15 @@
 			g.Expect(<-ended).To(Succeed())
 			g.Expect(time.Since(began)).To(BeNumerically("<=", want))
 			cancel()
-			time.Sleep(2 * time.Second) // the link's last segment
+			time.Sleep(2 * time.Second) // lets the last segment be sent
 		})
 	}
 }
 
-// A router is stopped as planned while a caller reads an answer over a link of
-// 240 kbit/s. The request leaves the router's count when its handler returns, and
-// the server still has up to 4 KB of the answer, which for some sizes wait for
-// room in the kernel's buffer. Two seconds later the connection was closed without them.
+// A router is stopped as planned while a caller reads a response over a 240 kbit/s link.
+// The request stops counting towards the drain when its handler returns, while the server
+// still holds up to 4 KB of the response, which for some sizes wait for space in the
+// kernel's buffer. Two seconds later the connection was closed without sending them.
 func TestPlannedStopOfARouterLetsTheLastBytesOut(t *testing.T) {
 	const leastAnswer, sizes, step, rate = 512 << 10, 90, 1 << 10, 30_000
 	for i := range sizes {
@@ -222,11 +223,11 @@
 			answer := make([]byte, leastAnswer+i*step)
 			var group run.Group
 			callers, handled := newLink(rate), make(chan struct{})
-			serve(&group, callers, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+			addServer(&group, callers, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 				defer close(handled)
 				_, _ = io.Copy(struct{ io.Writer }{w}, struct{ io.Reader }{bytes.NewReader(answer)})
-			}), (&base{}).answersPatience, event.Discard())
-			actor(&group, func(context.Context) error {
+			}), (&base{}).responseTimeout, event.Discard())
+			addActor(&group, func(context.Context) error {
 				<-handled
 				return nil
 			})
@@ -235,7 +236,7 @@
 			response, err := callers.client().Get("http://router/")
 			g.Expect(err).NotTo(HaveOccurred())
 			body, err := io.ReadAll(response.Body)
-			g.Expect(err).NotTo(HaveOccurred(), "answer of %d bytes", len(answer))
+			g.Expect(err).NotTo(HaveOccurred(), "response of %d bytes", len(answer))
 			g.Expect(body).To(HaveLen(len(answer)))
 			g.Expect(<-ended).To(Succeed())
 		})
--- a/node/unread_test.go
+++ b/node/unread_test.go
@@ -19,29 +19,29 @@
 	"github.com/pearyard/pearyard/httpconn"
 )
 
-// lateListener is that of a process which gets no processor time: what it
-// accepts, or the reads of its connections, wait until the test lets them go on.
-type lateListener struct {
+// stalledListener simulates a process that gets no CPU time: accepting connections, or
+// reading from them, blocks until the test closes release.
+type stalledListener struct {
 	net.Listener
-	holdsAccept bool
-	holdsReads  bool
+	blockAccept bool
+	blockReads  bool
 	release     chan struct{}
 	closed      chan struct{}
 	once        sync.Once
-	accepted    atomic.Pointer[net.Conn] // the newest
+	accepted    atomic.Pointer[net.Conn] // the most recent connection
 }
 
-func newLateListener(t *testing.T) *lateListener {
+func newStalledListener(t *testing.T) *stalledListener {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &lateListener{Listener: l, release: make(chan struct{}), closed: make(chan struct{})}
+	return &stalledListener{Listener: l, release: make(chan struct{}), closed: make(chan struct{})}
 }
 
-func (l *lateListener) Accept() (net.Conn, error) {
-	if l.holdsAccept {
+func (l *stalledListener) Accept() (net.Conn, error) {
+	if l.blockAccept {
 		<-l.release
 	}
 	conn, err := l.Listener.Accept()
@@ -49,57 +49,57 @@
 		return nil, err
 	}
 	l.accepted.Store(&conn)
-	return &lateConn{Conn: conn, late: l}, nil
+	return &stalledConn{Conn: conn, listener: l}, nil
 }
 
-func (l *lateListener) Close() error {
+func (l *stalledListener) Close() error {
 	l.once.Do(func() { close(l.closed) })
 	return l.Listener.Close()
 }
 
-func (l *lateListener) unread() bool {
+func (l *stalledListener) unread() bool {
 	conn := l.accepted.Load()
 	return conn != nil && httpconn.HasUnreadData(*conn)
 }
 
-func (l *lateListener) read() {
-	if l.holdsReads {
+func (l *stalledListener) waitRead() {
+	if l.blockReads {
 		<-l.release
 	}
 }
 
-type lateConn struct {
+type stalledConn struct {
 	net.Conn
-	late *lateListener
+	listener *stalledListener
 }
 
-func (c *lateConn) Read(b []byte) (int, error) {
-	c.late.read()
+func (c *stalledConn) Read(b []byte) (int, error) {
+	c.listener.waitRead()
 	return c.Conn.Read(b)
 }
 
-func (c *lateConn) SyscallConn() (syscall.RawConn, error) {
+func (c *stalledConn) SyscallConn() (syscall.RawConn, error) {
 	raw, err := c.Conn.(syscall.Conn).SyscallConn()
-	return &lateRaw{RawConn: raw, late: c.late}, err
+	return &stalledRawConn{RawConn: raw, listener: c.listener}, err
 }
 
-type lateRaw struct {
+type stalledRawConn struct {
 	syscall.RawConn
-	late *lateListener
+	listener *stalledListener
 }
 
-func (r *lateRaw) Read(f func(uintptr) bool) error {
-	r.late.read()
+func (r *stalledRawConn) Read(f func(uintptr) bool) error {
+	r.listener.waitRead()
 	return r.RawConn.Read(f)
 }
 
-// stoppable serves on l until end is called; ended is closed when it has.
-func stoppable(t *testing.T, l net.Listener, handler http.HandlerFunc) (end func(), ended chan struct{}) {
+// startServer serves on l until end is called; ended is closed when the server has ended.
+func startServer(t *testing.T, l net.Listener, handler http.HandlerFunc) (end func(), ended chan struct{}) {
 	t.Helper()
 	var group run.Group
-	serve(&group, l, handler, (&base{}).answersPatience, event.Discard())
+	addServer(&group, l, handler, (&base{}).responseTimeout, event.Discard())
 	stop, stopped := context.WithCancel(t.Context())
-	actor(&group, func(context.Context) error {
+	addActor(&group, func(context.Context) error {
 		<-stop.Done()
 		return nil
 	})
@@ -113,7 +113,7 @@
 	return stopped, ended
 }
 
-func dialed(t *testing.T, l net.Listener) net.Conn {
+func dial(t *testing.T, l net.Listener) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp4", l.Addr().String())
 	if err != nil {
@@ -123,9 +123,9 @@
 	return conn
 }
 
-func sendTo(conn net.Conn) { _, _ = io.WriteString(conn, "GET / HTTP/1.1\r\nHost: h\r\n\r\n") }
+func sendRequest(conn net.Conn) { _, _ = io.WriteString(conn, "GET / HTTP/1.1\r\nHost: h\r\n\r\n") }
 
-func answerOn(conn net.Conn) (string, error) {
+func readResponse(conn net.Conn) (string, error) {
 	_ = conn.SetReadDeadline(time.Now().Add(5 * time.Second))
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
@@ -135,62 +135,62 @@
 	return string(body), err
 }
 
-func whole(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "whole") }
+func writeWhole(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "whole") }
 
-// A router or a sidecar has stopped as planned: nothing runs any more. A caller
-// has connected and sent its request, and the process has not got to its queue
-// of connections. The listener was closed with it: the caller saw a reset.
+// A router or sidecar has finished a planned stop and nothing runs any more. A caller has
+// connected and sent its request, but the process hasn't accepted the connection yet.
+// Closing the listener closed the connection too, and the caller saw a reset.
 func TestConnectionInTheQueueAtTheEndOfAStopIsAnswered(t *testing.T) {
 	g := NewWithT(t)
-	l := newLateListener(t)
-	l.holdsAccept = true
-	end, ended := stoppable(t, l, whole)
-	conn := dialed(t, l)
-	sendTo(conn)
+	l := newStalledListener(t)
+	l.blockAccept = true
+	end, ended := startServer(t, l, writeWhole)
+	conn := dial(t, l)
+	sendRequest(conn)
 	end()
 	select {
 	case <-l.closed:
 	case <-time.After(100 * time.Millisecond):
 	}
 	close(l.release)
-	got, err := answerOn(conn)
-	g.Expect(err).NotTo(HaveOccurred(), "neither an answer nor a refusal")
+	got, err := readResponse(conn)
+	g.Expect(err).NotTo(HaveOccurred(), "neither a response nor a refused connection")
 	g.Expect(got).To(Equal("whole"))
 	g.Eventually(ended, "5s").Should(BeClosed())
 }
 
-// The same with a connection that was accepted, whose request the process has
-// not read: the server that shuts down reads it and closes the connection.
+// The same with a connection that was accepted but whose request has not been read: the
+// server that shuts down must read the request, respond, and close the connection.
 func TestRequestUnreadAtTheEndOfAStopIsAnswered(t *testing.T) {
 	g := NewWithT(t)
-	l := newLateListener(t)
-	l.holdsReads = true
-	end, ended := stoppable(t, l, whole)
-	conn := dialed(t, l)
-	sendTo(conn)
+	l := newStalledListener(t)
+	l.blockReads = true
+	end, ended := startServer(t, l, writeWhole)
+	conn := dial(t, l)
+	sendRequest(conn)
 	g.Eventually(l.unread).Should(BeTrue())
 	end()
 	g.Consistently(ended, "100ms").ShouldNot(BeClosed())
 	close(l.release)
-	got, err := answerOn(conn)
-	g.Expect(err).NotTo(HaveOccurred(), "neither an answer nor a refusal")
+	got, err := readResponse(conn)
+	g.Expect(err).NotTo(HaveOccurred(), "neither a response nor a refused connection")
 	g.Expect(got).To(Equal("whole"))
 	g.Eventually(ended, "5s").Should(BeClosed())
 }
 
-// Other processes go on asking on their kept connections while one ends. Each
-// is told with its next answer to come back no more, so the end doesn't wait.
+// Other processes keep sending requests on their open connections while this one ends.
+// Each is told with the next response to close its connection, so the end isn't delayed.
 func TestEndOfAStopDoesNotWaitForThoseThatKeepAsking(t *testing.T) {
 	g := NewWithT(t)
-	l := newLateListener(t)
-	end, ended := stoppable(t, l, whole)
+	l := newStalledListener(t)
+	end, ended := startServer(t, l, writeWhole)
 	client := &http.Client{}
-	asking, enough := context.WithCancel(t.Context())
+	ctx, cancel := context.WithCancel(t.Context())
 	var asked atomic.Int64
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		for asking.Err() == nil {
+		for ctx.Err() == nil {
 			resp, err := client.Get("http://" + l.Addr().String() + "/")
 			if err == nil {
 				_, _ = io.Copy(io.Discard, resp.Body)
@@ -203,6 +203,6 @@
 	g.Eventually(asked.Load).Should(BeNumerically(">", 2))
 	end()
 	g.Eventually(ended, "5s").Should(BeClosed())
-	enough()
+	cancel()
 	<-done
 }
--- a/node/usage.go
+++ b/node/usage.go
@@ -15,25 +15,25 @@
 )
 
 const (
-	// usageInterval is how often routers exchange what they use of limits.
+	// usageInterval is how often routers exchange their usage of limits.
 	usageInterval = time.Second
-	// usageTimeout bounds one exchange; a frozen router's report just lapses.
+	// usageTimeout limits one exchange. The report of a frozen router simply expires.
 	usageTimeout = 500 * time.Millisecond
-	// usagePeers is how many other routers are asked in one round, so that the
-	// exchange costs a router the same among 400 as among 16.
-	usagePeers = 16
-	// usageMost is how many organisations one report names.
-	usageMost = 64
-	// slotsSlack lets a router fill more than its plain part of the slots, since
+	// maxUsagePeers is how many other routers are queried per round, so that the exchange
+	// costs a router the same among 400 as among 16.
+	maxUsagePeers = 16
+	// maxReportedOrganisations is how many organisations one report includes.
+	maxReportedOrganisations = 64
+	// concurrencySlack lets a router use more than an equal share of the slots, because
 	// callers are never spread evenly over the routers.
-	slotsSlack = 1.5
+	concurrencySlack = 1.5
 )
 
-// usageExchange holds the newest own report for the others to fetch.
-type usageExchange struct{ own atomic.Pointer[limit.Report] }
+// usageExchange holds this router's latest report for the others to fetch.
+type usageExchange struct{ ownReport atomic.Pointer[limit.Report] }
 
-func (u *usageExchange) report() *streampb.UsageReport {
-	own := u.own.Load()
+func (u *usageExchange) toWire() *streampb.UsageReport {
+	own := u.ownReport.Load()
 	if own == nil {
 		return &streampb.UsageReport{}
 	}
@@ -47,7 +47,7 @@
 	return out
 }
 
-func reportOf(in *streampb.UsageReport) limit.Report {
+func reportFromWire(in *streampb.UsageReport) limit.Report {
 	out := limit.Report{Router: types.ProcessID(in.GetRouter()), Complete: in.GetComplete()}
 	for _, o := range in.GetOrganisations() {
 		out.Organisations = append(out.Organisations, limit.Usage{
@@ -61,29 +61,29 @@
 func (r *Router) newLimits() {
 	r.limiter = limit.New(limit.Options{
 		Self:     r.opts.ID,
-		Capacity: r.slots,
+		Capacity: r.concurrencyShare,
 		Routers:  func() int { return max(1, len(r.routers())) },
 		Recorder: r.recorder, Registerer: r.registry,
 	})
 }
 
-// slots is how many requests this router may have at the backend servers at
-// once: its part of what they can batch, with some slack.
-func (r *Router) slots() int {
+// concurrencyShare returns how many requests this router may have at the backend servers
+// at once: its share of their capacity, with some slack.
+func (r *Router) concurrencyShare() int {
 	all := r.router.Capacity()
 	if all == 0 {
 		return 1
 	}
-	return max(1, int(slotsSlack*float64(all)/float64(max(1, len(r.routers())))))
+	return max(1, int(concurrencySlack*float64(all)/float64(max(1, len(r.routers())))))
 }
 
-// exchangeUsage tells the limiter about the other routers' use once a second.
+// exchangeUsage passes the usage of the other routers to the limiter once a second.
 func (r *Router) exchangeUsage(ctx context.Context) error {
 	ticker := time.NewTicker(usageInterval)
 	defer ticker.Stop()
 	for {
-		own := r.limiter.Usage(usageMost)
-		r.usage.own.Store(&own)
+		own := r.limiter.Usage(maxReportedOrganisations)
+		r.usage.ownReport.Store(&own)
 		r.limiter.AddReports(r.fetchUsage(ctx, r.usageSample()))
 		select {
 		case <-ctx.Done():
@@ -101,7 +101,7 @@
 		}
 	}
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
-	return others[:min(len(others), usagePeers)]
+	return others[:min(len(others), maxUsagePeers)]
 }
 
 func (r *Router) fetchUsage(ctx context.Context, members []membership.Member) []limit.Report {
@@ -119,7 +119,7 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			reports = append(reports, reportOf(report))
+			reports = append(reports, reportFromWire(report))
 		})
 	}
 	wait.Wait()
