--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -29,8 +29,8 @@
 const (
 	flagSettings = "settings"
 	flagPrint    = "print-settings"
-	// neverStale stands for settings that switch the check of freshness off.
-	neverStale = -1
+	// staleCheckDisabled is the value of node.Common.StaleAfter that disables the check.
+	staleCheckDisabled = -1
 )
 
 // Spec describes one daemon.
@@ -38,9 +38,9 @@
 	Name     string
 	Usage    string
 	Defaults any // pointer to the settings struct, for the flags
-	// Start loads the settings and returns a pointer to them with what runs them.
+	// Start loads the settings and returns a pointer to them, the findings, and the function that runs the daemon.
 	Start func(settings.Sources) (loaded any, found findings.List, serve func(context.Context, log.Logger) error)
-	Level func(loaded any) string // level of the log
+	Level func(loaded any) string // log level of the loaded settings
 }
 
 // Main runs a daemon and returns its exit code.
@@ -65,7 +65,7 @@
 		if c.Bool(flagPrint) {
 			return nil
 		}
-		return untilSignal(func(ctx context.Context) error { return serve(ctx, newLogger(stderr, spec.Level(loaded))) })
+		return runUntilSignal(func(ctx context.Context) error { return serve(ctx, newLogger(stderr, spec.Level(loaded))) })
 	}}
 	if err := app.Run(args); err != nil {
 		fmt.Fprintln(stderr, err)
@@ -74,9 +74,9 @@
 	return code
 }
 
-// untilSignal runs serve; the first signal begins a planned stop by ending its
-// context, and a second one ends the process at once.
-func untilSignal(serve func(context.Context) error) error {
+// runUntilSignal runs serve. The first signal begins a planned stop by cancelling its
+// context, and a second one ends the process immediately.
+func runUntilSignal(serve func(context.Context) error) error {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	served := make(chan error, 1)
@@ -98,7 +98,7 @@
 			return err
 		}
 		if !first {
-			return errors.New("stopped at once by a second signal")
+			return errors.New("stopped immediately by a second signal")
 		}
 		stop()
 	}
@@ -109,13 +109,13 @@
 	return level.NewFilter(logger, level.Allow(level.ParseDefault(name, level.InfoValue())))
 }
 
-// Listen opens a listener on an ip:port; port 0 takes a free one.
+// Listen opens a TCP listener on an ip:port; port 0 selects a free one.
 func Listen(address string) (net.Listener, error) {
 	listener, err := net.Listen("tcp", address)
 	return listener, errors.Wrapf(err, "listen on %s", address)
 }
 
-// Common builds what router and sidecar are both told.
+// Common builds the options that routers and sidecars share.
 func Common(s settings.Common, logger log.Logger) (node.Common, error) {
 	peers, err := Listen(s.PeerListen)
 	if err != nil {
@@ -123,16 +123,16 @@
 	}
 	stale := s.StaleAfter()
 	if stale == 0 {
-		stale = neverStale
+		stale = staleCheckDisabled
 	}
 	return node.Common{
-		ID: s.ID, Zone: s.Zone, Peers: peers, Advertise: s.Advertise, Seeds: s.Seeds, Platform: platformOf(s),
+		ID: s.ID, Zone: s.Zone, Peers: peers, Advertise: s.Advertise, Seeds: s.Seeds, Platform: platformClients(s),
 		Logger: logger, RingSize: s.EventRing, Poll: s.Poll(), Drain: s.Drain(), StaleAfter: stale,
 		VMListLag: s.VMListLag(),
 	}, nil
 }
 
-func platformOf(s settings.Common) node.Platform {
+func platformClients(s settings.Common) node.Platform {
 	p := node.Platform{
 		Table:   httpapi.NewTable(httpapi.Options{Address: s.Table}),
 		Objects: httpapi.NewObjects(httpapi.Options{Address: s.Objects}),
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -11,9 +11,9 @@
 	"github.com/pearyard/pearyard/daemon"
 )
 
-// An operator starts a daemon and gets a panic instead of a process: the
-// flags were built from a copy of the default settings where a pointer to
-// them is needed. Both daemons have to print the settings in force.
+// An operator starts a daemon and it panics, because the flags were built from a copy of
+// the default settings where a pointer to them is needed. Both daemons must print the
+// settings in force.
 func TestDaemonsPrintTheirSettings(t *testing.T) {
 	common := []string{
 		"--id", "a", "--zone", "z", "--peer-listen", "127.0.0.1:1", "--table", "127.0.0.1:2", "--objects", "127.0.0.1:2",
--- a/peer/doc.go
+++ b/peer/doc.go
@@ -1,6 +1,6 @@
-// Package peer carries a stamp (process, incarnation, address, revision in
-// force) on every call between processes, in both directions. News of a new
-// revision or of a restarted process therefore spreads with ordinary traffic.
+// Package peer attaches a stamp (process, incarnation, address, configuration revision in
+// force) to every call between processes, in both directions. A new revision or a
+// restarted process thus becomes known through ordinary traffic.
 //
 // May import of pearyard: httpconn, types.
 package peer
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -14,7 +14,7 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// HeaderStamp is the header, of requests and of answers, that holds the sender's stamp.
+// HeaderStamp is the header of requests and responses that holds the sender's stamp.
 const HeaderStamp = "Pearyard-Stamp"
 
 const (
@@ -24,24 +24,23 @@
 	stampFields         = 4
 )
 
-// ErrMalformedStamp reports a stamp that this system did not write.
+// ErrMalformedStamp is returned for a stamp that ParseStamp can't parse.
 var ErrMalformedStamp = errors.New("peer: malformed stamp")
 
-// Identity says which run of which process is speaking. Address is where its
-// peer listener can be reached.
+// Identity identifies one run of a process. Address is the address of its peer listener.
 type Identity struct {
 	ID          types.ProcessID
 	Incarnation types.Incarnation
 	Address     string
 }
 
-// Stamp is what a process says of itself on every message.
+// Stamp is what a process reports about itself with every message.
 type Stamp struct {
 	Identity
 	Revision types.Revision
-	// AsOf is not later than the moment the stamp was written, by this
-	// process's clock: when the call that it answers was begun. It is zero for
-	// the stamp of a request, which may have waited here for any time.
+	// AsOf is the time at which the call was begun, by this process's clock; the stamp on
+	// its response was written no earlier. It is zero for the stamp of a request, which
+	// may have waited here for any length of time.
 	AsOf time.Time
 }
 
@@ -68,22 +67,22 @@
 	return Stamp{Identity: identity, Revision: types.Revision(revision)}, nil
 }
 
-// Options configure a Peer. Revision and Seen are called on every message, so
-// they must not block.
+// Options configures a Peer. Revision and Seen are called for every message, so they must
+// not block.
 type Options struct {
 	Self     Identity
-	Revision func() types.Revision // revision in force here
-	Seen     func(Stamp)           // what another process said of itself
+	Revision func() types.Revision // returns the configuration revision in force here
+	Seen     func(Stamp)           // receives the stamps of other processes; may be nil
 }
 
-// Peer stamps calls between processes.
+// Peer adds stamps to the calls between processes and reads those of others.
 type Peer struct {
 	opts      Options
 	transport *http.Transport
-	seen      atomic.Pointer[func(Stamp)]
+	onStamp   atomic.Pointer[func(Stamp)]
 }
 
-// New returns a Peer with its own pool of connections.
+// New returns a Peer with its own connection pool.
 func New(opts Options) *Peer {
 	p := &Peer{opts: opts, transport: &http.Transport{
 		DialContext:         dial,
@@ -97,37 +96,38 @@
 	return p
 }
 
-// OnSeen replaces the function that is told of others' stamps.
-func (p *Peer) OnSeen(seen func(Stamp)) { p.seen.Store(&seen) }
+// OnSeen replaces the function that receives the stamps of other processes.
+func (p *Peer) OnSeen(seen func(Stamp)) { p.onStamp.Store(&seen) }
 
 // Self returns the identity that this process stamps its messages with.
 func (p *Peer) Self() Identity { return p.opts.Self }
 
-// Client returns an HTTP client for calls to other processes. It has no
-// timeout of its own: callers bound calls by context.
+// Client returns an HTTP client for calls to other processes. It has no timeout: callers
+// limit calls by their context.
 func (p *Peer) Client() *http.Client { return &http.Client{Transport: roundTripper{p}} }
 
-// Close drops the idle connections.
+// Close closes the idle connections.
 func (p *Peer) Close() { p.transport.CloseIdleConnections() }
 
-// Handler stamps the answers of next and learns from the requests' stamps.
+// Handler wraps next: it reads the stamps of requests and adds this process's stamp to the
+// responses.
 func (p *Peer) Handler(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		p.learn(r.Header, time.Time{})
+		p.readStamp(r.Header, time.Time{})
 		w.Header().Set(HeaderStamp, p.stamp())
 		if stamp, err := ParseStamp(r.Header.Get(HeaderStamp)); err == nil {
-			r = r.WithContext(context.WithValue(r.Context(), stampKey{}, stamp))
+			r = r.WithContext(context.WithValue(r.Context(), senderKey{}, stamp))
 		}
 		next.ServeHTTP(w, r)
 	})
 }
 
-type stampKey struct{}
+type senderKey struct{}
 
-// Sender returns the stamp of the process whose request ctx belongs to; its
-// zero value if the request had none.
+// Sender returns the stamp of the process that sent the request to which ctx belongs, or
+// the zero value if it had none.
 func Sender(ctx context.Context) Stamp {
-	stamp, _ := ctx.Value(stampKey{}).(Stamp)
+	stamp, _ := ctx.Value(senderKey{}).(Stamp)
 	return stamp
 }
 
@@ -135,8 +135,8 @@
 	return Stamp{Identity: p.opts.Self, Revision: p.opts.Revision()}.String()
 }
 
-func (p *Peer) learn(h http.Header, asOf time.Time) {
-	seen := p.seen.Load()
+func (p *Peer) readStamp(h http.Header, asOf time.Time) {
+	seen := p.onStamp.Load()
 	if seen == nil {
 		return
 	}
@@ -154,12 +154,12 @@
 func (t roundTripper) RoundTrip(r *http.Request) (*http.Response, error) {
 	r = r.Clone(r.Context())
 	r.Header.Set(HeaderStamp, t.p.stamp())
-	markRepeatable(r)
+	allowReplay(r)
 	begun := time.Now()
 	resp, err := t.p.transport.RoundTrip(r)
 	if err != nil {
 		return nil, err
 	}
-	t.p.learn(resp.Header, begun)
+	t.p.readStamp(resp.Header, begun)
 	return resp, nil
 }
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -20,8 +20,8 @@
 	})
 }
 
-// News of a revision spread with ordinary traffic, in both directions. Only an
-// answer says when it was true: the stamp of a request may have waited.
+// A new revision becomes known through ordinary traffic, in both directions. Only the
+// stamp of a response has a time: that of a request may have waited.
 func TestStampsGoBothWays(t *testing.T) {
 	g := NewWithT(t)
 	var atServer, atClient peer.Stamp
@@ -40,8 +40,9 @@
 	g.Expect(atClient.AsOf).To(BeTemporally("~", time.Now(), time.Minute))
 }
 
-// A call is reported "not run" only if no byte of it can have left. A refused
-// connection proves that; one that breaks after it was made proves nothing.
+// A call is reported as not run only if no byte of it can have been sent. A refused
+// connection proves that; a connection that breaks after it was established proves
+// nothing.
 func TestSentGuard(t *testing.T) {
 	g := NewWithT(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/peer/repeatable.go
+++ b/peer/repeatable.go
@@ -7,23 +7,23 @@
 
 type repeatableKey struct{}
 
-// Repeatable marks the calls of a context as ones that may run twice: questions,
-// and commands whose second run changes nothing. Such a call is sent once more
-// if a kept connection ends under it without a byte of an answer.
+// Repeatable marks the calls of a context as idempotent: queries, and commands whose
+// second run has no effect. Such a call is sent once more if a reused connection ends
+// before any byte of a response was received.
 //
-// Failure it stops: a process ends, or closes a connection that it has answered
-// on, just as the next question goes out there. The process that asked would
-// take a peer that lives for one that doesn't answer: a caller that comes back
-// is told that not everybody could be asked, or a member is missing in a status.
+// It guards against a process that ends, or closes a connection after a response, just as
+// the next call is sent on that connection. The caller would treat a live peer as
+// unreachable: a caller that reconnects would be told that not all peers could be asked,
+// or a member would be missing from a status.
 func Repeatable(ctx context.Context) context.Context {
 	return context.WithValue(ctx, repeatableKey{}, true)
 }
 
-// idempotencyHeader with an empty list lets http.Transport repeat a call by
-// itself in just that case; the header isn't sent.
+// idempotencyHeader with an empty list of values makes http.Transport replay a call by
+// itself in exactly that case. The header isn't sent.
 const idempotencyHeader = "Idempotency-Key"
 
-func markRepeatable(r *http.Request) {
+func allowReplay(r *http.Request) {
 	if marked, _ := r.Context().Value(repeatableKey{}).(bool); marked {
 		r.Header[idempotencyHeader] = []string{}
 	}
--- a/peer/repeatable_test.go
+++ b/peer/repeatable_test.go
@@ -14,9 +14,9 @@
 	"github.com/pearyard/pearyard/peer"
 )
 
-// A process closes a kept connection with a call on it: it ends, or it closes
-// the connection after the answer before. A question is asked again and gets its
-// answer; a call that may run only once is not sent a second time.
+// A process closes a reused connection with a call on it, because it ends or because it
+// closes the connection after the previous response. A query is sent again and gets its
+// response; a call that may run only once isn't sent a second time.
 func TestQuestionOnAKeptConnectionThatEndsIsAskedAgain(t *testing.T) {
 	for name, c := range map[string]struct {
 		mark  func(context.Context) context.Context
--- a/peer/sent.go
+++ b/peer/sent.go
@@ -13,66 +13,66 @@
 	"github.com/pearyard/pearyard/httpconn"
 )
 
-// errEndedBefore: a kept connection was found closed before a call went out on it.
-var errEndedBefore = errors.New("peer: the kept connection had ended before the call")
+// errConnectionClosed means that a reused connection was found closed before a call was
+// sent on it.
+var errConnectionClosed = errors.New("peer: the reused connection was closed before the call was sent")
 
-// SentGuard tells whether a byte of a call may have left this process. It
-// stops a call from being reported "not run", or sent again, after a failure
-// that came when the other side may already have it. Two things prove that
-// nothing left: no connection was made, or each one given to the call had
-// refused its first byte.
+// SentGuard records whether any byte of a call may have been sent. It prevents a call from
+// being reported as not run, or sent again, after a failure at which the other process may
+// already have received it. Nothing was sent if the call was given no connection, or if
+// each connection that it was given rejected its first byte.
 type SentGuard struct {
 	mu    sync.Mutex
-	given []net.Conn // connections that the call was given, in order
+	conns []net.Conn // connections that the call was given, in order
 }
 
-// Watch returns a context whose HTTP calls are watched by the guard.
+// Watch returns a context whose HTTP calls are tracked by the guard.
 func (g *SentGuard) Watch(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: g.gotConn})
 }
 
 func (g *SentGuard) gotConn(info httptrace.GotConnInfo) {
-	if kept, ok := info.Conn.(*keptConn); ok && info.Reused {
-		kept.beginCall()
+	if reusable, ok := info.Conn.(*reusableConn); ok && info.Reused {
+		reusable.beginCall()
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.given = append(g.given, info.Conn)
+	g.conns = append(g.conns, info.Conn)
 }
 
-// MayHaveLeft reports whether the call was given a connection that took it.
+// MayHaveLeft reports whether the call was given a connection that accepted it.
 func (g *SentGuard) MayHaveLeft() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return slices.ContainsFunc(g.given, func(conn net.Conn) bool {
-		kept, ok := conn.(*keptConn)
-		return !ok || !kept.refused.Load()
+	return slices.ContainsFunc(g.conns, func(conn net.Conn) bool {
+		reusable, ok := conn.(*reusableConn)
+		return !ok || !reusable.refused.Load()
 	})
 }
 
-// keptConn looks, before a call goes out on a connection that carried another
-// one, whether the other end has closed it since.
+// reusableConn checks, before a call is sent on a connection that has carried another one,
+// whether the other end has closed it since.
 //
-// Failure it stops: a backend server dies, and the next call goes out on a
-// kept connection before the transport has run to see its end. The call is
-// lost with it, and its caller must be told "unknown" of a call that nobody
-// can have run. A refused connection stays refused, so that no later write of
-// the same call slips through.
-type keptConn struct {
+// It guards against a backend server that dies, when the next call is sent on a reused
+// connection before the transport has noticed its end. The call would be lost, and its
+// caller would have to be told that the outcome is unknown although nobody can have run
+// it. A connection that has rejected a write rejects all later ones, so that no later part
+// of the same call is sent.
+type reusableConn struct {
 	net.Conn
-	starting atomic.Bool // the next write is the first of a call
-	refused  atomic.Bool
+	callStarting atomic.Bool // the next write is the first of a call
+	refused      atomic.Bool
 }
 
-func (c *keptConn) beginCall() { c.starting.Store(true) }
+func (c *reusableConn) beginCall() { c.callStarting.Store(true) }
 
 // Write implements net.Conn.
-func (c *keptConn) Write(b []byte) (int, error) {
-	if c.starting.CompareAndSwap(true, false) && httpconn.PeerClosed(c.Conn) {
+func (c *reusableConn) Write(b []byte) (int, error) {
+	if c.callStarting.CompareAndSwap(true, false) && httpconn.PeerClosed(c.Conn) {
 		c.refused.Store(true)
 	}
 	if c.refused.Load() {
-		return 0, errEndedBefore
+		return 0, errConnectionClosed
 	}
 	return c.Conn.Write(b)
 }
@@ -83,5 +83,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return &keptConn{Conn: conn}, nil
+	return &reusableConn{Conn: conn}, nil
 }
--- a/peer/sent_test.go
+++ b/peer/sent_test.go
@@ -12,7 +12,7 @@
 	"github.com/pearyard/pearyard/httpconn"
 )
 
-// connect returns both ends of a connection that the peer's transport would keep.
+// connect returns both ends of a connection made by the peer's dial function.
 func connect(t *testing.T) (client, server net.Conn) {
 	g := NewWithT(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -26,10 +26,10 @@
 	return client, server
 }
 
-// A sidecar dies while a connection to it idles. A router on a busy machine
-// sends the next request before its transport has noticed. The caller was told
-// "unknown" of a request that nobody can have run; it must be "not run", and
-// nothing more may be written for that request.
+// A sidecar dies while a connection to it is idle, and a router on a busy machine sends
+// the next request before its transport has noticed. The caller was told that the outcome
+// is unknown although nobody can have run the request. It must be told that it was not
+// run, and nothing more may be written for that request.
 func TestCallOnConnectionEndedBeforeHasNotLeft(t *testing.T) {
 	for name, end := range map[string]func(net.Conn){
 		"closed": func(c net.Conn) { _ = c.Close() },
@@ -39,21 +39,21 @@
 			g := NewWithT(t)
 			client, server := connect(t)
 			end(server)
-			g.Eventually(func() bool { return httpconn.PeerClosed(client.(*keptConn).Conn) }).Should(BeTrue())
+			g.Eventually(func() bool { return httpconn.PeerClosed(client.(*reusableConn).Conn) }).Should(BeTrue())
 			var guard SentGuard
 			guard.gotConn(httptrace.GotConnInfo{Conn: client, Reused: true})
 			for range 2 {
 				n, err := client.Write([]byte("call"))
 				g.Expect(n).To(BeZero())
-				g.Expect(err).To(MatchError(errEndedBefore))
+				g.Expect(err).To(MatchError(errConnectionClosed))
 			}
 			g.Expect(guard.MayHaveLeft()).To(BeFalse())
 		})
 	}
 }
 
-// The same with a connection that lives, or that ends after the call's first
-// byte: the other side may have the call.
+// With a connection that is alive, or that ends after the call's first byte, the other
+// process may have received the call.
 func TestCallOnLivingConnectionMayHaveLeft(t *testing.T) {
 	g := NewWithT(t)
 	client, server := connect(t)
@@ -61,18 +61,18 @@
 	guard.gotConn(httptrace.GotConnInfo{Conn: client, Reused: true})
 	g.Expect(client.Write([]byte("ca"))).To(Equal(2))
 	g.Expect(server.Close()).To(Succeed())
-	g.Eventually(func() bool { return httpconn.PeerClosed(client.(*keptConn).Conn) }).Should(BeTrue())
+	g.Eventually(func() bool { return httpconn.PeerClosed(client.(*reusableConn).Conn) }).Should(BeTrue())
 	_, _ = client.Write([]byte("ll"))
 	g.Expect(guard.MayHaveLeft()).To(BeTrue())
 }
 
-// The look at a connection mustn't wait for a read that is under way, as the
-// transport always has one pending on a connection that it keeps.
+// Checking a connection must not wait for a pending read: the transport always has one on
+// an idle connection.
 func TestCallGoesOutBesidePendingRead(t *testing.T) {
 	g := NewWithT(t)
 	client, server := connect(t)
 	go func() { _, _ = client.Read(make([]byte, 1)) }()
-	time.Sleep(10 * time.Millisecond) // let the read begin
+	time.Sleep(10 * time.Millisecond) // lets the read begin
 	var guard SentGuard
 	guard.gotConn(httptrace.GotConnInfo{Conn: client, Reused: true})
 	sent := make(chan error, 1)
