--- a/peer/peer.go
+++ b/peer/peer.go
@@ -67,7 +67,7 @@
 	return Stamp{Identity: identity, Revision: types.Revision(revision)}, nil
 }
 
-// Options configures a Peer. Revision and Seen are called for every message, so they must
+// Options configures a Peer. Revision and OnStamp are called for every message, so they must
 // not block.
 type Options struct {
 	Self     Identity
@@ -96,7 +96,7 @@
 	return p
 }
 
-// OnSeen replaces the function that receives the stamps of other processes.
+// SetOnStamp replaces the function that receives the stamps of other processes.
 func (p *Peer) OnSeen(seen func(Stamp)) { p.onStamp.Store(&seen) }
 
 // Self returns the identity that this process stamps its messages with.
--- a/peer/sent.go
+++ b/peer/sent.go
@@ -40,7 +40,7 @@
 	g.conns = append(g.conns, info.Conn)
 }
 
-// MayHaveLeft reports whether the call was given a connection that accepted it.
+// MayHaveSent reports whether the call was given a connection that accepted it.
 func (g *SentGuard) MayHaveLeft() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/sidecar/drain.go
+++ b/sidecar/drain.go
@@ -9,7 +9,7 @@
 	"github.com/pearyard/pearyard/inspect"
 )
 
-// BeginLeave stops accepting new work. Running work is finished; generations that still
+// BeginDrain stops accepting new work. Running work is finished; generations that still
 // run after the drain time are asked to move to another backend server. It may be called
 // repeatedly.
 func (s *Sidecar) BeginLeave(reason string) {
--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -21,7 +21,7 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// Dial holds the recovery settings that a sidecar uses. They are read again for each
+// RecoverySettings holds the recovery settings that a sidecar uses. They are read again for each
 // generation, so a new revision takes effect at once.
 type Dial struct {
 	RouterGrace time.Duration // how long a generation continues without a reader
@@ -106,7 +106,7 @@
 	return mux
 }
 
-// Leaving reports whether the backend server has stopped accepting new work.
+// Draining reports whether the backend server has stopped accepting new work.
 func (s *Sidecar) Leaving() bool { return s.admission.isDraining() }
 
 // InFlight returns the number of requests and generations in progress.
--- a/tokenlog/read.go
+++ b/tokenlog/read.go
@@ -19,7 +19,7 @@
 	// ErrDiverged means that no branch held contains the caller's last token; continuing
 	// any of them would mix two attempts in one answer.
 	ErrDiverged = errors.New("journal: no held branch contains the caller's last token")
-	// ErrUnsure means that not all peers could be asked, so the generation may still be
+	// ErrInconclusive means that not all peers could be asked, so the generation may still be
 	// held by one of them.
 	ErrUnsure = errors.New("journal: some peers unreachable, absence not proven")
 )
--- a/tokenlog/reader.go
+++ b/tokenlog/reader.go
@@ -52,7 +52,7 @@
 }
 
 // FindError reports why no branch was found. It unwraps to ErrNotHeld, ErrTooShort,
-// ErrDiverged or ErrUnsure. Best still names a runner if any peer knew one: a runner that
+// ErrDiverged or ErrInconclusive. Best still names a runner if any peer knew one: a runner that
 // is alive holds more than its journal.
 type FindError struct {
 	Reason      error
@@ -210,7 +210,7 @@
 	return &FindError{Reason: reason, Best: s.best, Unreachable: s.unreachable}
 }
 
-// KeyFound is the result of looking up a request key.
+// KeyResult is the result of looking up a request key.
 type KeyFound struct {
 	Generation types.GenerationID
 	Known      bool   // false if this call made the reservation
@@ -250,7 +250,7 @@
 }
 
 // lookupAll returns the peers' responses in the order of peers, nil for those that failed.
-// After the first response the others get only the configured patience, so that a frozen
+// After the first response the others get only StragglerTimeout, so that a frozen
 // peer doesn't add its timeout to the time to first token of every request that it is a
 // peer of.
 func (r *Reader) lookupAll(ctx context.Context, reserve types.GenerationID, peers []string) []*streampb.LookupResponse {
--- a/tokenlog/store.go
+++ b/tokenlog/store.go
@@ -89,7 +89,7 @@
 	return s
 }
 
-// SetRetain applies a new value of retainMillis.
+// SetRetention applies a new value of retainMillis.
 func (s *Store) SetRetain(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/tokenlog/writer.go
+++ b/tokenlog/writer.go
@@ -35,7 +35,7 @@
 	// assignInterval is the minimum time between attempts to find more peers for a
 	// generation that has too few.
 	assignInterval = 3 * time.Second
-	// neverJournal is the value of After from which on no tokens are journalled at all,
+	// neverJournal is the value of MinAge from which on no tokens are journalled at all,
 	// not even those of a resumed attempt.
 	neverJournal = 24 * time.Hour
 )
@@ -93,7 +93,7 @@
 	ctx        context.Context
 	cancel     context.CancelFunc
 	done       sync.WaitGroup
-	batchNanos atomic.Int64 // set by SetBatch; 0: the option's value
+	batchNanos atomic.Int64 // set by SetBatchInterval; 0: the option's value
 
 	mu        sync.Mutex // guards links, downUntil, heldBytes and the cancelling of ctx
 	links     map[string]*link
@@ -111,7 +111,7 @@
 	}
 }
 
-// SetBatch changes how long tokens accumulate before an append, when a new revision of the
+// SetBatchInterval changes how long tokens accumulate before an append, when a new revision of the
 // configuration changes journalBatchMillis.
 func (w *Writer) SetBatch(d time.Duration) {
 	if d > 0 {
@@ -141,7 +141,7 @@
 	Emitted []types.Token // tokens that the attempt continues from
 	Peers   []string      // candidates in rendezvous order, more than Copies
 
-	// After and Copies are the recovery settings in force when the attempt started. 0
+	// MinAge and Copies are the recovery settings in force when the attempt started. 0
 	// means the writer's options; negative Copies disables the journal for this attempt.
 	After  time.Duration
 	Copies int
