--- a/node/common.go
+++ b/node/common.go
@@ -127,7 +127,7 @@
 		return nil, err
 	}
 	b.newSuspects()
-	b.peer.OnSeen(b.onStamp)
+	b.peer.SetOnStamp(b.onStamp)
 	return b, b.newInspect()
 }
 
--- a/node/sidecar.go
+++ b/node/sidecar.go
@@ -80,8 +80,8 @@
 	s.sidecar = sidecar.New(sidecar.Options{
 		Peer: b.peer, Zone: opts.Zone, BackendServer: opts.BackendServer,
 		Engine: opts.Engine, Plain: opts.Plain, Calls: s.newCallGate(),
-		Dial: s.recoverySettings, Revision: b.holder.Revision, Suspects: b.suspects,
-		Journal: s.journal, OpenJournal: s.openJournal, OnLeaving: b.announceLeave,
+		Recovery: s.recoverySettings, Revision: b.holder.Revision, Suspects: b.suspects,
+		Journal: s.journal, OpenJournal: s.openJournal, OnDrain: b.announceLeave,
 		Recorder: b.recorder, Registerer: b.registry,
 	})
 	b.inspect.Add("sidecar", s.sidecar.Dump)
@@ -123,12 +123,12 @@
 	}
 }
 
-func (s *Sidecar) recoverySettings() sidecar.Dial {
+func (s *Sidecar) recoverySettings() sidecar.RecoverySettings {
 	recovery := text.DefaultRecovery()
 	if in := s.text(); in != nil {
 		recovery = in.Recovery
 	}
-	return sidecar.Dial{RouterGrace: recovery.RouterGrace(), Retain: recovery.Retain(), DrainLong: moveDelay}
+	return sidecar.RecoverySettings{RouterGrace: recovery.RouterGrace(), Retention: recovery.Retain(), MoveAfter: moveDelay}
 }
 
 // openJournal starts the journal of one attempt with the recovery settings in force.
@@ -136,17 +136,17 @@
 	in, recovery := s.waitFirstText()
 	sites := router.Sites(s.members.Snapshot(), in, time.Since(s.createdAt))
 	gen.Peers = tokenlog.Place(gen.ID.Key, sites, recovery.JournalPeers+spareJournalPeers, s.peer.Self().Address)
-	gen.After, gen.Copies = recovery.JournalAfter(), recovery.JournalPeers
-	if gen.After == 0 {
-		gen.After = -1 // at once
+	gen.MinAge, gen.Copies = recovery.JournalAfter(), recovery.JournalPeers
+	if gen.MinAge == 0 {
+		gen.MinAge = -1 // at once
 	}
 	if gen.Copies == 0 {
-		gen.Copies, gen.After = 1, neverJournalAge // one peer still records the runner
+		gen.Copies, gen.MinAge = 1, neverJournalAge // one peer still records the runner
 	}
 	writer := s.writer.Load()
 	// For the writer a batch interval of 0 means unset, and it would use its default of
 	// half a second.
-	writer.SetBatch(max(recovery.JournalBatch(), minJournalBatch))
+	writer.SetBatchInterval(max(recovery.JournalBatch(), minJournalBatch))
 	return writer.Start(gen)
 }
 
@@ -197,7 +197,7 @@
 func (s *Sidecar) waitDrained(ctx, actorCtx context.Context) error {
 	select {
 	case <-ctx.Done():
-		s.sidecar.BeginLeave("signal")
+		s.sidecar.BeginDrain("signal")
 	case <-s.sidecar.Stopping():
 	case <-actorCtx.Done():
 		return nil
@@ -217,7 +217,7 @@
 
 // applyText passes a new configuration to the parts that keep data derived from it.
 func (s *Sidecar) applyText(snapshot *config.Snapshot) {
-	s.journal.SetRetain(snapshot.Text.Recovery.Retain())
+	s.journal.SetRetention(snapshot.Text.Recovery.Retain())
 }
 
 // journalSender sends journal batches to other sidecars.
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -72,7 +72,7 @@
 type Options struct {
 	Self     Identity
 	Revision func() types.Revision // returns the configuration revision in force here
-	Seen     func(Stamp)           // receives the stamps of other processes; may be nil
+	OnStamp  func(Stamp)           // receives the stamps of other processes; may be nil
 }
 
 // Peer adds stamps to the calls between processes and reads those of others.
@@ -90,14 +90,14 @@
 		IdleConnTimeout:     idleConnTimeout,
 		DisableCompression:  true,
 	}}
-	if opts.Seen != nil {
-		p.OnSeen(opts.Seen)
+	if opts.OnStamp != nil {
+		p.SetOnStamp(opts.OnStamp)
 	}
 	return p
 }
 
 // SetOnStamp replaces the function that receives the stamps of other processes.
-func (p *Peer) OnSeen(seen func(Stamp)) { p.onStamp.Store(&seen) }
+func (p *Peer) SetOnStamp(seen func(Stamp)) { p.onStamp.Store(&seen) }
 
 // Self returns the identity that this process stamps its messages with.
 func (p *Peer) Self() Identity { return p.opts.Self }
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -16,7 +16,7 @@
 func newPeer(id types.ProcessID, revision types.Revision, seen func(peer.Stamp)) *peer.Peer {
 	return peer.New(peer.Options{
 		Self:     peer.Identity{ID: id, Incarnation: 7, Address: "127.0.0.1:1"},
-		Revision: func() types.Revision { return revision }, Seen: seen,
+		Revision: func() types.Revision { return revision }, OnStamp: seen,
 	})
 }
 
@@ -62,7 +62,7 @@
 			_ = resp.Body.Close()
 		}
 		g.Expect(err).To(HaveOccurred())
-		return guard.MayHaveLeft()
+		return guard.MayHaveSent()
 	}
 	g.Expect(call()).To(BeTrue())
 	g.Expect(listener.Close()).To(Succeed())
--- a/peer/sent.go
+++ b/peer/sent.go
@@ -41,7 +41,7 @@
 }
 
 // MayHaveSent reports whether the call was given a connection that accepted it.
-func (g *SentGuard) MayHaveLeft() bool {
+func (g *SentGuard) MayHaveSent() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return slices.ContainsFunc(g.conns, func(conn net.Conn) bool {
--- a/peer/sent_test.go
+++ b/peer/sent_test.go
@@ -47,7 +47,7 @@
 				g.Expect(n).To(BeZero())
 				g.Expect(err).To(MatchError(errConnectionClosed))
 			}
-			g.Expect(guard.MayHaveLeft()).To(BeFalse())
+			g.Expect(guard.MayHaveSent()).To(BeFalse())
 		})
 	}
 }
@@ -63,7 +63,7 @@
 	g.Expect(server.Close()).To(Succeed())
 	g.Eventually(func() bool { return httpconn.PeerClosed(client.(*reusableConn).Conn) }).Should(BeTrue())
 	_, _ = client.Write([]byte("ll"))
-	g.Expect(guard.MayHaveLeft()).To(BeTrue())
+	g.Expect(guard.MayHaveSent()).To(BeTrue())
 }
 
 // Checking a connection must not wait for a pending read: the transport always has one on
@@ -81,5 +81,5 @@
 	got := make([]byte, 4)
 	_, err := io.ReadFull(server, got)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(guard.MayHaveLeft()).To(BeTrue())
+	g.Expect(guard.MayHaveSent()).To(BeTrue())
 }
--- a/router/attempt.go
+++ b/router/attempt.go
@@ -173,7 +173,7 @@
 
 // broken tells a connection that was never made (nothing ran) from one that broke.
 func broken(f *frames, lastSign time.Time) attemptResult {
-	if !f.guard.MayHaveLeft() {
+	if !f.guard.MayHaveSent() {
 		return attemptResult{ending: notStarted, cause: causeConnection, lastSign: lastSign}
 	}
 	return attemptResult{ending: lost, cause: causeConnection, lastSign: lastSign}
--- a/router/bed_test.go
+++ b/router/bed_test.go
@@ -51,8 +51,8 @@
 		Peer:          p,
 		BackendServer: name,
 		Engine:        httpapi.New(httpapi.Options{Address: strings.TrimPrefix(engineServer.URL, "http://")}),
-		Dial: func() sidecar.Dial {
-			return sidecar.Dial{RouterGrace: time.Second, Retain: time.Second, DrainLong: time.Second}
+		Recovery: func() sidecar.RecoverySettings {
+			return sidecar.RecoverySettings{RouterGrace: time.Second, Retention: time.Second, MoveAfter: time.Second}
 		},
 		Revision:   func() types.Revision { return 1 },
 		Recorder:   event.Discard(),
--- a/router/handover_test.go
+++ b/router/handover_test.go
@@ -119,7 +119,7 @@
 		if index == 100 {
 			home = bed.runner()
 			bed.other(home).fill(t)
-			home.sidecar.BeginLeave("test")
+			home.sidecar.BeginDrain("test")
 		}
 	})
 	got.expectWhole(g, 1500)
@@ -136,7 +136,7 @@
 	got := ask(t, bed.url, 1500, func(index int) {
 		if index == 100 {
 			home = bed.runner()
-			home.sidecar.BeginLeave("test")
+			home.sidecar.BeginDrain("test")
 		}
 	})
 	got.expectWhole(g, 1500)
--- a/router/reattach.go
+++ b/router/reattach.go
@@ -220,7 +220,7 @@
 	d.r.opts.Recorder.Emit(eventGenerationLost, event.FieldRequest, d.ask.requestID, "generation", d.id, "cause", cause)
 	refusal := types.Unknown(types.CodeGenerationLost, lostRetryAfter, "the generation can't go on (%v); send the request anew without %s", cause, HeaderLastEventID)
 	refusal.Status = http.StatusGone
-	if errors.Is(cause, tokenlog.ErrUnsure) {
+	if errors.Is(cause, tokenlog.ErrInconclusive) {
 		refusal.Status = http.StatusServiceUnavailable
 		refusal.RetryAfter = unsureRetryAfter
 		refusal.Message = "not everybody who may hold the generation could be asked; come back with the same Last-Event-ID"
--- a/router/sidecars.go
+++ b/router/sidecars.go
@@ -33,7 +33,7 @@
 func (s sidecars) Call(ctx context.Context, addr string, req *streampb.CallRequest) (*streampb.CallResponse, error) {
 	var guard peer.SentGuard
 	resp, err := s.at(addr).Call(guard.Watch(ctx), req)
-	if err != nil && !guard.MayHaveLeft() {
+	if err != nil && !guard.MayHaveSent() {
 		return nil, errors.Wrap(plain.ErrNotSent, err.Error())
 	}
 	if err == nil && resp.GetRequestId() != req.GetRequestId() {
--- a/sidecar/attempt.go
+++ b/sidecar/attempt.go
@@ -176,7 +176,7 @@
 // token but before the end of the stream comes back for the rest.
 func (s *Sidecar) retain(r *run) {
 	key := runKey{r.log.ID(), r.log.Lineage().Last()}
-	time.AfterFunc(s.opts.Dial().Retain, func() { s.runs.remove(key) })
+	time.AfterFunc(s.opts.Recovery().Retention, func() { s.runs.remove(key) })
 }
 
 // journalHandle wraps a tokenlog.Handle that may be nil.
--- a/sidecar/drain.go
+++ b/sidecar/drain.go
@@ -12,17 +12,17 @@
 // BeginDrain stops accepting new work. Running work is finished; generations that still
 // run after the drain time are asked to move to another backend server. It may be called
 // repeatedly.
-func (s *Sidecar) BeginLeave(reason string) {
+func (s *Sidecar) BeginDrain(reason string) {
 	if !s.admission.drain() {
 		return
 	}
 	s.drainStarted.Store(time.Now().UnixNano())
 	close(s.stopping)
 	s.opts.Recorder.Emit(eventLeaving, "backend_server", s.opts.BackendServer, "reason", reason, "in_flight", s.InFlight())
-	if s.opts.OnLeaving != nil {
-		s.opts.OnLeaving()
+	if s.opts.OnDrain != nil {
+		s.opts.OnDrain()
 	}
-	time.AfterFunc(s.opts.Dial().DrainLong, s.requestMoves)
+	time.AfterFunc(s.opts.Recovery().MoveAfter, s.requestMoves)
 }
 
 // Stopping returns a channel that is closed when the backend server begins to drain.
--- a/sidecar/lookup_test.go
+++ b/sidecar/lookup_test.go
@@ -40,7 +40,9 @@
 			s := New(Options{
 				Peer:   peer.New(peer.Options{Self: peer.Identity{ID: "s", Incarnation: 1, Address: address}, Revision: func() types.Revision { return 1 }}),
 				Engine: e, Revision: func() types.Revision { return 1 },
-				Dial:     func() Dial { return Dial{RouterGrace: time.Second, Retain: time.Minute, DrainLong: time.Second} },
+				Recovery: func() RecoverySettings {
+					return RecoverySettings{RouterGrace: time.Second, Retention: time.Minute, MoveAfter: time.Second}
+				},
 				Recorder: event.Discard(), Registerer: prometheus.NewRegistry(),
 			})
 			id := types.NewGenerationID(7)
--- a/sidecar/service.go
+++ b/sidecar/service.go
@@ -118,7 +118,7 @@
 
 // Stop begins a planned stop and returns the number of requests in flight.
 func (v service) Stop(_ context.Context, req *streampb.StopRequest) (*streampb.StopResponse, error) {
-	v.s.BeginLeave(req.GetReason())
+	v.s.BeginDrain(req.GetReason())
 	return &streampb.StopResponse{InFlight: uint32(v.s.InFlight())}, nil
 }
 
--- a/sidecar/set_aside_test.go
+++ b/sidecar/set_aside_test.go
@@ -43,7 +43,9 @@
 		g := NewWithT(t)
 		s := New(Options{
 			Peer: newTestPeer("sidecar"), Engine: pausingEngine{pause: stallTimeout + time.Second}, Revision: func() types.Revision { return 1 },
-			Dial:     func() Dial { return Dial{RouterGrace: time.Second, Retain: time.Minute, DrainLong: time.Second} },
+			Recovery: func() RecoverySettings {
+				return RecoverySettings{RouterGrace: time.Second, Retention: time.Minute, MoveAfter: time.Second}
+			},
 			Recorder: event.Discard(), Registerer: prometheus.NewRegistry(),
 		})
 		ctx, cancel := context.WithCancel(t.Context())
--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -23,10 +23,10 @@
 
 // RecoverySettings holds the recovery settings that a sidecar uses. They are read again for each
 // generation, so a new revision takes effect at once.
-type Dial struct {
+type RecoverySettings struct {
 	RouterGrace time.Duration // how long a generation continues without a reader
-	Retain      time.Duration // how long an ended generation can still be read
-	DrainLong   time.Duration // how long a stop waits before it asks running generations to move
+	Retention   time.Duration // how long an ended generation can still be read
+	MoveAfter   time.Duration // how long a stop waits before it asks running generations to move
 }
 
 // Calls runs plain calls at most once (package gate).
@@ -44,12 +44,12 @@
 	Engine        engine.Engine
 	Plain         plain.Service
 	Calls         func(leaving func() bool) Calls // builds the call gate; nil if Engine is set
-	Dial          func() Dial
+	Recovery      func() RecoverySettings
 	Revision      func() types.Revision
 	Suspects      *suspect.Ledger                                // may be nil
 	Journal       *tokenlog.Store                                // tokens stored for other sidecars; may be nil
 	OpenJournal   func(tokenlog.GenerationInfo) *tokenlog.Handle // opens the journal of an attempt on other sidecars; may be nil or return nil
-	OnLeaving     func()                                         // called once, when the backend server begins to drain
+	OnDrain       func()                                         // called once, when the backend server begins to drain
 	Recorder      *event.Recorder
 	Registerer    prometheus.Registerer
 }
@@ -107,7 +107,7 @@
 }
 
 // Draining reports whether the backend server has stopped accepting new work.
-func (s *Sidecar) Leaving() bool { return s.admission.isDraining() }
+func (s *Sidecar) Draining() bool { return s.admission.isDraining() }
 
 // InFlight returns the number of requests and generations in progress.
 func (s *Sidecar) InFlight() int { return s.admission.count() }
--- a/sidecar/sidecar_test.go
+++ b/sidecar/sidecar_test.go
@@ -37,7 +37,9 @@
 	p := newTestPeer("sidecar")
 	return New(Options{
 		Peer: p, Engine: stuckEngine{}, Revision: func() types.Revision { return 1 },
-		Dial:     func() Dial { return Dial{RouterGrace: time.Second, Retain: time.Minute, DrainLong: time.Second} },
+		Recovery: func() RecoverySettings {
+			return RecoverySettings{RouterGrace: time.Second, Retention: time.Minute, MoveAfter: time.Second}
+		},
 		Recorder: event.Discard(), Registerer: prometheus.NewRegistry(),
 	}), p
 }
--- a/sidecar/stream.go
+++ b/sidecar/stream.go
@@ -55,7 +55,7 @@
 // reader disconnects.
 func (s *Sidecar) follow(ctx context.Context, out *frameWriter, r *run, from int) {
 	self := r.addReader(peer.Sender(ctx).ID)
-	defer r.removeReader(self, s.opts.Dial().RouterGrace, func() { s.cancelOrphan(r) })
+	defer r.removeReader(self, s.opts.Recovery().RouterGrace, func() { s.cancelOrphan(r) })
 	accepted := &streampb.Accepted{Lineage: streampb.FromLineage(r.log.Lineage()), Incarnation: uint64(s.opts.Peer.Self().Incarnation)}
 	if out.write(&streampb.Frame{Body: &streampb.Frame_Accepted{Accepted: accepted}, Load: s.loadFrame()}) != nil {
 		return
--- a/tokenlog/bench_test.go
+++ b/tokenlog/bench_test.go
@@ -100,7 +100,7 @@
 }
 
 func BenchmarkHandleAppend(b *testing.B) {
-	w := NewWriter(WriterOptions{Self: "self", Sender: newCluster(), After: time.Hour, MaxBytes: 1 << 40})
+	w := NewWriter(WriterOptions{Self: "self", Sender: newCluster(), MinAge: time.Hour, MaxBytes: 1 << 40})
 	defer w.Close()
 	h := w.Start(GenerationInfo{ID: types.NewGenerationID(1), Lineage: lineage(1, 0)})
 	tok := types.Token{ID: 7, Text: " pear"}
@@ -135,7 +135,7 @@
 		for _, batch := range []time.Duration{10, 20, 50, 100, 500} {
 			synctest.Test(t, func(t *testing.T) {
 				c, seconds := &countingSender{}, 10
-				w := NewWriter(WriterOptions{Self: "10.0.0.1:7070", Sender: c, Batch: batch * time.Millisecond, After: -1})
+				w := NewWriter(WriterOptions{Self: "10.0.0.1:7070", Sender: c, BatchInterval: batch * time.Millisecond, MinAge: -1})
 				for g := range 30 {
 					peers := []string{"10.0.0.2:7070", "10.0.0.3:7070"}
 					if spread {
--- a/tokenlog/handle.go
+++ b/tokenlog/handle.go
@@ -98,10 +98,10 @@
 // resumed attempt is always old enough: the generation has already lost one engine, and
 // the peers may hold less of the earlier attempt than this one continues from.
 func (h *Handle) oldEnough() bool {
-	if len(h.gen.Emitted) > 0 && h.gen.After < neverJournal {
+	if len(h.gen.Emitted) > 0 && h.gen.MinAge < neverJournal {
 		return true
 	}
-	return h.gen.After < 0 || time.Since(h.started) >= h.gen.After
+	return h.gen.MinAge < 0 || time.Since(h.started) >= h.gen.MinAge
 }
 
 // stopJournalling stops journalling a generation because the writer's memory limit is
--- a/tokenlog/read.go
+++ b/tokenlog/read.go
@@ -21,7 +21,7 @@
 	ErrDiverged = errors.New("journal: no held branch contains the caller's last token")
 	// ErrInconclusive means that not all peers could be asked, so the generation may still be
 	// held by one of them.
-	ErrUnsure = errors.New("journal: some peers unreachable, absence not proven")
+	ErrInconclusive = errors.New("journal: some peers unreachable, absence not proven")
 )
 
 // Branch is one attempt's answer so far.
--- a/tokenlog/reader.go
+++ b/tokenlog/reader.go
@@ -15,9 +15,9 @@
 
 // Defaults of a Reader.
 const (
-	DefaultFirstWave   = 3
-	DefaultReadTimeout = 800 * time.Millisecond
-	DefaultPatience    = 150 * time.Millisecond
+	DefaultFirstWave        = 3
+	DefaultReadTimeout      = 800 * time.Millisecond
+	DefaultStragglerTimeout = 150 * time.Millisecond
 )
 
 // Client sends journal queries to the sidecar at addr.
@@ -28,10 +28,10 @@
 
 // ReaderOptions configures a Reader. Zero values take the defaults.
 type ReaderOptions struct {
-	Client    Client        // required
-	FirstWave int           // peers queried first; the others are queried only if none of these holds the generation
-	Timeout   time.Duration // per wave
-	Patience  time.Duration // wait for the other peers, which may hold a longer branch, after the first hit
+	Client           Client        // required
+	FirstWave        int           // peers queried first; the others are queried only if none of these holds the generation
+	Timeout          time.Duration // per wave
+	StragglerTimeout time.Duration // wait for the other peers, which may hold a longer branch, after the first hit
 }
 
 // Reader finds journalled generations for a router.
@@ -45,8 +45,8 @@
 	if opts.Timeout == 0 {
 		opts.Timeout = DefaultReadTimeout
 	}
-	if opts.Patience == 0 {
-		opts.Patience = DefaultPatience
+	if opts.StragglerTimeout == 0 {
+		opts.StragglerTimeout = DefaultStragglerTimeout
 	}
 	return &Reader{opts: opts}
 }
@@ -123,7 +123,7 @@
 			return
 		}
 		if s.found && stragglerTimeout == nil {
-			stragglerTimeout = time.After(r.opts.Patience)
+			stragglerTimeout = time.After(r.opts.StragglerTimeout)
 		}
 	}
 }
@@ -205,13 +205,13 @@
 func (s *search) err() error {
 	reason := s.reason
 	if len(s.unreachable) > 0 || reason == nil {
-		reason = ErrUnsure
+		reason = ErrInconclusive
 	}
 	return &FindError{Reason: reason, Best: s.best, Unreachable: s.unreachable}
 }
 
 // KeyResult is the result of looking up a request key.
-type KeyFound struct {
+type KeyResult struct {
 	Generation types.GenerationID
 	Known      bool   // false if this call made the reservation
 	Runner     string // empty if the generation is only reserved
@@ -227,7 +227,7 @@
 // two routers that ask at the same time agree whenever both reach that peer. If they
 // don't, two generations run: that costs engine time, but their tokens can't be mixed
 // because their IDs differ.
-func (r *Reader) FindKey(ctx context.Context, reserve types.GenerationID, peers []string) (KeyFound, error) {
+func (r *Reader) FindKey(ctx context.Context, reserve types.GenerationID, peers []string) (KeyResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, r.opts.Timeout)
 	defer cancel()
 	responses := r.lookupAll(ctx, reserve, peers)
@@ -238,13 +238,13 @@
 		}
 	}
 	if chosen == nil {
-		return KeyFound{}, ErrNoPeers
+		return KeyResult{}, ErrNoPeers
 	}
 	id, err := types.ParseGenerationID(chosen.GetGeneration())
 	if err != nil {
-		return KeyFound{}, errors.Wrap(err, "journal lookup: parse generation")
+		return KeyResult{}, errors.Wrap(err, "journal lookup: parse generation")
 	}
-	return KeyFound{
+	return KeyResult{
 		Generation: id, Known: id != reserve, Runner: chosen.GetRunner(), Finish: types.FinishReason(chosen.GetFinish()),
 	}, nil
 }
@@ -276,7 +276,7 @@
 		case a := <-answers:
 			out[a.i] = a.resp
 			if a.resp != nil && stragglerTimeout == nil {
-				stragglerTimeout = time.After(r.opts.Patience)
+				stragglerTimeout = time.After(r.opts.StragglerTimeout)
 			}
 		case <-stragglerTimeout:
 			return out
--- a/tokenlog/store.go
+++ b/tokenlog/store.go
@@ -14,11 +14,11 @@
 
 // Defaults of a Store.
 const (
-	DefaultMaxBytes   = 64 << 20
-	DefaultMaxEntries = 20_000
-	DefaultRetain     = 2 * time.Minute
-	DefaultReserve    = 30 * time.Second
-	DefaultAbandon    = 10 * time.Minute
+	DefaultMaxBytes           = 64 << 20
+	DefaultMaxEntries         = 20_000
+	DefaultRetention          = 2 * time.Minute
+	DefaultReservationTimeout = 30 * time.Second
+	DefaultAbandonTimeout     = 10 * time.Minute
 
 	// maxBranches limits the attempts that are kept separately for one generation.
 	maxBranches   = 4
@@ -30,13 +30,13 @@
 
 // StoreOptions configures a Store. Zero values take the defaults.
 type StoreOptions struct {
-	MaxBytes   int           // limit on held tokens and their overhead
-	MaxEntries int           // limit on generations and reservations
-	Retain     time.Duration // how long finished generations are kept
-	Reserve    time.Duration // how long a reservation is kept if no generation follows
-	Abandon    time.Duration // how long a running generation is kept without a record
-	Recorder   *event.Recorder
-	Registerer prometheus.Registerer
+	MaxBytes           int           // limit on held tokens and their overhead
+	MaxEntries         int           // limit on generations and reservations
+	Retention          time.Duration // how long finished generations are kept
+	ReservationTimeout time.Duration // how long a reservation is kept if no generation follows
+	AbandonTimeout     time.Duration // how long a running generation is kept without a record
+	Recorder           *event.Recorder
+	Registerer         prometheus.Registerer
 }
 
 func (o StoreOptions) withDefaults() StoreOptions {
@@ -46,14 +46,14 @@
 	if o.MaxEntries == 0 {
 		o.MaxEntries = DefaultMaxEntries
 	}
-	if o.Retain == 0 {
-		o.Retain = DefaultRetain
+	if o.Retention == 0 {
+		o.Retention = DefaultRetention
 	}
-	if o.Reserve == 0 {
-		o.Reserve = DefaultReserve
+	if o.ReservationTimeout == 0 {
+		o.ReservationTimeout = DefaultReservationTimeout
 	}
-	if o.Abandon == 0 {
-		o.Abandon = DefaultAbandon
+	if o.AbandonTimeout == 0 {
+		o.AbandonTimeout = DefaultAbandonTimeout
 	}
 	if o.Recorder == nil {
 		o.Recorder = event.Discard()
@@ -82,7 +82,7 @@
 		entries: make(map[types.GenerationID]*entry),
 		byKey:   make(map[types.Key]types.GenerationID),
 	}
-	s.retain = s.opts.Retain
+	s.retain = s.opts.Retention
 	for i := range s.byState {
 		s.byState[i] = list.New()
 	}
@@ -90,7 +90,7 @@
 }
 
 // SetRetention applies a new value of retainMillis.
-func (s *Store) SetRetain(d time.Duration) {
+func (s *Store) SetRetention(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.retain = d
@@ -116,8 +116,8 @@
 	defer s.mu.Unlock()
 	now := time.Now()
 	s.expire(stateFinished, now.Add(-s.retain))
-	s.expire(stateReserved, now.Add(-s.opts.Reserve))
-	s.expire(stateRunning, now.Add(-s.opts.Abandon))
+	s.expire(stateReserved, now.Add(-s.opts.ReservationTimeout))
+	s.expire(stateRunning, now.Add(-s.opts.AbandonTimeout))
 	s.updateGauges()
 }
 
--- a/tokenlog/store_test.go
+++ b/tokenlog/store_test.go
@@ -218,13 +218,13 @@
 		_, _ = s.Lookup(&streampb.LookupRequest{Key: 3, Reserve: types.NewGenerationID(3).String()})
 		held := func() int { s.Sweep(); return s.Dump().Entries }
 
-		time.Sleep(DefaultReserve - time.Second)
+		time.Sleep(DefaultReservationTimeout - time.Second)
 		g.Expect(held()).To(Equal(3))
 		time.Sleep(2 * time.Second)
 		g.Expect(held()).To(Equal(2))
-		time.Sleep(DefaultRetain)
+		time.Sleep(DefaultRetention)
 		g.Expect(held()).To(Equal(1))
-		time.Sleep(DefaultAbandon)
+		time.Sleep(DefaultAbandonTimeout)
 		g.Expect(held()).To(Equal(0))
 	})
 }
--- a/tokenlog/writer.go
+++ b/tokenlog/writer.go
@@ -16,8 +16,8 @@
 
 // Defaults of a Writer.
 const (
-	DefaultBatch          = 500 * time.Millisecond
-	DefaultAfter          = 5 * time.Second
+	DefaultBatchInterval  = 500 * time.Millisecond
+	DefaultMinAge         = 5 * time.Second
 	DefaultCopies         = 2
 	DefaultSendTimeout    = time.Second
 	DefaultWriterMaxBytes = 32 << 20
@@ -50,23 +50,23 @@
 
 // WriterOptions configures a Writer. Zero values take the defaults.
 type WriterOptions struct {
-	Self        string        // address of this sidecar, recorded as the runner
-	Sender      Sender        // required
-	Batch       time.Duration // how long tokens accumulate before an append (journalBatchMillis)
-	After       time.Duration // age from which on a generation's tokens are sent (journalAfterMillis); negative: at once
-	Copies      int           // peers per generation
-	SendTimeout time.Duration
-	MaxBytes    int // limit on the tokens buffered for sending
-	Recorder    *event.Recorder
-	Registerer  prometheus.Registerer
+	Self          string        // address of this sidecar, recorded as the runner
+	Sender        Sender        // required
+	BatchInterval time.Duration // how long tokens accumulate before an append (journalBatchMillis)
+	MinAge        time.Duration // age from which on a generation's tokens are sent (journalAfterMillis); negative: at once
+	Copies        int           // peers per generation
+	SendTimeout   time.Duration
+	MaxBytes      int // limit on the tokens buffered for sending
+	Recorder      *event.Recorder
+	Registerer    prometheus.Registerer
 }
 
 func (o WriterOptions) withDefaults() WriterOptions {
-	if o.Batch == 0 {
-		o.Batch = DefaultBatch
+	if o.BatchInterval == 0 {
+		o.BatchInterval = DefaultBatchInterval
 	}
-	if o.After == 0 {
-		o.After = DefaultAfter
+	if o.MinAge == 0 {
+		o.MinAge = DefaultMinAge
 	}
 	if o.Copies == 0 {
 		o.Copies = DefaultCopies
@@ -113,7 +113,7 @@
 
 // SetBatchInterval changes how long tokens accumulate before an append, when a new revision of the
 // configuration changes journalBatchMillis.
-func (w *Writer) SetBatch(d time.Duration) {
+func (w *Writer) SetBatchInterval(d time.Duration) {
 	if d > 0 {
 		w.batchNanos.Store(int64(d))
 	}
@@ -123,7 +123,7 @@
 	if d := w.batchNanos.Load(); d > 0 {
 		return time.Duration(d)
 	}
-	return w.opts.Batch
+	return w.opts.BatchInterval
 }
 
 // Close stops all appends and waits for them to return.
@@ -143,13 +143,13 @@
 
 	// MinAge and Copies are the recovery settings in force when the attempt started. 0
 	// means the writer's options; negative Copies disables the journal for this attempt.
-	After  time.Duration
+	MinAge time.Duration
 	Copies int
 }
 
 func (g GenerationInfo) withDefaults(o WriterOptions) GenerationInfo {
-	if g.After == 0 {
-		g.After = o.After
+	if g.MinAge == 0 {
+		g.MinAge = o.MinAge
 	}
 	if g.Copies == 0 {
 		g.Copies = o.Copies
@@ -169,8 +169,8 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.assignPeers()
-	if gen.After > 0 {
-		h.minAgeTimer = time.AfterFunc(gen.After, h.signal)
+	if gen.MinAge > 0 {
+		h.minAgeTimer = time.AfterFunc(gen.MinAge, h.signal)
 	}
 	return h
 }
--- a/tokenlog/writer_test.go
+++ b/tokenlog/writer_test.go
@@ -22,7 +22,7 @@
 }
 
 func newWriter(t *testing.T, c *cluster, after time.Duration) *Writer {
-	w := NewWriter(WriterOptions{Self: "self", Sender: c, Batch: 100 * time.Millisecond, After: after})
+	w := NewWriter(WriterOptions{Self: "self", Sender: c, BatchInterval: 100 * time.Millisecond, MinAge: after})
 	t.Cleanup(w.Close)
 	return w
 }
@@ -135,7 +135,7 @@
 		appendTokens(h, 0, 20)
 		found, err := NewReader(ReaderOptions{Client: c}).FindKey(t.Context(), types.NewGenerationID(1), []string{"a", "b"})
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(found).To(Equal(KeyFound{Generation: id, Known: true, Runner: "self"}))
+		g.Expect(found).To(Equal(KeyResult{Generation: id, Known: true, Runner: "self"}))
 		g.Expect(heldBy(c, "a", id)).To(BeZero())
 		h.Finish(types.FinishStop)
 		time.Sleep(time.Second)
@@ -173,7 +173,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		c := newCluster("a", "b")
-		w := NewWriter(WriterOptions{Self: "self", Sender: c, After: -1, MaxBytes: 500})
+		w := NewWriter(WriterOptions{Self: "self", Sender: c, MinAge: -1, MaxBytes: 500})
 		defer w.Close()
 		h, id := start(w, "a", "b")
 		appendTokens(h, 0, 100)
@@ -211,9 +211,9 @@
 		c := newCluster("a", "b")
 		w := newWriter(t, c, -1)
 		h, id := start(w, "a", "b")
-		w.SetBatch(time.Second)
+		w.SetBatchInterval(time.Second)
 		off := w.Start(GenerationInfo{ID: types.NewGenerationID(2), Lineage: lineage(1, 0), Copies: -1, Peers: []string{"a", "b"}})
-		named := GenerationInfo{ID: types.NewGenerationID(3), Lineage: lineage(1, 0), After: neverJournal, Peers: []string{"a", "b"}}
+		named := GenerationInfo{ID: types.NewGenerationID(3), Lineage: lineage(1, 0), MinAge: neverJournal, Peers: []string{"a", "b"}}
 		named.Emitted = expectedTokens(named.Lineage, 5)
 		w.Start(named).Close()
 		appendTokens(off, 0, 50)
@@ -248,7 +248,7 @@
 
 		c.setCut("c", true)
 		_, err = r.Find(t.Context(), seenUpTo(id, 1, 3), peers)
-		g.Expect(err).To(MatchError(ErrUnsure))
+		g.Expect(err).To(MatchError(ErrInconclusive))
 		c.setCut("c", false)
 		send(c.stores["c"], record(id, lineage(1, 0), 0, 8))
 		b, err := r.Find(t.Context(), seenUpTo(id, 1, 3), peers)
@@ -269,14 +269,14 @@
 		found, err := r.FindKey(t.Context(), id, []string{"a", "b"})
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(found.Generation).To(Equal(id))
-		g.Expect(time.Since(began)).To(Equal(DefaultPatience))
+		g.Expect(time.Since(began)).To(Equal(DefaultStragglerTimeout))
 
 		send(c.stores["b"], record(id, lineage(1, 0), 0, 5))
 		began = time.Now()
 		b, err := r.Find(t.Context(), seenUpTo(id, 1, 3), []string{"a", "b"})
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(b.Tokens).To(HaveLen(5))
-		g.Expect(time.Since(began)).To(Equal(DefaultPatience))
+		g.Expect(time.Since(began)).To(Equal(DefaultStragglerTimeout))
 	})
 }
 
@@ -292,14 +292,14 @@
 		one, two := types.NewGenerationID(5), types.NewGenerationID(5)
 		found, err := r.FindKey(t.Context(), one, peers)
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(found).To(Equal(KeyFound{Generation: one}))
+		g.Expect(found).To(Equal(KeyResult{Generation: one}))
 		found, _ = r.FindKey(t.Context(), two, peers)
-		g.Expect(found).To(Equal(KeyFound{Generation: one, Known: true}))
+		g.Expect(found).To(Equal(KeyResult{Generation: one, Known: true}))
 
 		send(c.stores["b"], record(one, lineage(1, 0), 0, 0))
 		c.restart("a")
 		found, _ = r.FindKey(t.Context(), two, peers)
-		g.Expect(found).To(Equal(KeyFound{Generation: one, Known: true, Runner: "runner"}))
+		g.Expect(found).To(Equal(KeyResult{Generation: one, Known: true, Runner: "runner"}))
 		c.setCut("a", true)
 		c.setCut("b", true)
 		_, err = r.FindKey(t.Context(), two, peers)
