--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -38,7 +38,8 @@
 	Name     string
 	Usage    string
 	Defaults any // pointer to the settings struct, for the flags
-	// Start loads the settings and returns a pointer to them, the findings, and the function that runs the daemon.
+	// Start loads the settings and returns a pointer to them, the findings, and the
+	// function that runs the daemon.
 	Start func(settings.Sources) (loaded any, found findings.List, serve func(context.Context, log.Logger) error)
 	Level func(loaded any) string // log level of the loaded settings
 }
--- a/sidecar/sidecar_test.go
+++ b/sidecar/sidecar_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// A caller's router freezes, and the caller goes on reading the same attempt through
+// A caller's router freezes, and the caller continues to read the same attempt through
 // another router. The first router resumes, finds its caller gone and cancels. That must
 // not interrupt the caller's stream.
 func TestCancelLeavesOthersReaders(t *testing.T) {
--- a/tokenlog/handle.go
+++ b/tokenlog/handle.go
@@ -95,8 +95,9 @@
 }
 
 // oldEnough reports whether the generation has run long enough to be worth journalling. A
-// resumed attempt is always old enough: the generation has already lost one engine, and
-// the peers may hold less of the earlier attempt than this one continues from.
+// resumed attempt is old enough at once, unless MinAge disables journalling: the
+// generation has already lost one engine, and the peers may hold less of the earlier
+// attempt than this one continues from.
 func (h *Handle) oldEnough() bool {
 	if len(h.gen.Emitted) > 0 && h.gen.MinAge < neverJournal {
 		return true
