--- a/router/attempt.go
+++ b/router/attempt.go
@@ -174,7 +174,7 @@
 // brokenResult distinguishes a connection that was never made, where nothing can
 // have run, from one that broke.
 func brokenResult(f *frameStream, lastFrameAt time.Time) attemptResult {
-	if !f.guard.MayHaveLeft() {
+	if !f.guard.MayHaveSent() {
 		return attemptResult{end: endNotStarted, cause: causeConnection, lastFrameAt: lastFrameAt}
 	}
 	return attemptResult{end: endLost, cause: causeConnection, lastFrameAt: lastFrameAt}
--- a/router/handover_test.go
+++ b/router/handover_test.go
@@ -119,7 +119,7 @@
 		if index == 100 {
 			home = cl.runningBackend()
 			cl.otherBackend(home).fillQueue(t)
-			home.sidecar.BeginLeave("test")
+			home.sidecar.BeginDrain("test")
 		}
 	})
 	got.expectComplete(g, 1500)
@@ -136,7 +136,7 @@
 	got := generate(t, cl.url, 1500, func(index int) {
 		if index == 100 {
 			home = cl.runningBackend()
-			home.sidecar.BeginLeave("test")
+			home.sidecar.BeginDrain("test")
 		}
 	})
 	got.expectComplete(g, 1500)
--- a/router/reattach.go
+++ b/router/reattach.go
@@ -225,7 +225,7 @@
 	g.router.opts.Recorder.Emit(eventGenerationLost, event.FieldRequest, g.req.requestID, "generation", g.id, "cause", cause)
 	refusal := types.Unknown(types.CodeGenerationLost, lostRetryAfter, "the generation cannot be continued (%v); send the request again without %s", cause, HeaderLastEventID)
 	refusal.Status = http.StatusGone
-	if errors.Is(cause, tokenlog.ErrUnsure) {
+	if errors.Is(cause, tokenlog.ErrInconclusive) {
 		refusal.Status = http.StatusServiceUnavailable
 		refusal.RetryAfter = unsureRetryAfter
 		refusal.Message = "some sidecars that may hold the generation did not answer; retry with the same Last-Event-ID"
