--- a/claim/metrics.go
+++ b/claim/metrics.go
@@ -28,17 +28,17 @@
 
 func newMetrics(reg prometheus.Registerer) *metrics {
 	m := &metrics{
-		answers: newCounter("answers_total", "Answers to non-repeatable calls.", "outcome", "code"),
-		claims:  newCounter("claims_total", "Claims by the result of the write.", "result"),
-		commits: newCounter("commits_total", "Transactions by kind of write and result.", "kind", "result"),
+		answers: newCounter("answers_total", "Answers to calls that may not be repeated.", "outcome", "code"),
+		claims:  newCounter("claims_total", "Claims by what came of the write.", "result"),
+		commits: newCounter("commits_total", "Transactions by what is written and what came of them.", "kind", "result"),
 		batchSize: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Namespace: "pearyard", Subsystem: "claim", Name: "batch_size",
-			Help: "Rows in one transaction, by kind of write.", Buckets: []float64{1, 2, 4, 8, 16, 32, 64},
+			Help: "Rows in one transaction, by what is written.", Buckets: []float64{1, 2, 4, 8, 16, 32, 64},
 		}, []string{"kind"}),
-		sidecarAnswers: newCounter("sidecar_answers_total", "Sidecars' answers to dispatches and void requests.", "question", "answer"),
-		saves:          newCounter("saves_total", "Final outcomes saved in claim rows, by result.", "result"),
+		sidecarAnswers: newCounter("sidecar_answers_total", "Sidecars' answers to dispatches and voids.", "question", "answer"),
+		saves:          newCounter("saves_total", "Final outcomes written into claim rows.", "result"),
 		deleted: prometheus.NewCounter(prometheus.CounterOpts{
-			Namespace: "pearyard", Subsystem: "claim", Name: "rows_deleted_total", Help: "Claim rows deleted past their retention time.",
+			Namespace: "pearyard", Subsystem: "claim", Name: "rows_deleted_total", Help: "Claim rows deleted past their retention.",
 		}),
 	}
 	reg.MustRegister(m.answers, m.claims, m.commits, m.batchSize, m.sidecarAnswers, m.saves, m.deleted)
--- a/claim/request.go
+++ b/claim/request.go
@@ -267,16 +267,16 @@
 func refusalMessage(code types.Code, outcome types.Outcome) string {
 	switch {
 	case code == types.CodeKeyReused:
-		return "this idempotency key was used for a call with different content; this call did not run"
+		return "this idempotency key belongs to a call with another content; nothing of this one ran"
 	case code == types.CodeTableDown:
-		return "the table service is unavailable; this request did not run; retry with the same key"
+		return "the table service can't be reached; this try ran nowhere; come back with the same key"
 	case code == types.CodeStillRunning:
-		return "the call is or may be running; retry with the same key to get its answer"
+		return "the call is running or may be; come back with the same key for its answer"
 	case outcome == types.OutcomeUnknown:
 		return "the call may have run; it won't be run again"
 	case code == types.CodeNoBackend:
-		return "no backend server accepts this call; this request did not run; retry with the same key"
+		return "no backend server takes this call; it ran nowhere; come back with the same key"
 	default:
-		return "this request did not run; retry with the same key"
+		return "this try ran nowhere; come back with the same key"
 	}
 }
--- a/claim/search_test.go
+++ b/claim/search_test.go
@@ -12,7 +12,7 @@
 )
 
 // deep adds searches that take minutes.
-var deep = flag.Bool("deep", false, "search larger models, for minutes")
+var deep = flag.Bool("deep", false, "search larger worlds, for minutes")
 
 // search visits every reachable state of the model, depth first.
 type search struct {
--- a/directory/pick_bench_test.go
+++ b/directory/pick_bench_test.go
@@ -12,7 +12,7 @@
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{100, 3000} {
 		for _, disruption := range []bool{false, true} {
-			b.Run(fmt.Sprintf("%d disruption=%v", n, disruption), func(b *testing.B) {
+			b.Run(fmt.Sprintf("%d again=%v", n, disruption), func(b *testing.B) {
 				var ids []string
 				for i := range n {
 					ids = append(ids, fmt.Sprintf("%c-%06d", 'a'+i%4, i))
--- a/entry/main.go
+++ b/entry/main.go
@@ -39,9 +39,9 @@
 		Name:  "pearyard-entry",
 		Usage: "serves callers on an entry VM of the platform; settings come from the file named by " + platform.SettingsVariable,
 		Flags: []cli.Flag{
-			&cli.BoolFlag{Name: flagCheck, Aliases: []string{"print-settings"}, Usage: "check the settings, print them as JSON and exit: 0 if they are valid, 3 if not"},
+			&cli.BoolFlag{Name: flagCheck, Aliases: []string{"print-settings"}, Usage: "check the settings, print them as JSON and exit: 0 if they are good, 3 if not"},
 			&cli.StringFlag{Name: flagSettings, Usage: "settings `FILE` in place of the one that " + platform.SettingsVariable + " names"},
-			&cli.StringFlag{Name: flagCheckConfig, Usage: "check the configuration in `FILE` before it is written to the store and exit: 0 if entry VMs accept it, 3 if not"},
+			&cli.StringFlag{Name: flagCheckConfig, Usage: "check the configuration in `FILE` before it is written to the store and exit: 0 if entry VMs take it, 3 if not"},
 		},
 		Writer: stdout, ErrWriter: stderr,
 		Action: func(c *cli.Context) error {
--- a/entry/panics.go
+++ b/entry/panics.go
@@ -14,7 +14,7 @@
 )
 
 // errInternal is the error reported to the caller of a request whose handler panicked.
-var errInternal = errors.New("entry: an internal error ended the request")
+var errInternal = errors.New("entry: a fault of this program ended the request")
 
 // maxStackBytes bounds the stack trace in a log line; it fits about a dozen frames.
 const maxStackBytes = 2048
--- a/entry/refusal.go
+++ b/entry/refusal.go
@@ -73,7 +73,7 @@
 	h.recorder.Emit(EventLate, event.FieldRequest, call.ID, "route", call.Route.Name, "version", call.Version,
 		"took", time.Since(call.Arrived), event.FieldEndedBy, call.DeadlineBy)
 	platform.WriteFailure(w, call.ID, &exchange.Failure{
-		By: call.DeadlineBy, RetryAfter: withJitter(otherProcessDelay), Err: errors.New("entry: the deadline passed before the request was complete"),
+		By: call.DeadlineBy, RetryAfter: withJitter(otherProcessDelay), Err: errors.New("entry: its time was over when the request was complete"),
 	})
 }
 
--- a/exchange/errors.go
+++ b/exchange/errors.go
@@ -47,14 +47,14 @@
 	ErrSilent = errors.New("exchange: the backend server fell silent")
 	// ErrServerLost: the server was found lost, by another request or process, while
 	// its response was awaited.
-	ErrServerLost = errors.New("exchange: the backend server was found lost")
+	ErrServerLost = errors.New("exchange: the backend server is lost")
 	// ErrOtherStart: another process answers at the server's address, so the server has
 	// ended.
-	ErrOtherStart = errors.New("exchange: another process answers at the backend server's address")
+	ErrOtherStart = errors.New("exchange: another start of the backend server answers")
 	// ErrOrder: an event was missing or came twice.
 	ErrOrder = errors.New("exchange: events out of order")
 	// ErrCut: a stream ended before it was complete.
-	ErrCut = errors.New("exchange: the stream ended before it was complete")
+	ErrCut = errors.New("exchange: the stream ended in its middle")
 	// ErrBudget: the service's retry budget is spent.
 	ErrBudget = errors.New("exchange: retry budget spent")
 	// ErrNoServer: no backend server is available for the request.
@@ -79,7 +79,7 @@
 
 // Error implements error.
 func (e *SilentError) Error() string {
-	return fmt.Sprintf("%v (for %v, alive=%v, %d prompt tokens queued)", ErrSilent, e.Silence, e.Alive, e.Unread)
+	return fmt.Sprintf("%v (for %v, alive=%v, %d prompt tokens ahead)", ErrSilent, e.Silence, e.Alive, e.Unread)
 }
 
 // Unwrap returns the cause.
--- a/exchange/estimate.go
+++ b/exchange/estimate.go
@@ -54,8 +54,8 @@
 // Error implements error.
 func (e *LateError) Error() string {
 	t := e.soonest
-	return fmt.Sprintf("exchange: no backend server would finish in time: the best one would send the first event after %v and the last after %v, with %v left"+
-		" (%d prompt tokens queued, %.0f read per second, reading %.0f%% of the time)", t.first, t.end, e.left, t.unread, t.speed, 100*t.duty)
+	return fmt.Sprintf("exchange: no backend server would finish in time: at the best one the first event comes after %v, the last after %v, %v are left"+
+		" (%d prompt tokens ahead, %.0f read a second, %.0f%% of its time)", t.first, t.end, e.left, t.unread, t.speed, 100*t.duty)
 }
 
 // retryAfter is by how much the servers' backlog is too long, which is when a new
--- a/exchange/sse.go
+++ b/exchange/sse.go
@@ -47,7 +47,7 @@
 			return ev, r.endError(err)
 		}
 		if len(r.buf) > maxEvent {
-			return ev, errors.New("exchange: an event exceeds the maximum length")
+			return ev, errors.New("exchange: an event is too long")
 		}
 		complete := r.buf[lineStart(r.buf):]
 		if len(bytes.TrimRight(complete, "\r\n")) == 0 {
--- a/exchange/takeover.go
+++ b/exchange/takeover.go
@@ -18,7 +18,7 @@
 const silenceTimeout = 5 * time.Second
 
 // errAbandoned: the request ended while its attempt was in progress.
-var errAbandoned = errors.New("exchange: the request ended before its attempt was answered")
+var errAbandoned = errors.New("exchange: the request ended before its answer")
 
 // relay forwards what the current attempt's server sends until the stream is complete
 // (nil) or the attempt is over. While that server is silent, another one is asked to
--- a/httpconn/httpconn.go
+++ b/httpconn/httpconn.go
@@ -39,7 +39,7 @@
 
 // ErrUnexpectedData says that data arrived on a connection before a request was sent on
 // it.
-var ErrUnexpectedData = errors.New("httpconn: unexpected data on an idle connection")
+var ErrUnexpectedData = errors.New("httpconn: bytes on an idle connection")
 
 // ConnectError says that no connection could be established, so nothing was sent.
 type ConnectError struct{ Err error }
@@ -212,7 +212,7 @@
 // that response can't be determined.
 func (c *Conn) Skip() error {
 	if c.body == nil || !c.body.reusable {
-		return errors.New("httpconn: cannot skip a response of unknown length")
+		return errors.New("httpconn: an answer without a length can't be skipped")
 	}
 	_, err := io.Copy(io.Discard, io.LimitReader(c.body.raw, maxSkipBytes+1))
 	return errors.Wrap(err, "httpconn: skip")
--- a/inbound/listener.go
+++ b/inbound/listener.go
@@ -82,12 +82,12 @@
 	}
 	return &Listener{
 		Listener: l, opts: opts, epoch: time.Now(), end: newListenerEnd(), open: map[*clientConn]struct{}{},
-		dropped: counter("_dropped_total", "Clients' connections closed by the limits in force, as they were idle (idle) or a header took too long (head)."),
-		unread:  counter("_unread_total", "Clients' connections closed by the limits in force although they had data that this process had not processed."),
-		spared:  counter("_spared_total", "Checks of clients' connections that were over the limits in force and stayed open, as they had data that this process had not processed."),
+		dropped: counter("_dropped_total", "Clients' connections closed for idling (idle) or for a head that took too long (head), by the limits in force."),
+		unread:  counter("_unread_total", "Clients' connections closed by the limits in force although something had come on them that this process had not dealt with."),
+		spared:  counter("_spared_total", "Looks at clients' connections that were over the limits in force and stayed, as something had come on them that this process had not dealt with."),
 		delay: promauto.With(opts.Registerer).NewHistogram(prometheus.HistogramOpts{
 			Name: opts.Metrics + "_look_late_seconds",
-			Help: "Delay of the periodic check of clients' connections, seconds.", Buckets: delayBuckets,
+			Help: "How late this process looked through its clients' connections, seconds.", Buckets: delayBuckets,
 		}),
 	}
 }
--- a/lease/row.go
+++ b/lease/row.go
@@ -39,7 +39,7 @@
 	}
 	var r row
 	if err := json.Unmarshal(raw.Value, &r); err != nil {
-		return row{}, 0, errors.Wrapf(err, "decode lease row %s", raw.Key)
+		return row{}, 0, errors.Wrapf(err, "lease row %s", raw.Key)
 	}
 	return r, raw.Version, nil
 }
--- a/limit/limitbench/command.go
+++ b/limit/limitbench/command.go
@@ -19,7 +19,7 @@
 func Command() *cli.Command {
 	return &cli.Command{
 		Name:  "limit",
-		Usage: "measure the fairness and accuracy of limits in virtual time",
+		Usage: "measure fairness and accuracy of limits, in virtual time",
 		Flags: []cli.Flag{
 			&cli.IntFlag{Name: flagSeeds, Value: defaultSeeds, Usage: "number of seeds"},
 			&cli.BoolFlag{Name: flagJSON, Usage: "print every run as JSON"},
--- a/limit/limitbench/report.go
+++ b/limit/limitbench/report.go
@@ -56,15 +56,15 @@
 
 // Text writes the result as tables.
 func (r Result) Text(w io.Writer) {
-	fmt.Fprintf(w, "Small organisations beside a large one that sends %dx its share: median [min..max] of %d seeds\n", largeTimes, r.Seeds)
+	fmt.Fprintf(w, "Small organisations beside one that sends %dx its share: median [least..most] of %d seeds\n", largeTimes, r.Seeds)
 	fmt.Fprintln(w, "mode        class  p95/quiet p95       wait p95 s          shed %               large shed %         slots used")
 	for _, mode := range modes {
 		for class, k := range kinds {
 			r.fairLine(w, mode, class, k.class.String())
 		}
 	}
-	fmt.Fprintln(w, "\nAn organisation that sends 1.5x its limit through several routers: values as fractions of the limit")
-	fmt.Fprintln(w, "routers pattern borrow  rate mean           rate max 1 s        rate max 10 s       concurrency mean    concurrency max     % time over")
+	fmt.Fprintln(w, "\nAn organisation that sends 1.5x its limit through several routers: parts of the limit")
+	fmt.Fprintln(w, "routers pattern borrow  rate mean           worst second        worst ten s         places mean         places most         % time over")
 	for _, routers := range routerCounts {
 		for _, pattern := range patterns {
 			for _, borrow := range []bool{false, true} {
--- a/limit/limiter.go
+++ b/limit/limiter.go
@@ -131,7 +131,7 @@
 	case <-ctx.Done():
 		t.Release()
 		l.metrics.refused.WithLabelValues(reasonDeadline).Inc()
-		return nil, types.NotRun(types.CodeDeadline, l.retryAfterWait(t.st), "no slot became available before the deadline")
+		return nil, types.NotRun(types.CodeDeadline, l.retryAfterWait(t.st), "no slot became free in time")
 	}
 }
 
--- a/limit/metrics.go
+++ b/limit/metrics.go
@@ -34,12 +34,12 @@
 		refused:  vec("refused_total", "Requests refused.", "reason"),
 		wait: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Namespace: "pearyard", Subsystem: "limit", Name: "wait_seconds",
-			Help: "Time that requests waited in the queue before they were admitted.", Buckets: waitBuckets,
+			Help: "Time in the queue of requests that were admitted after waiting.", Buckets: waitBuckets,
 		}, []string{"class"}),
 	}
 	reg.MustRegister(m.admitted, m.queued, m.refused, m.wait,
 		gauge("slots_used", "Slots taken.", func() float64 { return float64(l.slots.counts().total()) }),
-		gauge("slots", "Slots that this router may use.", func() float64 { return float64(l.opts.Capacity()) }),
-		gauge("waiting", "Requests waiting for a slot.", func() float64 { return float64(l.slotWaiters.Load()) }))
+		gauge("slots", "Slots that this router may fill.", func() float64 { return float64(l.opts.Capacity()) }),
+		gauge("waiting", "Requests that wait for a slot.", func() float64 { return float64(l.slotWaiters.Load()) }))
 	return m
 }
--- a/limit/shed.go
+++ b/limit/shed.go
@@ -90,7 +90,7 @@
 		l.opts.Recorder.Emit(eventShed, "organisation", string(st.name), "reason", reason,
 			"waiting", st.waiting.Load(), "running", st.inflight.Load(), "retry_after", after)
 	}
-	return types.NotRun(types.CodeOverloaded, after, "no slot available for this organisation (%s)", reason)
+	return types.NotRun(types.CodeOverloaded, after, "no slot for this organisation now (%s)", reason)
 }
 
 // retryAfterWait returns the Retry-After for a request whose wait ended without a
@@ -119,7 +119,7 @@
 	if st.allowEvent(now) {
 		l.opts.Recorder.Emit(eventRate, "organisation", string(st.name), "rate_here", sh.rate, "retry_after", after)
 	}
-	return types.NotRun(types.CodeRateLimited, after, "the organisation's request rate limit is exceeded")
+	return types.NotRun(types.CodeRateLimited, after, "the organisation's rate is used up")
 }
 
 // assignRetryAfter returns the Retry-After for a refused caller. The retry time is
--- a/order/dump.go
+++ b/order/dump.go
@@ -79,9 +79,9 @@
 		orders: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "pearyard_orders_total", Help: "Orders sent to backend servers, by kind and result."}, []string{"kind", "result"}),
 		due: prometheus.NewGauge(prometheus.GaugeOpts{
-			Name: "pearyard_orders_due", Help: "Backend servers that don't serve yet what the configuration asks for."}),
+			Name: "pearyard_orders_due", Help: "Backend servers that don't serve yet what the text asks."}),
 		unreachable: prometheus.NewGauge(prometheus.GaugeOpts{
-			Name: "pearyard_orders_unreachable", Help: "Backend servers whose sidecar didn't report what is loaded."}),
+			Name: "pearyard_orders_unreachable", Help: "Backend servers whose sidecar didn't say what is loaded."}),
 	}
 	if reg != nil {
 		reg.MustRegister(m.orders, m.due, m.unreachable)
--- a/order/guard.go
+++ b/order/guard.go
@@ -61,7 +61,7 @@
 		opts.EngineTimeout = DefaultEngineTimeout
 	}
 	g := &Guard{opts: opts, executing: make(chan struct{}, 1), results: prometheus.NewCounterVec(prometheus.CounterOpts{
-		Name: "pearyard_order_guard_total", Help: "Orders that reached the sidecar, by result."}, []string{"result"})}
+		Name: "pearyard_order_guard_total", Help: "Orders that reached the sidecar, by what became of them."}, []string{"result"})}
 	if opts.Registerer != nil {
 		opts.Registerer.MustRegister(g.results)
 	}
--- a/retry/metrics.go
+++ b/retry/metrics.go
@@ -18,7 +18,7 @@
 	}, []string{"service"}))
 	asked := register(reg, prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "pearyard_retry_asked_total",
-		Help: "Retries requested, by whether the budget allowed them.",
+		Help: "Retries asked for, by whether the budget allowed them.",
 	}, []string{"service", "allowed"}))
 	return budgetMetrics{
 		requests: first.WithLabelValues(service),
--- a/router/call.go
+++ b/router/call.go
@@ -70,11 +70,11 @@
 func parsePlainCall(req *http.Request, adm *admittedRequest) (*text.Service, string, *types.Refusal) {
 	service, ok := adm.text.Service(req.PathValue("service"))
 	if !ok || service.Kind != text.KindPlain {
-		return nil, "", types.Invalid(http.StatusNotFound, types.CodeUnknownService, "there is no plain service %q", req.PathValue("service"))
+		return nil, "", types.Invalid(http.StatusNotFound, types.CodeUnknownService, "no plain service has the name %q", req.PathValue("service"))
 	}
 	key, refusal := parseIdempotencyKey(req.Header)
 	if refusal == nil && key == "" && service.Calls == text.CallsAtMostOnce {
-		refusal = types.Invalid(http.StatusBadRequest, types.CodeKeyRequired, "calls of service %s require the header %s", service.Name, HeaderIdempotencyKey)
+		refusal = types.Invalid(http.StatusBadRequest, types.CodeKeyRequired, "calls of %s need an %s", service.Name, HeaderIdempotencyKey)
 	}
 	return service, key, refusal
 }
@@ -112,7 +112,7 @@
 // runAtMostOnce runs a non-idempotent call through the claim protocol.
 func (r *Router) runAtMostOnce(ctx context.Context, adm *admittedRequest, sf *serviceFleet, key string, call plain.Call) (plain.Answer, *types.Refusal) {
 	if r.opts.Claims == nil {
-		return plain.Answer{}, types.NotRun(types.CodeTableDown, notReadyRetryAfter, "this router has no table service configured")
+		return plain.Answer{}, types.NotRun(types.CodeTableDown, notReadyRetryAfter, "this router has no table service")
 	}
 	deadline, _ := ctx.Deadline()
 	return r.opts.Claims.Do(ctx, claim.Call{
@@ -168,7 +168,7 @@
 			return callAnswer(resp), nil
 		}
 		if mayHaveRun(resp, err) {
-			return plain.Answer{}, types.Unknown(types.CodeUnknownOutcome, sf.retryAfter(), "the call was sent and its response was lost; it may be sent again")
+			return plain.Answer{}, types.Unknown(types.CodeUnknownOutcome, sf.retryAfter(), "the call was sent and its answer is lost; it may be sent again")
 		}
 		if ctx.Err() != nil || !sf.budget.Allow() {
 			return plain.Answer{}, noBackendRefusal(sf.retryAfter())
@@ -215,7 +215,7 @@
 }
 
 func noBackendRefusal(wait time.Duration) *types.Refusal {
-	return types.NotRun(types.CodeNoBackend, wait, "no backend server is available for this call")
+	return types.NotRun(types.CodeNoBackend, wait, "no backend server takes this call")
 }
 
 func callAnswer(resp *streampb.CallResponse) plain.Answer {
--- a/router/earlier.go
+++ b/router/earlier.go
@@ -44,7 +44,7 @@
 	}
 	doubtful := *refusal
 	doubtful.Outcome = types.OutcomeUnknown
-	doubtful.Message += "; an earlier request with this key may have run: retry with the same key"
+	doubtful.Message += "; an earlier try with this key may have run: come back with the same key"
 	return &doubtful
 }
 
--- a/router/panics.go
+++ b/router/panics.go
@@ -36,7 +36,7 @@
 	clear(w.Header())
 	w.Header().Set(HeaderRequestID, string(id))
 	w.Header().Set("Connection", "close")
-	refusal := types.Unknown(types.CodeInternal, 0, "internal error of the router")
+	refusal := types.Unknown(types.CodeInternal, 0, "a fault of this router ended the request")
 	refusal.Status = http.StatusInternalServerError
 	r.refuse(w, id, refusal)
 }
--- a/router/place.go
+++ b/router/place.go
@@ -15,7 +15,7 @@
 	defer g.releaseGrant()
 	for {
 		if g.consecutiveRefusals > 0 && time.Now().After(giveUpAt) {
-			return attemptResult{}, g.finalRefusal(types.CodeNoBackend, "every backend server refused this request")
+			return attemptResult{}, g.finalRefusal(types.CodeNoBackend, "every backend server refuses this request")
 		}
 		if !g.paceRefusals(ctx) {
 			return attemptResult{}, g.contextRefusal(ctx)
@@ -30,7 +30,7 @@
 			return result, nil
 		}
 		if time.Now().After(giveUpAt) {
-			return attemptResult{}, g.finalRefusal(types.CodeNoBackend, "no backend server is available for this request")
+			return attemptResult{}, g.finalRefusal(types.CodeNoBackend, "no backend server takes this request")
 		}
 		select {
 		case <-ctx.Done():
--- a/router/reattach.go
+++ b/router/reattach.go
@@ -223,12 +223,12 @@
 // different answers.
 func (g *generationRun) generationLost(cause error) *types.Refusal {
 	g.router.opts.Recorder.Emit(eventGenerationLost, event.FieldRequest, g.req.requestID, "generation", g.id, "cause", cause)
-	refusal := types.Unknown(types.CodeGenerationLost, lostRetryAfter, "the generation cannot be continued (%v); send the request again without %s", cause, HeaderLastEventID)
+	refusal := types.Unknown(types.CodeGenerationLost, lostRetryAfter, "the generation can't go on (%v); send the request anew without %s", cause, HeaderLastEventID)
 	refusal.Status = http.StatusGone
 	if errors.Is(cause, tokenlog.ErrUnsure) {
 		refusal.Status = http.StatusServiceUnavailable
 		refusal.RetryAfter = unsureRetryAfter
-		refusal.Message = "some sidecars that may hold the generation did not answer; retry with the same Last-Event-ID"
+		refusal.Message = "not everybody who may hold the generation could be asked; come back with the same Last-Event-ID"
 	}
 	return refusal
 }
--- a/router/request.go
+++ b/router/request.go
@@ -68,10 +68,10 @@
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return nil, types.Invalid(http.StatusRequestEntityTooLarge, types.CodeTooLarge, "the request body is larger than %d bytes", limit)
+		return nil, types.Invalid(http.StatusRequestEntityTooLarge, types.CodeTooLarge, "the body is larger than %d bytes", limit)
 	}
 	if err != nil {
-		return nil, types.Invalid(http.StatusBadRequest, types.CodeBadRequest, "reading the request body: %v", err)
+		return nil, types.Invalid(http.StatusBadRequest, types.CodeBadRequest, "the body could not be read: %v", err)
 	}
 	return body, nil
 }
@@ -81,7 +81,7 @@
 func parseGenerationRequest(r *http.Request, body []byte, chat bool, conf *text.Text, org *text.Organisation) (*generationRequest, *types.Refusal) {
 	var req completionBody
 	if err := json.Unmarshal(body, &req); err != nil {
-		return nil, badRequest("the request body is not valid JSON of this API: %v", err)
+		return nil, badRequest("the body is not a JSON request: %v", err)
 	}
 	service, ok := conf.ModelService(req.Model)
 	if !ok || service.Kind != text.KindModel {
@@ -126,7 +126,7 @@
 	}
 	id, err := types.ParseEventID(last)
 	if err != nil {
-		return badRequest("%s %q is not a valid event id", HeaderLastEventID, last)
+		return badRequest("%s %q was not given out here", HeaderLastEventID, last)
 	}
 	// A caller must not get the rest of another caller's answer.
 	// The id of a generation contains the key of its request, so only the same
@@ -135,7 +135,7 @@
 		return types.Invalid(http.StatusConflict, types.CodeForeignEventID, "%s belongs to another request", HeaderLastEventID)
 	}
 	if id.Index >= gr.maxTokens {
-		return types.Invalid(http.StatusConflict, types.CodeFutureEventID, "%s is beyond the end of the answer", HeaderLastEventID)
+		return types.Invalid(http.StatusConflict, types.CodeFutureEventID, "%s lies beyond the end of the answer", HeaderLastEventID)
 	}
 	gr.lastEvent = &id
 	return nil
@@ -161,7 +161,7 @@
 	if json.Unmarshal(req.Prompt, &list) == nil && len(list) == 1 && list[0] != "" {
 		return list[0], nil
 	}
-	return "", badRequest("prompt must be a single non-empty string")
+	return "", badRequest("prompt must be one text that is not empty")
 }
 
 // chatPrompt joins the whole conversation, so that earlier turns form a prefix that
@@ -174,7 +174,7 @@
 	for i, m := range messages {
 		content, ok := messageText(m.Content)
 		if !ok || m.Role == "" {
-			return "", badRequest("messages[%d] must have a role and text content", i)
+			return "", badRequest("messages[%d] needs a role and a text", i)
 		}
 		b.WriteString("<|" + m.Role + "|>\n" + content + "\n")
 	}
@@ -212,7 +212,7 @@
 		n = *req.MaxCompletionTokens
 	}
 	if n < 1 || n > limit {
-		return 0, badRequest("max_tokens must be between 1 and %d", limit)
+		return 0, badRequest("max_tokens must be from 1 to %d", limit)
 	}
 	return n, nil
 }
--- a/router/run.go
+++ b/router/run.go
@@ -133,7 +133,7 @@
 	// Only requests of which nothing has run are charged to the retry budget; a
 	// started generation may always be resumed.
 	if !g.ran && !g.service.budget.Allow() {
-		return g.finalRefusal(types.CodeOverloaded, "the retry budget of this service is used up")
+		return g.finalRefusal(types.CodeOverloaded, "the budget for retries is used up")
 	}
 	return nil
 }
@@ -150,7 +150,7 @@
 	g.router.opts.Recorder.Emit(eventAttemptLost, event.FieldRequest, g.req.requestID, "generation", g.id,
 		"cause", result.cause, "tokens", len(g.tokens), "resumes", g.resumes)
 	if g.resumes > g.text.Recovery.MaxResumes {
-		return g.finalRefusal(types.CodeResumeExhausted, "the generation was interrupted too often")
+		return g.finalRefusal(types.CodeResumeExhausted, "the generation was lost too often")
 	}
 	return nil
 }
--- a/router/serve.go
+++ b/router/serve.go
@@ -63,7 +63,7 @@
 		w.Header().Set(HeaderRequestID, string(adm.id))
 		if !r.beginRequest() {
 			defer httpanswer.DrainBody(w, req)()
-			leaving := types.NotRun(types.CodeLeaving, drainRetryAfter, "this router is shutting down; send the request to another one")
+			leaving := types.NotRun(types.CodeLeaving, drainRetryAfter, "this router is being stopped; another one serves")
 			r.refuse(w, adm.id, r.accountForEarlier(req, leaving))
 			return
 		}
@@ -83,20 +83,20 @@
 func (r *Router) admitCaller(req *http.Request, adm *admittedRequest) *types.Refusal {
 	adm.text = r.opts.Text()
 	if adm.text == nil {
-		return types.NotRun(types.CodeNotConfigured, notReadyRetryAfter, "this router has not loaded a configuration yet")
+		return types.NotRun(types.CodeNotConfigured, notReadyRetryAfter, "no text is in force here yet")
 	}
 	// A router that was frozen or cut off would go on serving by a configuration
 	// that was replaced long ago. Beyond the permitted age it refuses new requests.
 	if !r.opts.Fresh() {
-		return types.NotRun(types.CodeStale, staleRetryAfter, "this router's configuration is too old: its source has been unreachable")
+		return types.NotRun(types.CodeStale, staleRetryAfter, "this router is cut off from the configuration")
 	}
 	token, ok := strings.CutPrefix(req.Header.Get("Authorization"), bearerPrefix)
 	if !ok {
-		return types.Invalid(http.StatusUnauthorized, types.CodeUnauthorized, "an API key is required: Authorization: Bearer KEY")
+		return types.Invalid(http.StatusUnauthorized, types.CodeUnauthorized, "an API key is needed: Authorization: Bearer KEY")
 	}
 	org, ok := adm.text.OrganisationByKey(token)
 	if !ok {
-		return types.Invalid(http.StatusUnauthorized, types.CodeUnauthorized, "the API key is unknown")
+		return types.Invalid(http.StatusUnauthorized, types.CodeUnauthorized, "the API key is not known")
 	}
 	adm.organisation = org
 	return nil
@@ -217,7 +217,7 @@
 	if own := req.Header.Get(HeaderTimeout); own != "" {
 		seconds, err := time.ParseDuration(own + "s")
 		if err != nil || seconds <= 0 {
-			return nil, nil, badRequest("%s must be a number of seconds greater than 0", HeaderTimeout)
+			return nil, nil, badRequest("%s must be a number of seconds above 0", HeaderTimeout)
 		}
 		bound = min(bound, seconds)
 	}
@@ -229,5 +229,5 @@
 	defer httpanswer.DrainBody(w, req)()
 	id := types.NewRequestID()
 	w.Header().Set(HeaderRequestID, string(id))
-	r.refuse(w, id, types.Invalid(http.StatusNotFound, types.CodeBadRequest, "there is no endpoint %s %s", req.Method, req.URL.Path))
+	r.refuse(w, id, types.Invalid(http.StatusNotFound, types.CodeBadRequest, "nothing is served at %s %s", req.Method, req.URL.Path))
 }
--- a/router/sidecars.go
+++ b/router/sidecars.go
@@ -44,7 +44,7 @@
 
 // errWrongRequest is returned for a response to another request. Returning it would
 // give a caller somebody else's result; the outcome of its own call is unknown.
-var errWrongRequest = errors.New("router: response belongs to another request")
+var errWrongRequest = errors.New("router: answer belongs to another request")
 
 // Void requests that an attempt never run.
 func (s sidecars) Void(ctx context.Context, addr string, req *streampb.VoidRequest) (*streampb.CallResponse, error) {
--- a/suspect/metrics.go
+++ b/suspect/metrics.go
@@ -17,15 +17,15 @@
 		Namespace: "pearyard", Subsystem: "suspect", Name: "entries", Help: "Fingerprints in the ledger.",
 	}, func() float64 { return float64(len(*l.views.Load())) })
 	pushes := prometheus.NewCounterVec(prometheus.CounterOpts{
-		Namespace: "pearyard", Subsystem: "suspect", Name: "exchanges_total", Help: "Exchanges with peers, by result.",
+		Namespace: "pearyard", Subsystem: "suspect", Name: "exchanges_total", Help: "Exchanges with peers by result.",
 	}, []string{"result"})
 	reg.MustRegister(entries, pushes)
 	return &metrics{
-		deaths:      counter("deaths_total", "Engine deaths recorded by this process."),
-		quarantined: counter("quarantined_total", "Quarantines that this process learned of."),
-		cleared:     counter("cleared_total", "Suspects cleared because they ran to completion here."),
-		evicted:     counter("evicted_total", "Entries evicted because the ledger was full."),
-		held:        counter("held_total", "Runs of a suspect held back because of another copy or another suspect."),
+		deaths:      counter("deaths_total", "Engine deaths told to this process."),
+		quarantined: counter("quarantined_total", "Quarantines learned."),
+		cleared:     counter("cleared_total", "Suspects cleared by completing whole here."),
+		evicted:     counter("evicted_total", "Entries forgotten because the ledger was full."),
+		held:        counter("held_total", "Runs of a suspect held back by another copy or another suspect."),
 		exchanges:   pushes,
 	}
 }
--- a/suspect/server.go
+++ b/suspect/server.go
@@ -26,7 +26,7 @@
 // Exchange implements suspectpb.Suspects.
 func (s server) Exchange(_ context.Context, in *suspectpb.ExchangeRequest) (*suspectpb.ExchangeResponse, error) {
 	if len(in.GetEntries()) > s.ledger.opts.Max {
-		return nil, twirp.InvalidArgumentError("entries", "more entries than the ledger may hold")
+		return nil, twirp.InvalidArgumentError("entries", "more than the ledger holds")
 	}
 	s.ledger.Merge(fromWire(in.GetEntries()))
 	if !in.GetPull() {
