--- a/config/pack.go
+++ b/config/compress.go
@@ -8,14 +8,14 @@
 	"github.com/pkg/errors"
 )
 
-// maxTextBytes bounds a text, and so what a damaged or hostile message can
-// make a process allocate.
-const maxTextBytes = 64 << 20
+// maxConfigBytes bounds a configuration, and with it the memory that a corrupt
+// or malicious message can make a process allocate.
+const maxConfigBytes = 64 << 20
 
-// ErrTooLarge reports a text over the bound.
-var ErrTooLarge = errors.New("config: text too large")
+// ErrTooLarge reports a configuration larger than maxConfigBytes.
+var ErrTooLarge = errors.New("config: configuration too large")
 
-// deflate compresses a text.
+// deflate compresses a configuration.
 func deflate(raw []byte) ([]byte, error) {
 	var b bytes.Buffer
 	w, err := flate.NewWriter(&b, flate.DefaultCompression)
@@ -31,18 +31,18 @@
 	return b.Bytes(), nil
 }
 
-// inflate is the inverse of deflate; size is what the sender says the text has.
+// inflate is the inverse of deflate; size is the uncompressed size according to the sender.
 func inflate(packed []byte, size uint64) ([]byte, error) {
-	if size > maxTextBytes {
+	if size > maxConfigBytes {
 		return nil, ErrTooLarge
 	}
 	raw := make([]byte, size)
 	r := flate.NewReader(bytes.NewReader(packed))
 	if _, err := io.ReadFull(r, raw); err != nil {
-		return nil, errors.Wrap(err, "config: damaged text")
+		return nil, errors.Wrap(err, "config: corrupt compressed configuration")
 	}
 	if n, _ := r.Read(make([]byte, 1)); n != 0 {
-		return nil, errors.New("config: text longer than announced")
+		return nil, errors.New("config: configuration is longer than its announced size")
 	}
 	return raw, nil
 }
--- a/config/delta.go
+++ b/config/delta.go
@@ -10,30 +10,33 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// A text of 48,000 organisations is some megabytes even when compressed, and
-// 900 changes a day of it would use up a node's whole allowance of 4 KB a
-// second several times over. A change is small, so its delta is sent instead.
+// A configuration of 48,000 organisations is several megabytes even when
+// compressed. Sending it whole for each of 900 changes a day would exceed a
+// node's control traffic limit of 4 KB per second several times over. Changes
+// are small, so a delta is sent instead.
 
 const (
-	// deltasKept is how many revisions a process can be behind and still get deltas.
-	deltasKept = 16
-	// maxDeltaBytes bounds a delta that is worth keeping.
+	// maxDeltas is how many revisions a process can be behind and still get deltas.
+	maxDeltas = 16
+	// maxDeltaBytes is the size above which a delta is not kept and the full
+	// configuration is sent.
 	maxDeltaBytes = 64 << 10
-	// spliceOverhead is about what one splice costs beside its insert.
+	// spliceOverhead is the approximate encoded size of a splice without its insert.
 	spliceOverhead = 16
 )
 
-// ErrDelta reports a delta that doesn't fit the text at hand.
-var ErrDelta = errors.New("config: delta does not fit")
+// ErrDeltaMismatch reports a delta that doesn't apply to the local configuration.
+var ErrDelta = errors.New("config: delta does not apply to the local revision")
 
-// diffBytes returns the delta between two texts, nil if it would be large.
-// What both begin and end with is copied; between, whole lines are looked up.
-func diffBytes(from, to types.Revision, base, next []byte) *configpb.Delta {
+// makeDelta returns the delta between two configurations, nil if it would be
+// larger than maxDeltaBytes. The common prefix and suffix are copied; in between,
+// whole lines are looked up in the base.
+func makeDelta(from, to types.Revision, base, next []byte) *configpb.Delta {
 	prefix := commonPrefix(base, next)
 	suffix := commonSuffix(base[prefix:], next[prefix:])
 	b := deltaBuilder{base: base}
 	b.copyFrom(0, prefix)
-	b.lines(prefix, len(base)-suffix, next[prefix:len(next)-suffix])
+	b.encodeLines(prefix, len(base)-suffix, next[prefix:len(next)-suffix])
 	b.copyFrom(len(base)-suffix, suffix)
 	if b.size > maxDeltaBytes {
 		return nil
@@ -62,24 +65,25 @@
 	return n
 }
 
-// deltaBuilder collects splices, joining neighbours.
+// deltaBuilder collects splices and merges adjacent ones.
 type deltaBuilder struct {
 	base    []byte
 	splices []*configpb.Splice
 	size    int
 }
 
-// lines encodes the middle of the new text against base[from:to] by lines.
-func (b *deltaBuilder) lines(from, to int, middle []byte) {
-	at := map[string]int{}
+// encodeLines encodes the middle of the new configuration line by line against
+// base[from:to].
+func (b *deltaBuilder) encodeLines(from, to int, middle []byte) {
+	offsets := map[string]int{}
 	offset := from
 	for line := range bytes.Lines(b.base[from:to]) {
-		at[string(line)] = offset
+		offsets[string(line)] = offset
 		offset += len(line)
 	}
 	for line := range bytes.Lines(middle) {
-		if known, ok := at[string(line)]; ok && len(line) > spliceOverhead {
-			b.copyFrom(known, len(line))
+		if start, ok := offsets[string(line)]; ok && len(line) > spliceOverhead {
+			b.copyFrom(start, len(line))
 			continue
 		}
 		b.insert(line)
@@ -93,7 +97,7 @@
 	if length == 0 {
 		return
 	}
-	if last := b.last(); last != nil && len(last.Insert) == 0 && last.CopyFrom+last.CopyLength == uint64(offset) {
+	if last := b.lastSplice(); last != nil && len(last.Insert) == 0 && last.CopyFrom+last.CopyLength == uint64(offset) {
 		last.CopyLength += uint64(length)
 		return
 	}
@@ -102,7 +106,7 @@
 }
 
 func (b *deltaBuilder) insert(data []byte) {
-	last := b.last()
+	last := b.lastSplice()
 	if last == nil {
 		last = &configpb.Splice{}
 		b.splices = append(b.splices, last)
@@ -112,21 +116,21 @@
 	b.size += len(data)
 }
 
-func (b *deltaBuilder) last() *configpb.Splice {
+func (b *deltaBuilder) lastSplice() *configpb.Splice {
 	if len(b.splices) == 0 {
 		return nil
 	}
 	return b.splices[len(b.splices)-1]
 }
 
-// applyDelta returns the text that the delta makes of base. The hash guards
-// against a base that differs under the same revision: the result would be a
-// text that nobody accepted, so the delta is refused and the full text asked for.
+// applyDelta applies a delta to base. The hash detects a base with the same
+// revision but other content: the result would be a configuration that nobody
+// accepted, so the delta is rejected and the caller fetches the full configuration.
 func applyDelta(base []byte, delta *configpb.Delta) ([]byte, error) {
 	next := make([]byte, 0, len(base))
 	for _, s := range delta.Splices {
 		end := s.CopyFrom + s.CopyLength
-		if end < s.CopyFrom || end > uint64(len(base)) || uint64(len(next))+s.CopyLength > maxTextBytes {
+		if end < s.CopyFrom || end > uint64(len(base)) || uint64(len(next))+s.CopyLength > maxConfigBytes {
 			return nil, ErrDelta
 		}
 		next = append(next, base[s.CopyFrom:end]...)
@@ -138,25 +142,25 @@
 	return next, nil
 }
 
-// deltaChain keeps the deltas that lead to the revision in force, oldest first.
+// deltaChain holds the latest deltas up to the revision in force, oldest first.
 type deltaChain []*configpb.Delta
 
 func (c *deltaChain) add(old, next *Snapshot) {
 	var delta *configpb.Delta
 	if old != nil {
-		delta = diffBytes(old.Revision, next.Revision, old.Raw, next.Raw)
+		delta = makeDelta(old.Revision, next.Revision, old.Raw, next.Raw)
 	}
 	if delta == nil {
-		*c = nil // the chain must lead without a gap to the revision in force
+		*c = nil // the chain must reach the revision in force without a gap
 		return
 	}
 	*c = append(*c, delta)
-	if len(*c) > deltasKept {
-		*c = append(deltaChain(nil), (*c)[len(*c)-deltasKept:]...)
+	if len(*c) > maxDeltas {
+		*c = append(deltaChain(nil), (*c)[len(*c)-maxDeltas:]...)
 	}
 }
 
-// since returns the deltas from a revision on, nil if the chain doesn't reach back to it.
+// since returns the deltas from a revision onwards, nil if the chain doesn't reach back to it.
 func (c deltaChain) since(have types.Revision) []*configpb.Delta {
 	for i, delta := range c {
 		if delta.From == uint64(have) {
--- a/config/delta_internal_test.go
+++ b/config/delta_internal_test.go
@@ -14,7 +14,7 @@
 	f.Add([]byte(""), []byte("x"))
 	f.Add([]byte("aaaa"), []byte("aa"))
 	f.Fuzz(func(t *testing.T, base, next []byte) {
-		delta := diffBytes(1, 2, base, next)
+		delta := makeDelta(1, 2, base, next)
 		if delta == nil {
 			return
 		}
@@ -28,13 +28,13 @@
 func TestDeltaChainHasNoGap(t *testing.T) {
 	g := NewWithT(t)
 	h := NewHolder(HolderOptions{})
-	for rev := range deltasKept + 5 {
+	for rev := range maxDeltas + 5 {
 		_, err := h.Offer(types.Revision(1+2*rev), []byte(`{"limits":{"maxTokens":`+string(rune('1'+rev%9))+`}}`))
 		g.Expect(err).NotTo(HaveOccurred())
 	}
-	g.Expect(h.deltas).To(HaveLen(deltasKept))
+	g.Expect(h.deltas).To(HaveLen(maxDeltas))
 	g.Expect(h.deltas.since(h.Revision() - 4)).To(HaveLen(2))
-	g.Expect(h.deltas.since(h.Revision()-3)).To(BeNil(), "a revision that was never here")
+	g.Expect(h.deltas.since(h.Revision()-3)).To(BeNil(), "a revision that was never in force here")
 	g.Expect(h.deltas.since(1)).To(BeNil())
 }
 
@@ -42,7 +42,7 @@
 	g := NewWithT(t)
 	packed, err := deflate(make([]byte, 1000))
 	g.Expect(err).NotTo(HaveOccurred())
-	for _, size := range []uint64{999, 1001, maxTextBytes + 1} {
+	for _, size := range []uint64{999, 1001, maxConfigBytes + 1} {
 		_, err = inflate(packed, size)
 		g.Expect(err).To(HaveOccurred(), "%d", size)
 	}
--- a/config/doc.go
+++ b/config/doc.go
@@ -1,8 +1,8 @@
-// Package config keeps the revision of the operators' text that is in force in
-// a process and spreads it. A Holder gives requests the snapshot in force; a
-// Store commits new revisions by compare-and-swap in the table service; a
-// Spreader brings newer revisions in from the store and from peers, and hands
-// them on. Nothing here ever moves a process back to an older revision.
+// Package config distributes the operators' configuration and holds the revision
+// in force in a process. A Holder provides requests with the snapshot in force; a
+// Store commits new revisions to the table service by compare-and-swap; a Syncer
+// fetches newer revisions from the store and from peers; a Pusher sends a newly
+// accepted revision to peers. A process never returns to an older revision.
 //
 // May import of pearyard: backing, event, findings, rpc/config, text, types.
 package config
--- a/config/fake_test.go
+++ b/config/fake_test.go
@@ -12,8 +12,8 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// fakeTable is a table service in memory with faults. onCommit decides what
-// becomes of a commit; frozen makes reads answer from the copy taken by freeze.
+// fakeTable is an in-memory table service with fault injection. onCommit decides
+// the outcome of a commit; while frozen is set, reads see the copy taken by freeze.
 type fakeTable struct {
 	mu       sync.Mutex
 	rows     map[string]backing.Row
@@ -133,7 +133,7 @@
 	return nil
 }
 
-// fakePeers is a Source over holders in the same process.
+// fakePeers is a Source that reads holders in the same process.
 type fakePeers map[string]*config.Holder
 
 func (f fakePeers) Peek(_ context.Context, addr string) (types.Revision, error) {
@@ -152,8 +152,8 @@
 	return holder.Current().Revision, holder.Current().Raw, nil
 }
 
-// textOf returns a small text that differs by its retention.
-func textOf(n int) []byte {
+// configOf returns a small configuration whose retainMillis is n.
+func configOf(n int) []byte {
 	return []byte(fmt.Sprintf("{\n  \"services\": [{\"name\": \"labels\", \"kind\": \"plain\"}],\n  \"recovery\": {\"retainMillis\": %d}\n}\n", n))
 }
 
--- a/config/holder.go
+++ b/config/holder.go
@@ -15,26 +15,26 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// NeverConfirmed is the freshness of a process that has no confirmed text.
+// NeverConfirmed is the freshness of a process without a confirmed configuration.
 const NeverConfirmed = time.Duration(1<<63 - 1)
 
-// largeText is the size from which a process gives back the memory of the
-// revision before at once. The collector would otherwise let the heap grow to
-// twice what was in use while both were held, which at 48,000 organisations is
-// more than a process may use.
-const largeText = 1 << 20
+// freeMemoryBytes is the configuration size from which the memory of the previous
+// revision is returned to the system at once. Otherwise the garbage collector
+// would let the heap grow to twice what was in use while both revisions were
+// held, which at 48,000 organisations exceeds a process's memory limit.
+const freeMemoryBytes = 1 << 20
 
-// ErrSameRevision reports two different texts under one revision.
-var ErrSameRevision = errors.New("config: two different texts under one revision")
+// ErrSameRevision reports two different configurations with the same revision.
+var ErrSameRevision = errors.New("config: two different configurations with the same revision")
 
-// Snapshot is one revision of the text. It is immutable.
+// Snapshot is one revision of the configuration. It is immutable.
 type Snapshot struct {
 	Revision types.Revision
 	Raw      []byte
 	Text     *text.Text
 }
 
-// HolderOptions configure a Holder. All fields may be left out.
+// HolderOptions configure a Holder. All fields are optional.
 type HolderOptions struct {
 	Recorder   *event.Recorder
 	Registerer prometheus.Registerer
@@ -42,7 +42,7 @@
 }
 
 // Holder holds the snapshot in force. Readers take no lock: they load a
-// pointer to an immutable snapshot, which writers replace whole.
+// pointer to an immutable snapshot, which writers replace as a whole.
 type Holder struct {
 	opts    HolderOptions
 	metrics *holderMetrics
@@ -50,16 +50,16 @@
 
 	confirmed atomic.Int64 // when the newest revision was last confirmed, in Unix nanoseconds; 0: never
 
-	offerMu sync.Mutex // one offer at a time: decoding a large text takes memory
+	offerMu sync.Mutex // serializes offers: decoding a large configuration takes much memory
 	mu      sync.Mutex // guards replacing current, changed and deltas
 	changed chan struct{}
 	deltas  deltaChain
 
-	packMu sync.Mutex // guards packed
-	packed packed
+	compressedMu    sync.Mutex // guards compressedCache
+	compressedCache compressedConfig
 }
 
-// NewHolder returns a holder without a text.
+// NewHolder returns a holder without a configuration.
 func NewHolder(opts HolderOptions) *Holder {
 	if opts.Recorder == nil {
 		opts.Recorder = event.Discard()
@@ -83,8 +83,8 @@
 	return 0
 }
 
-// Changed returns a channel that is closed at the next change. A caller takes
-// the channel first and reads Current after it, so that it misses no change.
+// Changed returns a channel that is closed at the next change. To miss no
+// change, a caller gets the channel before it reads Current.
 func (h *Holder) Changed() <-chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -94,16 +94,16 @@
 // Offer brings an accepted revision into force if it is newer than the one in
 // force, and reports whether it did. The caller must not change raw afterwards.
 //
-// Guard: a store that answers from an old copy, a peer that was frozen and
-// wakes, or a late message all offer an older revision. Were it taken, an
-// accepted configuration would revert, seen as the revision metric falling.
-// Offers take turns, each compares with what the one before left, and only
-// replace, which compares too, ever writes the snapshot.
+// An older revision can be offered by a store that reads from an old copy, by a
+// peer that resumes after a freeze, or by a late message. Taking it would revert
+// an accepted configuration, visible as a falling revision metric. Offers are
+// therefore serialized and compared with the revision in force, and only replace,
+// which compares again, writes the snapshot.
 func (h *Holder) Offer(rev types.Revision, raw []byte) (bool, error) {
 	h.offerMu.Lock()
 	defer h.offerMu.Unlock()
 	if rev <= h.Revision() {
-		return false, h.refuseOld(rev, raw)
+		return false, h.rejectStale(rev, raw)
 	}
 	loaded, err := text.Load(raw)
 	if err != nil {
@@ -113,11 +113,11 @@
 	}
 	next := &Snapshot{Revision: rev, Raw: raw, Text: loaded}
 	if !h.replace(next) {
-		return false, h.refuseOld(rev, raw)
+		return false, h.rejectStale(rev, raw)
 	}
 	h.metrics.offers.WithLabelValues("taken").Inc()
 	h.opts.Recorder.Emit(EventInForce, "revision", rev, "bytes", len(raw))
-	if len(raw) >= largeText {
+	if len(raw) >= freeMemoryBytes {
 		debug.FreeOSMemory()
 	}
 	return true, nil
@@ -140,9 +140,10 @@
 	return true
 }
 
-// refuseOld tells an old revision, which is ordinary, from a second text under
-// the revision in force, which only a damaged store or a defect can produce.
-func (h *Holder) refuseOld(rev types.Revision, raw []byte) error {
+// rejectStale counts an offer that isn't newer than the revision in force. It
+// returns ErrSameRevision for other content with the revision in force, which
+// only a damaged store or a defect can produce; older revisions are normal.
+func (h *Holder) rejectStale(rev types.Revision, raw []byte) error {
 	current := h.current.Load()
 	if rev == current.Revision && !bytes.Equal(raw, current.Raw) {
 		h.metrics.offers.WithLabelValues("conflicting").Inc()
@@ -153,16 +154,17 @@
 	return nil
 }
 
-// Confirmed notes that the store or a peer had this revision at a moment not
-// before asOf. It only counts if that is the revision in force here: one that
-// is behind proves nothing. It is called on every answer from another process
-// and takes no lock.
+// RecordConfirmation records that the store or a peer had this revision at asOf or
+// later. It counts only if rev is the revision in force here: a process that is
+// behind proves nothing. It is called on every response from another process and
+// takes no lock.
 //
-// Guard: asOf is when the question was asked, not when the answer is read. A
-// process that was frozen reads, when it wakes, messages from before; by the
-// time of reading they would confirm a text that was replaced meanwhile, seen
-// as a request served by an old text long after the new one was accepted. For
-// the same reason a text that comes by itself confirms nothing (see replace).
+// asOf is the time at which the request was sent, not when the response was read.
+// A process that resumes after a freeze reads messages that were sent before it;
+// dated by the time of reading, they would confirm a configuration that was
+// replaced meanwhile, and requests would be served with the old configuration
+// long after the new one was accepted. For the same reason an unsolicited
+// configuration confirms nothing (see replace).
 func (h *Holder) Confirmed(rev types.Revision, asOf time.Time) {
 	current := h.current.Load()
 	if asOf.IsZero() || current == nil || rev != current.Revision {
@@ -178,7 +180,7 @@
 }
 
 // Freshness returns the time since the store or a peer last confirmed that the
-// revision in force is the newest; NeverConfirmed if there is no text.
+// revision in force is the newest; NeverConfirmed if there is no configuration.
 func (h *Holder) Freshness() time.Duration {
 	at := h.confirmed.Load()
 	if at == 0 {
--- a/config/metrics.go
+++ b/config/metrics.go
@@ -31,13 +31,13 @@
 		"Texts that operators applied by result: accepted, refused, race, undecided, unavailable.", "result")}
 }
 
-type spreadMetrics struct {
+type syncMetrics struct {
 	polls, fetches, pushes *prometheus.CounterVec
 }
 
-func newSpreadMetrics(reg prometheus.Registerer) *spreadMetrics {
+func newSyncMetrics(reg prometheus.Registerer) *syncMetrics {
 	factory := promauto.With(reg)
-	return &spreadMetrics{
+	return &syncMetrics{
 		polls:   counter(factory, "polls_total", "Polls of the store by result: same, newer, older, error.", "result"),
 		fetches: counter(factory, "fetches_total", "Texts asked of peers by result: taken, old, error.", "result"),
 		pushes:  counter(factory, "pushes_total", "Accepted texts pushed to peers by result: taken, behind, error.", "result"),
--- a/config/payload.go
+++ b/config/payload.go
@@ -7,15 +7,16 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// packed is a snapshot's text in compressed form, made once for all askers.
-type packed struct {
+// compressedConfig caches a snapshot's compressed configuration.
+type compressedConfig struct {
 	revision types.Revision
 	data     []byte
 }
 
-// payload returns the revision in force for a process that has another one.
+// payload returns the revision in force for a process that has revision have: as
+// deltas if possible, else in full.
 func (h *Holder) payload(have types.Revision) (*configpb.Payload, error) {
-	current, deltas := h.withDeltas(have)
+	current, deltas := h.currentWithDeltas(have)
 	if current == nil {
 		return &configpb.Payload{}, nil
 	}
@@ -27,37 +28,38 @@
 		p.Deltas = deltas
 		return p, nil
 	}
-	full, err := h.packedText(current)
+	full, err := h.compressed(current)
 	p.Full = full
 	return p, err
 }
 
-func (h *Holder) withDeltas(have types.Revision) (*Snapshot, []*configpb.Delta) {
+func (h *Holder) currentWithDeltas(have types.Revision) (*Snapshot, []*configpb.Delta) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.current.Load(), h.deltas.since(have)
 }
 
-// packedText compresses a snapshot once, however many processes ask for it.
-func (h *Holder) packedText(s *Snapshot) ([]byte, error) {
-	h.packMu.Lock()
-	defer h.packMu.Unlock()
-	if h.packed.revision == s.Revision {
-		return h.packed.data, nil
+// compressed returns the compressed snapshot. Each snapshot is compressed only
+// once, however many processes ask for it.
+func (h *Holder) compressed(s *Snapshot) ([]byte, error) {
+	h.compressedMu.Lock()
+	defer h.compressedMu.Unlock()
+	if h.compressedCache.revision == s.Revision {
+		return h.compressedCache.data, nil
 	}
 	data, err := deflate(s.Raw)
 	if err != nil {
 		return nil, err
 	}
-	h.packed = packed{revision: s.Revision, data: data}
+	h.compressedCache = compressedConfig{revision: s.Revision, data: data}
 	return data, nil
 }
 
-// ErrNoText reports a payload without a text in it.
-var ErrNoText = errors.New("config: no text in the answer")
+// ErrEmptyPayload reports a payload without a configuration.
+var ErrNoText = errors.New("config: response contains no configuration")
 
-// unpack returns the text of a payload, given what is in force here.
-func unpack(p *configpb.Payload, current *Snapshot) ([]byte, error) {
+// decodePayload returns the configuration in a payload; deltas are applied to current.
+func decodePayload(p *configpb.Payload, current *Snapshot) ([]byte, error) {
 	if len(p.GetDeltas()) > 0 {
 		return applyDeltas(p, current)
 	}
--- a/config/poll.go
+++ b/config/poll.go
@@ -7,7 +7,7 @@
 	"github.com/pkg/errors"
 )
 
-// Results of a poll.
+// Results of a poll, as they are counted in polls_total.
 const (
 	pollSame  = "same"
 	pollNewer = "newer"
@@ -15,65 +15,65 @@
 	pollError = "error"
 )
 
-// pollOrder tells which of the polls that were open beside each other is the
-// newest that has ended.
-type pollOrder struct {
-	mu    sync.Mutex
-	begun int
-	ended int // number of the newest poll that has ended
-	open  int
-	down  bool // the newest poll that ended had no answer
+// pollTracker numbers the polls, which may overlap, and keeps the outcome of the
+// most recently started one that has ended.
+type pollTracker struct {
+	mu          sync.Mutex
+	lastStarted int // number of the newest poll
+	lastEnded   int // number of the newest poll that has ended
+	inFlight    int
+	down        bool // poll number lastEnded got no response
 }
 
-func (o *pollOrder) begin() (number int) {
+func (o *pollTracker) begin() (number int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.begun++
-	o.open++
-	return o.begun
+	o.lastStarted++
+	o.inFlight++
+	return o.lastStarted
 }
 
-// end notes how a poll ended, and reports whether that says something new of
-// the store.
+// end records the outcome of a poll and reports whether the store's availability
+// changed with it.
 //
-// An older question may run out of time after a later one was answered: only the newest
-// poll that has ended says how the store is.
-func (o *pollOrder) end(number int, down bool) (changed bool) {
+// An older poll may time out after a later one got a response, so only the newest poll that
+// has ended determines the availability.
+func (o *pollTracker) end(number int, down bool) (changed bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.open--
-	if number < o.ended {
+	o.inFlight--
+	if number < o.lastEnded {
 		return false
 	}
-	o.ended = number
+	o.lastEnded = number
 	changed = down != o.down
 	o.down = down
 	return changed
 }
 
-// waiting reports whether a poll is open.
-func (o *pollOrder) waiting() bool {
+// anyInFlight reports whether a poll is still running.
+func (o *pollTracker) anyInFlight() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.open > 0
+	return o.inFlight > 0
 }
 
-// poll brings in what the store has.
-func (s *Spreader) poll(ctx context.Context) {
+// poll fetches the newest revision from the store.
+func (s *Spreader) pollStore(ctx context.Context) {
 	if s.opts.Versions == nil {
 		return
 	}
 	number := s.polls.begin()
-	_ = s.inTurn(ctx, func(ctx context.Context) error {
-		result, err := s.pull(ctx)
+	_ = s.waitCall(ctx, func(ctx context.Context) error {
+		result, err := s.fetchFromStore(ctx)
 		s.metrics.polls.WithLabelValues(result).Inc()
-		s.noteStore(number, result, err)
+		s.recordPoll(number, result, err)
 		return err
 	})
 }
 
-func (s *Spreader) pull(ctx context.Context) (string, error) {
-	begun := s.opts.Holder.opts.Now()
+func (s *Spreader) fetchFromStore(ctx context.Context) (string, error) {
+	start := s.opts.Holder.opts.Now()
 	head, err := s.opts.Versions.Head(ctx)
 	var behind *BehindError
 	if errors.As(err, &behind) {
@@ -83,7 +83,7 @@
 		return pollError, err
 	}
 	if head.Revision <= s.opts.Holder.Revision() {
-		s.opts.Holder.Confirmed(head.Revision, begun)
+		s.opts.Holder.Confirmed(head.Revision, start)
 		return pollSame, nil
 	}
 	raw, err := s.opts.Versions.Load(ctx, head.Revision)
@@ -91,12 +91,13 @@
 		return pollError, err
 	}
 	_, err = s.opts.Holder.Offer(head.Revision, raw)
-	s.opts.Holder.Confirmed(head.Revision, begun)
+	s.opts.Holder.Confirmed(head.Revision, start)
 	return pollNewer, err
 }
 
-// noteStore emits an event when the store goes or comes back, not at each poll.
-func (s *Spreader) noteStore(number int, result string, err error) {
+// recordPoll emits an event when the store becomes unreachable or reachable again, not at
+// each poll, and whenever it returns an older revision.
+func (s *Spreader) recordPoll(number int, result string, err error) {
 	changed := s.polls.end(number, result == pollError)
 	switch {
 	case result == pollOlder:
--- a/config/push.go
+++ b/config/push.go
@@ -11,32 +11,33 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// PushResult counts what became of the pushes of one revision.
+// PushResult counts the outcomes of pushing one revision.
 type PushResult struct {
 	Revision types.Revision `json:"revision"`
 	Reached  int64          `json:"reached"` // processes that have the revision now
 	Behind   int64          `json:"behind"`  // processes that will fetch it
-	Failed   int64          `json:"failed"`  // processes that didn't answer; stamps and polls reach them
+	Failed   int64          `json:"failed"`  // processes that didn't respond; they learn of it from stamps and polls
 }
 
 // Pusher sends the revision in force to other processes after it was accepted
-// here, so that it spreads at once instead of with the next traffic.
+// here, so that they get it at once instead of with the next request or poll.
 type Pusher struct {
-	spreader *Spreader
-	client   *Client
-	self     string
+	syncer *Spreader
+	client *Client
+	self   string
 }
 
-// NewPusher returns a pusher; self is where receivers can ask this process.
-func NewPusher(spreader *Spreader, client *Client, self string) *Pusher {
-	return &Pusher{spreader: spreader, client: client, self: self}
+// NewPusher returns a pusher; self is the address from which receivers can fetch
+// the revision.
+func NewPusher(syncer *Spreader, client *Client, self string) *Pusher {
+	return &Pusher{syncer: syncer, client: client, self: self}
 }
 
-// Push sends the revision in force to the given processes, a bounded number at
-// a time and in random order, so that processes that accept one after another
-// don't all begin with the same receivers.
+// Push sends the revision in force to the given processes, at most PushConcurrency
+// at a time. The order is random, so that processes that accept revisions one after
+// another don't all start with the same receivers.
 func (p *Pusher) Push(ctx context.Context, addrs []string) PushResult {
-	holder := p.spreader.opts.Holder
+	holder := p.syncer.opts.Holder
 	result := PushResult{Revision: holder.Revision()}
 	if result.Revision == 0 {
 		return result
@@ -47,24 +48,24 @@
 		return result
 	}
 	var group errgroup.Group
-	group.SetLimit(p.spreader.opts.PushConcurrency)
+	group.SetLimit(p.syncer.opts.PushConcurrency)
 	for _, i := range rand.Perm(len(addrs)) {
 		group.Go(func() error {
-			p.one(ctx, addrs[i], payload, &result)
+			p.pushTo(ctx, addrs[i], payload, &result)
 			return nil
 		})
 	}
 	_ = group.Wait()
-	p.spreader.opts.Recorder.Emit(EventPushed, "revision", result.Revision,
+	p.syncer.opts.Recorder.Emit(EventPushed, "revision", result.Revision,
 		"reached", result.Reached, "behind", result.Behind, "failed", result.Failed)
 	return result
 }
 
-func (p *Pusher) one(ctx context.Context, addr string, payload *configpb.Payload, result *PushResult) {
-	ctx, cancel := context.WithTimeout(ctx, p.spreader.opts.ShortTimeout)
+func (p *Pusher) pushTo(ctx context.Context, addr string, payload *configpb.Payload, result *PushResult) {
+	ctx, cancel := context.WithTimeout(ctx, p.syncer.opts.ShortTimeout)
 	defer cancel()
 	rev, err := p.client.push(ctx, addr, p.self, payload)
-	pushes := p.spreader.metrics.pushes
+	pushes := p.syncer.metrics.pushes
 	switch {
 	case err != nil:
 		atomic.AddInt64(&result.Failed, 1)
--- a/config/record.go
+++ b/config/record.go
@@ -15,8 +15,8 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// Rows and objects of the store. History keys count down, so that a listing
-// begins with the newest entry.
+// Keys of rows and objects. History keys count down, so that a listing starts
+// with the newest entry.
 const (
 	headKey       = "config/head"
 	historyPrefix = "config/history/"
@@ -30,7 +30,7 @@
 
 func textKey(rev types.Revision) string { return fmt.Sprintf("%s%020d", textPrefix, uint64(rev)) }
 
-// Head names the newest accepted revision and the commit that made it.
+// Head identifies the newest accepted revision and the commit that created it.
 type Head struct {
 	Revision types.Revision `json:"revision"`
 	Commit   string         `json:"commit"` // unique for each call of Accept
@@ -39,16 +39,16 @@
 // Entry is one accepted revision in the history.
 type Entry struct {
 	Revision types.Revision `json:"revision"`
-	Base     types.Revision `json:"base"` // on which the operator built it
+	Base     types.Revision `json:"base"` // the revision that the operator edited
 	Commit   string         `json:"commit"`
 	By       string         `json:"by"`
 	Note     string         `json:"note,omitempty"`
 	At       time.Time      `json:"at"` // by the clock of the accepting process
 	Bytes    int            `json:"bytes"`
-	SHA256   string         `json:"sha256"` // of the text
+	SHA256   string         `json:"sha256"` // of the uncompressed configuration
 }
 
-// textRow holds a text deflated, or names the object that does.
+// textRow holds a compressed configuration, or the key of the object that holds it.
 type textRow struct {
 	Size   uint64 `json:"size"`
 	SHA256 string `json:"sha256"`
@@ -56,16 +56,15 @@
 	Object string `json:"object,omitempty"`
 }
 
-// maxRowBytes is the largest deflated text that goes into a row; larger ones
-// go to the object store.
+// maxRowBytes is the largest compressed configuration stored in a row; larger
+// ones go to the object store.
 const maxRowBytes = 256 << 10
 
-// place puts a large text into the object store and returns the row to commit.
-// Guard: the object is written before the row that names it, so that no row
-// ever names a missing object; an object that is left over from a lost race
-// does no harm. Its name is its content's hash, so that writing it twice is
-// idempotent.
-func (s *Store) place(ctx context.Context, raw []byte) (textRow, error) {
+// prepareRow returns the row to commit; a large configuration is first written to
+// the object store. The object is written before the row that refers to it, so
+// that no row refers to a missing object; an object left over from a lost race is
+// harmless. Its key is the hash of its content, so writing it is idempotent.
+func (s *Store) prepareRow(ctx context.Context, raw []byte) (textRow, error) {
 	data, err := deflate(raw)
 	if err != nil {
 		return textRow{}, err
@@ -76,30 +75,30 @@
 		return row, nil
 	}
 	row.Object = objectPrefix + row.SHA256
-	return row, errors.Wrap(s.opts.Objects.Put(ctx, row.Object, data), "config: text not placed in the object store")
+	return row, errors.Wrap(s.opts.Objects.Put(ctx, row.Object, data), "config: write configuration to the object store")
 }
 
-// Load returns the text of an accepted revision.
+// Load returns the configuration of an accepted revision.
 func (s *Store) Load(ctx context.Context, rev types.Revision) ([]byte, error) {
 	row, err := s.opts.Table.Get(ctx, textKey(rev))
 	if err != nil {
 		return nil, err
 	}
-	var where textRow
-	if err := json.Unmarshal(row.Value, &where); err != nil {
-		return nil, errors.Wrapf(err, "config: row of revision %d", rev)
+	var stored textRow
+	if err := json.Unmarshal(row.Value, &stored); err != nil {
+		return nil, errors.Wrapf(err, "config: decode row of revision %d", rev)
 	}
-	if where.Object != "" {
-		if where.Packed, err = s.opts.Objects.Get(ctx, where.Object); err != nil {
+	if stored.Object != "" {
+		if stored.Packed, err = s.opts.Objects.Get(ctx, stored.Object); err != nil {
 			return nil, err
 		}
 	}
-	raw, err := inflate(where.Packed, where.Size)
+	raw, err := inflate(stored.Packed, stored.Size)
 	if err != nil {
 		return nil, err
 	}
-	if hashOf(raw) != where.SHA256 {
-		return nil, errors.Errorf("config: text of revision %d doesn't have its hash", rev)
+	if hashOf(raw) != stored.SHA256 {
+		return nil, errors.Errorf("config: SHA-256 mismatch in the configuration of revision %d", rev)
 	}
 	return raw, nil
 }
@@ -121,8 +120,8 @@
 	return entries, nil
 }
 
-// entry returns one history entry, backing.ErrNotFound if there is none.
-// Entry returns the history row of one accepted revision.
+// Entry returns the history entry of one accepted revision, backing.ErrNotFound
+// if there is none.
 func (s *Store) Entry(ctx context.Context, rev types.Revision) (Entry, error) {
 	return s.entry(ctx, rev)
 }
@@ -147,7 +146,7 @@
 	}
 	var head Head
 	if err := json.Unmarshal(row.Value, &head); err != nil {
-		return Head{}, 0, errors.Wrap(err, "config: head row")
+		return Head{}, 0, errors.Wrap(err, "config: decode head row")
 	}
 	return head, row.Version, nil
 }
--- a/config/service.go
+++ b/config/service.go
@@ -11,22 +11,23 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// maxMessageBytes bounds a message between processes: a full text and its frame.
-const maxMessageBytes = maxTextBytes + 1<<20
+// maxMessageBytes bounds a message between processes: a full configuration and
+// its framing.
+const maxMessageBytes = maxConfigBytes + 1<<20
 
-// Server answers other processes' calls about the text in force here.
+// Server serves the configuration in force to other processes and takes their pushes.
 type Server struct {
-	holder   *Holder
-	spreader *Spreader
+	holder *Holder
+	syncer *Spreader
 }
 
-// NewServer returns a server over a holder; the spreader fetches what a push
-// announces but doesn't bring.
-func NewServer(holder *Holder, spreader *Spreader) *Server {
-	return &Server{holder: holder, spreader: spreader}
+// NewServer returns a server over a holder; the syncer fetches a revision whose
+// push can't be applied here.
+func NewServer(holder *Holder, syncer *Spreader) *Server {
+	return &Server{holder: holder, syncer: syncer}
 }
 
-// PathPrefix is where Handler has to be mounted.
+// PathPrefix is the path at which Handler must be mounted.
 const PathPrefix = configpb.ConfigPathPrefix
 
 // Handler returns the server as an HTTP handler.
@@ -46,53 +47,53 @@
 	return &configpb.GetResponse{Payload: payload}, nil
 }
 
-// Push implements configpb.Config. A push that can't be used here, since its
-// delta starts from another revision, is followed by a fetch from its sender.
+// Push implements configpb.Config. If the push can't be applied here, because its
+// delta starts from another revision, the revision is fetched from the sender.
 func (s *Server) Push(_ context.Context, r *configpb.PushRequest) (*configpb.PushResponse, error) {
 	rev := types.Revision(r.GetPayload().GetRevision())
 	current := s.holder.Current()
 	if rev > s.holder.Revision() {
-		raw, err := unpack(r.Payload, current)
+		raw, err := decodePayload(r.Payload, current)
 		if err == nil {
 			_, err = s.holder.Offer(rev, raw)
 		}
 		if err != nil {
-			s.spreader.Seen(r.From, rev)
+			s.syncer.Seen(r.From, rev)
 		}
 	}
 	return &configpb.PushResponse{Revision: uint64(s.holder.Revision())}, nil
 }
 
-// Client asks other processes for texts. It is the Source of a Spreader.
+// Client calls the Servers of other processes. It implements Source.
 type Client struct {
 	holder *Holder
 	http   configpb.HTTPClient
 }
 
-// NewClient returns a client; the HTTP client stamps its messages.
+// NewClient returns a client; the HTTP client adds a stamp to each message.
 func NewClient(holder *Holder, http configpb.HTTPClient) *Client {
 	return &Client{holder: holder, http: http}
 }
 
-func (c *Client) to(addr string) configpb.Config {
+func (c *Client) clientFor(addr string) configpb.Config {
 	return configpb.NewConfigProtobufClient("http://"+addr, c.http)
 }
 
 // Peek returns the revision in force at a process.
 func (c *Client) Peek(ctx context.Context, addr string) (types.Revision, error) {
-	response, err := c.to(addr).Get(ctx, &configpb.GetRequest{RevisionOnly: true})
+	response, err := c.clientFor(addr).Get(ctx, &configpb.GetRequest{RevisionOnly: true})
 	if err != nil {
 		return 0, errors.WithStack(err)
 	}
 	return types.Revision(response.GetPayload().GetRevision()), nil
 }
 
-// ErrPeerBehind reports a peer that no longer has, or never had, the revision asked for.
-var ErrPeerBehind = errors.New("config: peer is behind")
+// ErrPeerBehind reports a peer whose revision in force is older than the requested one.
+var ErrPeerBehind = errors.New("config: peer's revision is older than the requested one")
 
-// Fetch implements Source: it returns the text in force at a process if it is
-// of revision rev or later. It asks for deltas from the revision in force
-// here, and for the full text if they don't fit.
+// Fetch implements Source: it returns the configuration in force at a process if
+// its revision is rev or later. It requests deltas from the revision in force
+// here, and the full configuration if they don't apply.
 func (c *Client) Fetch(ctx context.Context, from string, rev types.Revision) (types.Revision, []byte, error) {
 	current := c.holder.Current()
 	got, raw, err := c.get(ctx, from, rev, current)
@@ -107,7 +108,7 @@
 	if current != nil {
 		request.Have = uint64(current.Revision)
 	}
-	response, err := c.to(from).Get(ctx, request)
+	response, err := c.clientFor(from).Get(ctx, request)
 	if err != nil {
 		return 0, nil, errors.WithStack(err)
 	}
@@ -116,13 +117,13 @@
 	if got < rev {
 		return got, nil, ErrPeerBehind
 	}
-	raw, err := unpack(payload, current)
+	raw, err := decodePayload(payload, current)
 	return got, raw, err
 }
 
-// push sends the revision in force here, as a delta if there is one.
+// push sends a payload to a process and returns the revision in force there.
 func (c *Client) push(ctx context.Context, addr, self string, payload *configpb.Payload) (types.Revision, error) {
-	response, err := c.to(addr).Push(ctx, &configpb.PushRequest{From: self, Payload: payload})
+	response, err := c.clientFor(addr).Push(ctx, &configpb.PushRequest{From: self, Payload: payload})
 	if err != nil {
 		return 0, errors.WithStack(err)
 	}
--- a/config/store.go
+++ b/config/store.go
@@ -19,15 +19,15 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// RevisionsKept is how many revisions the store keeps; each Accept deletes the
-// one that falls out. At 900 changes a day it is a little more than a day.
+// RevisionsKept is how many revisions the store retains; each Accept deletes the
+// oldest one beyond it. At 900 changes a day that is a little more than a day.
 const RevisionsKept = 1000
 
-// resolveRetry is the longest wait between attempts at an undecided commit.
-const resolveRetry = 500 * time.Millisecond
+// maxResolveBackoff is the longest wait between attempts to resolve a commit.
+const maxResolveBackoff = 500 * time.Millisecond
 
-// DefaultResolveTimeout bounds how long Accept looks for the outcome of a
-// commit when its caller sets no earlier deadline.
+// DefaultResolveTimeout bounds how long Accept tries to determine the outcome of
+// a commit if its caller sets no earlier deadline.
 const DefaultResolveTimeout = 30 * time.Second
 
 // StoreOptions configure a Store. Table and Objects are required.
@@ -37,16 +37,16 @@
 	Recorder   *event.Recorder
 	Registerer prometheus.Registerer
 	Now        func() time.Time
-	// Known returns the revision in force in this process, by which an older
-	// answer of the store is recognised.
+	// KnownRevision returns the revision in force in this process. A response of
+	// the store with an older revision is stale.
 	Known func() types.Revision
 }
 
-// Store keeps accepted texts in the table service.
+// Store stores accepted configurations in the table service.
 type Store struct {
 	opts    StoreOptions
 	metrics *storeMetrics
-	newest  atomic.Uint64 // highest revision that the store has answered with
+	newest  atomic.Uint64 // highest revision that the store has returned or accepted
 }
 
 // NewStore returns a store.
@@ -63,13 +63,14 @@
 	return &Store{opts: opts, metrics: newStoreMetrics(opts.Registerer)}
 }
 
-// RaceError tells an operator whose text was refused what was accepted instead.
+// RaceError reports a configuration that was refused because another one was
+// accepted first, and which one that was.
 type RaceError struct {
-	Base   types.Revision // on which the refused text was built
+	Base   types.Revision // the base of the refused configuration
 	Winner types.Revision // in force now
 	By     string
 	Note   string
-	Diff   string // unified diff from the base to the winner; "" if it can't be had
+	Diff   string // unified diff from the base to the winner; "" if either can't be loaded
 }
 
 // Error implements error.
@@ -77,19 +78,19 @@
 	return fmt.Sprintf("config: built on revision %d, but revision %d by %q is in force", e.Base, e.Winner, e.By)
 }
 
-// BehindError reports that the store answered with an older revision than one
-// known to have been accepted.
+// BehindError reports that the store returned an older revision than one known
+// to have been accepted.
 type BehindError struct{ Answered, Known types.Revision }
 
 // Error implements error.
 func (e *BehindError) Error() string {
-	return fmt.Sprintf("config: store answered with revision %d, but %d was accepted", e.Answered, e.Known)
+	return fmt.Sprintf("config: store returned revision %d, but revision %d was accepted", e.Answered, e.Known)
 }
 
 // UndecidedError reports a commit whose outcome couldn't be read back in time.
 type UndecidedError struct {
 	Revision types.Revision
-	Commit   string // to be looked for in the history
+	Commit   string // identifies the commit in the history if it took effect
 	Cause    error
 }
 
@@ -98,11 +99,11 @@
 	return fmt.Sprintf("config: revision %d (commit %s) may have been accepted: %v", e.Revision, e.Commit, e.Cause)
 }
 
-// Unwrap returns the last failure of reading back.
+// Unwrap returns the last error of reading the outcome back.
 func (e *UndecidedError) Unwrap() error { return e.Cause }
 
-// Head returns the newest accepted revision, 0 if there is none. An answer
-// older than one already known is a *BehindError, never a head.
+// Head returns the newest accepted revision, 0 if there is none. It returns a
+// *BehindError if the store's revision is older than one already known.
 func (s *Store) Head(ctx context.Context) (Head, error) {
 	head, _, err := s.head(ctx)
 	if err != nil {
@@ -111,7 +112,7 @@
 	if known := s.known(); head.Revision < known {
 		return Head{}, &BehindError{Answered: head.Revision, Known: known}
 	}
-	s.learn(head.Revision)
+	s.recordNewest(head.Revision)
 	return head, nil
 }
 
@@ -119,7 +120,7 @@
 	return max(s.opts.Known(), types.Revision(s.newest.Load()))
 }
 
-func (s *Store) learn(rev types.Revision) {
+func (s *Store) recordNewest(rev types.Revision) {
 	for {
 		old := s.newest.Load()
 		if uint64(rev) <= old || s.newest.CompareAndSwap(old, uint64(rev)) {
@@ -128,30 +129,30 @@
 	}
 }
 
-// Accept checks a text that an operator built on revision base and commits it
-// as the next revision. It returns a *findings.ListError for a faulty text, a
-// *RaceError if another text was accepted meanwhile, an *UndecidedError if the
-// outcome stayed unknown until ctx ended, or the platform's error; but for
-// *UndecidedError, nothing took effect. The findings of an accepted text are
-// its warnings.
+// Accept checks a configuration that an operator derived from revision base and
+// commits it as the next revision. It returns a *findings.ListError for an invalid
+// configuration, a *RaceError if another one was accepted meanwhile, an
+// *UndecidedError if the outcome was still unknown when ctx ended, or the
+// platform's error. After any error but *UndecidedError, nothing took effect. The
+// findings of an accepted configuration are its warnings.
 func (s *Store) Accept(ctx context.Context, base types.Revision, raw []byte, who, note string) (types.Revision, findings.List, error) {
-	if len(raw) > maxTextBytes {
-		return 0, nil, s.noteAccept(ErrTooLarge)
+	if len(raw) > maxConfigBytes {
+		return 0, nil, s.countAccept(ErrTooLarge)
 	}
 	_, list := text.Parse(raw)
 	if list.HasErrors() {
-		return 0, list, s.noteAccept(list.Err())
+		return 0, list, s.countAccept(list.Err())
 	}
 	rev, err := s.accept(ctx, base, raw, who, note)
-	if s.noteAccept(err) != nil {
+	if s.countAccept(err) != nil {
 		return 0, list, err
 	}
-	s.learn(rev)
+	s.recordNewest(rev)
 	s.opts.Recorder.Emit(EventAccepted, "revision", rev, "by", who, "note", note, "bytes", len(raw))
 	return rev, list, nil
 }
 
-func (s *Store) noteAccept(err error) error {
+func (s *Store) countAccept(err error) error {
 	s.metrics.accepts.WithLabelValues(acceptResult(err)).Inc()
 	return err
 }
@@ -163,26 +164,27 @@
 	}
 	newest := max(head.Revision, s.known())
 	if newest != base {
-		return 0, s.race(ctx, base, newest)
+		return 0, s.raceError(ctx, base, newest)
 	}
-	row, err := s.place(ctx, raw)
+	row, err := s.prepareRow(ctx, raw)
 	if err != nil {
 		return 0, err
 	}
-	p := s.proposal(newest+1, version, row, Entry{Base: base, By: who, Note: note})
+	p := s.newProposal(newest+1, version, row, Entry{Base: base, By: who, Note: note})
 	return s.commit(ctx, base, p)
 }
 
-// proposal is one attempt to make a text the next revision.
+// proposal is a transaction that makes a configuration the next revision, with
+// its history entry.
 type proposal struct {
 	entry Entry
 	txn   backing.Txn
 }
 
-// proposal builds the transaction: head, history entry and text change
-// together or not at all. Should the store have been restored from an older
-// copy, the new revision still lies above every one that was ever in force.
-func (s *Store) proposal(rev types.Revision, headVersion uint64, row textRow, entry Entry) proposal {
+// newProposal builds the transaction, which changes the head, the history entry
+// and the configuration atomically. Its revision is higher than every one known to
+// have been in force, even if the store was restored from an older copy.
+func (s *Store) newProposal(rev types.Revision, headVersion uint64, row textRow, entry Entry) proposal {
 	entry.Revision, entry.Commit, entry.At = rev, uuid.NewString(), s.opts.Now().UTC()
 	entry.Bytes, entry.SHA256 = int(row.Size), row.SHA256
 	txn := backing.Txn{
@@ -210,18 +212,17 @@
 
 // commit sends the proposal until its outcome is known.
 //
-// Guard: the answer to a commit can be lost after it took effect. A blind
-// second attempt would then fail on our own write and report a race that we
-// won; giving up would report "refused" of a text in force. Sending the very
-// same transaction again is safe, since its condition on the head's version
-// lets one copy take effect at the most, and a conflict is settled by looking
-// for our commit id in the history.
+// The response to a commit can be lost after the commit took effect. A retry would
+// then conflict with our own write and be mistaken for a lost race, while giving up
+// would report a configuration in force as refused. Sending the same transaction
+// again is safe: its condition on the head's version lets it take effect at most
+// once, and a conflict is resolved by looking for our commit id in the history.
 func (s *Store) commit(ctx context.Context, base types.Revision, p proposal) (types.Revision, error) {
 	ctx, cancel := context.WithTimeout(ctx, DefaultResolveTimeout)
 	defer cancel()
 	wait := backoff.NewExponentialBackOff()
-	wait.MaxInterval = resolveRetry
-	maybe := false
+	wait.MaxInterval = maxResolveBackoff
+	ambiguous := false
 	for {
 		err := s.opts.Table.Commit(ctx, p.txn)
 		var conflict *backing.ConflictError
@@ -229,33 +230,33 @@
 		case err == nil:
 			return p.entry.Revision, nil
 		case errors.As(err, &conflict):
-			rev, settled, readErr := s.settle(ctx, base, p)
+			rev, settled, readErr := s.resolveConflict(ctx, base, p)
 			if settled {
 				return rev, readErr
 			}
 			err = readErr
 		case errors.Is(err, backing.ErrThrottled):
 		case errors.Is(err, backing.ErrUnavailable):
-			if !maybe {
+			if !ambiguous {
 				return 0, err
 			}
 		default:
-			maybe = true
+			ambiguous = true
 			s.opts.Recorder.Emit(EventAmbiguous, "revision", p.entry.Revision, "commit", p.entry.Commit, "error", err)
 		}
 		if !sleep(ctx, wait.NextBackOff()) {
-			return 0, s.undecided(p, maybe, err)
+			return 0, s.undecidedError(p, ambiguous, err)
 		}
 	}
 }
 
-// settle tells a conflict with our own earlier commit from a lost race. It
-// reports false as long as the store doesn't answer or answers from an old
-// copy, which would make a won race look lost.
-func (s *Store) settle(ctx context.Context, base types.Revision, p proposal) (types.Revision, bool, error) {
+// resolveConflict distinguishes a conflict with our own earlier commit from a lost
+// race. It reports false while the store doesn't respond or reads from an old copy,
+// where a successful commit would look like a lost race.
+func (s *Store) resolveConflict(ctx context.Context, base types.Revision, p proposal) (types.Revision, bool, error) {
 	entry, err := s.entry(ctx, p.entry.Revision)
 	if err == nil {
-		return s.settled(ctx, base, p, entry.Commit, entry.Revision)
+		return s.commitOutcome(ctx, base, p, entry.Commit, entry.Revision)
 	}
 	if !errors.Is(err, backing.ErrNotFound) {
 		return 0, false, err
@@ -264,31 +265,31 @@
 	if err != nil {
 		return 0, false, err
 	}
-	// A head that was written after our condition and lies below our revision
-	// proves that another commit took the place of ours.
+	// A head that was written after the version in our condition but has a lower
+	// revision than ours proves that another commit was made instead of ours.
 	if head.Commit == p.entry.Commit || (version > p.txn.If[0].Version && head.Revision < p.entry.Revision) {
-		return s.settled(ctx, base, p, head.Commit, head.Revision)
+		return s.commitOutcome(ctx, base, p, head.Commit, head.Revision)
 	}
 	return 0, false, &BehindError{Answered: head.Revision, Known: p.entry.Revision}
 }
 
-func (s *Store) settled(ctx context.Context, base types.Revision, p proposal, commit string, rev types.Revision) (types.Revision, bool, error) {
+func (s *Store) commitOutcome(ctx context.Context, base types.Revision, p proposal, commit string, rev types.Revision) (types.Revision, bool, error) {
 	if commit == p.entry.Commit {
 		return p.entry.Revision, true, nil
 	}
-	return 0, true, s.race(ctx, base, rev)
+	return 0, true, s.raceError(ctx, base, rev)
 }
 
-func (s *Store) undecided(p proposal, maybe bool, cause error) error {
-	if !maybe {
+func (s *Store) undecidedError(p proposal, ambiguous bool, cause error) error {
+	if !ambiguous {
 		return errors.Wrap(cause, "config: nothing was committed")
 	}
 	s.opts.Recorder.Emit(EventUndecided, "revision", p.entry.Revision, "commit", p.entry.Commit, "error", cause)
 	return &UndecidedError{Revision: p.entry.Revision, Commit: p.entry.Commit, Cause: cause}
 }
 
-// race describes the winner as far as the store tells of it.
-func (s *Store) race(ctx context.Context, base, winner types.Revision) error {
+// raceError describes the winning revision as far as the store's data allow.
+func (s *Store) raceError(ctx context.Context, base, winner types.Revision) error {
 	race := &RaceError{Base: base, Winner: winner}
 	if entry, err := s.entry(ctx, winner); err == nil {
 		race.By, race.Note = entry.By, entry.Note
@@ -298,7 +299,8 @@
 	return race
 }
 
-// diff is a help for the reader: without it, the race is still reported.
+// diff returns the diff between two stored revisions, "" if it can't be made: a
+// RaceError is useful without it.
 func (s *Store) diff(ctx context.Context, base, winner types.Revision) string {
 	old, err := s.Load(ctx, base)
 	if err != nil && base != 0 {
@@ -328,7 +330,7 @@
 	}
 }
 
-// sleep waits and reports false if ctx ended first.
+// sleep waits for d and reports false if ctx ended first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/config/store_test.go
+++ b/config/store_test.go
@@ -22,13 +22,13 @@
 	g := NewWithT(t)
 	store := newStore(newFakeTable())
 	for n := range 3 {
-		rev, _, err := store.Accept(t.Context(), types.Revision(n), textOf(n), "ann", fmt.Sprintf("note %d", n))
+		rev, _, err := store.Accept(t.Context(), types.Revision(n), configOf(n), "ann", fmt.Sprintf("note %d", n))
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(rev).To(Equal(types.Revision(n + 1)))
 	}
 	raw, err := store.Load(t.Context(), 2)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(raw).To(Equal(textOf(1)))
+	g.Expect(raw).To(Equal(configOf(1)))
 	history, err := store.History(t.Context(), 2)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(history).To(HaveLen(2))
@@ -38,25 +38,25 @@
 	g.Expect(err).To(MatchError(ContainSubstring("1:29: error: /recovery/retainMillis")))
 }
 
-// Two operators build on revision 1 and apply at the same moment. The second
-// one used to overwrite the first one's change without seeing it. Cause: both
-// read the head before either wrote. The loser must be told who won and what
-// changed, and its text must not take effect.
+// Two operators edit revision 1 and apply at the same time, so that both read the
+// head before either writes. Guards against the second overwriting the first one's
+// change unseen: its configuration must not take effect, and the error must tell
+// who won and what changed.
 func TestRaceOfTwoOperators(t *testing.T) {
 	g := NewWithT(t)
 	table := newFakeTable()
 	ann, bob := newStore(table), newStore(table)
-	_, _, err := ann.Accept(t.Context(), 0, textOf(1), "ann", "first")
+	_, _, err := ann.Accept(t.Context(), 0, configOf(1), "ann", "first")
 	g.Expect(err).NotTo(HaveOccurred())
 	table.onCommit = func(apply func() error) error {
-		table.onCommit = nil // Ann's commit comes in between Bob's read and his write
+		table.onCommit = nil // Ann commits between Bob's read and his write
 		table.mu.Unlock()
-		_, _, err := ann.Accept(t.Context(), 1, textOf(2), "ann", "longer")
+		_, _, err := ann.Accept(t.Context(), 1, configOf(2), "ann", "longer")
 		table.mu.Lock()
 		g.Expect(err).NotTo(HaveOccurred())
 		return apply()
 	}
-	_, _, err = bob.Accept(t.Context(), 1, textOf(3), "bob", "shorter")
+	_, _, err = bob.Accept(t.Context(), 1, configOf(3), "bob", "shorter")
 	var race *config.RaceError
 	g.Expect(errors.As(err, &race)).To(BeTrue(), "%v", err)
 	g.Expect(race.Winner).To(Equal(types.Revision(2)))
@@ -65,12 +65,12 @@
 	g.Expect(race.Diff).To(ContainSubstring("-  \"recovery\": {\"retainMillis\": 1}\n+  \"recovery\": {\"retainMillis\": 2}"))
 	raw, err := bob.Load(t.Context(), 2)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(raw).To(Equal(textOf(2)))
+	g.Expect(raw).To(Equal(configOf(2)))
 }
 
-// An operator applies; the table service commits, but its answer is lost. The
-// operator saw "failed", applied again and was told of a race against itself.
-// Accept must find its own commit and report it accepted, once.
+// The table service commits, but its response is lost. Guards against reporting a
+// failure, after which the operator applies again and loses a race against their own
+// commit. Accept must find its own commit and report it accepted, once.
 func TestCommitWithLostAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -84,7 +84,7 @@
 			return err
 		}
 		store := newStore(table)
-		rev, _, err := store.Accept(t.Context(), 0, textOf(1), "ann", "")
+		rev, _, err := store.Accept(t.Context(), 0, configOf(1), "ann", "")
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(rev).To(Equal(types.Revision(1)))
 		history, _ := store.History(t.Context(), 10)
@@ -92,15 +92,15 @@
 	})
 }
 
-// The answer is lost, the commit took effect, and reads then come from a copy
-// older than it. The conflict of the second try looks like a lost race. The
-// outcome must stay open until the store answers from after the commit.
+// The response to a commit is lost, and reads then come from a copy older than the
+// commit, so that the conflict of the retry looks like a lost race. The outcome must
+// stay unknown until the store returns data from after the commit.
 func TestLostAnswerAndOldReads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		table := newFakeTable()
 		store := newStore(table)
-		_, _, err := store.Accept(t.Context(), 0, textOf(1), "ann", "")
+		_, _, err := store.Accept(t.Context(), 0, configOf(1), "ann", "")
 		g.Expect(err).NotTo(HaveOccurred())
 		table.freeze()
 		table.onCommit = func(apply func() error) error {
@@ -109,14 +109,15 @@
 			return backing.ErrAmbiguous
 		}
 		time.AfterFunc(5*time.Second, func() { table.set(func() { table.frozen = nil }) })
-		rev, _, err := store.Accept(t.Context(), 1, textOf(2), "ann", "")
+		rev, _, err := store.Accept(t.Context(), 1, configOf(2), "ann", "")
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(rev).To(Equal(types.Revision(2)))
 	})
 }
 
-// The answer is lost and the store then goes down for long. Neither "accepted"
-// nor "refused" would be true, so the operator gets the commit id to look for.
+// The response to a commit is lost and the store then goes down for a long time.
+// Neither "accepted" nor "refused" is known to be true, so the error must contain the
+// commit id for the operator to look up.
 func TestLostAnswerThenOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -127,7 +128,7 @@
 			return backing.ErrAmbiguous
 		}
 		store := newStore(table)
-		_, _, err := store.Accept(t.Context(), 0, textOf(1), "ann", "")
+		_, _, err := store.Accept(t.Context(), 0, configOf(1), "ann", "")
 		var undecided *config.UndecidedError
 		g.Expect(errors.As(err, &undecided)).To(BeTrue(), "%v", err)
 		table.set(func() { table.down = false })
@@ -136,41 +137,41 @@
 	})
 }
 
-// The store is down from the beginning: nothing was sent, so the operator is
-// told at once and may apply again without looking anything up.
+// The store is down from the beginning. Nothing was sent, so the operator must get
+// the error at once and may apply again without consulting the history.
 func TestAcceptWhileStoreIsDown(t *testing.T) {
 	g := NewWithT(t)
 	table := newFakeTable()
 	table.down = true
-	_, _, err := newStore(table).Accept(t.Context(), 0, textOf(1), "ann", "")
+	_, _, err := newStore(table).Accept(t.Context(), 0, configOf(1), "ann", "")
 	g.Expect(err).To(MatchError(backing.ErrUnavailable))
 }
 
-// The table service fails over to a copy that lacks the newest revision. A
-// process that polled it went back to the older text. Head must refuse the
-// answer, and the next accepted text must lie above all that were in force.
+// The table service fails over to a copy without the newest revision. Guards against
+// processes that poll it returning to the older configuration: Head must return an
+// error, and the next accepted revision must be higher than all that were in force.
 func TestStoreAnswersWithOlderRevision(t *testing.T) {
 	g := NewWithT(t)
 	table := newFakeTable()
 	store := newStore(table)
-	_, _, _ = store.Accept(t.Context(), 0, textOf(1), "ann", "")
+	_, _, _ = store.Accept(t.Context(), 0, configOf(1), "ann", "")
 	table.freeze()
-	_, _, _ = store.Accept(t.Context(), 1, textOf(2), "ann", "")
+	_, _, _ = store.Accept(t.Context(), 1, configOf(2), "ann", "")
 	_, err := store.Head(t.Context())
 	var behind *config.BehindError
 	g.Expect(errors.As(err, &behind)).To(BeTrue(), "%v", err)
 	g.Expect(*behind).To(Equal(config.BehindError{Answered: 1, Known: 2}))
 
-	table.set(func() { table.rows, table.frozen = table.frozen, nil }) // the copy is all that is left
-	rev, _, err := store.Accept(t.Context(), 2, textOf(3), "ann", "")
+	table.set(func() { table.rows, table.frozen = table.frozen, nil }) // only the copy remains
+	rev, _, err := store.Accept(t.Context(), 2, configOf(3), "ann", "")
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(rev).To(Equal(types.Revision(3)))
 }
 
-// Eight operators add to one number all at once, while answers get lost before
-// and after commits take effect. Each reads, adds one and applies, again after
-// a race. Were a race or a lost answer ever misjudged, an addition would be
-// lost or counted twice, and the sum would be off.
+// Eight operators increment one number concurrently, while responses get lost before
+// and after commits take effect. Each reads, adds one and applies, and retries after
+// a race. A misjudged race or lost response would lose an increment or count it
+// twice.
 func TestNoChangeIsLostOrDoubled(t *testing.T) {
 	const operators, additions = 8, 5
 	synctest.Test(t, func(t *testing.T) {
@@ -199,7 +200,7 @@
 						return
 					}
 					time.Sleep(rand.N(time.Second)) // the operator edits
-					_, _, err = store.Accept(t.Context(), head.Revision, textOf(int(head.Revision)+1), "op", "")
+					_, _, err = store.Accept(t.Context(), head.Revision, configOf(int(head.Revision)+1), "op", "")
 					var race *config.RaceError
 					switch {
 					case err == nil:
@@ -221,13 +222,13 @@
 			g.Expect(entry.Base).To(Equal(rev - 1))
 			raw, err := newStore(table).Load(t.Context(), rev)
 			g.Expect(err).NotTo(HaveOccurred())
-			g.Expect(string(raw)).To(Equal(string(textOf(int(rev)))))
+			g.Expect(string(raw)).To(Equal(string(configOf(int(rev)))))
 		}
 	})
 }
 
-// bigText returns a text whose keys' hashes hardly compress.
-func bigText(organisations int) []byte {
+// bigConfig returns a configuration that hardly compresses, since most of it is hashes.
+func bigConfig(organisations int) []byte {
 	var b strings.Builder
 	b.WriteString(`{"organisations":[`)
 	for i := range organisations {
@@ -244,7 +245,7 @@
 	g := NewWithT(t)
 	table, objects := newFakeTable(), &fakeObjects{}
 	store := config.NewStore(config.StoreOptions{Table: table, Objects: objects})
-	raw := bigText(10_000)
+	raw := bigConfig(10_000)
 	rev, _, err := store.Accept(t.Context(), 0, raw, "ann", "")
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(objects.objects).To(HaveLen(1))
--- a/config/spreader.go
+++ b/config/syncer.go
@@ -14,7 +14,7 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// Defaults of SpreaderOptions.
+// Defaults of SyncerOptions.
 const (
 	DefaultPollInterval    = 10 * time.Second
 	DefaultCallTimeout     = 2 * time.Second
@@ -22,57 +22,58 @@
 	DefaultPushConcurrency = 64
 )
 
-// Source hands over texts that other processes have in force.
+// Source fetches the configurations that other processes have in force.
 type Source interface {
-	// Fetch returns the text in force at a process if it is rev or later.
+	// Fetch returns the configuration in force at a process if its revision is rev or later.
 	Fetch(ctx context.Context, from string, rev types.Revision) (types.Revision, []byte, error)
 	// Peek returns the revision in force at a process.
 	Peek(ctx context.Context, addr string) (types.Revision, error)
 }
 
-// Versions is what a Spreader needs of a Store.
+// RevisionStore is the part of a Store that a Syncer uses.
 type Versions interface {
 	Head(ctx context.Context) (Head, error)
 	Load(ctx context.Context, rev types.Revision) ([]byte, error)
 }
 
-// SpreaderOptions configure a Spreader. Holder and Source are required.
+// SyncerOptions configure a Syncer. Holder and Source are required.
 type SpreaderOptions struct {
 	Holder     *Holder
 	Versions   Versions // nil: the process has no store and relies on its peers
 	Source     Source
 	Recorder   *event.Recorder
 	Registerer prometheus.Registerer
-	// Interval lies between two polls of the store; it is jittered by a quarter.
+	// PollInterval is the time between polls of the store, jittered by a quarter.
 	Interval time.Duration
 	// CallTimeout bounds one call to the store or to a peer.
 	CallTimeout time.Duration
-	// ShortTimeout bounds one push, the question for a peer's revision, and how
-	// long a store or a peer that is silent keeps others from being asked.
-	// Processes that don't answer hold up the rest, and there are other ways.
+	// ShortTimeout bounds one push, a request for a peer's revision, and how long
+	// a store or a peer that doesn't respond delays the requests to others. It is
+	// short because an unresponsive process delays the rest, and its revision can
+	// be had from another peer or the store.
 	ShortTimeout time.Duration
 	// PushConcurrency is how many pushes run at once.
 	PushConcurrency int
 }
 
-// Spreader brings newer revisions into its holder.
+// Syncer fetches newer revisions into its holder, from the store and from peers.
 type Spreader struct {
-	opts    SpreaderOptions
-	metrics *spreadMetrics
-	hint    atomic.Pointer[hint]
-	wake    chan struct{}
-	asked   asked
-	open    sync.WaitGroup // questions without an answer yet
-	polls   pollOrder
+	opts     SpreaderOptions
+	metrics  *syncMetrics
+	hint     atomic.Pointer[hint]
+	wake     chan struct{}
+	attempts fetchAttempts
+	inFlight sync.WaitGroup // calls in flight
+	polls    pollTracker
 }
 
-// hint says which process was seen with a newer revision.
+// hint is a process that was seen with a newer revision.
 type hint struct {
 	addr string
 	rev  types.Revision
 }
 
-// NewSpreader returns a spreader; Run makes it work.
+// NewSyncer returns a syncer; Run starts its work.
 func NewSpreader(opts SpreaderOptions) *Spreader {
 	if opts.Recorder == nil {
 		opts.Recorder = event.Discard()
@@ -89,11 +90,11 @@
 	if opts.PushConcurrency <= 0 {
 		opts.PushConcurrency = DefaultPushConcurrency
 	}
-	return &Spreader{opts: opts, metrics: newSpreadMetrics(opts.Registerer), wake: make(chan struct{}, 1)}
+	return &Spreader{opts: opts, metrics: newSyncMetrics(opts.Registerer), wake: make(chan struct{}, 1)}
 }
 
-// Seen is called with the revision in each stamp that comes from a peer. It
-// only takes note: the fetch is Run's work.
+// RecordPeerRevision is called with the revision in each stamp from a peer. It only
+// records a newer revision; Run fetches it.
 func (s *Spreader) Seen(addr string, rev types.Revision) {
 	if rev <= s.opts.Holder.Revision() {
 		return
@@ -101,7 +102,7 @@
 	next := &hint{addr: addr, rev: rev}
 	for {
 		old := s.hint.Load()
-		if !s.asked.better(next, old) {
+		if !s.attempts.prefer(next, old) {
 			return
 		}
 		if s.hint.CompareAndSwap(old, next) {
@@ -110,13 +111,13 @@
 	}
 	select {
 	case s.wake <- struct{}{}:
-	default: // Run is awake already and will read the hint
+	default: // a wake-up is pending already, after which Run reads the hint
 	}
 }
 
 // Run polls the store and fetches from peers until ctx ends.
 func (s *Spreader) Run(ctx context.Context) error {
-	defer s.open.Wait()
+	defer s.inFlight.Wait()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -124,73 +125,73 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-timer.C:
-			s.poll(ctx)
+			s.pollStore(ctx)
 			timer.Reset(jitter(s.opts.Interval))
 		case <-s.wake:
-			s.follow(ctx)
+			s.followHint(ctx)
 		}
 	}
 }
 
-// jitter spreads polls, so that processes that started together don't keep
-// meeting at the store.
+// jitter varies the poll interval, so that processes that started together don't
+// keep polling the store at the same time.
 func jitter(d time.Duration) time.Duration {
 	return d - d/4 + rand.N(d/2+1)
 }
 
-// follow fetches from the process that was seen with the newest revision, and
-// asks the store if that fails or is silent.
-func (s *Spreader) follow(ctx context.Context) {
+// followHint fetches from the process that was seen with the newest revision, and
+// polls the store if the fetch fails or gets no response.
+func (s *Spreader) followHint(ctx context.Context) {
 	seen := s.hint.Swap(nil)
-	if seen == nil || seen.rev <= s.opts.Holder.Revision() || s.asked.open(seen) {
+	if seen == nil || seen.rev <= s.opts.Holder.Revision() || s.attempts.inFlight(seen) {
 		return
 	}
-	err := s.inTurn(ctx, func(ctx context.Context) error {
+	err := s.waitCall(ctx, func(ctx context.Context) error {
 		err := s.fetch(ctx, seen.addr, seen.rev)
 		if err != nil {
 			s.opts.Recorder.Emit(EventFetchFailed, "from", seen.addr, "revision", seen.rev, "error", err)
 		}
 		return err
 	})
-	// A store that is silent already is not asked again for each peer that is.
-	if err != nil && !s.polls.waiting() {
-		s.poll(ctx)
+	// While a poll is unanswered, further unresponsive peers start no other one.
+	if err != nil && !s.polls.anyInFlight() {
+		s.pollStore(ctx)
 	}
 }
 
 func (s *Spreader) fetch(ctx context.Context, addr string, rev types.Revision) error {
-	defer s.asked.begin(addr, rev)()
-	begun := s.opts.Holder.opts.Now()
+	defer s.attempts.begin(addr, rev)()
+	start := s.opts.Holder.opts.Now()
 	got, raw, err := s.opts.Source.Fetch(ctx, addr, rev)
 	if err != nil {
 		s.metrics.fetches.WithLabelValues("error").Inc()
 		return err
 	}
 	taken, err := s.opts.Holder.Offer(got, raw)
-	s.opts.Holder.Confirmed(got, begun)
+	s.opts.Holder.Confirmed(got, start)
 	if err != nil || !taken {
 		s.metrics.fetches.WithLabelValues("old").Inc()
 		return err
 	}
-	s.asked.forget()
+	s.attempts.reset()
 	s.metrics.fetches.WithLabelValues("taken").Inc()
 	s.opts.Recorder.Emit(EventFetched, "from", addr, "revision", got)
 	return nil
 }
 
-// Ask brings in the newest text that the given processes have, and reports
-// whether there is one in force then. A process calls it when it starts, so
-// that it gets the text while the store is down. Revisions are asked for
-// first, so that the text comes from one process only, unless that is silent.
+// FetchNewest fetches the newest configuration that the given processes have, and
+// reports whether one is in force afterwards. A process calls it at startup, so
+// that it gets a configuration while the store is down. It requests the revisions
+// first, so that only one process sends its configuration unless it is unresponsive.
 func (s *Spreader) Ask(ctx context.Context, addrs []string) bool {
 	candidates := s.peekAll(ctx, addrs)
 	for len(candidates) > 0 {
-		best := newest(candidates)
+		best := newestHint(candidates)
 		if candidates[best].rev <= s.opts.Holder.Revision() {
 			break
 		}
 		from := candidates[best]
-		if s.inTurn(ctx, func(ctx context.Context) error { return s.fetch(ctx, from.addr, from.rev) }) == nil {
+		if s.waitCall(ctx, func(ctx context.Context) error { return s.fetch(ctx, from.addr, from.rev) }) == nil {
 			break
 		}
 		candidates = append(candidates[:best], candidates[best+1:]...)
@@ -206,7 +207,7 @@
 	group.SetLimit(s.opts.PushConcurrency)
 	for i, addr := range addrs {
 		group.Go(func() error {
-			revisions[i], _ = s.opts.Source.Peek(ctx, addr) // 0 from one that doesn't answer
+			revisions[i], _ = s.opts.Source.Peek(ctx, addr) // 0 if the process doesn't respond
 			return nil
 		})
 	}
@@ -220,7 +221,7 @@
 	return known
 }
 
-func newest(hints []hint) int {
+func newestHint(hints []hint) int {
 	best := 0
 	for i := range hints {
 		if hints[i].rev > hints[best].rev {
