--- a/settings/doc.go
+++ b/settings/doc.go
@@ -1,7 +1,7 @@
-// Package settings holds a process's own settings: who it is, where it
-// listens and where the platform is. They come from a JSON file, then
-// PEARYARD_ environment variables, then flags, each overriding the one before;
-// what is wrong with them is reported all at once.
+// Package settings loads and validates a process's own settings: its identity, the
+// addresses it listens on and the addresses of the platform's services. They come
+// from a JSON file, then PEARYARD_ environment variables, then flags, each overriding
+// the previous source. All errors in them are reported together.
 //
 // May import of pearyard: event, findings, text, types.
 package settings
--- a/settings/field.go
+++ b/settings/field.go
@@ -12,10 +12,10 @@
 	"github.com/urfave/cli/v2"
 )
 
-// EnvPrefix begins the name of every environment variable with a setting.
+// EnvPrefix is the prefix of the environment variables that hold settings.
 const EnvPrefix = "PEARYARD_"
 
-// field is one setting of a struct, with its names in the three sources.
+// field is one setting of a struct; its names in the three sources derive from name.
 type field struct {
 	value  reflect.Value
 	name   string // in JSON
@@ -38,29 +38,30 @@
 	return out
 }
 
-// env returns the environment variable, such as PEARYARD_POLL_SECONDS.
-func (f field) env() string { return EnvPrefix + strings.ToUpper(f.separated('_')) }
+// envName returns the name of the environment variable, such as PEARYARD_POLL_SECONDS.
+func (f field) envName() string { return EnvPrefix + strings.ToUpper(f.splitName('_')) }
 
-// flag returns the flag's name, such as poll-seconds.
-func (f field) flag() string { return f.separated('-') }
+// flagName returns the name of the flag, such as poll-seconds.
+func (f field) flagName() string { return f.splitName('-') }
 
-// separated splits the JSON name at its capitals; a run of them is one word.
-func (f field) separated(by rune) string {
+// splitName returns the JSON name in lower case, split at its capitals; a run of
+// capitals is one word.
+func (f field) splitName(separator rune) string {
 	var b strings.Builder
 	runes := []rune(f.name)
 	for i, r := range runes {
 		if i > 0 && unicode.IsUpper(r) && !unicode.IsUpper(runes[i-1]) {
-			b.WriteRune(by)
+			b.WriteRune(separator)
 		}
 		b.WriteRune(unicode.ToLower(r))
 	}
 	return b.String()
 }
 
-// setJSON sets the field from its member of the file.
+// setJSON sets the field from its value in the settings file.
 func (f field) setJSON(raw json.RawMessage) error {
 	if err := json.Unmarshal(raw, f.value.Addr().Interface()); err != nil {
-		return errors.Errorf("%s is not %s", raw, f.kind())
+		return errors.Errorf("%s is not %s", raw, f.typeName())
 	}
 	return nil
 }
@@ -73,18 +74,18 @@
 	case reflect.Int:
 		n, err := strconv.Atoi(s)
 		if err != nil {
-			return errors.Errorf("%q is not %s", s, f.kind())
+			return errors.Errorf("%q is not %s", s, f.typeName())
 		}
 		f.value.SetInt(int64(n))
 	case reflect.Slice:
 		f.value.Set(reflect.ValueOf(splitList(s)))
 	default:
-		panic(fmt.Sprintf("setting %s of an unknown type", f.name)) // found by any test that loads settings
+		panic(fmt.Sprintf("setting %s has an unsupported type", f.name)) // found by any test that sets it
 	}
 	return nil
 }
 
-func (f field) kind() string {
+func (f field) typeName() string {
 	switch f.value.Kind() {
 	case reflect.Int:
 		return "a whole number"
@@ -106,16 +107,16 @@
 }
 
 // Flags returns a flag for each setting; defaults is a pointer to the settings
-// whose values the help shows. All flags take strings, so that a malformed
-// number is a finding beside the others.
+// whose values the help shows as defaults. All flags take strings, so that a
+// malformed number is reported together with the other findings.
 func Flags(defaults any) []cli.Flag {
 	var flags []cli.Flag
 	for _, f := range fieldsOf(reflect.ValueOf(defaults).Elem()) {
-		usage := fmt.Sprintf("%s [$%s]", f.usage, f.env())
+		usage := fmt.Sprintf("%s [$%s]", f.usage, f.envName())
 		if f.value.Kind() == reflect.Int {
 			usage += fmt.Sprintf(" (default: %d)", f.value.Int())
 		}
-		flags = append(flags, &cli.StringFlag{Name: f.flag(), Usage: usage})
+		flags = append(flags, &cli.StringFlag{Name: f.flagName(), Usage: usage})
 	}
 	return flags
 }
--- a/settings/load.go
+++ b/settings/load.go
@@ -9,27 +9,27 @@
 	"github.com/pearyard/pearyard/findings"
 )
 
-// FlagSource gives the flags set on the command line; *cli.Context is one.
+// FlagSource provides the flags set on the command line; *cli.Context implements it.
 type FlagSource interface {
 	IsSet(name string) bool
 	String(name string) string
 }
 
-// Sources are where settings come from, in rising precedence. Each may be left out.
+// Sources are the sources of settings, in ascending precedence. Each is optional.
 type Sources struct {
 	File  string                      // path of the JSON file; "": none
 	Env   func(string) (string, bool) // such as os.LookupEnv
 	Flags FlagSource
 }
 
-// LoadRouter loads and checks a router's settings.
+// LoadRouter loads and validates a router's settings.
 func LoadRouter(sources Sources) (Router, findings.List) {
 	settings := DefaultRouter()
 	list := load(&settings, sources)
 	return settings, list
 }
 
-// LoadSidecar loads and checks a sidecar's settings.
+// LoadSidecar loads and validates a sidecar's settings.
 func LoadSidecar(sources Sources) (Sidecar, findings.List) {
 	settings := DefaultSidecar()
 	list := load(&settings, sources)
@@ -39,31 +39,33 @@
 // load fills settings, a pointer to a struct, and validates them.
 func load(settings Validator, sources Sources) findings.List {
 	l := loader{fields: fieldsOf(reflect.ValueOf(settings).Elem()), origin: map[string]string{}, failed: map[string]bool{}}
-	readable := l.file(sources.File)
+	readable := l.readFile(sources.File)
 	if l.raw != nil {
 		findings.Locate(l.raw, l.list)
 	}
-	l.strings(sources.Env, sources.Flags)
-	if readable { // else every setting of the file would be reported missing
+	l.setFromStrings(sources.Env, sources.Flags)
+	if readable { // otherwise every setting of the file would be reported as missing
 		l.validate(settings)
 	}
 	l.list.Sort()
 	return l.list
 }
 
-// fromFile is the origin of a value whose place in the file can be told.
+// fromFile is the origin of a value in the settings file, whose findings have a line
+// and column.
 const fromFile = "file"
 
 type loader struct {
 	fields []field
 	raw    []byte
 	list   findings.List
-	origin map[string]string // where each setting's value came from
-	failed map[string]bool   // settings whose value couldn't be read
+	origin map[string]string // source of each setting's value, by its JSON name
+	failed map[string]bool   // settings whose value couldn't be parsed
 }
 
-// file sets what the file holds and reports whether it holds settings at all.
-func (l *loader) file(path string) bool {
+// readFile sets the fields from the file, if there is one. It reports false if the file
+// can't be read or is not a JSON object.
+func (l *loader) readFile(path string) bool {
 	if path == "" {
 		return true
 	}
@@ -82,14 +84,14 @@
 		l.list.Errorf("", "the settings are not a JSON object")
 		return false
 	}
-	l.members(members)
+	l.setMembers(members)
 	return true
 }
 
-func (l *loader) members(members map[string]json.RawMessage) {
+func (l *loader) setMembers(members map[string]json.RawMessage) {
 	for _, f := range l.fields {
 		if value, ok := members[f.name]; ok {
-			l.set(f, fromFile, f.setJSON(value))
+			l.record(f, fromFile, f.setJSON(value))
 			delete(members, f.name)
 		}
 	}
@@ -98,21 +100,21 @@
 	}
 }
 
-func (l *loader) strings(env func(string) (string, bool), flags FlagSource) {
+func (l *loader) setFromStrings(env func(string) (string, bool), flags FlagSource) {
 	for _, f := range l.fields {
 		if env != nil {
-			if value, ok := env(f.env()); ok {
-				l.set(f, "$"+f.env(), f.setString(value))
+			if value, ok := env(f.envName()); ok {
+				l.record(f, "$"+f.envName(), f.setString(value))
 			}
 		}
-		if flags != nil && flags.IsSet(f.flag()) {
-			l.set(f, "--"+f.flag(), f.setString(flags.String(f.flag())))
+		if flags != nil && flags.IsSet(f.flagName()) {
+			l.record(f, "--"+f.flagName(), f.setString(flags.String(f.flagName())))
 		}
 	}
 }
 
-// set notes where a value came from, and what was wrong with it.
-func (l *loader) set(f field, origin string, err error) {
+// record records the origin of a value and the error of parsing it.
+func (l *loader) record(f field, origin string, err error) {
 	l.origin[f.name] = origin
 	if err == nil {
 		return
@@ -120,20 +122,21 @@
 	l.failed[f.name] = true
 	message := err.Error()
 	if f.secret {
-		message = "not " + f.kind()
+		message = "not " + f.typeName()
 	}
-	l.list.Errorf(findings.Pointer(f.name), "%s%s", message, suffix(origin))
+	l.list.Errorf(findings.Pointer(f.name), "%s%s", message, originSuffix(origin))
 }
 
-func suffix(origin string) string {
+func originSuffix(origin string) string {
 	if origin == fromFile {
 		return ""
 	}
 	return " (from " + origin + ")"
 }
 
-// validate adds what the settings say of themselves. A finding gets a line
-// only if its value stands in the file; else it names where the value is from.
+// validate adds the findings of the settings' own validation, except for settings
+// that couldn't be parsed. A finding gets a line and column if its value comes from
+// the file; otherwise its message names the origin of the value.
 func (l *loader) validate(settings Validator) {
 	var inFile findings.List
 	for _, finding := range settings.Validate() {
@@ -144,7 +147,7 @@
 		case origin == fromFile:
 			inFile = append(inFile, finding)
 		case set:
-			finding.Message += suffix(origin)
+			finding.Message += originSuffix(origin)
 			l.list = append(l.list, finding)
 		default:
 			l.list = append(l.list, finding)
@@ -154,7 +157,7 @@
 	l.list = append(l.list, inFile...)
 }
 
-// masked stands for a secret that is set.
+// masked replaces a secret that is set.
 const masked = "***"
 
 // Print returns settings, given as a pointer, as JSON with secrets masked.
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -8,12 +8,12 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// Defaults of settings that may be left out.
+// Defaults of optional settings.
 const (
 	DefaultEventRing         = 4096
 	DefaultRouterPollSeconds = 1
-	// DefaultSidecarPollSeconds is long, since there are many sidecars and
-	// stamps tell them of a newer text first.
+	// DefaultSidecarPollSeconds is long because there are many sidecars, and stamps
+	// announce a newer configuration to them before a poll does.
 	DefaultSidecarPollSeconds = 20
 	DefaultStaleAfterSeconds  = 4
 	DefaultVMListLagSeconds   = 30
@@ -21,7 +21,7 @@
 	DefaultJournalMegabytes   = 64
 )
 
-// Levels of the log.
+// Log levels.
 const (
 	LogDebug = "debug"
 	LogInfo  = "info"
@@ -30,17 +30,18 @@
 )
 
 // Common are the settings that routers and sidecars share. Addresses are
-// ip:port. The `usage` tag is the help of the flag; `secret` masks the value.
+// ip:port. The `usage` tag is the flag's help text; the `secret` tag masks the value.
 type Common struct {
-	// ID names the process's slot; it stays the same over restarts. Required.
+	// ID is the name of the process's slot, unchanged by restarts. Required.
 	ID types.ProcessID `json:"id" usage:"name of the process's slot, the same over restarts"`
 	// Zone is the availability zone of the process's VM. Required.
 	Zone types.Zone `json:"zone" usage:"availability zone of the VM"`
-	// PeerListen is where other processes reach this one. Required.
+	// PeerListen is the address to listen on for other processes. Required.
 	PeerListen string `json:"peerListen" usage:"ip:port to listen on for other processes"`
-	// Advertise is the address that others are told; default: PeerListen.
+	// Advertise is the address under which other processes reach this one;
+	// default: PeerListen.
 	Advertise string `json:"advertise" usage:"ip:port under which other processes reach this one; default: peerListen"`
-	// AdminListen is where operators reach the administration API; default: none.
+	// AdminListen is the address of the administration API; default: none.
 	AdminListen string `json:"adminListen" usage:"ip:port to listen on for administration; empty: none"`
 	// AdminToken is the bearer token of the administration API. Required with AdminListen.
 	AdminToken string `json:"adminToken" usage:"bearer token of the administration API" secret:"true"`
@@ -52,21 +53,21 @@
 	VMList string `json:"vmList" usage:"ip:port of the platform's VM list; empty: none"`
 	// Weights is the address of the platform's weight store; default: none.
 	Weights string `json:"weights" usage:"ip:port of the weight store; empty: none"`
-	// Seeds are peers to ask first at the start; default: none.
+	// Seeds are peers to contact at startup; default: none.
 	Seeds []string `json:"seeds" usage:"comma-separated ip:port of peers to ask at the start"`
-	// EventRing is how many events are kept in memory; default 4096.
+	// EventRing is the number of events kept in memory; default 4096.
 	EventRing int `json:"eventRing" usage:"events kept in memory"`
-	// PollSeconds lies between two polls of the table service for a newer text;
-	// default 1 for a router, 20 for a sidecar.
+	// PollSeconds is the time between polls of the table service for a newer
+	// configuration; default 1 for a router, 20 for a sidecar.
 	PollSeconds int `json:"pollSeconds" usage:"seconds between polls for a newer text"`
-	// VMListLagSeconds is how far the platform's VM list may lag: it may show the
-	// VM before this one as leaving for so long.
+	// VMListLagSeconds is how far the platform's VM list may lag: for that long it
+	// may still show this VM's predecessor as leaving.
 	VMListLagSeconds int `json:"vmListLagSeconds" usage:"seconds that the VM list may lag; its leaving mark counts for a process that has run for longer"`
-	// StaleAfterSeconds is the age of the last confirmation of the text past
+	// StaleAfterSeconds is the age of the configuration's last confirmation above
 	// which new work is refused; 0 never refuses; default 4.
 	StaleAfterSeconds int `json:"staleAfterSeconds" usage:"seconds without confirmation of the text until new work is refused; 0: never"`
 	// DrainSeconds bounds how long a planned stop waits for requests in flight;
-	// 0, the default, waits without a bound.
+	// 0, the default, sets no bound.
 	DrainSeconds int `json:"drainSeconds" usage:"seconds that a planned stop waits for requests in flight; 0: without bound"`
 	// LogLevel is debug, info, warn or error; default info.
 	LogLevel string `json:"logLevel" usage:"debug, info, warn or error"`
@@ -75,22 +76,23 @@
 // Router are the settings of a router.
 type Router struct {
 	Common
-	// Listen is where callers reach the router. Required.
+	// Listen is the address to listen on for callers. Required.
 	Listen string `json:"listen" usage:"ip:port to listen on for callers"`
-	// Policy is the routing policy; default: the router's own default.
+	// Policy is the routing policy; default: the router's default policy.
 	Policy string `json:"policy" usage:"routing policy; empty: the default one"`
 }
 
 // Sidecar are the settings of a sidecar.
 type Sidecar struct {
 	Common
-	// BackendServer is the name of the server beside it, as in the text. Required.
+	// BackendServer is the name of the backend server next to the sidecar, as in the
+	// configuration. Required.
 	BackendServer string `json:"backendServer" usage:"name of the backend server, as in the text"`
-	// Service is the service that the server belongs to, as in the text. Required.
+	// Service is the service of the backend server, as in the configuration. Required.
 	Service string `json:"service" usage:"name of the service, as in the text"`
 	// Kind is model or plain. Required.
 	Kind text.Kind `json:"kind" usage:"kind of the service: model or plain"`
-	// Backend is the server's own address, on the loopback interface. Required.
+	// Backend is the backend server's address, on the loopback interface. Required.
 	Backend string `json:"backend" usage:"loopback ip:port of the backend server"`
 	// JournalMegabytes bounds the memory for other sidecars' journals, in MiB; default 64.
 	JournalMegabytes int `json:"journalMegabytes" usage:"MiB of memory for journals kept for other sidecars"`
@@ -129,7 +131,7 @@
 	return c.PeerListen
 }
 
-// Validator is a set of settings that can be checked.
+// Validator is a set of settings that can validate itself.
 type Validator interface {
 	Validate() findings.List
 }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// loadWith runs a command line over the flags of a router.
+// loadWith loads a router's settings from sources and command line arguments.
 func loadWith(t *testing.T, sources settings.Sources, args ...string) (settings.Router, findings.List) {
 	t.Helper()
 	var router settings.Router
@@ -74,16 +74,16 @@
   "adminListen": "127.0.0.1:7001", "lissten": ""
 }`)}
 	_, list := loadWith(t, sources, "--log-level", "loud")
-	g.Expect(list.String()).To(Equal(`error: /adminToken: needed with adminListen
-error: /advertise: needed, since peerListen 0.0.0.0:8080 names no address that others can reach
+	g.Expect(list.String()).To(Equal(`error: /adminToken: required with adminListen
+error: /advertise: required, because peerListen 0.0.0.0:8080 is not an address that other processes can reach
 error: /eventRing: "many" is not a whole number (from $PEARYARD_EVENT_RING)
-error: /logLevel: "loud" is none of debug, info, warn, error (from --log-level)
-error: /objects: needed
-warning: /seeds: neither seeds nor a VM list: the process finds no peers by itself
-error: /table: "table:1" is not an ip:port that can be reached (from $PEARYARD_TABLE)
-2:9: error: /id: "router 1" is not a name: letters, digits and . _ : / - only
+error: /logLevel: "loud" is not one of debug, info, warn, error (from --log-level)
+error: /objects: required
+warning: /seeds: neither seeds nor vmList is set: the process can't find its peers by itself
+error: /table: "table:1" is not an ip:port to connect to (from $PEARYARD_TABLE)
+2:9: error: /id: "router 1" is not a valid name: only letters, digits and . _ : / - are allowed
 2:29: error: /zone: 7 is not a string
-3:43: error: /peerListen: 0.0.0.0:8080 is the address of /listen too
+3:43: error: /peerListen: 0.0.0.0:8080 is also the address of /listen
 4:47: error: /lissten: unknown setting "lissten"`))
 }
 
@@ -100,8 +100,8 @@
 	NewWithT(t).Expect(list.String()).To(ContainSubstring("settings file: open"))
 }
 
-// A server that listens beyond the loopback interface can be reached past its
-// sidecar: a caller's non-idempotent call could then run twice.
+// A backend server that listens on another interface than loopback can be reached
+// without its sidecar, so that a caller's non-idempotent call could run twice.
 func TestSidecarBackendIsOnLoopback(t *testing.T) {
 	g := NewWithT(t)
 	values := map[string]string{"PEARYARD_ID": "s", "PEARYARD_ZONE": "z", "PEARYARD_PEER_LISTEN": "127.0.0.1:0",
--- a/settings/validate.go
+++ b/settings/validate.go
@@ -9,78 +9,78 @@
 )
 
 const (
-	// minTokenLength is the length under which an administration token is weak.
+	// minTokenLength is the length below which an administration token is reported as weak.
 	minTokenLength = 16
-	// minEventRing keeps enough events to explain the last few seconds.
+	// minEventRing is enough to explain the last few seconds.
 	minEventRing = 64
 )
 
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._:/-]{0,127}$`)
 
-// Validate returns what is wrong with a router's settings.
+// Validate returns the findings of a router's settings.
 func (r Router) Validate() findings.List {
 	var list findings.List
 	r.validate(&list)
-	listen(&list, "/listen", r.Listen, true)
-	distinct(&list, map[string]string{"/listen": r.Listen, "/peerListen": r.PeerListen, "/adminListen": r.AdminListen})
+	checkListen(&list, "/listen", r.Listen, true)
+	checkDistinct(&list, map[string]string{"/listen": r.Listen, "/peerListen": r.PeerListen, "/adminListen": r.AdminListen})
 	list.Sort()
 	return list
 }
 
-// Validate returns what is wrong with a sidecar's settings.
+// Validate returns the findings of a sidecar's settings.
 func (s Sidecar) Validate() findings.List {
 	var list findings.List
 	s.validate(&list)
-	name(&list, "/backendServer", s.BackendServer)
-	name(&list, "/service", s.Service)
+	checkName(&list, "/backendServer", s.BackendServer)
+	checkName(&list, "/service", s.Service)
 	if s.Kind != text.KindModel && s.Kind != text.KindPlain {
 		list.Errorf("/kind", "%q is neither %s nor %s", s.Kind, text.KindModel, text.KindPlain)
 	}
 	validateBackend(&list, s.Backend)
-	atLeast(&list, "/journalMegabytes", s.JournalMegabytes, 1)
-	distinct(&list, map[string]string{"/peerListen": s.PeerListen, "/adminListen": s.AdminListen, "/backend": s.Backend})
+	checkMinimum(&list, "/journalMegabytes", s.JournalMegabytes, 1)
+	checkDistinct(&list, map[string]string{"/peerListen": s.PeerListen, "/adminListen": s.AdminListen, "/backend": s.Backend})
 	list.Sort()
 	return list
 }
 
 func (c Common) validate(list *findings.List) {
-	name(list, "/id", string(c.ID))
-	name(list, "/zone", string(c.Zone))
-	listen(list, "/peerListen", c.PeerListen, true)
-	listen(list, "/adminListen", c.AdminListen, false)
+	checkName(list, "/id", string(c.ID))
+	checkName(list, "/zone", string(c.Zone))
+	checkListen(list, "/peerListen", c.PeerListen, true)
+	checkListen(list, "/adminListen", c.AdminListen, false)
 	c.validateAdvertise(list)
 	c.validateToken(list)
-	remote(list, "/table", c.Table, true)
-	remote(list, "/objects", c.Objects, true)
-	remote(list, "/vmList", c.VMList, false)
-	remote(list, "/weights", c.Weights, false)
+	checkRemote(list, "/table", c.Table, true)
+	checkRemote(list, "/objects", c.Objects, true)
+	checkRemote(list, "/vmList", c.VMList, false)
+	checkRemote(list, "/weights", c.Weights, false)
 	for i, seed := range c.Seeds {
-		remote(list, findings.Pointer("seeds", i), seed, true)
+		checkRemote(list, findings.Pointer("seeds", i), seed, true)
 	}
 	if len(c.Seeds) == 0 && c.VMList == "" {
-		list.Warnf("/seeds", "neither seeds nor a VM list: the process finds no peers by itself")
+		list.Warnf("/seeds", "neither seeds nor vmList is set: the process can't find its peers by itself")
 	}
-	atLeast(list, "/eventRing", c.EventRing, minEventRing)
-	atLeast(list, "/pollSeconds", c.PollSeconds, 1)
-	atLeast(list, "/vmListLagSeconds", c.VMListLagSeconds, 1)
-	atLeast(list, "/staleAfterSeconds", c.StaleAfterSeconds, 0)
-	atLeast(list, "/drainSeconds", c.DrainSeconds, 0)
+	checkMinimum(list, "/eventRing", c.EventRing, minEventRing)
+	checkMinimum(list, "/pollSeconds", c.PollSeconds, 1)
+	checkMinimum(list, "/vmListLagSeconds", c.VMListLagSeconds, 1)
+	checkMinimum(list, "/staleAfterSeconds", c.StaleAfterSeconds, 0)
+	checkMinimum(list, "/drainSeconds", c.DrainSeconds, 0)
 	switch c.LogLevel {
 	case LogDebug, LogInfo, LogWarn, LogError:
 	default:
-		list.Errorf("/logLevel", "%q is none of debug, info, warn, error", c.LogLevel)
+		list.Errorf("/logLevel", "%q is not one of debug, info, warn, error", c.LogLevel)
 	}
 }
 
-// validateAdvertise stops an address that reaches another machine or none from
-// being told to the peers.
+// validateAdvertise rejects an address that peers can't use to reach this process:
+// advertised, it would lead them to their own machine or to none.
 func (c Common) validateAdvertise(list *findings.List) {
 	if c.Advertise != "" {
-		remote(list, "/advertise", c.Advertise, true)
+		checkRemote(list, "/advertise", c.Advertise, true)
 		return
 	}
 	if addr, err := netip.ParseAddrPort(c.PeerListen); err == nil && addr.Addr().IsUnspecified() {
-		list.Errorf("/advertise", "needed, since peerListen %s names no address that others can reach", c.PeerListen)
+		list.Errorf("/advertise", "required, because peerListen %s is not an address that other processes can reach", c.PeerListen)
 	}
 }
 
@@ -88,28 +88,28 @@
 	switch {
 	case c.AdminListen == "":
 	case c.AdminToken == "":
-		list.Errorf("/adminToken", "needed with adminListen")
+		list.Errorf("/adminToken", "required with adminListen")
 	case len(c.AdminToken) < minTokenLength:
 		list.Warnf("/adminToken", "shorter than %d characters", minTokenLength)
 	}
 }
 
-func name(list *findings.List, pointer, value string) {
+func checkName(list *findings.List, pointer, value string) {
 	switch {
 	case value == "":
-		list.Errorf(pointer, "needed")
+		list.Errorf(pointer, "required")
 	case !namePattern.MatchString(value):
-		list.Errorf(pointer, "%q is not a name: letters, digits and . _ : / - only", value)
+		list.Errorf(pointer, "%q is not a valid name: only letters, digits and . _ : / - are allowed", value)
 	}
 }
 
-// listen checks an address to listen on; port 0 lets the system choose one.
-func listen(list *findings.List, pointer, value string, required bool) {
+// checkListen checks an address to listen on; with port 0 the system chooses a port.
+func checkListen(list *findings.List, pointer, value string, required bool) {
 	if value == "" && !required {
 		return
 	}
 	if value == "" {
-		list.Errorf(pointer, "needed")
+		list.Errorf(pointer, "required")
 		return
 	}
 	if _, err := netip.ParseAddrPort(value); err != nil {
@@ -117,48 +117,49 @@
 	}
 }
 
-// remote checks an address to connect to.
-func remote(list *findings.List, pointer, value string, required bool) {
+// checkRemote checks an address to connect to.
+func checkRemote(list *findings.List, pointer, value string, required bool) {
 	if value == "" {
 		if required {
-			list.Errorf(pointer, "needed")
+			list.Errorf(pointer, "required")
 		}
 		return
 	}
 	addr, err := netip.ParseAddrPort(value)
 	if err != nil || addr.Port() == 0 || addr.Addr().IsUnspecified() {
-		list.Errorf(pointer, "%q is not an ip:port that can be reached", value)
+		list.Errorf(pointer, "%q is not an ip:port to connect to", value)
 	}
 }
 
-// validateBackend guards the rule that the sidecar is the only way into its
-// server: one that listens beyond the loopback interface could be reached past
-// the sidecar's gate.
+// validateBackend checks the backend server's address. The server must be reachable
+// only through its sidecar: on any other interface than loopback, callers could
+// bypass the sidecar's gate.
 func validateBackend(list *findings.List, value string) {
-	remote(list, "/backend", value, true)
+	checkRemote(list, "/backend", value, true)
 	if addr, err := netip.ParseAddrPort(value); err == nil && !addr.Addr().IsLoopback() {
 		list.Errorf("/backend", "%s is not on the loopback interface", value)
 	}
 }
 
-func atLeast(list *findings.List, pointer string, value, least int) {
-	if value < least {
-		list.Errorf(pointer, "%d is below the least value allowed, %d", value, least)
+func checkMinimum(list *findings.List, pointer string, value, minimum int) {
+	if value < minimum {
+		list.Errorf(pointer, "%d is below the least value allowed, %d", value, minimum)
 	}
 }
 
-// distinct reports addresses that two listeners share.
-func distinct(list *findings.List, addresses map[string]string) {
+// checkDistinct reports addresses that two listeners share. Addresses with port 0
+// never clash.
+func checkDistinct(list *findings.List, addresses map[string]string) {
 	for pointer, value := range addresses {
-		for other, same := range addresses {
-			if value != "" && value == same && other < pointer && !systemChosen(value) {
-				list.Errorf(pointer, "%s is the address of %s too", value, other)
+		for other, otherValue := range addresses {
+			if value != "" && value == otherValue && other < pointer && !hasPortZero(value) {
+				list.Errorf(pointer, "%s is also the address of %s", value, other)
 			}
 		}
 	}
 }
 
-func systemChosen(value string) bool {
+func hasPortZero(value string) bool {
 	addr, err := netip.ParseAddrPort(value)
 	return err == nil && addr.Port() == 0
 }
