--- a/text/check.go
+++ b/text/check.go
@@ -6,9 +6,9 @@
 	"github.com/pearyard/pearyard/findings"
 )
 
-// check adds what the schema can't see: doubled and unknown names, cycles,
-// things that nothing provides. It works on a text that may be incomplete,
-// so that its findings come together with the schema's.
+// check adds findings that the schema can't detect: duplicate and unknown names,
+// cycles, models and services that nothing provides. The configuration may be
+// incomplete, so that these findings are reported together with the schema's.
 func (t *Text) check(list *findings.List) {
 	t.checkNames(list)
 	t.checkKeys(list)
@@ -20,11 +20,12 @@
 	t.checkRecovery(list)
 }
 
-// firsts remembers where each value was seen first.
-type firsts map[string]string
+// firstSeen maps each value to the pointer at which it occurred first.
+type firstSeen map[string]string
 
-// add reports a value seen before. Empty values are the schema's to report.
-func (f firsts) add(list *findings.List, what, value, pointer string) {
+// add records a value and reports it if it is a duplicate. Empty values are ignored:
+// the schema check reports them.
+func (f firstSeen) add(list *findings.List, what, value, pointer string) {
 	if value == "" {
 		return
 	}
@@ -36,17 +37,17 @@
 }
 
 func (t *Text) checkNames(list *findings.List) {
-	services := firsts{}
+	services := firstSeen{}
 	for i, s := range t.Services {
 		services.add(list, "service", s.Name, findings.Pointer("services", i, "name"))
 	}
-	models := firsts{}
+	models := firstSeen{}
 	for i, m := range t.Models {
-		models.add(list, "model version", pair(m.Name, m.Version), findings.Pointer("models", i))
+		models.add(list, "model version", nameAtVersion(m.Name, m.Version), findings.Pointer("models", i))
 	}
-	adapters := firsts{}
+	adapters := firstSeen{}
 	for i, a := range t.Adapters {
-		adapters.add(list, "adapter version", pair(a.Name, a.Version), findings.Pointer("adapters", i))
+		adapters.add(list, "adapter version", nameAtVersion(a.Name, a.Version), findings.Pointer("adapters", i))
 	}
 	organisations := make(map[string]int, len(t.Organisations))
 	for i, o := range t.Organisations {
@@ -60,21 +61,21 @@
 	}
 }
 
-// pair joins name and version for a message; "" if the name is missing.
-func pair(name, version string) string {
+// nameAtVersion returns name@version, "" if the name is missing.
+func nameAtVersion(name, version string) string {
 	if name == "" {
 		return ""
 	}
 	return name + "@" + version
 }
 
-// checkKeys finds API keys that two organisations share: requests made with
-// such a key would count against whichever the index met last.
+// checkKeys reports API keys that two organisations share: requests with such a
+// key would count against whichever organisation was indexed last.
 func (t *Text) checkKeys(list *findings.List) {
 	owners := make(map[keyHash]int32, len(t.Organisations))
 	for i, o := range t.Organisations {
 		if len(o.KeySHA256) == 0 && o.Name != "" {
-			list.Warnf(findings.Pointer("organisations", i), "organisation %q has no key and can't call", o.Name)
+			list.Warnf(findings.Pointer("organisations", i), "organisation %q has no key and can't make requests", o.Name)
 		}
 		for j, key := range o.KeySHA256 {
 			hash, ok := parseKeyHash(key)
@@ -92,22 +93,23 @@
 }
 
 func (t *Text) checkBackendServers(list *findings.List) {
-	names, addresses := firsts{}, firsts{}
+	names, addresses := firstSeen{}, firstSeen{}
 	for i, s := range t.Services {
 		for j, b := range s.BackendServers {
-			at := findings.Pointer("services", i, "backendServers", j)
-			names.add(list, "backend server", b.Name, at+"/name")
+			pointer := findings.Pointer("services", i, "backendServers", j)
+			names.add(list, "backend server", b.Name, pointer+"/name")
 			address, ok := sidecarAddress(b.Sidecar)
 			if !ok && b.Sidecar != "" {
-				list.Errorf(at+"/sidecar", "%q is not an ip:port that a sidecar can listen on", b.Sidecar)
+				list.Errorf(pointer+"/sidecar", "%q is not an ip:port that a sidecar can listen on", b.Sidecar)
 				continue
 			}
-			addresses.add(list, "sidecar address", address, at+"/sidecar")
+			addresses.add(list, "sidecar address", address, pointer+"/sidecar")
 		}
 	}
 }
 
-// sidecarAddress returns an address in its one canonical form.
+// sidecarAddress returns the canonical form of an address, false if no sidecar can
+// listen on it.
 func sidecarAddress(s string) (string, bool) {
 	address, err := netip.ParseAddrPort(s)
 	if err != nil || address.Port() == 0 || address.Addr().IsUnspecified() {
@@ -126,12 +128,13 @@
 			list.Errorf(findings.Pointer("adapters", i, "model"), "unknown model %q", a.Model)
 		}
 		if a.Name != "" && models[a.Name] {
-			list.Errorf(findings.Pointer("adapters", i, "name"), "adapter %q has the name of a model; callers could not tell them apart", a.Name)
+			list.Errorf(findings.Pointer("adapters", i, "name"), "adapter %q has the name of a model; callers select both by name only", a.Name)
 		}
 	}
 }
 
-// checkZones warns of what one lost availability zone takes away whole.
+// checkZones warns of services and journals that the loss of one availability zone
+// can take away as a whole.
 func (t *Text) checkZones(list *findings.List) {
 	all := map[string]bool{}
 	for i, s := range t.Services {
@@ -154,6 +157,6 @@
 	r := t.Recovery
 	if r.JournalBatchMillis > 0 && r.JournalBatchMillis >= r.SilenceMillis {
 		list.Warnf("/recovery/journalBatchMillis",
-			"a batch of %d ms waits as long as the silence of %d ms that counts as a loss", r.JournalBatchMillis, r.SilenceMillis)
+			"journalBatchMillis is %d, but silenceMillis, after which a stream counts as lost, is only %d", r.JournalBatchMillis, r.SilenceMillis)
 	}
 }
--- a/text/defaults.go
+++ b/text/defaults.go
@@ -5,7 +5,7 @@
 	"math"
 )
 
-// Defaults of the fields that an operator may leave out.
+// Defaults of optional fields.
 const (
 	DefaultRetryBudget        = 0.1
 	DefaultWeight             = 1
@@ -23,8 +23,8 @@
 	DefaultDeadlineSeconds    = 1800
 )
 
-// newText returns a text that decoding fills: a field that is absent keeps its default.
-func newText() *Text {
+// newConfig returns the configuration to decode into: an absent field keeps its default.
+func newConfig() *Text {
 	return &Text{
 		Recovery: Recovery{
 			JournalAfterMillis: DefaultJournalAfterMillis,
@@ -45,8 +45,8 @@
 	}
 }
 
-// UnmarshalJSON sets the retry budget's default before decoding, since 0 is a
-// value of its own: no retries.
+// UnmarshalJSON sets the retry budget's default before decoding, because 0 is a
+// valid value: no retries.
 func (s *Service) UnmarshalJSON(raw []byte) error {
 	type plain Service
 	p := plain{RetryBudget: DefaultRetryBudget}
@@ -55,17 +55,18 @@
 	return err
 }
 
-// fill sets the defaults of fields whose zero value means absent.
-func (t *Text) fill() {
+// setDefaults sets the defaults of fields whose zero value means absent, and the
+// service names of the backend servers.
+func (t *Text) setDefaults() {
 	for i := range t.Services {
-		t.Services[i].fill()
+		t.Services[i].setDefaults()
 	}
 	for i := range t.Organisations {
-		t.Organisations[i].fill()
+		t.Organisations[i].setDefaults()
 	}
 }
 
-func (s *Service) fill() {
+func (s *Service) setDefaults() {
 	if s.Calls == "" {
 		s.Calls = defaultCalls(s.Kind)
 	}
@@ -74,7 +75,7 @@
 	}
 }
 
-// defaultCalls takes the safe side: only generations may be run again unasked.
+// defaultCalls is conservative: without a setting, only generations may be run again.
 func defaultCalls(kind Kind) Calls {
 	if kind == KindModel {
 		return CallsRepeatable
@@ -82,7 +83,7 @@
 	return CallsAtMostOnce
 }
 
-func (o *Organisation) fill() {
+func (o *Organisation) setDefaults() {
 	if o.Weight == 0 {
 		o.Weight = DefaultWeight
 	}
@@ -91,9 +92,9 @@
 	}
 }
 
-// DefaultRecovery returns the recovery dial of a text that leaves it out. A
-// process that has no text yet goes by it.
-func DefaultRecovery() Recovery { return newText().Recovery }
+// DefaultRecovery returns the recovery settings of a configuration without any. A
+// process that has no configuration yet uses them.
+func DefaultRecovery() Recovery { return newConfig().Recovery }
 
-// DefaultLimits returns the limits of a text that leaves them out.
-func DefaultLimits() Limits { return newText().Limits }
+// DefaultLimits returns the limits of a configuration without any.
+func DefaultLimits() Limits { return newConfig().Limits }
--- a/text/dependency.go
+++ b/text/dependency.go
@@ -6,27 +6,28 @@
 	"github.com/pearyard/pearyard/findings"
 )
 
-// dependencies checks what services depend on against what the text provides.
+// dependencies checks the services' dependencies against what the configuration
+// provides.
 type dependencies struct {
-	text      *Text
-	models    map[string]string // versions by name, joined for messages
-	adapters  map[string]string
+	config    *Text
+	models    map[string]string // model name to its versions, joined for messages
+	adapters  map[string]string // adapter name to its versions
 	versions  map[string]bool   // name@version of models and adapters
 	baseOf    map[string]string // adapter to model
 	services  map[string]*Service
-	providers map[string]string // model or adapter to the model service that serves it
+	providers map[string]string // model or adapter to its model service
 }
 
 func newDependencies(t *Text) *dependencies {
-	d := &dependencies{text: t, models: map[string]string{}, adapters: map[string]string{}, versions: map[string]bool{},
+	d := &dependencies{config: t, models: map[string]string{}, adapters: map[string]string{}, versions: map[string]bool{},
 		baseOf: map[string]string{}, services: map[string]*Service{}, providers: map[string]string{}}
 	for _, m := range t.Models {
 		d.models[m.Name] = joinVersions(d.models[m.Name], m.Version)
-		d.versions[pair(m.Name, m.Version)] = true
+		d.versions[nameAtVersion(m.Name, m.Version)] = true
 	}
 	for _, a := range t.Adapters {
 		d.adapters[a.Name] = joinVersions(d.adapters[a.Name], a.Version)
-		d.versions[pair(a.Name, a.Version)] = true
+		d.versions[nameAtVersion(a.Name, a.Version)] = true
 		d.baseOf[a.Name] = a.Model
 	}
 	for i := range t.Services {
@@ -41,7 +42,7 @@
 		return
 	}
 	for _, dep := range s.DependsOn {
-		name := dep.artefact()
+		name := dep.modelOrAdapter()
 		if _, taken := d.providers[name]; name != "" && !taken {
 			d.providers[name] = s.Name
 		}
@@ -56,10 +57,10 @@
 }
 
 func (d *dependencies) check(list *findings.List) {
-	for i := range d.text.Services {
+	for i := range d.config.Services {
 		d.checkService(i, list)
 	}
-	for i, m := range d.text.Models {
+	for i, m := range d.config.Models {
 		if _, ok := d.providers[m.Name]; !ok && m.Name != "" {
 			list.Warnf(findings.Pointer("models", i), "no service provides model %q", m.Name)
 		}
@@ -67,43 +68,43 @@
 }
 
 func (d *dependencies) checkService(i int, list *findings.List) {
-	s := &d.text.Services[i]
-	at := findings.Pointer("services", i)
+	s := &d.config.Services[i]
+	pointer := findings.Pointer("services", i)
 	if s.Kind == KindModel && s.Calls == CallsAtMostOnce {
-		list.Errorf(at+"/calls", "a model service's calls are generations, which are resumed and so must be repeatable")
+		list.Errorf(pointer+"/calls", "calls of a model service must be repeatable: they are generations, which are resumed after a failure")
 	}
-	served := firsts{}
+	served := firstSeen{}
 	for j, dep := range s.DependsOn {
-		here := at + findings.Pointer("dependsOn", j)
-		d.checkDependency(s, dep, here, list)
+		depPointer := pointer + findings.Pointer("dependsOn", j)
+		d.checkDependency(s, dep, depPointer, list)
 		if s.Kind == KindModel {
-			served.add(list, "model or adapter", dep.artefact(), here)
+			served.add(list, "model or adapter", dep.modelOrAdapter(), depPointer)
 		}
 	}
 	if s.Kind == KindModel && len(served) == 0 {
-		list.Errorf(at, "model service %q depends on no model, so it provides none", s.Name)
+		list.Errorf(pointer, "model service %q depends on no model and therefore provides none", s.Name)
 	}
 }
 
-func (d *dependencies) checkDependency(s *Service, dep Dependency, at string, list *findings.List) {
-	if dep.named() != 1 {
-		list.Errorf(at, "a dependency names exactly one of model, adapter and service")
+func (d *dependencies) checkDependency(s *Service, dep Dependency, pointer string, list *findings.List) {
+	if dep.targetCount() != 1 {
+		list.Errorf(pointer, "a dependency must name exactly one of model, adapter and service")
 		return
 	}
 	switch {
 	case dep.Service != "":
-		d.checkServiceNamed(dep, at, list)
+		d.checkServiceDependency(dep, pointer, list)
 	case dep.Model != "":
-		d.checkVersion("model", dep.Model, dep.Version, d.models, at, list)
-		d.checkProvided(s, "model", dep.Model, at, list)
+		d.checkVersion("model", dep.Model, dep.Version, d.models, pointer, list)
+		d.checkProvided(s, "model", dep.Model, pointer, list)
 	default:
-		d.checkVersion("adapter", dep.Adapter, dep.Version, d.adapters, at, list)
-		d.checkProvided(s, "adapter", dep.Adapter, at, list)
-		d.checkBase(s, dep.Adapter, at, list)
+		d.checkVersion("adapter", dep.Adapter, dep.Version, d.adapters, pointer, list)
+		d.checkProvided(s, "adapter", dep.Adapter, pointer, list)
+		d.checkBase(s, dep.Adapter, pointer, list)
 	}
 }
 
-func (dep Dependency) named() int {
+func (dep Dependency) targetCount() int {
 	n := 0
 	for _, name := range []string{dep.Model, dep.Adapter, dep.Service} {
 		if name != "" {
@@ -113,47 +114,48 @@
 	return n
 }
 
-func (d *dependencies) checkServiceNamed(dep Dependency, at string, list *findings.List) {
+func (d *dependencies) checkServiceDependency(dep Dependency, pointer string, list *findings.List) {
 	target, ok := d.services[dep.Service]
 	if !ok {
-		list.Errorf(at+"/service", "unknown service %q", dep.Service)
+		list.Errorf(pointer+"/service", "unknown service %q", dep.Service)
 		return
 	}
 	if len(target.BackendServers) == 0 {
-		list.Errorf(at+"/service", "nothing provides service %q: it has no backend server", dep.Service)
+		list.Errorf(pointer+"/service", "nothing provides service %q: it has no backend server", dep.Service)
 	}
 	if dep.Version != "" {
-		list.Errorf(at+"/version", "a service has no version")
+		list.Errorf(pointer+"/version", "a service has no version")
 	}
 }
 
-func (d *dependencies) checkVersion(what, name, version string, known map[string]string, at string, list *findings.List) {
-	versions, ok := known[name]
+func (d *dependencies) checkVersion(kind, name, version string, versionsByName map[string]string, pointer string, list *findings.List) {
+	versions, ok := versionsByName[name]
 	switch {
 	case !ok:
-		list.Errorf(at+"/"+what, "unknown %s %q", what, name)
+		list.Errorf(pointer+"/"+kind, "unknown %s %q", kind, name)
 	case version == "":
-		list.Errorf(at, "the version of %s %q is missing; known: %s", what, name, versions)
-	case !d.versions[pair(name, version)]:
-		list.Errorf(at+"/version", "unknown version %q of %s %q; known: %s", version, what, name, versions)
+		list.Errorf(pointer, "the version of %s %q is missing; known: %s", kind, name, versions)
+	case !d.versions[nameAtVersion(name, version)]:
+		list.Errorf(pointer+"/version", "unknown version %q of %s %q; known: %s", version, kind, name, versions)
 	}
 }
 
-// checkProvided reports a model that no model service serves, or that two
-// serve: a caller names only the model, so there must be one place for it.
-func (d *dependencies) checkProvided(s *Service, what, name, at string, list *findings.List) {
+// checkProvided reports a model or adapter that no model service serves, or more
+// than one: callers name only the model, so it must determine the service.
+func (d *dependencies) checkProvided(s *Service, kind, name, pointer string, list *findings.List) {
 	provider, ok := d.providers[name]
 	if !ok {
-		list.Errorf(at+"/"+what, "nothing provides %s %q: no model service depends on it", what, name)
+		list.Errorf(pointer+"/"+kind, "nothing provides %s %q: no model service depends on it", kind, name)
 		return
 	}
 	if s.Kind == KindModel && provider != s.Name {
-		list.Errorf(at+"/"+what, "%s %q is provided by service %q already", what, name, provider)
+		list.Errorf(pointer+"/"+kind, "%s %q is already provided by service %q", kind, name, provider)
 	}
 }
 
-// checkBase reports an adapter on a model service that doesn't hold its model.
-func (d *dependencies) checkBase(s *Service, adapter, at string, list *findings.List) {
+// checkBase reports an adapter of a model service that doesn't serve the adapter's
+// model.
+func (d *dependencies) checkBase(s *Service, adapter, pointer string, list *findings.List) {
 	base := d.baseOf[adapter]
 	if base == "" || s.Kind != KindModel {
 		return
@@ -163,59 +165,58 @@
 			return
 		}
 	}
-	list.Errorf(at+"/adapter", "adapter %q needs model %q, on which service %q doesn't depend", adapter, base, s.Name)
+	list.Errorf(pointer+"/adapter", "adapter %q needs model %q, on which service %q doesn't depend", adapter, base, s.Name)
 }
 
-// checkCycles reports each cycle among services once, at the dependency that
-// closes it.
+// checkCycles reports each cycle of services once, at the dependency that closes it.
 func checkCycles(services []Service, list *findings.List) {
-	c := cycles{services: services, at: map[string]int{}, state: make([]visit, len(services)), list: list}
+	c := cycleFinder{services: services, indexes: map[string]int{}, state: make([]visitState, len(services)), list: list}
 	for i, s := range services {
-		c.at[s.Name] = i
+		c.indexes[s.Name] = i
 	}
 	for i := range services {
-		c.follow(i)
+		c.visit(i)
 	}
 }
 
-type visit int
+type visitState int
 
 const (
-	unvisited visit = iota
+	unvisited visitState = iota
 	onPath
 	done
 )
 
-type cycles struct {
+type cycleFinder struct {
 	services []Service
-	at       map[string]int
-	state    []visit
+	indexes  map[string]int
+	state    []visitState
 	path     []int
 	list     *findings.List
 }
 
-func (c *cycles) follow(i int) {
+func (c *cycleFinder) visit(i int) {
 	if c.state[i] != unvisited {
 		return
 	}
 	c.state[i] = onPath
 	c.path = append(c.path, i)
 	for j, dep := range c.services[i].DependsOn {
-		next, ok := c.at[dep.Service]
+		next, ok := c.indexes[dep.Service]
 		if dep.Service == "" || !ok {
 			continue
 		}
 		if c.state[next] == onPath {
-			c.list.Errorf(findings.Pointer("services", i, "dependsOn", j, "service"), "services depend on each other in a circle: %s", c.circle(next))
+			c.list.Errorf(findings.Pointer("services", i, "dependsOn", j, "service"), "services depend on each other in a circle: %s", c.cyclePath(next))
 			continue
 		}
-		c.follow(next)
+		c.visit(next)
 	}
 	c.path = c.path[:len(c.path)-1]
 	c.state[i] = done
 }
 
-func (c *cycles) circle(from int) string {
+func (c *cycleFinder) cyclePath(from int) string {
 	var names []string
 	for k := len(c.path) - 1; k >= 0; k-- {
 		names = append([]string{c.services[c.path[k]].Name}, names...)
--- a/text/diff.go
+++ b/text/diff.go
@@ -13,7 +13,7 @@
 	"github.com/pearyard/pearyard/findings"
 )
 
-// ChangeKind says what happened to a value between two texts.
+// ChangeKind is the kind of difference between two configurations.
 type ChangeKind string
 
 // Kinds of changes.
@@ -23,10 +23,10 @@
 	Changed ChangeKind = "changed"
 )
 
-// Change is one value that differs between two texts.
+// Change is one value that differs between two configurations.
 type Change struct {
 	Kind    ChangeKind `json:"kind"`
-	Pointer string     `json:"pointer"`        // in the new text; in the old one if removed
+	Pointer string     `json:"pointer"`        // in the new configuration; in the old one if removed
 	Name    string     `json:"name,omitempty"` // of the service, model, adapter or organisation
 	Old     any        `json:"old,omitempty"`
 	New     any        `json:"new,omitempty"`
@@ -40,9 +40,9 @@
 	return fmt.Sprintf("%s %s (%s)", c.Kind, c.Pointer, c.Name)
 }
 
-// Diff lists what differs between two texts with their defaults filled in.
+// Diff lists the differences between two configurations, with defaults filled in.
 // Services, models, adapters and organisations are matched by name, so that
-// moving one about is no change. A nil text counts as empty.
+// reordering them is not a change. A nil configuration counts as empty.
 func Diff(old, next *Text) []Change {
 	if old == nil {
 		old = &Text{}
@@ -52,11 +52,11 @@
 	}
 	var d differ
 	diffNamed(&d, "services", old.Services, next.Services, func(s *Service) string { return s.Name })
-	diffNamed(&d, "models", old.Models, next.Models, func(m *Model) string { return pair(m.Name, m.Version) })
-	diffNamed(&d, "adapters", old.Adapters, next.Adapters, func(a *Adapter) string { return pair(a.Name, a.Version) })
+	diffNamed(&d, "models", old.Models, next.Models, func(m *Model) string { return nameAtVersion(m.Name, m.Version) })
+	diffNamed(&d, "adapters", old.Adapters, next.Adapters, func(a *Adapter) string { return nameAtVersion(a.Name, a.Version) })
 	diffNamed(&d, "organisations", old.Organisations, next.Organisations, func(o *Organisation) string { return o.Name })
-	d.values("/recovery", "recovery", old.Recovery, next.Recovery)
-	d.values("/limits", "limits", old.Limits, next.Limits)
+	d.compareValues("/recovery", "recovery", old.Recovery, next.Recovery)
+	d.compareValues("/limits", "limits", old.Limits, next.Limits)
 	return d.changes
 }
 
@@ -69,36 +69,36 @@
 	}
 	for i := range next {
 		key := name(&next[i])
-		at := findings.Pointer(member, i)
+		pointer := findings.Pointer(member, i)
 		j, ok := before[key]
 		if !ok {
-			d.changes = append(d.changes, Change{Kind: Added, Pointer: at, Name: key})
+			d.changes = append(d.changes, Change{Kind: Added, Pointer: pointer, Name: key})
 			continue
 		}
 		delete(before, key)
-		d.values(at, key, old[j], next[i])
+		d.compareValues(pointer, key, old[j], next[i])
 	}
-	d.removed(member, before)
+	d.addRemoved(member, before)
 }
 
-func (d *differ) removed(member string, left map[string]int) {
+func (d *differ) addRemoved(member string, unmatched map[string]int) {
 	first := len(d.changes)
-	for key, i := range left {
+	for key, i := range unmatched {
 		d.changes = append(d.changes, Change{Kind: Removed, Pointer: findings.Pointer(member, i), Name: key})
 	}
-	gone := d.changes[first:]
-	sort.Slice(gone, func(i, j int) bool { return gone[i].Name < gone[j].Name })
+	removed := d.changes[first:]
+	sort.Slice(removed, func(i, j int) bool { return removed[i].Name < removed[j].Name })
 }
 
-// values compares two values of one type; only those that differ are taken
-// apart, since most of 48,000 organisations don't.
-func (d *differ) values(at, name string, old, next any) {
+// compareValues compares two values of one type. Only values that differ are
+// decomposed, since most of 48,000 organisations are equal.
+func (d *differ) compareValues(pointer, name string, old, next any) {
 	if !reflect.DeepEqual(old, next) {
-		d.compare(at, name, generic(old), generic(next))
+		d.compare(pointer, name, toGeneric(old), toGeneric(next))
 	}
 }
 
-func generic(v any) any {
+func toGeneric(v any) any {
 	var out any
 	_ = json.Unmarshal(marshal(v), &out) // what marshal returns always decodes
 	return out
@@ -107,30 +107,30 @@
 func marshal(v any) []byte {
 	raw, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // the text's types always marshal
+		panic(err) // the configuration's types always marshal
 	}
 	return raw
 }
 
-func (d *differ) compare(at, name string, old, next any) {
-	oldMap, isMap := old.(map[string]any)
-	nextMap, isMapToo := next.(map[string]any)
-	if isMap && isMapToo {
-		d.compareMaps(at, name, oldMap, nextMap)
+func (d *differ) compare(pointer, name string, old, next any) {
+	oldMap, oldIsMap := old.(map[string]any)
+	nextMap, nextIsMap := next.(map[string]any)
+	if oldIsMap && nextIsMap {
+		d.compareMaps(pointer, name, oldMap, nextMap)
 		return
 	}
-	oldList, isList := old.([]any)
-	nextList, isListToo := next.([]any)
-	if isList && isListToo {
-		d.compareLists(at, name, oldList, nextList)
+	oldList, oldIsList := old.([]any)
+	nextList, nextIsList := next.([]any)
+	if oldIsList && nextIsList {
+		d.compareLists(pointer, name, oldList, nextList)
 		return
 	}
 	if !reflect.DeepEqual(old, next) {
-		d.changes = append(d.changes, Change{Kind: Changed, Pointer: at, Name: name, Old: old, New: next})
+		d.changes = append(d.changes, Change{Kind: Changed, Pointer: pointer, Name: name, Old: old, New: next})
 	}
 }
 
-func (d *differ) compareMaps(at, name string, old, next map[string]any) {
+func (d *differ) compareMaps(pointer, name string, old, next map[string]any) {
 	keys := make([]string, 0, len(next))
 	for key := range next {
 		keys = append(keys, key)
@@ -142,43 +142,43 @@
 	}
 	sort.Strings(keys)
 	for _, key := range keys {
-		d.compare(at+findings.Pointer(key), name, old[key], next[key])
+		d.compare(pointer+findings.Pointer(key), name, old[key], next[key])
 	}
 }
 
-func (d *differ) compareLists(at, name string, old, next []any) {
+func (d *differ) compareLists(pointer, name string, old, next []any) {
 	for i := range max(len(old), len(next)) {
-		here := at + findings.Pointer(i)
+		itemPointer := pointer + findings.Pointer(i)
 		switch {
 		case i >= len(old):
-			d.changes = append(d.changes, Change{Kind: Added, Pointer: here, Name: name})
+			d.changes = append(d.changes, Change{Kind: Added, Pointer: itemPointer, Name: name})
 		case i >= len(next):
-			d.changes = append(d.changes, Change{Kind: Removed, Pointer: here, Name: name})
+			d.changes = append(d.changes, Change{Kind: Removed, Pointer: itemPointer, Name: name})
 		default:
-			d.compare(here, name, old[i], next[i])
+			d.compare(itemPointer, name, old[i], next[i])
 		}
 	}
 }
 
 const (
-	// contextLines stand around each change of a unified diff.
+	// contextLines is the number of lines around each change in a unified diff.
 	contextLines = 3
-	// maxDiffLines bounds the stretch that is compared line by line, whose cost
+	// maxDiffLines bounds the section that is compared line by line, since the cost
 	// grows faster than its length.
 	maxDiffLines = 20_000
 )
 
-// Unified returns a readable diff of two texts as they were written, "" if
-// they are the same. Equal lines at both ends are set aside first: a change in
-// a text of 48,000 organisations then costs no more than one in a small text.
+// UnifiedDiff returns a unified diff of two configurations as they were written, ""
+// if they are equal. Equal lines at both ends are skipped, so that one change in a
+// configuration of 48,000 organisations costs no more than in a small one.
 func Unified(old, next []byte, oldName, nextName string) string {
 	a, b := splitLines(old), splitLines(next)
-	head := equalLines(a, b, func(s []string, i int) string { return s[i] })
-	tail := equalLines(a[head:], b[head:], func(s []string, i int) string { return s[len(s)-1-i] })
-	if len(a) == head && len(b) == head {
+	prefix := commonLength(a, b, func(s []string, i int) string { return s[i] })
+	suffix := commonLength(a[prefix:], b[prefix:], func(s []string, i int) string { return s[len(s)-1-i] })
+	if len(a) == prefix && len(b) == prefix {
 		return ""
 	}
-	from, keep := max(0, head-contextLines), max(0, tail-contextLines)
+	from, keep := max(0, prefix-contextLines), max(0, suffix-contextLines)
 	a, b = a[from:len(a)-keep], b[from:len(b)-keep]
 	if len(a)+len(b) > maxDiffLines {
 		return fmt.Sprintf("--- %s\n+++ %s\n%d lines from line %d on replaced by %d lines\n", oldName, nextName, len(a), from+1, len(b))
@@ -191,8 +191,8 @@
 	return shiftHunks(unified, from)
 }
 
-// splitLines indents a text that stands in a few very long lines, since a diff
-// of whole lines would show all of it.
+// splitLines splits a configuration into lines. One written in a few very long lines
+// is indented first, since a diff by lines would show all of it.
 func splitLines(raw []byte) []string {
 	const longLine = 1000
 	if lines := bytes.Count(raw, []byte{'\n'}) + 1; len(raw)/lines > longLine {
@@ -204,7 +204,7 @@
 	return difflib.SplitLines(string(raw))
 }
 
-func equalLines(a, b []string, at func([]string, int) string) int {
+func commonLength(a, b []string, at func([]string, int) string) int {
 	n := min(len(a), len(b))
 	for i := range n {
 		if at(a, i) != at(b, i) {
@@ -214,7 +214,7 @@
 	return n
 }
 
-// shiftHunks corrects the line numbers for the lines set aside at the beginning.
+// shiftHunks adds the number of skipped lines to the line numbers of the hunks.
 func shiftHunks(unified string, by int) string {
 	lines := strings.SplitAfter(unified, "\n")
 	for i, line := range lines {
--- a/text/diff_test.go
+++ b/text/diff_test.go
@@ -36,7 +36,7 @@
 
 func TestUnifiedOfLargeText(t *testing.T) {
 	g := NewWithT(t)
-	old := bigText(targetOrganisations)
+	old := bigConfig(targetOrganisations)
 	next := bytes.Replace(old, []byte(`"organisation-30000"`), []byte(`"organisation-renamed"`), 1)
 	diff := text.Unified(old, next, "old", "new")
 	g.Expect(strings.Count(diff, "\n")).To(Equal(2 + 1 + 2*3 + 2))
--- a/text/index.go
+++ b/text/index.go
@@ -8,17 +8,17 @@
 // keyHash is the SHA-256 of an API key.
 type keyHash [sha256.Size]byte
 
-// server says where a backend server stands in the text.
-type server struct{ service, server int32 }
+// serverIndex is the position of a backend server in the configuration.
+type serverIndex struct{ service, server int32 }
 
-// index holds the lookups that requests need. It is built once and never
-// written again, so that lookups take no lock.
+// index holds the lookup tables for requests. It is built once and read-only
+// afterwards, so that lookups take no lock.
 type index struct {
 	services      map[string]int32
 	models        map[string]int32 // model or adapter name to the service that serves it
 	organisations map[string]int32
 	keys          map[keyHash]int32
-	servers       map[string]server
+	servers       map[string]serverIndex
 }
 
 func (t *Text) buildIndex() {
@@ -27,7 +27,7 @@
 		models:        make(map[string]int32, len(t.Models)+len(t.Adapters)),
 		organisations: make(map[string]int32, len(t.Organisations)),
 		keys:          make(map[keyHash]int32, len(t.Organisations)),
-		servers:       map[string]server{},
+		servers:       map[string]serverIndex{},
 	}
 	for i := range t.Services {
 		t.indexService(int32(i))
@@ -41,13 +41,13 @@
 	s := &t.Services[i]
 	t.index.services[s.Name] = i
 	for j := range s.BackendServers {
-		t.index.servers[s.BackendServers[j].Name] = server{service: i, server: int32(j)}
+		t.index.servers[s.BackendServers[j].Name] = serverIndex{service: i, server: int32(j)}
 	}
 	if s.Kind != KindModel {
 		return
 	}
 	for _, d := range s.DependsOn {
-		if name := d.artefact(); name != "" {
+		if name := d.modelOrAdapter(); name != "" {
 			t.index.models[name] = i
 		}
 	}
@@ -63,8 +63,8 @@
 	}
 }
 
-// artefact returns the name of the model or adapter, "" for a service.
-func (d Dependency) artefact() string {
+// modelOrAdapter returns the name of the model or adapter, "" for a service.
+func (d Dependency) modelOrAdapter() string {
 	if d.Model != "" {
 		return d.Model
 	}
@@ -80,7 +80,7 @@
 	return hash, err == nil
 }
 
-// Service returns the service of that name.
+// Service returns the service with that name.
 func (t *Text) Service(name string) (*Service, bool) {
 	i, ok := t.index.services[name]
 	if !ok {
@@ -89,7 +89,7 @@
 	return &t.Services[i], true
 }
 
-// ModelService returns the service that serves the model or adapter of that name.
+// ModelService returns the service that serves the model or adapter with that name.
 func (t *Text) ModelService(model string) (*Service, bool) {
 	i, ok := t.index.models[model]
 	if !ok {
@@ -98,7 +98,7 @@
 	return &t.Services[i], true
 }
 
-// Organisation returns the organisation of that name.
+// Organisation returns the organisation with that name.
 func (t *Text) Organisation(name string) (*Organisation, bool) {
 	i, ok := t.index.organisations[name]
 	if !ok {
@@ -107,8 +107,8 @@
 	return &t.Organisations[i], true
 }
 
-// OrganisationByKey returns the organisation that a caller's API key (the
-// bearer token as sent) belongs to.
+// OrganisationByKey returns the organisation that owns an API key, given as the
+// bearer token of a request.
 func (t *Text) OrganisationByKey(bearerToken string) (*Organisation, bool) {
 	i, ok := t.index.keys[sha256.Sum256([]byte(bearerToken))]
 	if !ok {
@@ -117,12 +117,12 @@
 	return &t.Organisations[i], true
 }
 
-// BackendServer returns the backend server of that name; its Service field
+// BackendServer returns the backend server with that name; its Service field
 // names the service that it belongs to.
 func (t *Text) BackendServer(name string) (*BackendServer, bool) {
-	at, ok := t.index.servers[name]
+	position, ok := t.index.servers[name]
 	if !ok {
 		return nil, false
 	}
-	return &t.Services[at.service].BackendServers[at.server], true
+	return &t.Services[position.service].BackendServers[position.server], true
 }
--- a/text/parse.go
+++ b/text/parse.go
@@ -8,20 +8,20 @@
 	"github.com/pearyard/pearyard/findings"
 )
 
-// Parse checks a text that somebody offers: syntax, schema and sense, and all
-// findings come together, sorted by place. The text is nil if one of them is
-// an error; warnings leave it usable.
+// Parse decodes and validates a new configuration: syntax, schema and consistency.
+// All findings are reported together, sorted by position. The configuration is nil
+// if any finding is an error; warnings leave it usable.
 func Parse(raw []byte) (*Text, findings.List) {
 	list := findings.Syntax(raw)
 	if !json.Valid(raw) {
 		return nil, list
 	}
 	checkSchema(raw, &list)
-	t := newText()
+	t := newConfig()
 	if err := json.Unmarshal(raw, t); err != nil && !list.HasErrors() {
 		list.Errorf("", "%v", err)
 	}
-	t.fill()
+	t.setDefaults()
 	t.check(&list)
 	findings.Locate(raw, list)
 	if list.HasErrors() {
@@ -31,15 +31,15 @@
 	return t, list
 }
 
-// Load decodes a text that was checked when it was accepted, without checking
-// it again. Fields that it doesn't know are passed over: during an upgrade, a
-// process of the older version must not refuse a revision that is in force.
+// Load decodes a configuration that was validated when it was accepted, without
+// validating it again. Unknown fields are ignored: during an upgrade, a process of
+// the older version must not refuse a revision that is in force.
 func Load(raw []byte) (*Text, error) {
-	t := newText()
+	t := newConfig()
 	if err := json.Unmarshal(raw, t); err != nil {
-		return nil, errors.Wrap(err, "text: accepted revision can't be decoded")
+		return nil, errors.Wrap(err, "text: decode accepted revision")
 	}
-	t.fill()
+	t.setDefaults()
 	t.buildIndex()
 	return t, nil
 }
--- a/text/parse_test.go
+++ b/text/parse_test.go
@@ -98,14 +98,14 @@
 		{"version missing", `{"services":[{"name":"a","kind":"model","dependsOn":[{"model":"m"}]}],"models":[{"name":"m","version":"1"}]}`, `known: 1`},
 		{"adapter's model", `{"adapters":[{"name":"a","version":"1","model":"m"}]}`, `/adapters/0/model: unknown model "m"`},
 		{"adapter without its model", `{"services":[{"name":"s","kind":"model","dependsOn":[{"adapter":"a","version":"1"}]}],"models":[{"name":"m","version":"1"}],"adapters":[{"name":"a","version":"1","model":"m"}]}`, `adapter "a" needs model "m"`},
-		{"model in two services", `{"services":[{"name":"s","kind":"model","dependsOn":[{"model":"m","version":"1"}]},{"name":"r","kind":"model","dependsOn":[{"model":"m","version":"1"}]}],"models":[{"name":"m","version":"1"}]}`, `is provided by service "s" already`},
+		{"model in two services", `{"services":[{"name":"s","kind":"model","dependsOn":[{"model":"m","version":"1"}]},{"name":"r","kind":"model","dependsOn":[{"model":"m","version":"1"}]}],"models":[{"name":"m","version":"1"}]}`, `is already provided by service "s"`},
 		{"generations at most once", `{"services":[{"name":"s","kind":"model","calls":"at-most-once"}]}`, "must be repeatable"},
-		{"doubled server", `{"services":[{"name":"a","kind":"plain","backendServers":[` + server("x", "10.0.0.1:1") + "," + server("x", "10.0.0.2:1") + `]}]}`, `backend server "x" is given twice, first at /services/0/backendServers/0/name`},
-		{"doubled address", `{"services":[{"name":"a","kind":"plain","backendServers":[` + server("x", "10.0.0.1:1") + "," + server("y", "[::ffff:10.0.0.1]:1") + `]}]}`, `sidecar address "10.0.0.1:1" is given twice`},
+		{"duplicate server", `{"services":[{"name":"a","kind":"plain","backendServers":[` + server("x", "10.0.0.1:1") + "," + server("x", "10.0.0.2:1") + `]}]}`, `backend server "x" is given twice, first at /services/0/backendServers/0/name`},
+		{"duplicate address", `{"services":[{"name":"a","kind":"plain","backendServers":[` + server("x", "10.0.0.1:1") + "," + server("y", "[::ffff:10.0.0.1]:1") + `]}]}`, `sidecar address "10.0.0.1:1" is given twice`},
 		{"host name", `{"services":[{"name":"a","kind":"plain","backendServers":[` + server("x", "host:1") + `]}]}`, "is not an ip:port"},
 		{"one zone", `{"services":[{"name":"a","kind":"plain","backendServers":[` + server("x", "10.0.0.1:1") + "," + server("y", "10.0.0.2:1") + `]}]}`, "warning: /services/0/backendServers: all 2 backend servers"},
-		{"doubled key", `{"organisations":[{"name":"a","keySHA256":["` + strings.Repeat("0", 64) + `"]},{"name":"b","keySHA256":["` + strings.Repeat("0", 64) + `"]}]}`, `/organisations/1/keySHA256/0: key is given twice, first by organisation "a"`},
-		{"doubled organisation", `{"organisations":[{"name":"a","keySHA256":[]},{"name":"a","keySHA256":[]}]}`, `organisation "a" is given twice`},
+		{"duplicate key", `{"organisations":[{"name":"a","keySHA256":["` + strings.Repeat("0", 64) + `"]},{"name":"b","keySHA256":["` + strings.Repeat("0", 64) + `"]}]}`, `/organisations/1/keySHA256/0: key is given twice, first by organisation "a"`},
+		{"duplicate organisation", `{"organisations":[{"name":"a","keySHA256":[]},{"name":"a","keySHA256":[]}]}`, `organisation "a" is given twice`},
 		{"plain key in place of hash", `{"organisations":[{"name":"a","keySHA256":["secret"]}]}`, "/organisations/0/keySHA256/0"},
 	}
 	for _, c := range cases {
@@ -116,8 +116,8 @@
 	}
 }
 
-// A router of the older version reads a revision that a newer one accepted,
-// with a field it doesn't know. It must serve it, not keep the old revision.
+// A router of an older version reads a revision accepted by a newer one, with a
+// field it doesn't know. It must use the revision instead of keeping the old one.
 func TestLoadPassesOverUnknownFields(t *testing.T) {
 	g := NewWithT(t)
 	loaded, err := text.Load([]byte(`{"future":1,"services":[{"name":"a","kind":"plain"}]}`))
@@ -129,16 +129,16 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(bigText(2))
+	f.Add(bigConfig(2))
 	f.Add([]byte(`{"services":[{"name":"a","dependsOn":[{"service":"a"}]}],"a":{"a":1,"a":2}}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		parsed, list := text.Parse(raw)
 		if (parsed == nil) != list.HasErrors() {
-			t.Fatalf("text %v with findings %v", parsed, list)
+			t.Fatalf("configuration %v with findings %v", parsed, list)
 		}
 		for _, finding := range list {
 			if finding.Line < 1 || finding.Column < 1 {
-				t.Fatalf("finding without a place: %v", finding)
+				t.Fatalf("finding without a position: %v", finding)
 			}
 		}
 	})
--- a/text/schema.go
+++ b/text/schema.go
@@ -19,7 +19,7 @@
 //go:embed schema.json
 var schemaJSON []byte
 
-// Schema returns the published JSON Schema of the text.
+// Schema returns the published JSON Schema of the configuration.
 func Schema() []byte { return bytes.Clone(schemaJSON) }
 
 const (
@@ -28,25 +28,25 @@
 	organisationsMember   = "organisations"
 )
 
-// schemas are compiled at the first check: most processes only load texts that
-// were checked when they were accepted.
-var schemas = sync.OnceValue(func() compiled {
+// schemas are compiled on first use: most processes only load configurations that
+// were validated when they were accepted.
+var schemas = sync.OnceValue(func() compiledSchemas {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(schemaJSON))
 	if err != nil {
-		panic(err) // the embedded schema is part of the program
+		panic(err) // the embedded schema is always valid JSON
 	}
 	c := jsonschema.NewCompiler()
 	if err := c.AddResource(schemaURL, doc); err != nil {
 		panic(err)
 	}
-	return compiled{text: c.MustCompile(schemaURL), organisation: c.MustCompile(organisationSchemaURL)}
+	return compiledSchemas{text: c.MustCompile(schemaURL), organisation: c.MustCompile(organisationSchemaURL)}
 })
 
-type compiled struct{ text, organisation *jsonschema.Schema }
+type compiledSchemas struct{ text, organisation *jsonschema.Schema }
 
-// checkSchema validates a document that is known to be well-formed JSON. The
-// organisations are validated one at a time: decoded together, 48,000 of them
-// would take more memory than a process may use.
+// checkSchema validates a well-formed JSON document. The organisations are
+// validated one at a time: decoded together, 48,000 of them would exceed a
+// process's memory limit.
 func checkSchema(raw []byte, list *findings.List) {
 	dec := jsontext.NewDecoder(bytes.NewBuffer(raw), jsontext.AllowDuplicateNames(true))
 	if dec.PeekKind() != '{' {
@@ -109,7 +109,7 @@
 	reportLeaves(invalid, prefix, list)
 }
 
-// reportLeaves adds the innermost causes, which name the value at fault.
+// reportLeaves adds the innermost causes, which point to the invalid value.
 func reportLeaves(e *jsonschema.ValidationError, prefix []any, list *findings.List) {
 	for _, cause := range e.Causes {
 		reportLeaves(cause, prefix, list)
--- a/text/text.go
+++ b/text/text.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Kind says what stands behind a service.
+// Kind is the kind of servers behind a service.
 type Kind string
 
 const (
@@ -12,7 +12,7 @@
 	KindPlain Kind = "plain"
 )
 
-// Calls says whether a service's calls may be run again.
+// Calls tells whether a service's calls may be run again.
 type Calls string
 
 const (
@@ -22,7 +22,7 @@
 	CallsAtMostOnce Calls = "at-most-once"
 )
 
-// Text is the operators' text with its defaults filled in and its indexes built.
+// Config is the operators' configuration with defaults filled in and indexes built.
 type Text struct {
 	Services      []Service      `json:"services"`
 	Models        []Model        `json:"models"`
@@ -39,8 +39,8 @@
 	Name           string          `json:"name"`
 	Kind           Kind            `json:"kind"`
 	Calls          Calls           `json:"calls"`       // default: repeatable for models, at-most-once for plain services
-	DependsOn      []Dependency    `json:"dependsOn"`   // what must be there before the service can serve
-	RetryBudget    float64         `json:"retryBudget"` // retries for each first try at the most, 0 to 1; default 0.1
+	DependsOn      []Dependency    `json:"dependsOn"`   // what must be available before the service can serve
+	RetryBudget    float64         `json:"retryBudget"` // most retries for each first attempt, 0 to 1; default 0.1
 	BackendServers []BackendServer `json:"backendServers"`
 }
 
@@ -53,13 +53,13 @@
 	Service string `json:"service,omitempty"`
 }
 
-// BackendServer is one server of a service with the sidecar beside it.
+// BackendServer is one server of a service with its sidecar.
 type BackendServer struct {
 	Name          string `json:"name"`
 	Zone          string `json:"zone"`          // availability zone
 	Sidecar       string `json:"sidecar"`       // ip:port of the sidecar's listener for peers
-	ChecksFencing bool   `json:"checksFencing"` // it refuses orders with an old fencing number
-	Capacity      int    `json:"capacity"`      // requests at once; 0: as the engine reports
+	ChecksFencing bool   `json:"checksFencing"` // the server refuses orders with an old fencing number
+	Capacity      int    `json:"capacity"`      // concurrent requests; 0: as the engine reports
 
 	// Service is the name of the service that the server belongs to.
 	Service string `json:"-"`
@@ -75,33 +75,33 @@
 type Adapter struct {
 	Name    string `json:"name"`
 	Version string `json:"version"`
-	Model   string `json:"model"` // name of the model that it adapts
+	Model   string `json:"model"` // name of the adapted model
 }
 
 // Organisation is one customer with its API keys and limits.
 type Organisation struct {
 	Name      string             `json:"name"`
 	KeySHA256 []string           `json:"keySHA256"` // SHA-256 of each API key, 64 lower-case hexadecimal digits
-	Weight    int                `json:"weight"`    // share under pressure; default 1
+	Weight    int                `json:"weight"`    // share under overload; default 1
 	Limits    OrganisationLimits `json:"limits"`
-	Priority  int                `json:"priority"` // higher goes first in an engine's queue; default 0
+	Priority  int                `json:"priority"` // higher values go first in an engine's queue; default 0
 }
 
-// OrganisationLimits bounds what one organisation may use; 0 sets no bound.
+// OrganisationLimits limits one organisation's requests; 0 sets no limit.
 type OrganisationLimits struct {
 	RequestsPerSecond float64 `json:"requestsPerSecond"`
 	Burst             int     `json:"burst"`      // default: one second's worth, at least 1
-	Concurrent        int     `json:"concurrent"` // requests running at once
+	Concurrent        int     `json:"concurrent"` // requests running concurrently
 	Queued            int     `json:"queued"`     // requests waiting for admission
 }
 
-// Recovery is the dial between resume latency and extra resource use.
+// Recovery sets the trade-off between resume latency and extra resource use.
 type Recovery struct {
 	JournalAfterMillis int `json:"journalAfterMillis"` // age from which a generation is journaled; default 2000
 	JournalPeers       int `json:"journalPeers"`       // sidecars that keep the journal, 0 for none; default 1
 	JournalBatchMillis int `json:"journalBatchMillis"` // longest wait of a token for its batch; default 100
 	SilenceMillis      int `json:"silenceMillis"`      // silence of a stream after which it counts as lost; default 1000
-	RouterGraceMillis  int `json:"routerGraceMillis"`  // how long an engine goes on after its router vanished; default 10000
+	RouterGraceMillis  int `json:"routerGraceMillis"`  // how long an engine continues after it lost its router; default 10000
 	RetainMillis       int `json:"retainMillis"`       // how long a finished answer stays fetchable; default 60000
 	MaxResumes         int `json:"maxResumes"`         // resumes of one generation; default 8
 	SuspicionLimit     int `json:"suspicionLimit"`     // engine deaths after which a request is quarantined; default 2
