--- a/findings/doc.go
+++ b/findings/doc.go
@@ -1,5 +1,5 @@
-// Package findings collects what is wrong with a JSON document, each finding
-// with its place, so that an operator sees all of them at once.
+// Package findings collects the errors and warnings of a JSON document, each with
+// its position, so that an operator sees all of them at once.
 //
 // May import of pearyard: none.
 package findings
--- a/findings/finding.go
+++ b/findings/finding.go
@@ -7,21 +7,21 @@
 	"strings"
 )
 
-// Severity says whether a finding stops the document from being accepted.
+// Severity tells whether a finding prevents the document from being accepted.
 type Severity string
 
 const (
-	// Error stops the document from being accepted.
+	// Error prevents the document from being accepted.
 	Error Severity = "error"
-	// Warning leaves the document acceptable.
+	// Warning doesn't prevent the document from being accepted.
 	Warning Severity = "warning"
 )
 
-// Finding is one thing that is wrong at one place.
+// Finding is one error or warning at one position.
 type Finding struct {
 	Severity Severity `json:"severity"`
 	Pointer  string   `json:"pointer"` // JSON pointer (RFC 6901); "" is the whole document
-	Line     int      `json:"line"`    // from 1; 0 if the place isn't in a document
+	Line     int      `json:"line"`    // from 1; 0 if it has no position in a document
 	Column   int      `json:"column"`  // from 1, in characters
 	Message  string   `json:"message"`
 }
@@ -63,7 +63,7 @@
 	return false
 }
 
-// Sort orders the findings by place, then severity, then message.
+// Sort orders the findings by position and pointer, then severity, then message.
 func (l List) Sort() {
 	sort.SliceStable(l, func(i, j int) bool { return less(l[i], l[j]) })
 }
@@ -105,7 +105,7 @@
 	return raw
 }
 
-// ListError is a list of findings as an error.
+// ListError is an error that consists of findings.
 type ListError struct{ Findings List }
 
 // Error implements error.
--- a/findings/findings_test.go
+++ b/findings/findings_test.go
@@ -49,11 +49,11 @@
 		findings.Locate(raw, list)
 		for _, finding := range list {
 			if finding.Line < 1 || finding.Column < 1 {
-				t.Fatalf("no place for %v", finding)
+				t.Fatalf("no position for %v", finding)
 			}
 		}
 		if json.Valid(raw) && findings.Syntax(raw).HasErrors() {
-			t.Skip() // stricter than encoding/json: doubled names, invalid UTF-8
+			t.Skip() // stricter than encoding/json: duplicate names, invalid UTF-8
 		}
 		if !json.Valid(raw) && !findings.Syntax(raw).HasErrors() {
 			t.Fatalf("no finding for invalid JSON %q", raw)
--- a/findings/lines.go
+++ b/findings/lines.go
@@ -5,10 +5,10 @@
 	"unicode/utf8"
 )
 
-// lineIndex turns byte offsets into lines and columns.
+// lineIndex converts byte offsets to lines and columns.
 type lineIndex struct {
 	raw    []byte
-	starts []int
+	starts []int // offset of each line
 }
 
 func newLineIndex(raw []byte) lineIndex {
@@ -21,8 +21,9 @@
 	return lineIndex{raw: raw, starts: starts}
 }
 
-// place returns line and column, both from 1, the column in characters.
-func (l lineIndex) place(offset int) (line, column int) {
+// position returns the line and column of an offset, both from 1, the column in
+// characters.
+func (l lineIndex) position(offset int) (line, column int) {
 	offset = min(max(offset, 0), len(l.raw))
 	line = sort.SearchInts(l.starts, offset+1)
 	return line, utf8.RuneCount(l.raw[l.starts[line-1]:offset]) + 1
--- a/findings/place.go
+++ b/findings/locate.go
@@ -22,9 +22,9 @@
 
 func escape(token string) string { return escaper.Replace(token) }
 
-// Locate fills in line and column of every finding that has none, and sorts
-// the list. A pointer to something absent gets the place of its nearest
-// ancestor. It walks the document only if there is something to locate.
+// Locate fills in the line and column of every finding that has none, and sorts
+// the list. A pointer to an absent value gets the position of its nearest existing
+// ancestor. The document is read only if there are findings to locate.
 func Locate(raw []byte, list List) {
 	wanted := wantedPointers(list)
 	if len(wanted) > 0 {
@@ -39,7 +39,8 @@
 
 const notFound = -1
 
-// wantedPointers returns every pointer to locate together with its ancestors.
+// wantedPointers returns a map of the pointers to locate and all their ancestors,
+// with notFound as the offset of each.
 func wantedPointers(list List) map[string]int {
 	wanted := map[string]int{}
 	for _, f := range list {
@@ -57,15 +58,15 @@
 }
 
 func parent(pointer string) string {
-	cut := strings.LastIndexByte(pointer, '/')
-	if cut < 0 {
+	slash := strings.LastIndexByte(pointer, '/')
+	if slash < 0 {
 		return ""
 	}
-	return pointer[:cut]
+	return pointer[:slash]
 }
 
-// findOffsets sets the offset of each wanted pointer's value, as far as the
-// document can be read.
+// findOffsets sets the offset of each wanted pointer's value, up to the first syntax
+// error in the document.
 func findOffsets(raw []byte, wanted map[string]int) {
 	dec := newDecoder(raw)
 	end := 0
@@ -98,7 +99,7 @@
 	return token.Kind() == '"' && kind == '{' && length%2 == 1
 }
 
-// tokenStart returns where the token begins that follows the one ending at end.
+// tokenStart returns the offset of the token after the one that ends at end.
 func tokenStart(raw []byte, end int) int {
 	for end < len(raw) && strings.IndexByte(" \t\r\n,:", raw[end]) >= 0 {
 		end++
@@ -114,5 +115,5 @@
 	for offsets[p] == notFound && p != "" {
 		p = parent(p)
 	}
-	f.Line, f.Column = lines.place(max(offsets[p], 0))
+	f.Line, f.Column = lines.position(max(offsets[p], 0))
 }
--- a/findings/syntax.go
+++ b/findings/syntax.go
@@ -8,21 +8,21 @@
 	"github.com/pkg/errors"
 )
 
-// Syntax checks that a document is one JSON value and that no object names a
-// member twice, which decoders settle silently by taking the last one.
+// Syntax checks that a document is a single JSON value and that no object has a
+// duplicate name, of which decoders would silently use the last one.
 func Syntax(raw []byte) List {
 	var list List
 	lines := newLineIndex(raw)
 	dec := newDecoder(raw)
 	names := nameSets{}
-	end, whole := 0, false
+	end, complete := 0, false
 	for {
 		token, err := dec.ReadToken()
-		if errors.Is(err, io.EOF) && whole {
+		if errors.Is(err, io.EOF) && complete {
 			return list
 		}
-		if err == nil && whole {
-			list.at(lines, tokenStart(raw, end), "", "text after the end of the document")
+		if err == nil && complete {
+			list.addAt(lines, tokenStart(raw, end), "", "text after the end of the document")
 			return list
 		}
 		if err != nil {
@@ -31,12 +31,12 @@
 		}
 		start := tokenStart(raw, end)
 		end = int(dec.InputOffset())
-		whole = dec.StackDepth() == 0
+		complete = dec.StackDepth() == 0
 		if token.Kind() == '{' {
 			names.open(dec.StackDepth())
 		}
 		if isName(dec, token) && !names.add(dec.StackDepth(), token.String()) {
-			list.at(lines, start, string(dec.StackPointer()), fmt.Sprintf("name %q given twice in one object", token.String()))
+			list.addAt(lines, start, string(dec.StackPointer()), fmt.Sprintf("name %q given twice in one object", token.String()))
 		}
 	}
 }
@@ -52,18 +52,19 @@
 	case errors.As(err, &syntactic):
 		offset, message = int(syntactic.ByteOffset), syntactic.Err.Error()
 	}
-	l.at(lines, offset, "", "not JSON: "+message)
+	l.addAt(lines, offset, "", "not JSON: "+message)
 }
 
-func (l *List) at(lines lineIndex, offset int, pointer, message string) {
-	line, column := lines.place(offset)
+func (l *List) addAt(lines lineIndex, offset int, pointer, message string) {
+	line, column := lines.position(offset)
 	*l = append(*l, Finding{Severity: Error, Pointer: pointer, Line: line, Column: column, Message: message})
 }
 
-// nameSets holds the names seen in each object on the way from the root; the
-// sets are reused, since a large document has very many objects.
+// nameSets holds, by depth, the names seen so far in each open object. The sets are
+// reused, since a large document has very many objects.
 type nameSets map[int]map[string]struct{}
 
+// open starts an empty set for a new object at this depth.
 func (n nameSets) open(depth int) {
 	if n[depth] == nil {
 		n[depth] = map[string]struct{}{}
@@ -72,7 +73,7 @@
 	clear(n[depth])
 }
 
-// add reports whether the name is new in the object at this depth.
+// add adds a name to the open object at this depth and reports whether it is new.
 func (n nameSets) add(depth int, name string) bool {
 	if _, ok := n[depth][name]; ok {
 		return false
