--- a/config/sync_test.go
+++ b/config/sync_test.go
@@ -211,7 +211,7 @@
 }
 
 // A sidecar can't reach the store. It must work with the configurations of its peers.
-func TestSpreaderWithoutStore(t *testing.T) {
+func TestSyncerWithoutStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		holder, ahead := newHolder(), newHolder()
--- a/text/check.go
+++ b/text/check.go
@@ -9,15 +9,15 @@
 // check adds findings that the schema can't detect: duplicate and unknown names,
 // cycles, models and services that nothing provides. The configuration may be
 // incomplete, so that these findings are reported together with the schema's.
-func (t *Text) check(list *findings.List) {
-	t.checkNames(list)
-	t.checkKeys(list)
-	t.checkBackendServers(list)
-	t.checkAdapters(list)
-	newDependencies(t).check(list)
-	checkCycles(t.Services, list)
-	t.checkZones(list)
-	t.checkRecovery(list)
+func (c *Text) check(list *findings.List) {
+	c.checkNames(list)
+	c.checkKeys(list)
+	c.checkBackendServers(list)
+	c.checkAdapters(list)
+	newDependencies(c).check(list)
+	checkCycles(c.Services, list)
+	c.checkZones(list)
+	c.checkRecovery(list)
 }
 
 // firstSeen maps each value to the pointer at which it occurred first.
@@ -36,21 +36,21 @@
 	f[value] = pointer
 }
 
-func (t *Text) checkNames(list *findings.List) {
+func (c *Text) checkNames(list *findings.List) {
 	services := firstSeen{}
-	for i, s := range t.Services {
+	for i, s := range c.Services {
 		services.add(list, "service", s.Name, findings.Pointer("services", i, "name"))
 	}
 	models := firstSeen{}
-	for i, m := range t.Models {
+	for i, m := range c.Models {
 		models.add(list, "model version", nameAtVersion(m.Name, m.Version), findings.Pointer("models", i))
 	}
 	adapters := firstSeen{}
-	for i, a := range t.Adapters {
+	for i, a := range c.Adapters {
 		adapters.add(list, "adapter version", nameAtVersion(a.Name, a.Version), findings.Pointer("adapters", i))
 	}
-	organisations := make(map[string]int, len(t.Organisations))
-	for i, o := range t.Organisations {
+	organisations := make(map[string]int, len(c.Organisations))
+	for i, o := range c.Organisations {
 		first, ok := organisations[o.Name]
 		if ok && o.Name != "" {
 			list.Errorf(findings.Pointer("organisations", i, "name"), "organisation %q is given twice, first at %s",
@@ -71,9 +71,9 @@
 
 // checkKeys reports API keys that two organisations share: requests with such a
 // key would count against whichever organisation was indexed last.
-func (t *Text) checkKeys(list *findings.List) {
-	owners := make(map[keyHash]int32, len(t.Organisations))
-	for i, o := range t.Organisations {
+func (c *Text) checkKeys(list *findings.List) {
+	owners := make(map[keyHash]int32, len(c.Organisations))
+	for i, o := range c.Organisations {
 		if len(o.KeySHA256) == 0 && o.Name != "" {
 			list.Warnf(findings.Pointer("organisations", i), "organisation %q has no key and can't make requests", o.Name)
 		}
@@ -84,7 +84,7 @@
 			}
 			if owner, taken := owners[hash]; taken {
 				list.Errorf(findings.Pointer("organisations", i, "keySHA256", j), "key is given twice, first by organisation %q",
-					t.Organisations[owner].Name)
+					c.Organisations[owner].Name)
 				continue
 			}
 			owners[hash] = int32(i)
@@ -92,9 +92,9 @@
 	}
 }
 
-func (t *Text) checkBackendServers(list *findings.List) {
+func (c *Text) checkBackendServers(list *findings.List) {
 	names, addresses := firstSeen{}, firstSeen{}
-	for i, s := range t.Services {
+	for i, s := range c.Services {
 		for j, b := range s.BackendServers {
 			pointer := findings.Pointer("services", i, "backendServers", j)
 			names.add(list, "backend server", b.Name, pointer+"/name")
@@ -118,12 +118,12 @@
 	return netip.AddrPortFrom(address.Addr().Unmap(), address.Port()).String(), true
 }
 
-func (t *Text) checkAdapters(list *findings.List) {
+func (c *Text) checkAdapters(list *findings.List) {
 	models := map[string]bool{}
-	for _, m := range t.Models {
+	for _, m := range c.Models {
 		models[m.Name] = true
 	}
-	for i, a := range t.Adapters {
+	for i, a := range c.Adapters {
 		if a.Model != "" && !models[a.Model] {
 			list.Errorf(findings.Pointer("adapters", i, "model"), "unknown model %q", a.Model)
 		}
@@ -135,9 +135,9 @@
 
 // checkZones warns of services and journals that the loss of one availability zone
 // can take away as a whole.
-func (t *Text) checkZones(list *findings.List) {
+func (c *Text) checkZones(list *findings.List) {
 	all := map[string]bool{}
-	for i, s := range t.Services {
+	for i, s := range c.Services {
 		zones := map[string]bool{}
 		for _, b := range s.BackendServers {
 			zones[b.Zone] = true
@@ -148,13 +148,13 @@
 				"all %d backend servers of %q are in one availability zone and fail with it", len(s.BackendServers), s.Name)
 		}
 	}
-	if t.Recovery.JournalPeers > 0 && len(all) > 0 && t.Recovery.JournalPeers >= len(all) {
-		list.Warnf("/recovery/journalPeers", "%d journal peers in %d availability zones: some share a zone", t.Recovery.JournalPeers, len(all))
+	if c.Recovery.JournalPeers > 0 && len(all) > 0 && c.Recovery.JournalPeers >= len(all) {
+		list.Warnf("/recovery/journalPeers", "%d journal peers in %d availability zones: some share a zone", c.Recovery.JournalPeers, len(all))
 	}
 }
 
-func (t *Text) checkRecovery(list *findings.List) {
-	r := t.Recovery
+func (c *Text) checkRecovery(list *findings.List) {
+	r := c.Recovery
 	if r.JournalBatchMillis > 0 && r.JournalBatchMillis >= r.SilenceMillis {
 		list.Warnf("/recovery/journalBatchMillis",
 			"journalBatchMillis is %d, but silenceMillis, after which a stream counts as lost, is only %d", r.JournalBatchMillis, r.SilenceMillis)
--- a/text/defaults.go
+++ b/text/defaults.go
@@ -57,12 +57,12 @@
 
 // setDefaults sets the defaults of fields whose zero value means absent, and the
 // service names of the backend servers.
-func (t *Text) setDefaults() {
-	for i := range t.Services {
-		t.Services[i].setDefaults()
+func (c *Text) setDefaults() {
+	for i := range c.Services {
+		c.Services[i].setDefaults()
 	}
-	for i := range t.Organisations {
-		t.Organisations[i].setDefaults()
+	for i := range c.Organisations {
+		c.Organisations[i].setDefaults()
 	}
 }
 
--- a/text/dependency.go
+++ b/text/dependency.go
@@ -18,21 +18,21 @@
 	providers map[string]string // model or adapter to its model service
 }
 
-func newDependencies(t *Text) *dependencies {
-	d := &dependencies{config: t, models: map[string]string{}, adapters: map[string]string{}, versions: map[string]bool{},
+func newDependencies(c *Text) *dependencies {
+	d := &dependencies{config: c, models: map[string]string{}, adapters: map[string]string{}, versions: map[string]bool{},
 		baseOf: map[string]string{}, services: map[string]*Service{}, providers: map[string]string{}}
-	for _, m := range t.Models {
+	for _, m := range c.Models {
 		d.models[m.Name] = joinVersions(d.models[m.Name], m.Version)
 		d.versions[nameAtVersion(m.Name, m.Version)] = true
 	}
-	for _, a := range t.Adapters {
+	for _, a := range c.Adapters {
 		d.adapters[a.Name] = joinVersions(d.adapters[a.Name], a.Version)
 		d.versions[nameAtVersion(a.Name, a.Version)] = true
 		d.baseOf[a.Name] = a.Model
 	}
-	for i := range t.Services {
-		d.services[t.Services[i].Name] = &t.Services[i]
-		d.addProvider(&t.Services[i])
+	for i := range c.Services {
+		d.services[c.Services[i].Name] = &c.Services[i]
+		d.addProvider(&c.Services[i])
 	}
 	return d
 }
--- a/text/index.go
+++ b/text/index.go
@@ -21,44 +21,44 @@
 	servers       map[string]serverIndex
 }
 
-func (t *Text) buildIndex() {
-	t.index = index{
-		services:      make(map[string]int32, len(t.Services)),
-		models:        make(map[string]int32, len(t.Models)+len(t.Adapters)),
-		organisations: make(map[string]int32, len(t.Organisations)),
-		keys:          make(map[keyHash]int32, len(t.Organisations)),
+func (c *Text) buildIndex() {
+	c.index = index{
+		services:      make(map[string]int32, len(c.Services)),
+		models:        make(map[string]int32, len(c.Models)+len(c.Adapters)),
+		organisations: make(map[string]int32, len(c.Organisations)),
+		keys:          make(map[keyHash]int32, len(c.Organisations)),
 		servers:       map[string]serverIndex{},
 	}
-	for i := range t.Services {
-		t.indexService(int32(i))
+	for i := range c.Services {
+		c.indexService(int32(i))
 	}
-	for i := range t.Organisations {
-		t.indexOrganisation(int32(i))
+	for i := range c.Organisations {
+		c.indexOrganisation(int32(i))
 	}
 }
 
-func (t *Text) indexService(i int32) {
-	s := &t.Services[i]
-	t.index.services[s.Name] = i
+func (c *Text) indexService(i int32) {
+	s := &c.Services[i]
+	c.index.services[s.Name] = i
 	for j := range s.BackendServers {
-		t.index.servers[s.BackendServers[j].Name] = serverIndex{service: i, server: int32(j)}
+		c.index.servers[s.BackendServers[j].Name] = serverIndex{service: i, server: int32(j)}
 	}
 	if s.Kind != KindModel {
 		return
 	}
 	for _, d := range s.DependsOn {
 		if name := d.modelOrAdapter(); name != "" {
-			t.index.models[name] = i
+			c.index.models[name] = i
 		}
 	}
 }
 
-func (t *Text) indexOrganisation(i int32) {
-	o := &t.Organisations[i]
-	t.index.organisations[o.Name] = i
+func (c *Text) indexOrganisation(i int32) {
+	o := &c.Organisations[i]
+	c.index.organisations[o.Name] = i
 	for _, key := range o.KeySHA256 {
 		if hash, ok := parseKeyHash(key); ok {
-			t.index.keys[hash] = i
+			c.index.keys[hash] = i
 		}
 	}
 }
@@ -81,48 +81,48 @@
 }
 
 // Service returns the service with that name.
-func (t *Text) Service(name string) (*Service, bool) {
-	i, ok := t.index.services[name]
+func (c *Text) Service(name string) (*Service, bool) {
+	i, ok := c.index.services[name]
 	if !ok {
 		return nil, false
 	}
-	return &t.Services[i], true
+	return &c.Services[i], true
 }
 
 // ModelService returns the service that serves the model or adapter with that name.
-func (t *Text) ModelService(model string) (*Service, bool) {
-	i, ok := t.index.models[model]
+func (c *Text) ModelService(model string) (*Service, bool) {
+	i, ok := c.index.models[model]
 	if !ok {
 		return nil, false
 	}
-	return &t.Services[i], true
+	return &c.Services[i], true
 }
 
 // Organisation returns the organisation with that name.
-func (t *Text) Organisation(name string) (*Organisation, bool) {
-	i, ok := t.index.organisations[name]
+func (c *Text) Organisation(name string) (*Organisation, bool) {
+	i, ok := c.index.organisations[name]
 	if !ok {
 		return nil, false
 	}
-	return &t.Organisations[i], true
+	return &c.Organisations[i], true
 }
 
 // OrganisationByKey returns the organisation that owns an API key, given as the
 // bearer token of a request.
-func (t *Text) OrganisationByKey(bearerToken string) (*Organisation, bool) {
-	i, ok := t.index.keys[sha256.Sum256([]byte(bearerToken))]
+func (c *Text) OrganisationByKey(bearerToken string) (*Organisation, bool) {
+	i, ok := c.index.keys[sha256.Sum256([]byte(bearerToken))]
 	if !ok {
 		return nil, false
 	}
-	return &t.Organisations[i], true
+	return &c.Organisations[i], true
 }
 
 // BackendServer returns the backend server with that name; its Service field
 // names the service that it belongs to.
-func (t *Text) BackendServer(name string) (*BackendServer, bool) {
-	position, ok := t.index.servers[name]
+func (c *Text) BackendServer(name string) (*BackendServer, bool) {
+	position, ok := c.index.servers[name]
 	if !ok {
 		return nil, false
 	}
-	return &t.Services[position.service].BackendServers[position.server], true
+	return &c.Services[position.service].BackendServers[position.server], true
 }
--- a/text/parse.go
+++ b/text/parse.go
@@ -17,29 +17,29 @@
 		return nil, list
 	}
 	checkSchema(raw, &list)
-	t := newConfig()
-	if err := json.Unmarshal(raw, t); err != nil && !list.HasErrors() {
+	c := newConfig()
+	if err := json.Unmarshal(raw, c); err != nil && !list.HasErrors() {
 		list.Errorf("", "%v", err)
 	}
-	t.setDefaults()
-	t.check(&list)
+	c.setDefaults()
+	c.check(&list)
 	findings.Locate(raw, list)
 	if list.HasErrors() {
 		return nil, list
 	}
-	t.buildIndex()
-	return t, list
+	c.buildIndex()
+	return c, list
 }
 
 // Load decodes a configuration that was validated when it was accepted, without
 // validating it again. Unknown fields are ignored: during an upgrade, a process of
 // the older version must not refuse a revision that is in force.
 func Load(raw []byte) (*Text, error) {
-	t := newConfig()
-	if err := json.Unmarshal(raw, t); err != nil {
+	c := newConfig()
+	if err := json.Unmarshal(raw, c); err != nil {
 		return nil, errors.Wrap(err, "text: decode accepted revision")
 	}
-	t.setDefaults()
-	t.buildIndex()
-	return t, nil
+	c.setDefaults()
+	c.buildIndex()
+	return c, nil
 }
