--- a/config/delta.go
+++ b/config/delta.go
@@ -26,7 +26,7 @@
 )
 
 // ErrDeltaMismatch reports a delta that doesn't apply to the local configuration.
-var ErrDelta = errors.New("config: delta does not apply to the local revision")
+var ErrDeltaMismatch = errors.New("config: delta does not apply to the local revision")
 
 // makeDelta returns the delta between two configurations, nil if it would be
 // larger than maxDeltaBytes. The common prefix and suffix are copied; in between,
@@ -131,13 +131,13 @@
 	for _, s := range delta.Splices {
 		end := s.CopyFrom + s.CopyLength
 		if end < s.CopyFrom || end > uint64(len(base)) || uint64(len(next))+s.CopyLength > maxConfigBytes {
-			return nil, ErrDelta
+			return nil, ErrDeltaMismatch
 		}
 		next = append(next, base[s.CopyFrom:end]...)
 		next = append(next, s.Insert...)
 	}
 	if sum := sha256.Sum256(next); !bytes.Equal(sum[:], delta.Sha256) {
-		return nil, ErrDelta
+		return nil, ErrDeltaMismatch
 	}
 	return next, nil
 }
--- a/config/holder.go
+++ b/config/holder.go
@@ -31,7 +31,7 @@
 type Snapshot struct {
 	Revision types.Revision
 	Raw      []byte
-	Text     *text.Text
+	Config   *text.Config
 }
 
 // HolderOptions configure a Holder. All fields are optional.
@@ -111,7 +111,7 @@
 		h.opts.Recorder.Emit(EventUndecodable, "revision", rev, "error", err)
 		return false, err
 	}
-	next := &Snapshot{Revision: rev, Raw: raw, Text: loaded}
+	next := &Snapshot{Revision: rev, Raw: raw, Config: loaded}
 	if !h.replace(next) {
 		return false, h.rejectStale(rev, raw)
 	}
@@ -165,7 +165,7 @@
 // replaced meanwhile, and requests would be served with the old configuration
 // long after the new one was accepted. For the same reason an unsolicited
 // configuration confirms nothing (see replace).
-func (h *Holder) Confirmed(rev types.Revision, asOf time.Time) {
+func (h *Holder) RecordConfirmation(rev types.Revision, asOf time.Time) {
 	current := h.current.Load()
 	if asOf.IsZero() || current == nil || rev != current.Revision {
 		return
--- a/config/payload.go
+++ b/config/payload.go
@@ -56,7 +56,7 @@
 }
 
 // ErrEmptyPayload reports a payload without a configuration.
-var ErrNoText = errors.New("config: response contains no configuration")
+var ErrEmptyPayload = errors.New("config: response contains no configuration")
 
 // decodePayload returns the configuration in a payload; deltas are applied to current.
 func decodePayload(p *configpb.Payload, current *Snapshot) ([]byte, error) {
@@ -64,19 +64,19 @@
 		return applyDeltas(p, current)
 	}
 	if len(p.GetFull()) == 0 {
-		return nil, ErrNoText
+		return nil, ErrEmptyPayload
 	}
 	return inflate(p.Full, p.Size)
 }
 
 func applyDeltas(p *configpb.Payload, current *Snapshot) ([]byte, error) {
 	if current == nil {
-		return nil, ErrDelta
+		return nil, ErrDeltaMismatch
 	}
 	raw, at := current.Raw, uint64(current.Revision)
 	for _, delta := range p.Deltas {
 		if delta.From != at {
-			return nil, ErrDelta
+			return nil, ErrDeltaMismatch
 		}
 		next, err := applyDelta(raw, delta)
 		if err != nil {
@@ -85,7 +85,7 @@
 		raw, at = next, delta.To
 	}
 	if at != p.Revision {
-		return nil, ErrDelta
+		return nil, ErrDeltaMismatch
 	}
 	return raw, nil
 }
--- a/config/poll.go
+++ b/config/poll.go
@@ -59,8 +59,8 @@
 }
 
 // poll fetches the newest revision from the store.
-func (s *Spreader) pollStore(ctx context.Context) {
-	if s.opts.Versions == nil {
+func (s *Syncer) pollStore(ctx context.Context) {
+	if s.opts.Store == nil {
 		return
 	}
 	number := s.polls.begin()
@@ -72,9 +72,9 @@
 	})
 }
 
-func (s *Spreader) fetchFromStore(ctx context.Context) (string, error) {
+func (s *Syncer) fetchFromStore(ctx context.Context) (string, error) {
 	start := s.opts.Holder.opts.Now()
-	head, err := s.opts.Versions.Head(ctx)
+	head, err := s.opts.Store.Head(ctx)
 	var behind *BehindError
 	if errors.As(err, &behind) {
 		return pollOlder, err
@@ -83,21 +83,21 @@
 		return pollError, err
 	}
 	if head.Revision <= s.opts.Holder.Revision() {
-		s.opts.Holder.Confirmed(head.Revision, start)
+		s.opts.Holder.RecordConfirmation(head.Revision, start)
 		return pollSame, nil
 	}
-	raw, err := s.opts.Versions.Load(ctx, head.Revision)
+	raw, err := s.opts.Store.Load(ctx, head.Revision)
 	if err != nil {
 		return pollError, err
 	}
 	_, err = s.opts.Holder.Offer(head.Revision, raw)
-	s.opts.Holder.Confirmed(head.Revision, start)
+	s.opts.Holder.RecordConfirmation(head.Revision, start)
 	return pollNewer, err
 }
 
 // recordPoll emits an event when the store becomes unreachable or reachable again, not at
 // each poll, and whenever it returns an older revision.
-func (s *Spreader) recordPoll(number int, result string, err error) {
+func (s *Syncer) recordPoll(number int, result string, err error) {
 	changed := s.polls.end(number, result == pollError)
 	switch {
 	case result == pollOlder:
--- a/config/push.go
+++ b/config/push.go
@@ -22,14 +22,14 @@
 // Pusher sends the revision in force to other processes after it was accepted
 // here, so that they get it at once instead of with the next request or poll.
 type Pusher struct {
-	syncer *Spreader
+	syncer *Syncer
 	client *Client
 	self   string
 }
 
 // NewPusher returns a pusher; self is the address from which receivers can fetch
 // the revision.
-func NewPusher(syncer *Spreader, client *Client, self string) *Pusher {
+func NewPusher(syncer *Syncer, client *Client, self string) *Pusher {
 	return &Pusher{syncer: syncer, client: client, self: self}
 }
 
--- a/config/service.go
+++ b/config/service.go
@@ -18,12 +18,12 @@
 // Server serves the configuration in force to other processes and takes their pushes.
 type Server struct {
 	holder *Holder
-	syncer *Spreader
+	syncer *Syncer
 }
 
 // NewServer returns a server over a holder; the syncer fetches a revision whose
 // push can't be applied here.
-func NewServer(holder *Holder, syncer *Spreader) *Server {
+func NewServer(holder *Holder, syncer *Syncer) *Server {
 	return &Server{holder: holder, syncer: syncer}
 }
 
@@ -58,7 +58,7 @@
 			_, err = s.holder.Offer(rev, raw)
 		}
 		if err != nil {
-			s.syncer.Seen(r.From, rev)
+			s.syncer.RecordPeerRevision(r.From, rev)
 		}
 	}
 	return &configpb.PushResponse{Revision: uint64(s.holder.Revision())}, nil
@@ -97,7 +97,7 @@
 func (c *Client) Fetch(ctx context.Context, from string, rev types.Revision) (types.Revision, []byte, error) {
 	current := c.holder.Current()
 	got, raw, err := c.get(ctx, from, rev, current)
-	if errors.Is(err, ErrDelta) && current != nil {
+	if errors.Is(err, ErrDeltaMismatch) && current != nil {
 		return c.get(ctx, from, rev, nil)
 	}
 	return got, raw, err
--- a/config/store.go
+++ b/config/store.go
@@ -39,7 +39,7 @@
 	Now        func() time.Time
 	// KnownRevision returns the revision in force in this process. A response of
 	// the store with an older revision is stale.
-	Known func() types.Revision
+	KnownRevision func() types.Revision
 }
 
 // Store stores accepted configurations in the table service.
@@ -57,8 +57,8 @@
 	if opts.Now == nil {
 		opts.Now = time.Now
 	}
-	if opts.Known == nil {
-		opts.Known = func() types.Revision { return 0 }
+	if opts.KnownRevision == nil {
+		opts.KnownRevision = func() types.Revision { return 0 }
 	}
 	return &Store{opts: opts, metrics: newStoreMetrics(opts.Registerer)}
 }
@@ -117,7 +117,7 @@
 }
 
 func (s *Store) known() types.Revision {
-	return max(s.opts.Known(), types.Revision(s.newest.Load()))
+	return max(s.opts.KnownRevision(), types.Revision(s.newest.Load()))
 }
 
 func (s *Store) recordNewest(rev types.Revision) {
@@ -310,7 +310,7 @@
 	if err != nil {
 		return ""
 	}
-	return text.Unified(old, next, fmt.Sprintf("revision %d", base), fmt.Sprintf("revision %d", winner))
+	return text.UnifiedDiff(old, next, fmt.Sprintf("revision %d", base), fmt.Sprintf("revision %d", winner))
 }
 
 func acceptResult(err error) string {
--- a/config/sync_test.go
+++ b/config/sync_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-func newSyncer(holder *config.Holder, store config.Versions, peers config.Source) *config.Spreader {
-	return config.NewSpreader(config.SpreaderOptions{Holder: holder, Versions: store, Source: peers})
+func newSyncer(holder *config.Holder, store config.RevisionStore, peers config.Source) *config.Syncer {
+	return config.NewSyncer(config.SyncerOptions{Holder: holder, Store: store, Source: peers})
 }
 
 // A process that froze at revision 1 offers it after revision 5 came into force, or
@@ -89,9 +89,9 @@
 		g.Expect(changed).To(BeClosed())
 		g.Expect(holder.Changed()).NotTo(BeClosed())
 		time.Sleep(time.Minute)
-		holder.Confirmed(2, time.Now()) // a peer that is behind proves nothing
+		holder.RecordConfirmation(2, time.Now()) // a peer that is behind proves nothing
 		g.Expect(holder.Freshness()).To(Equal(time.Minute))
-		holder.Confirmed(3, time.Now())
+		holder.RecordConfirmation(3, time.Now())
 		g.Expect(holder.Freshness()).To(BeZero())
 	})
 }
@@ -106,13 +106,13 @@
 		offer(t, holder, 3, configOf(3))
 		asked := time.Now()
 		time.Sleep(time.Minute)
-		holder.Confirmed(3, asked)
+		holder.RecordConfirmation(3, asked)
 		g.Expect(holder.Freshness()).To(Equal(time.Minute))
-		holder.Confirmed(3, time.Time{}) // the stamp of a request
+		holder.RecordConfirmation(3, time.Time{}) // the stamp of a request
 		g.Expect(holder.Freshness()).To(Equal(time.Minute))
 		offer(t, holder, 4, configOf(4))
 		g.Expect(holder.Freshness()).To(Equal(time.Minute))
-		holder.Confirmed(4, time.Now())
+		holder.RecordConfirmation(4, time.Now())
 		g.Expect(holder.Freshness()).To(BeZero())
 	})
 }
@@ -162,14 +162,14 @@
 		offer(t, behind, 6, configOf(6))
 		offer(t, ahead, 7, configOf(7))
 		s := newSyncer(holder, newStore(table), fakePeers{"behind": behind, "ahead": ahead})
-		g.Expect(s.Ask(t.Context(), []string{"gone", "behind", "ahead"})).To(BeTrue())
+		g.Expect(s.FetchNewest(t.Context(), []string{"gone", "behind", "ahead"})).To(BeTrue())
 		g.Expect(holder.Revision()).To(Equal(types.Revision(7)))
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		go func() { _ = s.Run(ctx) }()
 		offer(t, ahead, 9, configOf(9))
-		s.Seen("gone", 8)
-		s.Seen("ahead", 9)
+		s.RecordPeerRevision("gone", 8)
+		s.RecordPeerRevision("ahead", 9)
 		synctest.Wait()
 		g.Expect(holder.Revision()).To(Equal(types.Revision(9)))
 	})
@@ -187,7 +187,7 @@
 		go func() { _ = s.Run(ctx) }()
 		synctest.Wait()
 		_, _, _ = newStore(table).Accept(t.Context(), 0, configOf(1), "ann", "")
-		s.Seen("dead", 1)
+		s.RecordPeerRevision("dead", 1)
 		synctest.Wait()
 		g.Expect(holder.Revision()).To(Equal(types.Revision(1)))
 	})
@@ -202,10 +202,10 @@
 		holder, ahead := newHolder(), newHolder()
 		offer(t, ahead, 2, configOf(2))
 		client := config.NewClient(holder, partitioned{config.NewServer(ahead, nil).Handler()})
-		s := config.NewSpreader(config.SpreaderOptions{Holder: holder, Source: client})
+		s := config.NewSyncer(config.SyncerOptions{Holder: holder, Source: client})
 		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 		defer cancel()
-		g.Expect(s.Ask(ctx, []string{lostRegion + "0.1:7100", "10.1.0.1:7100"})).To(BeTrue())
+		g.Expect(s.FetchNewest(ctx, []string{lostRegion + "0.1:7100", "10.1.0.1:7100"})).To(BeTrue())
 		g.Expect(holder.Revision()).To(Equal(types.Revision(2)))
 	})
 }
@@ -216,13 +216,13 @@
 		g := NewWithT(t)
 		holder, ahead := newHolder(), newHolder()
 		offer(t, ahead, 2, configOf(2))
-		s := config.NewSpreader(config.SpreaderOptions{Holder: holder, Source: fakePeers{"ahead": ahead}})
+		s := config.NewSyncer(config.SyncerOptions{Holder: holder, Source: fakePeers{"ahead": ahead}})
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		go func() { _ = s.Run(ctx) }()
-		s.Seen("gone", 1)
+		s.RecordPeerRevision("gone", 1)
 		synctest.Wait()
-		s.Seen("ahead", 2)
+		s.RecordPeerRevision("ahead", 2)
 		synctest.Wait()
 		g.Expect(holder.Revision()).To(Equal(types.Revision(2)))
 	})
@@ -231,7 +231,7 @@
 // testNode is the configuration part of a process, with a real listener.
 type testNode struct {
 	holder   *config.Holder
-	syncer   *config.Spreader
+	syncer   *config.Syncer
 	client   *config.Client
 	addr     string
 	received atomic.Int64
@@ -242,8 +242,8 @@
 	n.client = config.NewClient(n.holder, http.DefaultClient)
 	// The tests check what is sent, not how fast: with 48 tests in parallel, reading a
 	// configuration of 5,000 organisations took over half a second.
-	n.syncer = config.NewSpreader(config.SpreaderOptions{
-		Holder: n.holder, Versions: newStore(newFakeTable()), Source: n.client,
+	n.syncer = config.NewSyncer(config.SyncerOptions{
+		Holder: n.holder, Store: newStore(newFakeTable()), Source: n.client,
 		CallTimeout: time.Minute, ShortTimeout: time.Minute,
 	})
 	handler := config.NewServer(n.holder, n.syncer).Handler()
@@ -340,7 +340,7 @@
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			s.Seen("127.0.0.1:1", 1)
+			s.RecordPeerRevision("127.0.0.1:1", 1)
 		}
 	})
 }
--- a/config/syncer.go
+++ b/config/syncer.go
@@ -31,20 +31,20 @@
 }
 
 // RevisionStore is the part of a Store that a Syncer uses.
-type Versions interface {
+type RevisionStore interface {
 	Head(ctx context.Context) (Head, error)
 	Load(ctx context.Context, rev types.Revision) ([]byte, error)
 }
 
 // SyncerOptions configure a Syncer. Holder and Source are required.
-type SpreaderOptions struct {
+type SyncerOptions struct {
 	Holder     *Holder
-	Versions   Versions // nil: the process has no store and relies on its peers
+	Store      RevisionStore // nil: the process has no store and relies on its peers
 	Source     Source
 	Recorder   *event.Recorder
 	Registerer prometheus.Registerer
 	// PollInterval is the time between polls of the store, jittered by a quarter.
-	Interval time.Duration
+	PollInterval time.Duration
 	// CallTimeout bounds one call to the store or to a peer.
 	CallTimeout time.Duration
 	// ShortTimeout bounds one push, a request for a peer's revision, and how long
@@ -57,8 +57,8 @@
 }
 
 // Syncer fetches newer revisions into its holder, from the store and from peers.
-type Spreader struct {
-	opts     SpreaderOptions
+type Syncer struct {
+	opts     SyncerOptions
 	metrics  *syncMetrics
 	hint     atomic.Pointer[hint]
 	wake     chan struct{}
@@ -74,12 +74,12 @@
 }
 
 // NewSyncer returns a syncer; Run starts its work.
-func NewSpreader(opts SpreaderOptions) *Spreader {
+func NewSyncer(opts SyncerOptions) *Syncer {
 	if opts.Recorder == nil {
 		opts.Recorder = event.Discard()
 	}
-	if opts.Interval <= 0 {
-		opts.Interval = DefaultPollInterval
+	if opts.PollInterval <= 0 {
+		opts.PollInterval = DefaultPollInterval
 	}
 	if opts.CallTimeout <= 0 {
 		opts.CallTimeout = DefaultCallTimeout
@@ -90,12 +90,12 @@
 	if opts.PushConcurrency <= 0 {
 		opts.PushConcurrency = DefaultPushConcurrency
 	}
-	return &Spreader{opts: opts, metrics: newSyncMetrics(opts.Registerer), wake: make(chan struct{}, 1)}
+	return &Syncer{opts: opts, metrics: newSyncMetrics(opts.Registerer), wake: make(chan struct{}, 1)}
 }
 
 // RecordPeerRevision is called with the revision in each stamp from a peer. It only
 // records a newer revision; Run fetches it.
-func (s *Spreader) Seen(addr string, rev types.Revision) {
+func (s *Syncer) RecordPeerRevision(addr string, rev types.Revision) {
 	if rev <= s.opts.Holder.Revision() {
 		return
 	}
@@ -116,7 +116,7 @@
 }
 
 // Run polls the store and fetches from peers until ctx ends.
-func (s *Spreader) Run(ctx context.Context) error {
+func (s *Syncer) Run(ctx context.Context) error {
 	defer s.inFlight.Wait()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -126,7 +126,7 @@
 			return ctx.Err()
 		case <-timer.C:
 			s.pollStore(ctx)
-			timer.Reset(jitter(s.opts.Interval))
+			timer.Reset(jitter(s.opts.PollInterval))
 		case <-s.wake:
 			s.followHint(ctx)
 		}
@@ -141,7 +141,7 @@
 
 // followHint fetches from the process that was seen with the newest revision, and
 // polls the store if the fetch fails or gets no response.
-func (s *Spreader) followHint(ctx context.Context) {
+func (s *Syncer) followHint(ctx context.Context) {
 	seen := s.hint.Swap(nil)
 	if seen == nil || seen.rev <= s.opts.Holder.Revision() || s.attempts.inFlight(seen) {
 		return
@@ -159,7 +159,7 @@
 	}
 }
 
-func (s *Spreader) fetch(ctx context.Context, addr string, rev types.Revision) error {
+func (s *Syncer) fetch(ctx context.Context, addr string, rev types.Revision) error {
 	defer s.attempts.begin(addr, rev)()
 	start := s.opts.Holder.opts.Now()
 	got, raw, err := s.opts.Source.Fetch(ctx, addr, rev)
@@ -168,7 +168,7 @@
 		return err
 	}
 	taken, err := s.opts.Holder.Offer(got, raw)
-	s.opts.Holder.Confirmed(got, start)
+	s.opts.Holder.RecordConfirmation(got, start)
 	if err != nil || !taken {
 		s.metrics.fetches.WithLabelValues("old").Inc()
 		return err
@@ -183,7 +183,7 @@
 // reports whether one is in force afterwards. A process calls it at startup, so
 // that it gets a configuration while the store is down. It requests the revisions
 // first, so that only one process sends its configuration unless it is unresponsive.
-func (s *Spreader) Ask(ctx context.Context, addrs []string) bool {
+func (s *Syncer) FetchNewest(ctx context.Context, addrs []string) bool {
 	candidates := s.peekAll(ctx, addrs)
 	for len(candidates) > 0 {
 		best := newestHint(candidates)
@@ -199,7 +199,7 @@
 	return s.opts.Holder.Current() != nil
 }
 
-func (s *Spreader) peekAll(ctx context.Context, addrs []string) []hint {
+func (s *Syncer) peekAll(ctx context.Context, addrs []string) []hint {
 	ctx, cancel := context.WithTimeout(ctx, s.opts.ShortTimeout)
 	defer cancel()
 	revisions := make([]types.Revision, len(addrs))
--- a/config/unresponsive_test.go
+++ b/config/unresponsive_test.go
@@ -58,10 +58,10 @@
 		go func() { done <- s.Run(ctx) }()
 		began := time.Now()
 		time.Sleep(10 * time.Millisecond)
-		s.Seen("frozen", 2)
+		s.RecordPeerRevision("frozen", 2)
 		for holder.Revision() < 2 && time.Since(began) < 20*time.Second {
 			time.Sleep(100 * time.Millisecond)
-			s.Seen("healthy", 2)
+			s.RecordPeerRevision("healthy", 2)
 		}
 		took := time.Since(began)
 		cancel()
@@ -132,11 +132,11 @@
 }
 
 // startSyncer runs a syncer over a site until the test ends.
-func (s *fakeSite) startSyncer(t *testing.T, opts config.SpreaderOptions) (*config.Holder, *config.Spreader) {
+func (s *fakeSite) startSyncer(t *testing.T, opts config.SyncerOptions) (*config.Holder, *config.Syncer) {
 	holder := newHolder()
 	offer(t, holder, 1, configOf(1))
-	opts.Holder, opts.Versions, opts.Source = holder, s, s
-	syncer := config.NewSpreader(opts)
+	opts.Holder, opts.Store, opts.Source = holder, s, s
+	syncer := config.NewSyncer(opts)
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- syncer.Run(ctx) }()
@@ -157,15 +157,15 @@
 		const changes = 60
 		s := &fakeSite{delay: 30 * time.Millisecond}
 		s.rev.Store(1)
-		holder, syncer := s.startSyncer(t, config.SpreaderOptions{Interval: time.Hour})
+		holder, syncer := s.startSyncer(t, config.SyncerOptions{PollInterval: time.Hour})
 		for range changes {
 			time.Sleep(time.Minute / 2)
 			rev := types.Revision(s.rev.Add(1))
 			for range 100 {
-				syncer.Seen("a", rev)
-				syncer.Seen("b", rev)
+				syncer.RecordPeerRevision("a", rev)
+				syncer.RecordPeerRevision("b", rev)
 				time.Sleep(time.Millisecond)
-				syncer.Seen("c", rev)
+				syncer.RecordPeerRevision("c", rev)
 			}
 			g.Expect(holder.Revision()).To(Equal(rev))
 		}
@@ -182,7 +182,7 @@
 		g := NewWithT(t)
 		s := &fakeSite{delay: 30 * time.Millisecond}
 		s.rev.Store(1)
-		s.startSyncer(t, config.SpreaderOptions{Interval: time.Second})
+		s.startSyncer(t, config.SyncerOptions{PollInterval: time.Second})
 		time.Sleep(1000 * time.Second)
 		g.Expect(s.heads.Load()).To(BeNumerically("~", 1000/1.03, 30))
 	})
@@ -196,13 +196,13 @@
 		g := NewWithT(t)
 		s := &fakeSite{delay: 1500 * time.Millisecond, firstByteAtOnce: true}
 		s.rev.Store(1)
-		holder, syncer := s.startSyncer(t, config.SpreaderOptions{Interval: time.Hour})
+		holder, syncer := s.startSyncer(t, config.SyncerOptions{PollInterval: time.Hour})
 		time.Sleep(time.Minute)
 		s.rev.Store(2)
 		for range 100 {
-			syncer.Seen("a", 2)
+			syncer.RecordPeerRevision("a", 2)
 			time.Sleep(10 * time.Millisecond)
-			syncer.Seen("b", 2)
+			syncer.RecordPeerRevision("b", 2)
 			time.Sleep(10 * time.Millisecond)
 		}
 		g.Expect(holder.Revision()).To(Equal(types.Revision(2)))
@@ -219,13 +219,13 @@
 		g := NewWithT(t)
 		s := &fakeSite{frozen: "frozen", unresponsiveUntil: time.Now().Add(time.Hour)}
 		s.rev.Store(2)
-		holder, syncer := s.startSyncer(t, config.SpreaderOptions{})
+		holder, syncer := s.startSyncer(t, config.SyncerOptions{})
 		began := time.Now()
 		for holder.Revision() < 2 && time.Since(began) < 20*time.Second {
-			syncer.Seen("frozen", 2)
+			syncer.RecordPeerRevision("frozen", 2)
 			time.Sleep(2 * time.Millisecond)
 			if time.Since(began) == 700*time.Millisecond {
-				syncer.Seen("healthy", 2)
+				syncer.RecordPeerRevision("healthy", 2)
 			}
 		}
 		g.Expect(time.Since(began)).To(BeNumerically("<=", 2*time.Second))
@@ -241,10 +241,10 @@
 		const frozenFor = 20 * time.Second
 		s := &fakeSite{unresponsiveUntil: time.Now().Add(time.Hour), frozenUntil: time.Now().Add(frozenFor)}
 		s.rev.Store(2)
-		holder, syncer := s.startSyncer(t, config.SpreaderOptions{})
+		holder, syncer := s.startSyncer(t, config.SyncerOptions{})
 		began := time.Now()
 		for holder.Revision() < 2 && time.Since(began) < time.Minute {
-			syncer.Seen("frozen", 2)
+			syncer.RecordPeerRevision("frozen", 2)
 			time.Sleep(2 * time.Millisecond)
 		}
 		g.Expect(time.Since(began)).To(BeNumerically("<=", frozenFor+3*time.Second))
@@ -260,11 +260,11 @@
 		g := NewWithT(t)
 		s := &fakeSite{frozen: "frozen", unresponsiveUntil: time.Now().Add(time.Hour)}
 		s.rev.Store(2)
-		holder, syncer := s.startSyncer(t, config.SpreaderOptions{})
+		holder, syncer := s.startSyncer(t, config.SyncerOptions{})
 		began := time.Now()
 		for holder.Revision() < 2 && time.Since(began) < 20*time.Second {
 			for _, addr := range []string{"frozen-1", "frozen-2", "frozen-3", "healthy"} {
-				syncer.Seen(addr, 2)
+				syncer.RecordPeerRevision(addr, 2)
 			}
 			time.Sleep(2 * time.Millisecond)
 		}
@@ -282,7 +282,7 @@
 		for outage := 3 * time.Second; outage < 8*time.Second; outage += 100 * time.Millisecond {
 			s := &fakeSite{unresponsiveUntil: time.Now().Add(outage)}
 			s.rev.Store(2)
-			holder, _ := s.startSyncer(t, config.SpreaderOptions{Interval: time.Second})
+			holder, _ := s.startSyncer(t, config.SyncerOptions{PollInterval: time.Second})
 			time.Sleep(outage)
 			back := time.Now()
 			for holder.Revision() < 2 {
@@ -301,7 +301,7 @@
 		recorder := event.Discard()
 		s := &fakeSite{unresponsiveUntil: time.Now().Add(5 * time.Second)}
 		s.rev.Store(2)
-		s.startSyncer(t, config.SpreaderOptions{Interval: time.Second, Recorder: recorder})
+		s.startSyncer(t, config.SyncerOptions{PollInterval: time.Second, Recorder: recorder})
 		time.Sleep(time.Minute)
 		var names []string
 		for _, e := range recorder.Entries("") {
@@ -320,9 +320,9 @@
 		s := &fakeSite{frozen: "frozen"}
 		s.rev.Store(2)
 		holder := newHolder()
-		syncer := config.NewSpreader(config.SpreaderOptions{Holder: holder, Source: s})
+		syncer := config.NewSyncer(config.SyncerOptions{Holder: holder, Source: s})
 		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 		defer cancel()
-		g.Expect(syncer.Ask(ctx, []string{"gone", "frozen", "healthy"})).To(BeTrue())
+		g.Expect(syncer.FetchNewest(ctx, []string{"gone", "frozen", "healthy"})).To(BeTrue())
 	})
 }
--- a/config/wait.go
+++ b/config/wait.go
@@ -19,7 +19,7 @@
 //
 // An unresponsive store or peer thus costs ShortTimeout, whatever CallTimeout is, and a healthy
 // one is asked within the guaranteed time. While all respond, one call runs at a time.
-func (s *Spreader) waitCall(ctx context.Context, call func(context.Context) error) error {
+func (s *Syncer) waitCall(ctx context.Context, call func(context.Context) error) error {
 	ctx, cancel := context.WithTimeout(ctx, s.opts.CallTimeout)
 	responded := make(chan struct{}, 1)
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotFirstResponseByte: func() {
--- a/embedded/journal_batch_test.go
+++ b/embedded/journal_batch_test.go
@@ -24,7 +24,7 @@
 	defer cancel()
 	site, err := embedded.Start(ctx, embedded.Options{
 		Engines: 4, Engine: standin.EngineOptions{StepBase: 30 * time.Millisecond},
-		Edit: func(in *text.Text) { in.Recovery.JournalAfterMillis, in.Recovery.JournalBatchMillis = 0, 0 },
+		Edit: func(in *text.Config) { in.Recovery.JournalAfterMillis, in.Recovery.JournalBatchMillis = 0, 0 },
 	})
 	g.Expect(err).NotTo(HaveOccurred())
 	defer site.Stop()
--- a/embedded/site.go
+++ b/embedded/site.go
@@ -45,8 +45,8 @@
 	Plain    standin.PlainOptions
 	Platform standin.PlatformOptions
 	Policy   string
-	Edit     func(*text.Text) // changes the text before it is applied; may be nil
-	Logger   log.Logger       // default: none
+	Edit     func(*text.Config) // changes the text before it is applied; may be nil
+	Logger   log.Logger         // default: none
 }
 
 func (o Options) withDefaults() Options {
@@ -175,7 +175,7 @@
 	return errors.Wrap(err, "embedded: apply")
 }
 
-func (s *Site) text() *text.Text {
+func (s *Site) text() *text.Config {
 	hash := sha256.Sum256([]byte(Key))
 	models := text.Service{
 		Name: ModelService, Kind: text.KindModel, Calls: text.CallsRepeatable, RetryBudget: text.DefaultRetryBudget,
@@ -193,7 +193,7 @@
 	}
 	recovery := text.DefaultRecovery()
 	recovery.JournalAfterMillis = 200
-	return &text.Text{
+	return &text.Config{
 		Services:      []text.Service{models, labels},
 		Models:        []text.Model{{Name: Model, Version: ModelVersion}},
 		Adapters:      []text.Adapter{},
--- a/measure/site.go
+++ b/measure/site.go
@@ -185,7 +185,7 @@
 	return startProcess(s.opts.bin, programRouter, fmt.Sprintf("router-%d", i+1), args...)
 }
 
-func (s *site) text() *text.Text {
+func (s *site) text() *text.Config {
 	hash := sha256.Sum256([]byte(apiKey))
 	models := text.Service{Name: service, Kind: text.KindModel, Calls: text.CallsRepeatable, RetryBudget: text.DefaultRetryBudget,
 		DependsOn: []text.Dependency{{Model: model, Version: modelVersion}}}
@@ -193,7 +193,7 @@
 		models.BackendServers = append(models.BackendServers, text.BackendServer{
 			Name: b.name, Zone: fmt.Sprintf("zone-%d", i%zones+1), Sidecar: s.sidecarAddress(b), ChecksFencing: true, Capacity: s.capacity()})
 	}
-	return &text.Text{
+	return &text.Config{
 		Services: []text.Service{models}, Models: []text.Model{{Name: model, Version: modelVersion}}, Adapters: []text.Adapter{},
 		Organisations: []text.Organisation{{Name: "measure", Weight: 1, KeySHA256: []string{hex.EncodeToString(hash[:])}}},
 		Recovery:      s.opts.recovery, Limits: text.DefaultLimits(),
--- a/node/common.go
+++ b/node/common.go
@@ -102,7 +102,7 @@
 	peer     *peer.Peer
 	holder   *config.Holder
 	store    *config.Store // nil without a table service
-	spreader *config.Spreader
+	spreader *config.Syncer
 	pusher   *config.Pusher
 	members  *membership.Membership
 	suspects *suspect.Ledger
@@ -133,15 +133,15 @@
 
 func (b *base) newConfig() {
 	client := config.NewClient(b.holder, b.peer.Client())
-	opts := config.SpreaderOptions{Holder: b.holder, Source: client, Recorder: b.recorder, Registerer: b.registry, Interval: b.opts.Poll}
+	opts := config.SyncerOptions{Holder: b.holder, Source: client, Recorder: b.recorder, Registerer: b.registry, PollInterval: b.opts.Poll}
 	if b.opts.Platform.Table != nil {
 		b.store = config.NewStore(config.StoreOptions{
 			Table: b.opts.Platform.Table, Objects: b.opts.Platform.Objects,
-			Recorder: b.recorder, Registerer: b.registry, Known: b.holder.Revision,
+			Recorder: b.recorder, Registerer: b.registry, KnownRevision: b.holder.Revision,
 		})
-		opts.Versions = b.store
+		opts.Store = b.store
 	}
-	b.spreader = config.NewSpreader(opts)
+	b.spreader = config.NewSyncer(opts)
 	b.pusher = config.NewPusher(b.spreader, client, b.opts.Advertise)
 }
 
@@ -154,7 +154,7 @@
 		},
 		Seeds: b.opts.Seeds, VMList: b.opts.Platform.VMs, VMListLag: b.opts.VMListLag, HTTPClient: b.peer.Client(),
 		Recorder: b.recorder, Registerer: b.registry,
-		Revision: b.holder.Revision, OnRevision: b.spreader.Seen,
+		Revision: b.holder.Revision, OnRevision: b.spreader.RecordPeerRevision,
 	})
 	b.members = members
 	return errors.Wrap(err, "node: membership")
@@ -177,8 +177,8 @@
 
 // seen learns from the stamp on a message. It is on the path of every call.
 func (b *base) seen(stamp peer.Stamp) {
-	b.spreader.Seen(stamp.Address, stamp.Revision)
-	b.holder.Confirmed(stamp.Revision, stamp.AsOf)
+	b.spreader.RecordPeerRevision(stamp.Address, stamp.Revision)
+	b.holder.RecordConfirmation(stamp.Revision, stamp.AsOf)
 	m, ok := b.members.Snapshot().ByID(stamp.ID)
 	if !ok || m.State != membership.StateSuspect || m.Incarnation != stamp.Incarnation {
 		return
@@ -207,9 +207,9 @@
 }
 
 // text returns the text in force, nil if there is none.
-func (b *base) text() *text.Text {
+func (b *base) text() *text.Config {
 	if snapshot := b.holder.Current(); snapshot != nil {
-		return snapshot.Text
+		return snapshot.Config
 	}
 	return nil
 }
@@ -261,7 +261,7 @@
 	actor(group, b.followText(b.applySuspicion))
 	actor(group, func(ctx context.Context) error {
 		asking, cancel := context.WithTimeout(ctx, askTimeout)
-		b.spreader.Ask(asking, b.opts.Seeds)
+		b.spreader.FetchNewest(asking, b.opts.Seeds)
 		cancel()
 		return b.spreader.Run(ctx)
 	})
--- a/node/router.go
+++ b/node/router.go
@@ -170,9 +170,9 @@
 
 // apply hands a new text to the parts that keep something of it.
 func (r *Router) apply(snapshot *config.Snapshot) {
-	limits := make([]limit.OrganisationLimits, 0, len(snapshot.Text.Organisations))
-	for i := range snapshot.Text.Organisations {
-		o := &snapshot.Text.Organisations[i]
+	limits := make([]limit.OrganisationLimits, 0, len(snapshot.Config.Organisations))
+	for i := range snapshot.Config.Organisations {
+		o := &snapshot.Config.Organisations[i]
 		limits = append(limits, limit.OrganisationLimits{
 			Name: types.Organisation(o.Name), Weight: float64(o.Weight),
 			RequestsPerSecond: o.Limits.RequestsPerSecond, Burst: o.Limits.Burst,
--- a/node/sidecar.go
+++ b/node/sidecar.go
@@ -151,7 +151,7 @@
 // Failure it stops: a sidecar that has just started gets a generation before it
 // has fetched the text, and runs it without a journal to its end. It shows as
 // generation_lost when VM and router die, and as a second run of an idempotency key.
-func (s *Sidecar) firstText() (*text.Text, text.Recovery) {
+func (s *Sidecar) firstText() (*text.Config, text.Recovery) {
 	patience := time.NewTimer(textPatience)
 	defer patience.Stop()
 	for {
@@ -212,7 +212,7 @@
 
 // apply hands a new text to the parts that keep something of it.
 func (s *Sidecar) apply(snapshot *config.Snapshot) {
-	s.journal.SetRetain(snapshot.Text.Recovery.Retain())
+	s.journal.SetRetain(snapshot.Config.Recovery.Retain())
 }
 
 // journalSender sends journal batches to other sidecars.
--- a/node/suspicion.go
+++ b/node/suspicion.go
@@ -34,7 +34,7 @@
 
 // applySuspicion puts a new text's limits of suspicion in force.
 func (b *base) applySuspicion(snapshot *config.Snapshot) {
-	recovery := snapshot.Text.Recovery
+	recovery := snapshot.Config.Recovery
 	b.suspects.Configure(recovery.SuspicionLimit, recovery.Quarantine())
 }
 
--- a/router/ask.go
+++ b/router/ask.go
@@ -78,7 +78,7 @@
 
 // parseAsk checks a request for a generation. What can't succeed as it is
 // gets a 4xx that says what is wrong; nothing has run by then.
-func parseAsk(r *http.Request, body []byte, chat bool, in *text.Text, org *text.Organisation) (*ask, *types.Refusal) {
+func parseAsk(r *http.Request, body []byte, chat bool, in *text.Config, org *text.Organisation) (*ask, *types.Refusal) {
 	var req completionBody
 	if err := json.Unmarshal(body, &req); err != nil {
 		return nil, badRequest("the body is not a JSON request: %v", err)
--- a/router/bed_test.go
+++ b/router/bed_test.go
@@ -106,7 +106,7 @@
 	NewWithT(t).Expect(findings).To(BeEmpty())
 	r := router.New(router.Options{
 		Peer:       newPeer("r1", ""),
-		Text:       func() *text.Text { return in },
+		Text:       func() *text.Config { return in },
 		Fresh:      func() bool { return true },
 		Members:    func() *membership.View { return nil },
 		Recorder:   event.Discard(),
--- a/router/drain.go
+++ b/router/drain.go
@@ -87,7 +87,7 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-func (r *Router) hasBackends(in *text.Text) bool {
+func (r *Router) hasBackends(in *text.Config) bool {
 	for i := range in.Services {
 		sf := r.fleet.service(in.Services[i].Name)
 		if sf != nil && sf.view.Load().Len() > 0 {
--- a/router/drive.go
+++ b/router/drive.go
@@ -34,7 +34,7 @@
 type drive struct {
 	r      *Router
 	ask    *ask
-	text   *text.Text
+	text   *text.Config
 	fleet  *serviceFleet
 	answer answer
 	// newAnswer returns an answer that has not begun, for another generation.
--- a/router/earlier.go
+++ b/router/earlier.go
@@ -89,7 +89,7 @@
 }
 
 // organisationOf finds the organisation of a request's API key.
-func organisationOf(req *http.Request, in *text.Text) (types.Organisation, bool) {
+func organisationOf(req *http.Request, in *text.Config) (types.Organisation, bool) {
 	token, ok := strings.CutPrefix(req.Header.Get("Authorization"), authorizationTitle)
 	if !ok {
 		return "", false
--- a/router/exits_test.go
+++ b/router/exits_test.go
@@ -26,7 +26,7 @@
 type movingRouter struct {
 	*router.Router
 	url  string
-	text atomic.Pointer[text.Text]
+	text atomic.Pointer[text.Config]
 }
 
 func newMovingRouter(t *testing.T, raw string) *movingRouter {
@@ -200,7 +200,7 @@
 	recorder := event.Discard()
 	var noMap map[string]int
 	r := router.New(router.Options{
-		Peer: newPeer("r1", ""), Text: func() *text.Text { return in },
+		Peer: newPeer("r1", ""), Text: func() *text.Config { return in },
 		Fresh:   func() bool { noMap["x"]++; return true },
 		Members: func() *membership.View { return nil }, Recorder: recorder, Registerer: prometheus.NewRegistry(),
 	})
--- a/router/fleet.go
+++ b/router/fleet.go
@@ -67,7 +67,7 @@
 func (f *fleet) service(name string) *serviceFleet { return (*f.services.Load())[name] }
 
 // rebuild joins the text with the members and replaces the snapshots.
-func (f *fleet) rebuild(in *text.Text, members *membership.View, now time.Time) error {
+func (f *fleet) rebuild(in *text.Config, members *membership.View, now time.Time) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	old := *f.services.Load()
--- a/router/router.go
+++ b/router/router.go
@@ -31,7 +31,7 @@
 	Peer    *peer.Peer
 	Zone    types.Zone
 	Policy  string                   // routing policy; empty: route.DefaultPolicy
-	Text    func() *text.Text        // text in force; nil: none yet
+	Text    func() *text.Config      // text in force; nil: none yet
 	Fresh   func() bool              // false: cut off from the configuration for too long
 	Members func() *membership.View  // may return nil
 	Changed func() []<-chan struct{} // closed when text or members change
@@ -212,7 +212,7 @@
 // moment, and a generation that begins then gets no journal peer for its whole
 // life. It shows as journal_no_peer, and as generation_lost when its VM and its
 // router die. The text names the other sidecars before the first probe.
-func Sites(members *membership.View, in *text.Text, age time.Duration) []tokenlog.Site {
+func Sites(members *membership.View, in *text.Config, age time.Duration) []tokenlog.Site {
 	alive := members.Alive(types.RoleSidecar)
 	out := make([]tokenlog.Site, 0, len(alive))
 	for _, m := range alive {
--- a/router/serve.go
+++ b/router/serve.go
@@ -43,7 +43,7 @@
 // text that is fresh enough, and the caller is known.
 type admitted struct {
 	id           types.RequestID
-	text         *text.Text
+	text         *text.Config
 	organisation *text.Organisation
 	begun        time.Time
 }
--- a/router/sites_test.go
+++ b/router/sites_test.go
@@ -26,7 +26,7 @@
 		Recorder: event.Discard(), Registerer: prometheus.NewRegistry(), HTTPClient: http.DefaultClient,
 	})
 	g.Expect(err).NotTo(HaveOccurred())
-	in := &text.Text{Services: []text.Service{{BackendServers: []text.BackendServer{
+	in := &text.Config{Services: []text.Service{{BackendServers: []text.BackendServer{
 		{Zone: "z1", Sidecar: "127.0.0.1:1"}, {Zone: "z2", Sidecar: "127.0.0.1:2"}, {Zone: "z3", Sidecar: "127.0.0.1:3"},
 	}}}}
 	b := tokenlog.Site{Address: "127.0.0.1:2", Zone: "z2"}
--- a/scenario/edits.go
+++ b/scenario/edits.go
@@ -39,7 +39,7 @@
 	}
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.DisallowUnknownFields()
-	changed := &text.Text{}
+	changed := &text.Config{}
 	if err := decoder.Decode(changed); err != nil {
 		return errors.Wrap(err, args[0])
 	}
--- a/scenario/site.go
+++ b/scenario/site.go
@@ -50,7 +50,7 @@
 	processes map[string]*process
 	order     []string          // names in the order of the start
 	relays    map[string]*relay // "A B": the way from A to B; A is "peers" or "callers" for many
-	text      *text.Text
+	text      *text.Config
 }
 
 func newSite(dir string, of size) *site {
--- a/scenario/text.go
+++ b/scenario/text.go
@@ -14,7 +14,7 @@
 )
 
 // firstText is the text of a new site.
-func (s *site) firstText() *text.Text {
+func (s *site) firstText() *text.Config {
 	key := sha256.Sum256([]byte(embedded.Key))
 	models := text.Service{
 		Name: embedded.ModelService, Kind: text.KindModel, Calls: text.CallsRepeatable, RetryBudget: text.DefaultRetryBudget,
@@ -40,7 +40,7 @@
 	}
 	recovery := text.DefaultRecovery()
 	recovery.JournalAfterMillis, recovery.JournalBatchMillis, recovery.SilenceMillis = 100, 20, 1000
-	return &text.Text{
+	return &text.Config{
 		Services: services,
 		Models:   []text.Model{{Name: embedded.Model, Version: embedded.ModelVersion}},
 		Adapters: []text.Adapter{},
@@ -53,7 +53,7 @@
 }
 
 // edit sets fields of the text, each as `recovery.FIELD=VALUE` or `limits.FIELD=VALUE`.
-func edit(in *text.Text, fields []string) error {
+func edit(in *text.Config, fields []string) error {
 	for _, f := range fields {
 		path, value, ok := strings.Cut(f, "=")
 		section, field, dotted := strings.Cut(path, ".")
--- a/text/bench_test.go
+++ b/text/bench_test.go
@@ -69,7 +69,7 @@
 	b.SetBytes(int64(len(raw)))
 	b.ReportAllocs()
 	before := heapBytes()
-	var loaded *text.Text
+	var loaded *text.Config
 	for b.Loop() {
 		loaded, _ = text.Load(raw)
 	}
--- a/text/check.go
+++ b/text/check.go
@@ -9,7 +9,7 @@
 // check adds findings that the schema can't detect: duplicate and unknown names,
 // cycles, models and services that nothing provides. The configuration may be
 // incomplete, so that these findings are reported together with the schema's.
-func (c *Text) check(list *findings.List) {
+func (c *Config) check(list *findings.List) {
 	c.checkNames(list)
 	c.checkKeys(list)
 	c.checkBackendServers(list)
@@ -36,7 +36,7 @@
 	f[value] = pointer
 }
 
-func (c *Text) checkNames(list *findings.List) {
+func (c *Config) checkNames(list *findings.List) {
 	services := firstSeen{}
 	for i, s := range c.Services {
 		services.add(list, "service", s.Name, findings.Pointer("services", i, "name"))
@@ -71,7 +71,7 @@
 
 // checkKeys reports API keys that two organisations share: requests with such a
 // key would count against whichever organisation was indexed last.
-func (c *Text) checkKeys(list *findings.List) {
+func (c *Config) checkKeys(list *findings.List) {
 	owners := make(map[keyHash]int32, len(c.Organisations))
 	for i, o := range c.Organisations {
 		if len(o.KeySHA256) == 0 && o.Name != "" {
@@ -92,7 +92,7 @@
 	}
 }
 
-func (c *Text) checkBackendServers(list *findings.List) {
+func (c *Config) checkBackendServers(list *findings.List) {
 	names, addresses := firstSeen{}, firstSeen{}
 	for i, s := range c.Services {
 		for j, b := range s.BackendServers {
@@ -118,7 +118,7 @@
 	return netip.AddrPortFrom(address.Addr().Unmap(), address.Port()).String(), true
 }
 
-func (c *Text) checkAdapters(list *findings.List) {
+func (c *Config) checkAdapters(list *findings.List) {
 	models := map[string]bool{}
 	for _, m := range c.Models {
 		models[m.Name] = true
@@ -135,7 +135,7 @@
 
 // checkZones warns of services and journals that the loss of one availability zone
 // can take away as a whole.
-func (c *Text) checkZones(list *findings.List) {
+func (c *Config) checkZones(list *findings.List) {
 	all := map[string]bool{}
 	for i, s := range c.Services {
 		zones := map[string]bool{}
@@ -153,7 +153,7 @@
 	}
 }
 
-func (c *Text) checkRecovery(list *findings.List) {
+func (c *Config) checkRecovery(list *findings.List) {
 	r := c.Recovery
 	if r.JournalBatchMillis > 0 && r.JournalBatchMillis >= r.SilenceMillis {
 		list.Warnf("/recovery/journalBatchMillis",
--- a/text/defaults.go
+++ b/text/defaults.go
@@ -24,8 +24,8 @@
 )
 
 // newConfig returns the configuration to decode into: an absent field keeps its default.
-func newConfig() *Text {
-	return &Text{
+func newConfig() *Config {
+	return &Config{
 		Recovery: Recovery{
 			JournalAfterMillis: DefaultJournalAfterMillis,
 			JournalPeers:       DefaultJournalPeers,
@@ -57,7 +57,7 @@
 
 // setDefaults sets the defaults of fields whose zero value means absent, and the
 // service names of the backend servers.
-func (c *Text) setDefaults() {
+func (c *Config) setDefaults() {
 	for i := range c.Services {
 		c.Services[i].setDefaults()
 	}
--- a/text/dependency.go
+++ b/text/dependency.go
@@ -9,7 +9,7 @@
 // dependencies checks the services' dependencies against what the configuration
 // provides.
 type dependencies struct {
-	config    *Text
+	config    *Config
 	models    map[string]string // model name to its versions, joined for messages
 	adapters  map[string]string // adapter name to its versions
 	versions  map[string]bool   // name@version of models and adapters
@@ -18,7 +18,7 @@
 	providers map[string]string // model or adapter to its model service
 }
 
-func newDependencies(c *Text) *dependencies {
+func newDependencies(c *Config) *dependencies {
 	d := &dependencies{config: c, models: map[string]string{}, adapters: map[string]string{}, versions: map[string]bool{},
 		baseOf: map[string]string{}, services: map[string]*Service{}, providers: map[string]string{}}
 	for _, m := range c.Models {
--- a/text/diff.go
+++ b/text/diff.go
@@ -43,12 +43,12 @@
 // Diff lists the differences between two configurations, with defaults filled in.
 // Services, models, adapters and organisations are matched by name, so that
 // reordering them is not a change. A nil configuration counts as empty.
-func Diff(old, next *Text) []Change {
+func Diff(old, next *Config) []Change {
 	if old == nil {
-		old = &Text{}
+		old = &Config{}
 	}
 	if next == nil {
-		next = &Text{}
+		next = &Config{}
 	}
 	var d differ
 	diffNamed(&d, "services", old.Services, next.Services, func(s *Service) string { return s.Name })
@@ -171,7 +171,7 @@
 // UnifiedDiff returns a unified diff of two configurations as they were written, ""
 // if they are equal. Equal lines at both ends are skipped, so that one change in a
 // configuration of 48,000 organisations costs no more than in a small one.
-func Unified(old, next []byte, oldName, nextName string) string {
+func UnifiedDiff(old, next []byte, oldName, nextName string) string {
 	a, b := splitLines(old), splitLines(next)
 	prefix := commonLength(a, b, func(s []string, i int) string { return s[i] })
 	suffix := commonLength(a[prefix:], b[prefix:], func(s []string, i int) string { return s[len(s)-1-i] })
--- a/text/diff_test.go
+++ b/text/diff_test.go
@@ -38,10 +38,10 @@
 	g := NewWithT(t)
 	old := bigConfig(targetOrganisations)
 	next := bytes.Replace(old, []byte(`"organisation-30000"`), []byte(`"organisation-renamed"`), 1)
-	diff := text.Unified(old, next, "old", "new")
+	diff := text.UnifiedDiff(old, next, "old", "new")
 	g.Expect(strings.Count(diff, "\n")).To(Equal(2 + 1 + 2*3 + 2))
 	g.Expect(diff).To(HavePrefix("--- old\n+++ new\n@@ -29999,7 +29999,7 @@\n"))
-	g.Expect(text.Unified(old, old, "old", "new")).To(BeEmpty())
+	g.Expect(text.UnifiedDiff(old, old, "old", "new")).To(BeEmpty())
 }
 
 func TestUnifiedOfTextInOneLine(t *testing.T) {
@@ -49,7 +49,7 @@
 	line := func(n int) []byte {
 		return []byte(fmt.Sprintf(`{"models":[%s{"name":"last","version":"%d"}]}`, strings.Repeat(`{"name":"m","version":"1"},`, 50), n))
 	}
-	diff := text.Unified(line(1), line(2), "old", "new")
+	diff := text.UnifiedDiff(line(1), line(2), "old", "new")
 	g.Expect(diff).To(ContainSubstring("-      \"version\": \"1\"\n+      \"version\": \"2\"\n"))
 	g.Expect(len(diff)).To(BeNumerically("<", 300))
 }
--- a/text/index.go
+++ b/text/index.go
@@ -21,7 +21,7 @@
 	servers       map[string]serverIndex
 }
 
-func (c *Text) buildIndex() {
+func (c *Config) buildIndex() {
 	c.index = index{
 		services:      make(map[string]int32, len(c.Services)),
 		models:        make(map[string]int32, len(c.Models)+len(c.Adapters)),
@@ -37,7 +37,7 @@
 	}
 }
 
-func (c *Text) indexService(i int32) {
+func (c *Config) indexService(i int32) {
 	s := &c.Services[i]
 	c.index.services[s.Name] = i
 	for j := range s.BackendServers {
@@ -53,7 +53,7 @@
 	}
 }
 
-func (c *Text) indexOrganisation(i int32) {
+func (c *Config) indexOrganisation(i int32) {
 	o := &c.Organisations[i]
 	c.index.organisations[o.Name] = i
 	for _, key := range o.KeySHA256 {
@@ -81,7 +81,7 @@
 }
 
 // Service returns the service with that name.
-func (c *Text) Service(name string) (*Service, bool) {
+func (c *Config) Service(name string) (*Service, bool) {
 	i, ok := c.index.services[name]
 	if !ok {
 		return nil, false
@@ -90,7 +90,7 @@
 }
 
 // ModelService returns the service that serves the model or adapter with that name.
-func (c *Text) ModelService(model string) (*Service, bool) {
+func (c *Config) ModelService(model string) (*Service, bool) {
 	i, ok := c.index.models[model]
 	if !ok {
 		return nil, false
@@ -99,7 +99,7 @@
 }
 
 // Organisation returns the organisation with that name.
-func (c *Text) Organisation(name string) (*Organisation, bool) {
+func (c *Config) Organisation(name string) (*Organisation, bool) {
 	i, ok := c.index.organisations[name]
 	if !ok {
 		return nil, false
@@ -109,7 +109,7 @@
 
 // OrganisationByKey returns the organisation that owns an API key, given as the
 // bearer token of a request.
-func (c *Text) OrganisationByKey(bearerToken string) (*Organisation, bool) {
+func (c *Config) OrganisationByKey(bearerToken string) (*Organisation, bool) {
 	i, ok := c.index.keys[sha256.Sum256([]byte(bearerToken))]
 	if !ok {
 		return nil, false
@@ -119,7 +119,7 @@
 
 // BackendServer returns the backend server with that name; its Service field
 // names the service that it belongs to.
-func (c *Text) BackendServer(name string) (*BackendServer, bool) {
+func (c *Config) BackendServer(name string) (*BackendServer, bool) {
 	position, ok := c.index.servers[name]
 	if !ok {
 		return nil, false
--- a/text/parse.go
+++ b/text/parse.go
@@ -11,7 +11,7 @@
 // Parse decodes and validates a new configuration: syntax, schema and consistency.
 // All findings are reported together, sorted by position. The configuration is nil
 // if any finding is an error; warnings leave it usable.
-func Parse(raw []byte) (*Text, findings.List) {
+func Parse(raw []byte) (*Config, findings.List) {
 	list := findings.Syntax(raw)
 	if !json.Valid(raw) {
 		return nil, list
@@ -34,7 +34,7 @@
 // Load decodes a configuration that was validated when it was accepted, without
 // validating it again. Unknown fields are ignored: during an upgrade, a process of
 // the older version must not refuse a revision that is in force.
-func Load(raw []byte) (*Text, error) {
+func Load(raw []byte) (*Config, error) {
 	c := newConfig()
 	if err := json.Unmarshal(raw, c); err != nil {
 		return nil, errors.Wrap(err, "text: decode accepted revision")
--- a/text/text.go
+++ b/text/text.go
@@ -23,7 +23,7 @@
 )
 
 // Config is the operators' configuration with defaults filled in and indexes built.
-type Text struct {
+type Config struct {
 	Services      []Service      `json:"services"`
 	Models        []Model        `json:"models"`
 	Adapters      []Adapter      `json:"adapters"`
