--- a/node/sidecar.go
+++ b/node/sidecar.go
@@ -156,7 +156,7 @@
 // It guards against a sidecar that has just started, gets a generation before it has
 // fetched the configuration, and runs it to the end without a journal. The effect is
 // generation_lost when the VM and the router die, or a second run for one idempotency key.
-func (s *Sidecar) waitFirstText() (*text.Text, text.Recovery) {
+func (s *Sidecar) waitFirstText() (*text.Config, text.Recovery) {
 	timer := time.NewTimer(firstTextTimeout)
 	defer timer.Stop()
 	for {
@@ -217,7 +217,7 @@
 
 // applyText passes a new configuration to the parts that keep data derived from it.
 func (s *Sidecar) applyText(snapshot *config.Snapshot) {
-	s.journal.SetRetention(snapshot.Text.Recovery.Retain())
+	s.journal.SetRetention(snapshot.Config.Recovery.Retain())
 }
 
 // journalSender sends journal batches to other sidecars.
--- a/node/suspicion.go
+++ b/node/suspicion.go
@@ -34,7 +34,7 @@
 
 // applySuspicionLimits applies the suspicion limits of a new configuration.
 func (b *base) applySuspicionLimits(snapshot *config.Snapshot) {
-	recovery := snapshot.Text.Recovery
+	recovery := snapshot.Config.Recovery
 	b.suspects.Configure(recovery.SuspicionLimit, recovery.Quarantine())
 }
 
--- a/router/drain.go
+++ b/router/drain.go
@@ -88,7 +88,7 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-func (r *Router) hasBackends(conf *text.Text) bool {
+func (r *Router) hasBackends(conf *text.Config) bool {
 	for i := range conf.Services {
 		sf := r.fleet.service(conf.Services[i].Name)
 		if sf != nil && sf.view.Load().Len() > 0 {
--- a/router/earlier.go
+++ b/router/earlier.go
@@ -90,7 +90,7 @@
 }
 
 // organisationOfRequest returns the organisation of a request's API key.
-func organisationOfRequest(req *http.Request, conf *text.Text) (types.Organisation, bool) {
+func organisationOfRequest(req *http.Request, conf *text.Config) (types.Organisation, bool) {
 	token, ok := strings.CutPrefix(req.Header.Get("Authorization"), bearerPrefix)
 	if !ok {
 		return "", false
--- a/router/fleet.go
+++ b/router/fleet.go
@@ -66,7 +66,7 @@
 func (f *fleet) service(name string) *serviceFleet { return (*f.services.Load())[name] }
 
 // rebuild combines the configuration with the members and replaces the snapshots.
-func (f *fleet) rebuild(conf *text.Text, members *membership.View, now time.Time) error {
+func (f *fleet) rebuild(conf *text.Config, members *membership.View, now time.Time) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	old := *f.services.Load()
--- a/router/request.go
+++ b/router/request.go
@@ -78,7 +78,7 @@
 
 // parseGenerationRequest validates a request for a generation. A request that can't
 // succeed as it is gets a 4xx status with the reason; nothing has run by then.
-func parseGenerationRequest(r *http.Request, body []byte, chat bool, conf *text.Text, org *text.Organisation) (*generationRequest, *types.Refusal) {
+func parseGenerationRequest(r *http.Request, body []byte, chat bool, conf *text.Config, org *text.Organisation) (*generationRequest, *types.Refusal) {
 	var req completionBody
 	if err := json.Unmarshal(body, &req); err != nil {
 		return nil, badRequest("the body is not a JSON request: %v", err)
--- a/router/router.go
+++ b/router/router.go
@@ -31,7 +31,7 @@
 	Peer    *peer.Peer
 	Zone    types.Zone
 	Policy  string                   // routing policy; default: route.DefaultPolicy
-	Text    func() *text.Text        // configuration in force; nil: none yet
+	Text    func() *text.Config      // configuration in force; nil: none yet
 	Fresh   func() bool              // false: disconnected from the configuration for too long
 	Members func() *membership.View  // may return nil
 	Changed func() []<-chan struct{} // at most two; closed when the configuration or the members change
@@ -215,7 +215,7 @@
 // then would get no journal peer for its whole life (event journal_no_peer), and
 // would be lost if its VM and its router died (event generation_lost). The
 // configuration names the other sidecars before the first probe.
-func JournalSites(members *membership.View, conf *text.Text, age time.Duration) []tokenlog.Site {
+func JournalSites(members *membership.View, conf *text.Config, age time.Duration) []tokenlog.Site {
 	alive := members.Alive(types.RoleSidecar)
 	out := make([]tokenlog.Site, 0, len(alive))
 	for _, m := range alive {
--- a/router/run.go
+++ b/router/run.go
@@ -35,7 +35,7 @@
 type generationRun struct {
 	router  *Router
 	req     *generationRequest
-	text    *text.Text
+	text    *text.Config
 	service *serviceFleet
 	answer  answerWriter
 	// newAnswer returns an unstarted answer for another generation id.
--- a/router/serve.go
+++ b/router/serve.go
@@ -48,7 +48,7 @@
 // draining, its configuration is fresh enough and the caller is known.
 type admittedRequest struct {
 	id           types.RequestID
-	text         *text.Text
+	text         *text.Config
 	organisation *text.Organisation
 	started      time.Time
 }
--- a/router/serve_test.go
+++ b/router/serve_test.go
@@ -26,7 +26,7 @@
 type reloadableRouter struct {
 	*router.Router
 	url  string
-	text atomic.Pointer[text.Text]
+	text atomic.Pointer[text.Config]
 }
 
 func newReloadableRouter(t *testing.T, raw string) *reloadableRouter {
@@ -199,7 +199,7 @@
 	recorder := event.Discard()
 	var noMap map[string]int
 	r := router.New(router.Options{
-		Peer: newPeer("r1", ""), Text: func() *text.Text { return conf },
+		Peer: newPeer("r1", ""), Text: func() *text.Config { return conf },
 		Fresh:   func() bool { noMap["x"]++; return true },
 		Members: func() *membership.View { return nil }, Recorder: recorder, Registerer: prometheus.NewRegistry(),
 	})
