--- a/config/compress.go
+++ b/config/compress.go
@@ -13,7 +13,7 @@
 const maxConfigBytes = 64 << 20
 
 // ErrTooLarge reports a configuration larger than maxConfigBytes.
-var ErrTooLarge = errors.New("config: configuration too large")
+var ErrTooLarge = errors.New("config: text too large")
 
 // deflate compresses a configuration.
 func deflate(raw []byte) ([]byte, error) {
@@ -39,10 +39,10 @@
 	raw := make([]byte, size)
 	r := flate.NewReader(bytes.NewReader(packed))
 	if _, err := io.ReadFull(r, raw); err != nil {
-		return nil, errors.Wrap(err, "config: corrupt compressed configuration")
+		return nil, errors.Wrap(err, "config: damaged text")
 	}
 	if n, _ := r.Read(make([]byte, 1)); n != 0 {
-		return nil, errors.New("config: configuration is longer than its announced size")
+		return nil, errors.New("config: text longer than announced")
 	}
 	return raw, nil
 }
--- a/config/delta.go
+++ b/config/delta.go
@@ -26,7 +26,7 @@
 )
 
 // ErrDeltaMismatch reports a delta that doesn't apply to the local configuration.
-var ErrDeltaMismatch = errors.New("config: delta does not apply to the local revision")
+var ErrDeltaMismatch = errors.New("config: delta does not fit")
 
 // makeDelta returns the delta between two configurations, nil if it would be
 // larger than maxDeltaBytes. The common prefix and suffix are copied; in between,
--- a/config/holder.go
+++ b/config/holder.go
@@ -25,7 +25,7 @@
 const freeMemoryBytes = 1 << 20
 
 // ErrSameRevision reports two different configurations with the same revision.
-var ErrSameRevision = errors.New("config: two different configurations with the same revision")
+var ErrSameRevision = errors.New("config: two different texts under one revision")
 
 // Snapshot is one revision of the configuration. It is immutable.
 type Snapshot struct {
--- a/config/payload.go
+++ b/config/payload.go
@@ -56,7 +56,7 @@
 }
 
 // ErrEmptyPayload reports a payload without a configuration.
-var ErrEmptyPayload = errors.New("config: response contains no configuration")
+var ErrEmptyPayload = errors.New("config: no text in the answer")
 
 // decodePayload returns the configuration in a payload; deltas are applied to current.
 func decodePayload(p *configpb.Payload, current *Snapshot) ([]byte, error) {
--- a/config/record.go
+++ b/config/record.go
@@ -75,7 +75,7 @@
 		return row, nil
 	}
 	row.Object = objectPrefix + row.SHA256
-	return row, errors.Wrap(s.opts.Objects.Put(ctx, row.Object, data), "config: write configuration to the object store")
+	return row, errors.Wrap(s.opts.Objects.Put(ctx, row.Object, data), "config: text not placed in the object store")
 }
 
 // Load returns the configuration of an accepted revision.
@@ -86,7 +86,7 @@
 	}
 	var stored textRow
 	if err := json.Unmarshal(row.Value, &stored); err != nil {
-		return nil, errors.Wrapf(err, "config: decode row of revision %d", rev)
+		return nil, errors.Wrapf(err, "config: row of revision %d", rev)
 	}
 	if stored.Object != "" {
 		if stored.Packed, err = s.opts.Objects.Get(ctx, stored.Object); err != nil {
@@ -98,7 +98,7 @@
 		return nil, err
 	}
 	if hashOf(raw) != stored.SHA256 {
-		return nil, errors.Errorf("config: SHA-256 mismatch in the configuration of revision %d", rev)
+		return nil, errors.Errorf("config: text of revision %d doesn't have its hash", rev)
 	}
 	return raw, nil
 }
@@ -146,7 +146,7 @@
 	}
 	var head Head
 	if err := json.Unmarshal(row.Value, &head); err != nil {
-		return Head{}, 0, errors.Wrap(err, "config: decode head row")
+		return Head{}, 0, errors.Wrap(err, "config: head row")
 	}
 	return head, row.Version, nil
 }
--- a/config/service.go
+++ b/config/service.go
@@ -89,7 +89,7 @@
 }
 
 // ErrPeerBehind reports a peer whose revision in force is older than the requested one.
-var ErrPeerBehind = errors.New("config: peer's revision is older than the requested one")
+var ErrPeerBehind = errors.New("config: peer is behind")
 
 // Fetch implements Source: it returns the configuration in force at a process if
 // its revision is rev or later. It requests deltas from the revision in force
--- a/config/store.go
+++ b/config/store.go
@@ -84,7 +84,7 @@
 
 // Error implements error.
 func (e *BehindError) Error() string {
-	return fmt.Sprintf("config: store returned revision %d, but revision %d was accepted", e.Answered, e.Known)
+	return fmt.Sprintf("config: store answered with revision %d, but %d was accepted", e.Answered, e.Known)
 }
 
 // UndecidedError reports a commit whose outcome couldn't be read back in time.
--- a/config/wait.go
+++ b/config/wait.go
@@ -9,7 +9,7 @@
 )
 
 // errNoResponse reports a call that has not received any response yet.
-var errNoResponse = errors.New("config: no response yet")
+var errNoResponse = errors.New("config: nothing heard yet")
 
 // waitCall starts a call and waits until it has ended, or returns errNoResponse if
 // no response arrived within ShortTimeout. The call then continues in the
--- a/membership/memberbench/command.go
+++ b/membership/memberbench/command.go
@@ -21,11 +21,11 @@
 func Command() *cli.Command {
 	return &cli.Command{
 		Name:  "members",
-		Usage: "measure membership: traffic and CPU time per member, propagation times",
+		Usage: "measure membership: bytes and processor time a member, time until all know",
 		Flags: []cli.Flag{
-			&cli.IntSliceFlag{Name: flagMembers, Value: cli.NewIntSlice(10, 40, 160, 640), Usage: "site sizes to measure"},
-			&cli.DurationFlag{Name: flagWindow, Value: defaultWindow, Usage: "how long to measure an idle site"},
-			&cli.IntFlag{Name: flagRounds, Value: defaultRounds, Usage: "deaths, stops and revisions per size"},
+			&cli.IntSliceFlag{Name: flagMembers, Value: cli.NewIntSlice(10, 40, 160, 640), Usage: "sizes to measure"},
+			&cli.DurationFlag{Name: flagWindow, Value: defaultWindow, Usage: "how long a quiet site is watched"},
+			&cli.IntFlag{Name: flagRounds, Value: defaultRounds, Usage: "deaths, stops and revisions at each size"},
 		},
 		Action: runBenchmark,
 	}
--- a/route/routebench/command.go
+++ b/route/routebench/command.go
@@ -16,19 +16,19 @@
 func Command() *cli.Command {
 	return &cli.Command{
 		Name:  "route",
-		Usage: "measure routing policies over simulated runners in virtual time",
+		Usage: "measure routing policies over modelled runners, in virtual time",
 		Flags: []cli.Flag{
-			&cli.IntSliceFlag{Name: "runners", Value: cli.NewIntSlice(36, 24), Usage: "numbers of runners to measure"},
+			&cli.IntSliceFlag{Name: "runners", Value: cli.NewIntSlice(36, 24), Usage: "sizes to measure"},
 			&cli.IntFlag{Name: "routers", Value: 3},
-			&cli.Float64Flag{Name: "rate", Value: steadyRate, Usage: "requests per second and runner"},
+			&cli.Float64Flag{Name: "rate", Value: steadyRate, Usage: "requests a second for each runner"},
 			&cli.IntFlag{Name: "seeds", Value: 5},
-			&cli.StringSliceFlag{Name: "case", Usage: "run only these cases"},
-			&cli.StringFlag{Name: "json", Usage: "write the results to this file"},
+			&cli.StringSliceFlag{Name: "case", Usage: "only these cases"},
+			&cli.StringFlag{Name: "json", Usage: "write the figures to this file"},
 			&cli.IntFlag{Name: "organisations", Value: 10},
 			&cli.IntFlag{Name: "subset", Usage: "candidates in a router's view; 0: all"},
-			&cli.IntFlag{Name: "groups", Usage: "groups of routers with the same subset; 0: a separate subset for each"},
-			&cli.StringSliceFlag{Name: "variant", Usage: "run only these variants"},
-			&cli.IntFlag{Name: "parallel", Value: 4, Usage: "concurrent runs"},
+			&cli.IntFlag{Name: "groups", Usage: "groups of routers with the same subset; 0: each its own"},
+			&cli.StringSliceFlag{Name: "variant", Usage: "only these variants"},
+			&cli.IntFlag{Name: "parallel", Value: 4, Usage: "runs at a time"},
 		},
 		Action: runBenchmark,
 	}
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -74,11 +74,11 @@
   "adminListen": "127.0.0.1:7001", "lissten": ""
 }`)}
 	_, list := loadWith(t, sources, "--log-level", "loud")
-	g.Expect(list.String()).To(Equal(`error: /adminToken: required with adminListen
-error: /advertise: required, because peerListen 0.0.0.0:8080 is not an address that other processes can reach
+	g.Expect(list.String()).To(Equal(`error: /adminToken: needed with adminListen
+error: /advertise: needed, since peerListen 0.0.0.0:8080 names no address that others can reach
 error: /eventRing: "many" is not a whole number (from $PEARYARD_EVENT_RING)
 error: /logLevel: "loud" is not one of debug, info, warn, error (from --log-level)
-error: /objects: required
+error: /objects: needed
 warning: /seeds: neither seeds nor vmList is set: the process can't find its peers by itself
 error: /table: "table:1" is not an ip:port to connect to (from $PEARYARD_TABLE)
 2:9: error: /id: "router 1" is not a valid name: only letters, digits and . _ : / - are allowed
--- a/settings/validate.go
+++ b/settings/validate.go
@@ -80,7 +80,7 @@
 		return
 	}
 	if addr, err := netip.ParseAddrPort(c.PeerListen); err == nil && addr.Addr().IsUnspecified() {
-		list.Errorf("/advertise", "required, because peerListen %s is not an address that other processes can reach", c.PeerListen)
+		list.Errorf("/advertise", "needed, since peerListen %s names no address that others can reach", c.PeerListen)
 	}
 }
 
@@ -88,7 +88,7 @@
 	switch {
 	case c.AdminListen == "":
 	case c.AdminToken == "":
-		list.Errorf("/adminToken", "required with adminListen")
+		list.Errorf("/adminToken", "needed with adminListen")
 	case len(c.AdminToken) < minTokenLength:
 		list.Warnf("/adminToken", "shorter than %d characters", minTokenLength)
 	}
@@ -97,7 +97,7 @@
 func checkName(list *findings.List, pointer, value string) {
 	switch {
 	case value == "":
-		list.Errorf(pointer, "required")
+		list.Errorf(pointer, "needed")
 	case !namePattern.MatchString(value):
 		list.Errorf(pointer, "%q is not a valid name: only letters, digits and . _ : / - are allowed", value)
 	}
@@ -109,7 +109,7 @@
 		return
 	}
 	if value == "" {
-		list.Errorf(pointer, "required")
+		list.Errorf(pointer, "needed")
 		return
 	}
 	if _, err := netip.ParseAddrPort(value); err != nil {
@@ -121,7 +121,7 @@
 func checkRemote(list *findings.List, pointer, value string, required bool) {
 	if value == "" {
 		if required {
-			list.Errorf(pointer, "required")
+			list.Errorf(pointer, "needed")
 		}
 		return
 	}
--- a/sidecar/attempt.go
+++ b/sidecar/attempt.go
@@ -54,7 +54,7 @@
 
 func (s *Sidecar) checkAdmission(req *streampb.GenerateRequest) *refusal {
 	if s.opts.Engine == nil {
-		return &refusal{code: types.CodeUnknownModel, message: "this backend server has no engine"}
+		return &refusal{code: types.CodeUnknownModel, message: "no engine here"}
 	}
 	if s.admission.isDraining() {
 		return &refusal{code: types.CodeLeaving, message: "backend server is leaving"}
@@ -85,7 +85,7 @@
 	}
 	for _, r := range s.runs.all() {
 		if r.suspect && !r.isProven() && r.log.Snapshot(0).Phase == generation.Running {
-			return &refusal{code: types.CodeOverloaded, message: "another suspect request is running on this backend server", retryAfter: refusedRetryAfter}
+			return &refusal{code: types.CodeOverloaded, message: "another suspect runs here", retryAfter: refusedRetryAfter}
 		}
 	}
 	return nil
--- a/sidecar/metrics.go
+++ b/sidecar/metrics.go
@@ -22,12 +22,12 @@
 		return f.NewCounter(prometheus.CounterOpts{Namespace: "pearyard", Subsystem: "sidecar", Name: name, Help: help})
 	}
 	return &metrics{
-		generated:  counter("tokens_generated_total", "Tokens received from the engine."),
-		prefilled:  counter("tokens_prefilled_total", "Prompt and emitted tokens that the engine prefilled without a cache hit."),
-		reprefill:  counter("tokens_prefilled_for_resume_total", "Prefilled tokens of attempts that resume a generation."),
-		orphaned:   counter("generations_orphaned_total", "Generations stopped because no router read them."),
-		engineDied: counter("engine_deaths_total", "Engine deaths detected."),
+		generated:  counter("tokens_generated_total", "Tokens taken from the engine."),
+		prefilled:  counter("tokens_prefilled_total", "Prompt and emitted tokens that the engine prefilled uncached."),
+		reprefill:  counter("tokens_prefilled_for_resume_total", "The part of the prefilled tokens that a resume caused."),
+		orphaned:   counter("generations_orphaned_total", "Generations stopped since no router read them."),
+		engineDied: counter("engine_deaths_total", "Deaths of the engine seen."),
 		refused: f.NewCounterVec(prometheus.CounterOpts{Namespace: "pearyard", Subsystem: "sidecar",
-			Name: "refused_total", Help: "Attempts refused before any part of them ran."}, []string{"code"}),
+			Name: "refused_total", Help: "Attempts refused before anything of them ran."}, []string{"code"}),
 	}
 }
--- a/sidecar/service.go
+++ b/sidecar/service.go
@@ -24,7 +24,7 @@
 
 func (s *Sidecar) call(ctx context.Context, req *streampb.CallRequest) *streampb.CallResponse {
 	if s.calls == nil {
-		return notRun(types.CodeUnknownService, "this backend server has no plain service")
+		return notRun(types.CodeUnknownService, "no plain service here")
 	}
 	if !s.admission.enter() {
 		return notRun(types.CodeLeaving, "backend server is leaving")
@@ -38,7 +38,7 @@
 // Void requests that an attempt never run; see package gate.
 func (v service) Void(ctx context.Context, req *streampb.VoidRequest) (*streampb.CallResponse, error) {
 	if v.s.calls == nil {
-		return nil, twirp.NewError(twirp.FailedPrecondition, "this backend server has no plain service")
+		return nil, twirp.NewError(twirp.FailedPrecondition, "no plain service here")
 	}
 	return v.s.calls.Void(ctx, req), nil
 }
@@ -77,7 +77,7 @@
 // Append stores tokens of generations that run elsewhere.
 func (v service) Append(_ context.Context, req *streampb.JournalAppend) (*streampb.JournalAppended, error) {
 	if v.s.opts.Journal == nil {
-		return nil, twirp.NewError(twirp.FailedPrecondition, "this sidecar keeps no journal")
+		return nil, twirp.NewError(twirp.FailedPrecondition, "no journal here")
 	}
 	return v.s.opts.Journal.Append(req), nil
 }
--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -139,7 +139,7 @@
 
 // errStalled means that an engine which responds to probes has stopped producing tokens
 // for a request.
-var errStalled = errors.New("sidecar: generation has stalled")
+var errStalled = errors.New("sidecar: generation stands still")
 
 // checkStalled reports generations that have stalled, and gives up those that nobody waits
 // for.
--- a/sidecar/stream.go
+++ b/sidecar/stream.go
@@ -43,7 +43,7 @@
 	}
 	running := s.runs.bestAttempt(id, types.AttemptTag(req.GetAttempt()), int(req.GetFrom()))
 	if running == nil {
-		out.writeRefusal(&refusal{code: types.CodeGenerationLost, message: "this sidecar does not hold the generation"})
+		out.writeRefusal(&refusal{code: types.CodeGenerationLost, message: "not held here"})
 		return
 	}
 	// The reader gets the answer from its first token on, because it needs all tokens to
--- a/text/check.go
+++ b/text/check.go
@@ -75,7 +75,7 @@
 	owners := make(map[keyHash]int32, len(c.Organisations))
 	for i, o := range c.Organisations {
 		if len(o.KeySHA256) == 0 && o.Name != "" {
-			list.Warnf(findings.Pointer("organisations", i), "organisation %q has no key and can't make requests", o.Name)
+			list.Warnf(findings.Pointer("organisations", i), "organisation %q has no key and can't call", o.Name)
 		}
 		for j, key := range o.KeySHA256 {
 			hash, ok := parseKeyHash(key)
@@ -128,7 +128,7 @@
 			list.Errorf(findings.Pointer("adapters", i, "model"), "unknown model %q", a.Model)
 		}
 		if a.Name != "" && models[a.Name] {
-			list.Errorf(findings.Pointer("adapters", i, "name"), "adapter %q has the name of a model; callers select both by name only", a.Name)
+			list.Errorf(findings.Pointer("adapters", i, "name"), "adapter %q has the name of a model; callers could not tell them apart", a.Name)
 		}
 	}
 }
@@ -157,6 +157,6 @@
 	r := c.Recovery
 	if r.JournalBatchMillis > 0 && r.JournalBatchMillis >= r.SilenceMillis {
 		list.Warnf("/recovery/journalBatchMillis",
-			"journalBatchMillis is %d, but silenceMillis, after which a stream counts as lost, is only %d", r.JournalBatchMillis, r.SilenceMillis)
+			"a batch of %d ms waits as long as the silence of %d ms that counts as a loss", r.JournalBatchMillis, r.SilenceMillis)
 	}
 }
--- a/text/dependency.go
+++ b/text/dependency.go
@@ -71,7 +71,7 @@
 	s := &d.config.Services[i]
 	pointer := findings.Pointer("services", i)
 	if s.Kind == KindModel && s.Calls == CallsAtMostOnce {
-		list.Errorf(pointer+"/calls", "calls of a model service must be repeatable: they are generations, which are resumed after a failure")
+		list.Errorf(pointer+"/calls", "a model service's calls are generations, which are resumed and so must be repeatable")
 	}
 	served := firstSeen{}
 	for j, dep := range s.DependsOn {
@@ -82,13 +82,13 @@
 		}
 	}
 	if s.Kind == KindModel && len(served) == 0 {
-		list.Errorf(pointer, "model service %q depends on no model and therefore provides none", s.Name)
+		list.Errorf(pointer, "model service %q depends on no model, so it provides none", s.Name)
 	}
 }
 
 func (d *dependencies) checkDependency(s *Service, dep Dependency, pointer string, list *findings.List) {
 	if dep.targetCount() != 1 {
-		list.Errorf(pointer, "a dependency must name exactly one of model, adapter and service")
+		list.Errorf(pointer, "a dependency names exactly one of model, adapter and service")
 		return
 	}
 	switch {
@@ -149,7 +149,7 @@
 		return
 	}
 	if s.Kind == KindModel && provider != s.Name {
-		list.Errorf(pointer+"/"+kind, "%s %q is already provided by service %q", kind, name, provider)
+		list.Errorf(pointer+"/"+kind, "%s %q is provided by service %q already", kind, name, provider)
 	}
 }
 
--- a/text/parse.go
+++ b/text/parse.go
@@ -37,7 +37,7 @@
 func Load(raw []byte) (*Config, error) {
 	c := newConfig()
 	if err := json.Unmarshal(raw, c); err != nil {
-		return nil, errors.Wrap(err, "text: decode accepted revision")
+		return nil, errors.Wrap(err, "text: accepted revision can't be decoded")
 	}
 	c.setDefaults()
 	c.buildIndex()
--- a/text/parse_test.go
+++ b/text/parse_test.go
@@ -98,7 +98,7 @@
 		{"version missing", `{"services":[{"name":"a","kind":"model","dependsOn":[{"model":"m"}]}],"models":[{"name":"m","version":"1"}]}`, `known: 1`},
 		{"adapter's model", `{"adapters":[{"name":"a","version":"1","model":"m"}]}`, `/adapters/0/model: unknown model "m"`},
 		{"adapter without its model", `{"services":[{"name":"s","kind":"model","dependsOn":[{"adapter":"a","version":"1"}]}],"models":[{"name":"m","version":"1"}],"adapters":[{"name":"a","version":"1","model":"m"}]}`, `adapter "a" needs model "m"`},
-		{"model in two services", `{"services":[{"name":"s","kind":"model","dependsOn":[{"model":"m","version":"1"}]},{"name":"r","kind":"model","dependsOn":[{"model":"m","version":"1"}]}],"models":[{"name":"m","version":"1"}]}`, `is already provided by service "s"`},
+		{"model in two services", `{"services":[{"name":"s","kind":"model","dependsOn":[{"model":"m","version":"1"}]},{"name":"r","kind":"model","dependsOn":[{"model":"m","version":"1"}]}],"models":[{"name":"m","version":"1"}]}`, `is provided by service "s" already`},
 		{"generations at most once", `{"services":[{"name":"s","kind":"model","calls":"at-most-once"}]}`, "must be repeatable"},
 		{"duplicate server", `{"services":[{"name":"a","kind":"plain","backendServers":[` + server("x", "10.0.0.1:1") + "," + server("x", "10.0.0.2:1") + `]}]}`, `backend server "x" is given twice, first at /services/0/backendServers/0/name`},
 		{"duplicate address", `{"services":[{"name":"a","kind":"plain","backendServers":[` + server("x", "10.0.0.1:1") + "," + server("y", "[::ffff:10.0.0.1]:1") + `]}]}`, `sidecar address "10.0.0.1:1" is given twice`},
--- a/tokenlog/metrics.go
+++ b/tokenlog/metrics.go
@@ -16,14 +16,14 @@
 
 func newStoreMetrics(reg prometheus.Registerer) *storeMetrics {
 	entries := prometheus.NewGaugeVec(prometheus.GaugeOpts{
-		Name: "pearyard_journal_held_generations", Help: "Generations in the token journal, by state."}, []string{"state"})
+		Name: "pearyard_journal_held_generations", Help: "Generations in the token journal by state."}, []string{"state"})
 	records := prometheus.NewCounterVec(prometheus.CounterOpts{
-		Name: "pearyard_journal_records_total", Help: "Records received, by outcome."}, []string{"verdict"})
+		Name: "pearyard_journal_records_total", Help: "Records received, by what became of them."}, []string{"verdict"})
 	m := &storeMetrics{
 		bytes: prometheus.NewGauge(prometheus.GaugeOpts{
 			Name: "pearyard_journal_held_bytes", Help: "Bytes that the token journal holds for other sidecars."}),
 		evictions: prometheus.NewCounterVec(prometheus.CounterOpts{
-			Name: "pearyard_journal_evictions_total", Help: "Generations evicted because the store was full, by state."}, []string{"state"}),
+			Name: "pearyard_journal_evictions_total", Help: "Generations dropped for want of room, by state."}, []string{"state"}),
 	}
 	for st, name := range stateNames {
 		m.entries[st] = entries.WithLabelValues(name)
@@ -55,13 +55,13 @@
 		appends: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "pearyard_journal_appends_total", Help: "Batches sent to journal peers, by result."}, []string{"result"}),
 		tokens: prometheus.NewCounter(prometheus.CounterOpts{
-			Name: "pearyard_journal_sent_tokens_total", Help: "Tokens sent to journal peers, including copies and resends."}),
+			Name: "pearyard_journal_sent_tokens_total", Help: "Tokens sent to journal peers, copies and resends counted."}),
 		wire: prometheus.NewCounter(prometheus.CounterOpts{
-			Name: "pearyard_journal_sent_bytes_total", Help: "Encoded bytes of the batches sent, without HTTP overhead."}),
+			Name: "pearyard_journal_sent_bytes_total", Help: "Encoded bytes of batches sent, without HTTP."}),
 		replaced: prometheus.NewCounter(prometheus.CounterOpts{
-			Name: "pearyard_journal_peers_replaced_total", Help: "Generations reassigned to another journal peer."}),
+			Name: "pearyard_journal_peers_replaced_total", Help: "Generations moved to another journal peer."}),
 		held: prometheus.NewGauge(prometheus.GaugeOpts{
-			Name: "pearyard_journal_writer_bytes", Help: "Bytes of this sidecar's own generations buffered for journalling."}),
+			Name: "pearyard_journal_writer_bytes", Help: "Bytes of own generations kept to journal them."}),
 	}
 	register(reg, m.appends, m.tokens, m.wire, m.replaced, m.held)
 	return m
--- a/tokenlog/read.go
+++ b/tokenlog/read.go
@@ -18,10 +18,10 @@
 	ErrTooShort = errors.New("journal: fewer tokens held than the caller has seen")
 	// ErrDiverged means that no branch held contains the caller's last token; continuing
 	// any of them would mix two attempts in one answer.
-	ErrDiverged = errors.New("journal: no held branch contains the caller's last token")
+	ErrDiverged = errors.New("journal: no branch continues what the caller has seen")
 	// ErrInconclusive means that not all peers could be asked, so the generation may still be
 	// held by one of them.
-	ErrInconclusive = errors.New("journal: some peers unreachable, absence not proven")
+	ErrInconclusive = errors.New("journal: peers unreachable, absence not proved")
 )
 
 // Branch is one attempt's answer so far.
@@ -105,7 +105,7 @@
 func (s *Store) Read(in *journalpb.ReadRequest) (*journalpb.ReadResponse, error) {
 	id, err := types.ParseGenerationID(in.GetGeneration())
 	if err != nil {
-		return nil, errors.Wrap(err, "journal read: parse generation")
+		return nil, errors.Wrap(err, "journal read")
 	}
 	want := types.EventID{Generation: id, Attempt: types.AttemptTag(in.GetAttempt()), Index: int(in.GetIndex())}
 	found, err := s.Tokens(want)
@@ -140,7 +140,7 @@
 	if in.GetGeneration() != "" {
 		id, err := types.ParseGenerationID(in.GetGeneration())
 		if err != nil {
-			return nil, errors.Wrap(err, "journal lookup: parse generation")
+			return nil, errors.Wrap(err, "journal lookup")
 		}
 		return s.lookupResponse(id), nil
 	}
@@ -156,7 +156,7 @@
 func (s *Store) reserve(in *streampb.LookupRequest) (*streampb.LookupResponse, error) {
 	id, err := types.ParseGenerationID(in.GetReserve())
 	if err != nil || id.Key != types.Key(in.GetKey()) {
-		return nil, fmt.Errorf("journal lookup: cannot reserve %q for key %016x: malformed or of another key", in.GetReserve(), in.GetKey())
+		return nil, fmt.Errorf("journal lookup: cannot note %q for key %016x", in.GetReserve(), in.GetKey())
 	}
 	e := s.getOrCreate(id)
 	s.touch(e)
--- a/tokenlog/reader.go
+++ b/tokenlog/reader.go
@@ -242,7 +242,7 @@
 	}
 	id, err := types.ParseGenerationID(chosen.GetGeneration())
 	if err != nil {
-		return KeyResult{}, errors.Wrap(err, "journal lookup: parse generation")
+		return KeyResult{}, errors.Wrap(err, "journal lookup")
 	}
 	return KeyResult{
 		Generation: id, Known: id != reserve, Runner: chosen.GetRunner(), Finish: types.FinishReason(chosen.GetFinish()),
