--- a/explain/causes.go
+++ b/explain/causes.go
@@ -2,52 +2,56 @@
 
 import "time"
 
-// Cause is why a request was not in time, by the rules of a summary.
+// Cause is why a request missed its objective, according to the rules of a summary.
 type Cause string
 
-// Causes, each with the lines that show it.
+// Causes, with the events that indicate each.
 const (
-	// CauseZoneLost: a server broke off or fell silent, and its zone lost several
-	// servers about then (PY2724, PY2726).
+	// CauseZoneLost: a server broke off the connection or stopped responding, and
+	// its zone lost several servers at about that time (PY2724, PY2726).
 	CauseZoneLost Cause = "zone_lost"
-	// CauseServerLost: the same of a single server.
+	// CauseServerLost: as CauseZoneLost, for a single server.
 	CauseServerLost Cause = "server_lost"
-	// CauseServerSilent: it fell silent, but no process found it lost (PY2724).
+	// CauseServerSilent: a server stopped responding, but no process reported it
+	// lost (PY2724).
 	CauseServerSilent Cause = "server_silent"
-	// CauseServerFailed: it answered with a failure of its own, or broke off in order.
+	// CauseServerFailed: a server answered with an error of its own, or closed the
+	// connection properly before the answer was complete.
 	CauseServerFailed Cause = "server_failed"
-	// CauseServerFull: it had no room (PY2724 with "busy").
+	// CauseServerBusy: a server had no free capacity (PY2724 with "busy").
 	CauseServerFull Cause = "server_full"
-	// CauseCopyReplaced: a stream's server was lost after its copy had been replaced,
-	// or could not be (PY2729, PY2724). A copy made by a call lacks what came after it.
+	// CauseCopyReplaced: a stream's server was lost after its KV copy had been
+	// replaced, or after replacing it had failed (PY2729, PY2724). A replacement copy
+	// lacks what was generated after the call that made it.
 	CauseCopyReplaced Cause = "copy_replaced"
-	// CauseNoCopy: a stream's prompt had to be read again without a word of its copy.
+	// CauseNoCopy: a stream's prompt had to be processed again, and no event tells
+	// what happened to its KV copy.
 	CauseNoCopy Cause = "no_copy"
-	// CauseQueue: nothing failed; it waited at its server, behind others.
+	// CauseQueue: nothing failed; the request was queued at its server.
 	CauseQueue Cause = "queue"
-	// CauseWave: as queue or admission, while or just after many more requests came
-	// than usual.
+	// CauseSurge: as queue or admission, during or just after a surge of requests.
 	CauseWave Cause = "return_wave"
-	// CausePause: nothing failed; its server paused between two events.
+	// CauseServerPause: nothing failed; the server paused between two events.
 	CausePause Cause = "server_pause"
-	// CauseStoodStill: as server_pause, but streams of several servers paused for the
-	// same time at one process: the process itself, its VM or its network stood still.
+	// CauseProcessStalled: as server_pause, but streams of several servers paused for
+	// the same time in one process: the process, its VM or its network stalled.
 	CauseStoodStill Cause = "process_stood_still"
-	// CauseAdmission: refused, as no server would finish it in time (PY2721).
+	// CauseAdmission: refused, because no server would have finished it in time (PY2721).
 	CauseAdmission Cause = "admission"
-	// CauseNoServer: no server is known, or all refused.
+	// CauseNoServer: no server was known, or all refused the request.
 	CauseNoServer Cause = "no_server"
-	// CauseRetries: the retry budget was spent.
+	// CauseRetryBudget: the retry budget was spent.
 	CauseRetries Cause = "out_of_retries"
-	// CauseCrashes: refused, as it had crashed several servers (PY2727).
+	// CauseQuarantined: refused, because the request had crashed several servers (PY2727).
 	CauseCrashes Cause = "crashes_servers"
-	// CauseStop: a planned stop refused or cut it (PY2756, PY2734).
+	// CauseStop: a planned stop refused or interrupted the request (PY2756, PY2734).
 	CauseStop Cause = "stop"
-	// CauseStart: its process had just started (PY2751).
+	// CauseStart: the process had just started (PY2751).
 	CauseStart Cause = "start"
-	// CauseStore: the same, and it did not hear from the store (PY2702, PY2711).
+	// CauseStoreUnavailable: as CauseStart, and the process could not reach the store
+	// (PY2702, PY2711).
 	CauseStore Cause = "store_away"
-	// CauseProcessGone: its process ended without a word.
+	// CauseProcessLost: the process ended without logging a stop.
 	CauseProcessGone Cause = "process_gone"
 	// CauseCaller: the caller left, or the connection to it was lost.
 	CauseCaller Cause = "caller"
@@ -55,55 +59,55 @@
 	CauseUnclear Cause = "unclear"
 )
 
-// Outcome is what became of a request, by its objective.
+// Outcome classifies how a request ended, measured against its objective.
 type Outcome uint8
 
 // Outcomes.
 const (
 	InTime   Outcome = iota
-	Late             // its whole answer, later than the objective
+	Late             // answered in full, but later than the objective
 	Refused          // not run, and the caller was told so
-	Failed           // neither
+	Failed           // any other end
 	Left             // the caller left before the objective had passed
-	outcomes         // how many there are
+	outcomes         // number of outcomes
 )
 
-// trouble is what lines before its end tell of a request.
-type trouble struct {
-	broken   *failedTry
-	full     bool          // a server had no room
-	failed   bool          // a server answered with its own failure
-	copied   bool          // its copy was replaced, or that failed
-	replaced bool          // so it was when a try failed
-	reread   bool          // its prompt was read again
-	resumed  bool          // it went on elsewhere
-	pause    time.Duration // the longest that going on elsewhere cost
-	process  int32
-	running  bool  // PY2732 has named it
-	at       int64 // second of the newest line
+// openRequest is what the lines read so far say about a request that has not ended.
+type openRequest struct {
+	failedAttempt   *failedAttempt
+	serverBusy      bool          // a server had no free capacity
+	serverFailed    bool          // a server answered with an error of its own
+	copyReplaced    bool          // its KV copy was replaced, or replacing it failed
+	failedAfterCopy bool          // copied was set when an attempt failed
+	promptReread    bool          // its prompt was processed again
+	resumed         bool          // it was resumed on another server
+	resumePause     time.Duration // the longest pause that resuming caused
+	process         int32
+	running         bool  // listed by PY2732
+	lastSecond      int64 // second of the newest line
 }
 
-// failedTry is an attempt that its server broke off or left without an answer.
-type failedTry struct {
+// failedAttempt is an attempt that the server broke off or did not answer.
+type failedAttempt struct {
 	server string
-	at     int64 // second
+	second int64 // second
 	silent bool
 }
 
-// ofTries returns the cause that failed attempts are, or "".
-func (t *trouble) ofTries() Cause {
+// attemptCause returns the cause that the failed attempts indicate, or "".
+func (t *openRequest) attemptCause() Cause {
 	switch {
 	case t == nil:
 		return ""
-	case t.replaced:
+	case t.failedAfterCopy:
 		return CauseCopyReplaced
-	case t.broken != nil:
-		return CauseServerLost // the summary tells it from that of a zone
-	case t.reread:
+	case t.failedAttempt != nil:
+		return CauseServerLost // builder.resolve may make it CauseZoneLost
+	case t.promptReread:
 		return CauseNoCopy
-	case t.failed:
+	case t.serverFailed:
 		return CauseServerFailed
-	case t.full:
+	case t.serverBusy:
 		return CauseServerFull
 	default:
 		return ""
--- a/explain/ends.go
+++ b/explain/ends.go
@@ -7,101 +7,101 @@
 	"github.com/pearyard/pearyard/site"
 )
 
-// troubled notes a line about a request that is on its way.
-func (p *Period) troubled(rec *record, process int32) error {
+// recordAttemptEvent records an event of a request that is still running.
+func (p *Period) recordAttemptEvent(rec *record, process int32) error {
 	if len(rec.fields[fieldRequest]) == 0 {
-		return errCut
+		return errTruncated
 	}
-	t := p.troubleOf(rec.text(fieldRequest), process)
-	t.at = rec.at.Unix()
+	t := p.openRequestOf(rec.text(fieldRequest), process)
+	t.lastSecond = rec.at.Unix()
 	switch string(rec.fields[fieldEvent]) {
 	case idAgain:
-		t.tryFailed(rec)
+		t.recordFailedAttempt(rec)
 	case idCopied:
-		t.copied = true
+		t.copyReplaced = true
 	case idResumed:
 		pause, err := rec.duration(fieldAfter)
 		if err != nil {
 			return err
 		}
-		t.resumed, t.pause = true, max(t.pause, pause)
-		t.reread = t.reread || rec.text(fieldHow) == howReread
+		t.resumed, t.resumePause = true, max(t.resumePause, pause)
+		t.promptReread = t.promptReread || rec.text(fieldHow) == howReread
 	}
 	return nil
 }
 
-// Words in lines by which rules go.
+// Texts in log lines that the rules match.
 const (
-	wordsLate   = "would finish in time"
-	wordsBusy   = "not run: busy"
-	wordsStatus = "the server answered"
-	howReread   = "prompt_read_again"
+	textLate   = "would finish in time"
+	textBusy   = "not run: busy"
+	textStatus = "the server answered"
+	howReread  = "prompt_read_again"
 )
 
 var (
-	wordsSilent = exchange.ErrSilent.Error()
-	wordsBudget = exchange.ErrBudget.Error()
+	textSilent = exchange.ErrSilent.Error()
+	textBudget = exchange.ErrBudget.Error()
 )
 
-func (t *trouble) tryFailed(rec *record) {
+func (t *openRequest) recordFailedAttempt(rec *record) {
 	switch {
-	case rec.has(fieldError, wordsBusy):
-		t.full = true
-	case rec.has(fieldError, wordsStatus):
-		t.failed = true
+	case rec.contains(fieldError, textBusy):
+		t.serverBusy = true
+	case rec.contains(fieldError, textStatus):
+		t.serverFailed = true
 	default:
-		t.replaced = t.replaced || t.copied
-		t.broken = tryOf(rec, fieldAfter)
+		t.failedAfterCopy = t.failedAfterCopy || t.copyReplaced
+		t.failedAttempt = failedAttemptOf(rec, fieldAfter)
 	}
 }
 
-func tryOf(rec *record, server field) *failedTry {
-	return &failedTry{server: rec.text(server), at: rec.at.Unix(), silent: rec.has(fieldError, wordsSilent)}
+func failedAttemptOf(rec *record, server field) *failedAttempt {
+	return &failedAttempt{server: rec.text(server), second: rec.at.Unix(), silent: rec.contains(fieldError, textSilent)}
 }
 
-// end is the last line of a request.
-type end struct {
+// requestEnd is the last line of a request.
+type requestEnd struct {
 	rec       *record
 	by        exchange.EndedBy
 	kind      string
 	took      time.Duration
-	first     time.Duration // 0: no event came
+	first     time.Duration // until the first event; 0: there was none
 	pause     time.Duration
 	objective Objective
-	trouble   *trouble // nil if nothing was told before
+	open      *openRequest // nil if no earlier line was about the request
 }
 
-func (p *Period) ended(rec *record) error {
+func (p *Period) recordEnd(rec *record) error {
 	e, err := p.readEnd(rec)
 	if err != nil {
 		return err
 	}
-	route := p.names.number(rec.fields[fieldRoute])
+	route := p.names.indexOf(rec.fields[fieldRoute])
 	if _, known := p.kinds[route]; !known {
 		p.kinds[route] = e.kind
 	}
-	key := slot{rec.at.Add(-e.took).Unix(), route}
-	outcome, cause := e.judge()
-	p.count(key, outcome)
+	key := bucket{rec.at.Add(-e.took).Unix(), route}
+	outcome, cause := e.classify()
+	p.countOutcome(key, outcome)
 	id := rec.text(fieldRequest)
 	delete(p.open, id)
 	if outcome == InTime || outcome == Left {
 		return nil
 	}
-	keyed := e.slot(key, outcome, cause)
+	keyed := e.causeBucket(key, outcome, cause)
 	if cause == CausePause {
-		p.paused(keyed.paused, rec.text(fieldServer))
+		p.recordPause(keyed.pause, rec.text(fieldServer))
 	}
-	p.caused(keyed, Example{
+	p.countCause(keyed, Example{
 		Request: id, Route: rec.text(fieldRoute), Took: e.took, First: e.first, Pause: e.pause, Server: rec.text(fieldServer),
 	})
 	return nil
 }
 
-func (p *Period) readEnd(rec *record) (*end, error) {
-	e := &end{rec: rec, by: exchange.EndedBy(rec.text(fieldEndedBy)), kind: rec.text(fieldKind)}
+func (p *Period) readEnd(rec *record) (*requestEnd, error) {
+	e := &requestEnd{rec: rec, by: exchange.EndedBy(rec.text(fieldEndedBy)), kind: rec.text(fieldKind)}
 	if len(rec.fields[fieldRequest]) == 0 || e.by == "" || e.kind == "" {
-		return nil, errCut
+		return nil, errTruncated
 	}
 	var err error
 	if e.took, err = rec.duration(fieldTook); err != nil {
@@ -116,42 +116,42 @@
 		}
 	}
 	e.objective = p.objective(e.kind)
-	e.trouble = p.open[rec.text(fieldRequest)]
+	e.open = p.open[rec.text(fieldRequest)]
 	return e, nil
 }
 
-// judge returns what became of the request and, if it was not in time, why.
-func (e *end) judge() (Outcome, Cause) {
+// classify returns the outcome of the request and, if it was not in time, the cause.
+func (e *requestEnd) classify() (Outcome, Cause) {
 	switch string(e.rec.fields[fieldEvent]) {
 	case idServed:
-		return e.served()
+		return e.classifyServed()
 	case idRefused:
-		return Refused, e.refused()
+		return Refused, e.refusalCause()
 	case idFailed:
-		return Failed, e.failed()
+		return Failed, e.failureCause()
 	case idLeft:
-		return e.left()
-	case idLinkLost:
+		return e.classifyLeft()
+	case idCallerLost:
 		return Failed, CauseCaller
 	default:
 		return Failed, CauseStop
 	}
 }
 
-func (e *end) served() (Outcome, Cause) {
+func (e *requestEnd) classifyServed() (Outcome, Cause) {
 	switch {
 	case e.by == exchange.EndedByServer:
 		return Failed, CauseServerFailed
-	case !e.waitedLong() && !e.pausedLong():
+	case !e.exceededAnswer() && !e.exceededGap():
 		return InTime, ""
 	default:
-		return Late, e.waitedFor()
+		return Late, e.delayCause()
 	}
 }
 
-// waitedLong tells whether the answer, of a stream its first event, came later
-// than the objective or not at all so long.
-func (e *end) waitedLong() bool {
+// exceededAnswer reports whether the answer (for a stream: its first event) came
+// later than the objective, or had not come by then.
+func (e *requestEnd) exceededAnswer() bool {
 	waited := e.took
 	if e.first > 0 {
 		waited = e.first
@@ -159,137 +159,138 @@
 	return e.objective.Answer > 0 && waited > e.objective.Answer
 }
 
-func (e *end) pausedLong() bool { return e.objective.Gap > 0 && e.pause > e.objective.Gap }
+func (e *requestEnd) exceededGap() bool { return e.objective.Gap > 0 && e.pause > e.objective.Gap }
 
-// waitedFor returns what a request was waiting for that was served late or whose
-// time was over. A pause that is longer than going on elsewhere cost is the
-// server's own.
-func (e *end) waitedFor() Cause {
-	tries := e.trouble.ofTries()
-	if !e.waitedLong() && e.pausedLong() && (tries == "" || e.trouble.resumed && e.trouble.pause < e.objective.Gap) {
+// delayCause returns the cause for a request that was served late or timed out. A
+// pause longer than the pauses that resuming caused is the server's own.
+func (e *requestEnd) delayCause() Cause {
+	cause := e.open.attemptCause()
+	if !e.exceededAnswer() && e.exceededGap() && (cause == "" || e.open.resumed && e.open.resumePause < e.objective.Gap) {
 		return CausePause
 	}
-	if tries != "" {
-		return tries
+	if cause != "" {
+		return cause
 	}
 	return CauseQueue
 }
 
-func (e *end) refused() Cause {
+func (e *requestEnd) refusalCause() Cause {
 	switch {
-	case e.rec.has(fieldError, wordsLate):
+	case e.rec.contains(fieldError, textLate):
 		return CauseAdmission
 	case e.by == exchange.EndedByStop:
 		return CauseStop
-	case e.by == exchange.EndedByLimit, e.rec.has(fieldError, wordsBudget):
+	case e.by == exchange.EndedByLimit, e.rec.contains(fieldError, textBudget):
 		return CauseRetries
 	case e.by == exchange.EndedByDeadline, e.by == exchange.EndedByRouteTimeout:
-		return e.waitedFor()
+		return e.delayCause()
 	case e.by == exchange.EndedByServerLink:
-		return e.afterTries(CauseServerLost)
+		return e.attemptCauseOr(CauseServerLost)
 	default:
-		return e.afterTries(CauseNoServer)
+		return e.attemptCauseOr(CauseNoServer)
 	}
 }
 
-func (e *end) failed() Cause {
+func (e *requestEnd) failureCause() Cause {
 	switch e.by {
 	case exchange.EndedByLimit:
 		return CauseRetries
 	case exchange.EndedByStop:
 		return CauseStop
 	case exchange.EndedByDeadline, exchange.EndedByRouteTimeout:
-		return e.waitedFor()
+		return e.delayCause()
 	case exchange.EndedByServerLink:
-		return e.afterTries(CauseServerLost)
+		return e.attemptCauseOr(CauseServerLost)
 	case exchange.EndedByServer:
-		return e.afterTries(CauseServerFailed)
+		return e.attemptCauseOr(CauseServerFailed)
 	case exchange.EndedByNoServer:
-		if e.rec.has(fieldError, wordsLate) {
-			return e.afterTries(CauseAdmission)
+		if e.rec.contains(fieldError, textLate) {
+			return e.attemptCauseOr(CauseAdmission)
 		}
-		return e.afterTries(CauseNoServer)
+		return e.attemptCauseOr(CauseNoServer)
 	default:
-		return e.afterTries(CauseUnclear)
+		return e.attemptCauseOr(CauseUnclear)
 	}
 }
 
-// afterTries returns what made the request need another server, if anything did,
-// or else the cause that is left.
-func (e *end) afterTries(otherwise Cause) Cause {
-	if tries := e.trouble.ofTries(); tries != "" {
-		return tries
+// attemptCauseOr returns the cause that failed attempts indicate, or else the
+// given one.
+func (e *requestEnd) attemptCauseOr(otherwise Cause) Cause {
+	if cause := e.open.attemptCause(); cause != "" {
+		return cause
 	}
 	return otherwise
 }
 
-// left tells a caller that gave up waiting from one that left of its own accord.
-func (e *end) left() (Outcome, Cause) {
+// classifyLeft distinguishes a caller that gave up waiting from one that left of
+// its own accord.
+func (e *requestEnd) classifyLeft() (Outcome, Cause) {
 	switch {
-	case e.by == exchange.EndedByDeadline, e.waitedLong(), e.pausedLong():
-		return Failed, e.waitedFor()
+	case e.by == exchange.EndedByDeadline, e.exceededAnswer(), e.exceededGap():
+		return Failed, e.delayCause()
 	default:
 		return Left, CauseCaller
 	}
 }
 
-// slot names the server whose try failed, so that its loss can be told from that
-// of its zone: the newest such try, or that which the last line tells of.
-func (e *end) slot(key slot, outcome Outcome, cause Cause) causeSlot {
-	s := causeSlot{slot: key, outcome: outcome, cause: cause}
+// causeBucket returns the bucket in which the cause is counted. For a lost server
+// it holds the failed attempt, so that the loss of a server can later be told from
+// the loss of its zone: the newest failed attempt, or the one in the last line.
+func (e *requestEnd) causeBucket(key bucket, outcome Outcome, cause Cause) causeBucket {
+	s := causeBucket{bucket: key, outcome: outcome, cause: cause}
 	if cause == CausePause {
-		s.paused = pauseOf(e)
+		s.pause = pauseBucketOf(e)
 		return s
 	}
 	if cause != CauseServerLost {
 		return s
 	}
-	if e.trouble != nil && e.trouble.broken != nil {
-		s.try = *e.trouble.broken
+	if e.open != nil && e.open.failedAttempt != nil {
+		s.attempt = *e.open.failedAttempt
 		return s
 	}
-	s.try = *tryOf(e.rec, fieldServer)
+	s.attempt = *failedAttemptOf(e.rec, fieldServer)
 	return s
 }
 
-// turnedBack notes a request that was answered without being handed on.
-func (p *Period) turnedBack(rec *record, process int32) error {
+// recordRejection records a request that was answered without being forwarded.
+func (p *Period) recordRejection(rec *record, process int32) error {
 	if len(rec.fields[fieldEndedBy]) == 0 {
-		return errCut
+		return errTruncated
 	}
-	key := slot{rec.at.Unix(), p.names.number(rec.fields[fieldRoute])}
+	key := bucket{rec.at.Unix(), p.names.indexOf(rec.fields[fieldRoute])}
 	cause := CauseUnclear
 	switch string(rec.fields[fieldEvent]) {
 	case idQuarantined:
 		cause = CauseCrashes
-	case idStopping:
+	case idStopRefused:
 		cause = CauseStop
-	case idNotYet:
+	case idNoConfig:
 		cause = CauseStart
 	case idTurnedAway:
-		p.turnedAway(rec, key, process)
+		p.countRejected(rec, key, process)
 		return nil
 	}
-	if cause == CauseStart && p.state(process).storeAway() {
+	if cause == CauseStart && p.state(process).storeUnavailable() {
 		cause = CauseStore
 	}
-	p.count(key, Refused)
-	p.caused(causeSlot{slot: key, outcome: Refused, cause: cause}, Example{Request: rec.text(fieldRequest), Route: rec.text(fieldRoute)})
+	p.countOutcome(key, Refused)
+	p.countCause(causeBucket{bucket: key, outcome: Refused, cause: cause}, Example{Request: rec.text(fieldRequest), Route: rec.text(fieldRoute)})
 	return nil
 }
 
-// turnedAway counts a request that is wrong in itself. Whether a key or route
-// that is unknown is wrong, or only newer than what a process knows that does
-// not hear from the store, the lines don't tell: these are counted apart.
-func (p *Period) turnedAway(rec *record, key slot, process int32) {
+// countRejected counts an invalid request. A process that can't reach the store may
+// reject a key or route that is only newer than its configuration; the lines don't
+// show which, so those requests are also counted separately.
+func (p *Period) countRejected(rec *record, key bucket, process int32) {
 	t := p.tally(key)
-	t.turned++
-	if p.state(process).storeAway() && exchange.EndedBy(rec.text(fieldEndedBy)) == exchange.EndedByConfiguration {
-		t.turnedBlind++
+	t.rejected++
+	if p.state(process).storeUnavailable() && exchange.EndedBy(rec.text(fieldEndedBy)) == exchange.EndedByConfiguration {
+		t.rejectedOutdated++
 	}
 }
 
-func (p *Period) tally(key slot) *tally {
+func (p *Period) tally(key bucket) *tally {
 	t := p.seconds[key]
 	if t == nil {
 		t = &tally{}
@@ -298,9 +299,9 @@
 	return t
 }
 
-func (p *Period) count(key slot, o Outcome) { p.tally(key).counts[o]++ }
+func (p *Period) countOutcome(key bucket, o Outcome) { p.tally(key).counts[o]++ }
 
-func (p *Period) caused(key causeSlot, example Example) {
+func (p *Period) countCause(key causeBucket, example Example) {
 	c := p.causes[key]
 	if c == nil {
 		c = &causeTally{}
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -12,39 +12,40 @@
 	"github.com/pearyard/pearyard/site"
 )
 
-// Story is what became of one request.
+// Explanation tells how one request ended and why.
 type Story struct {
 	Lines  []Line // of the request itself
-	Around []Line // of the servers and processes that had part in it, near in time
-	Cause  string // in a sentence
+	Around []Line // of the servers and processes involved, close in time
+	Cause  string // a sentence
 }
 
-// aroundTime is how long before and after a request's lines others may have to
-// do with it: a loss is noticed and a stop takes within seconds.
-const aroundTime = 4 * time.Second
+// relatedWindow is how long before and after a request's lines other lines may be
+// related to it: losses are detected and stops take effect within seconds.
+const relatedWindow = 4 * time.Second
 
-// Of tells the story of a request; it has no lines if none names the request.
+// Request explains a request. The explanation has no lines if none mentions the
+// request.
 func Of(lines []Line, request string) Story {
-	lines = sorted(lines)
+	lines = sortLines(lines)
 	var s Story
 	for _, l := range lines {
-		if l.names(request) {
+		if l.mentions(request) {
 			s.Lines = append(s.Lines, l)
 		}
 	}
 	if len(s.Lines) == 0 {
-		s.Cause = "No line names this request: no process took it whole, its process ended before it did, or its lines were dropped (look for dropped_info) or not collected." + silentEnds(lines)
+		s.Cause = "No line names this request: no process took it whole, its process ended before it did, or its lines were dropped (look for dropped_info) or not collected." + describeCrashes(lines)
 		return s
 	}
-	s.Around = around(lines, s.Lines, request)
-	s.Cause = cause(s, lines)
+	s.Around = relatedLines(lines, s.Lines, request)
+	s.Cause = describeCause(s, lines)
 	return s
 }
 
-// around returns the lines of other matters that touch the request's servers or
-// process.
-func around(all, own []Line, request string) []Line {
-	from, to := own[0].At.Add(-aroundTime), own[len(own)-1].At.Add(aroundTime)
+// relatedLines returns lines that are about no request but come from the request's
+// processes or are about its servers.
+func relatedLines(all, own []Line, request string) []Line {
+	from, to := own[0].At.Add(-relatedWindow), own[len(own)-1].At.Add(relatedWindow)
 	servers, processes := map[string]bool{}, map[string]bool{}
 	for _, l := range own {
 		processes[l.Process] = true
@@ -69,46 +70,46 @@
 	return out
 }
 
-// ends are the events that a request ends with.
-var ends = map[string]bool{
+// endEvents are the events that end a request.
+var endEvents = map[string]bool{
 	exchange.EventServed.ID(): true, exchange.EventRefused.ID(): true, exchange.EventFailed.ID(): true, exchange.EventCallerLeft.ID(): true,
 	exchange.EventCallerLost.ID(): true, exchange.EventCut.ID(): true, exchange.EventQuarantined.ID(): true,
 	entry.EventTurnedAway.ID(): true, entry.EventNoConfig.ID(): true, entry.EventStopRefused.ID(): true,
 	entry.EventPanicked.ID(): true, entry.EventLate.ID(): true,
 }
 
-// lastOf returns the line of a request's end, or else its last one: that a
-// server crashed of it is noted a second after the request has ended.
-func lastOf(own []Line) Line {
+// finalLine returns the line that ends a request, or else its last line. The two
+// differ because a crash that the request caused is logged a second after its end.
+func finalLine(own []Line) Line {
 	for _, l := range slices.Backward(own) {
-		if ends[l.Event] {
+		if endEvents[l.Event] {
 			return l
 		}
 	}
 	return own[len(own)-1]
 }
 
-func cause(s Story, all []Line) string {
-	last := lastOf(s.Lines)
+func describeCause(s Story, all []Line) string {
+	last := finalLine(s.Lines)
 	switch last.Event {
 	case exchange.EventServed.ID():
-		return served(last)
+		return describeServed(last)
 	case exchange.EventRefused.ID():
-		return refused(last)
+		return describeRefused(last)
 	case exchange.EventFailed.ID():
-		return failed(s, last)
+		return describeFailed(s, last)
 	case exchange.EventCallerLeft.ID():
-		return callerLeft(last) + before(s) + "."
+		return describeCallerLeft(last) + earlierErrors(s) + "."
 	case exchange.EventCallerLost.ID():
-		return "The connection to its caller was lost after " + last.Fields["took"] + " (" + last.Fields["err"] + "): it was reset, by the caller or on the way, or went dead" + before(s) + "."
+		return "The connection to its caller was lost after " + last.Fields["took"] + " (" + last.Fields["err"] + "): it was reset, by the caller or on the way, or went dead" + earlierErrors(s) + "."
 	case exchange.EventCut.ID():
-		return "The planned stop of " + last.Process + " cut it after " + last.Fields["took"] + ", when the grace period was over; its caller was still there" + before(s) + "."
+		return "The planned stop of " + last.Process + " cut it after " + last.Fields["took"] + ", when the grace period was over; its caller was still there" + earlierErrors(s) + "."
 	case exchange.EventQuarantined.ID():
 		return "It was refused because the same request had crashed several backend servers."
 	case entry.EventTurnedAway.ID():
-		return turnedAway(s, last, all)
+		return describeRejected(s, last, all)
 	case entry.EventNoConfig.ID():
-		return "It was refused because " + last.Process + " had just started and knew no " + last.Fields["missing"] + " yet" + storeLost(s) + "."
+		return "It was refused because " + last.Process + " had just started and knew no " + last.Fields["missing"] + " yet" + describeStoreLoss(s) + "."
 	case entry.EventStopRefused.ID():
 		return "It was refused because " + last.Process + " was about to stop and could not have finished it."
 	case entry.EventPanicked.ID():
@@ -116,12 +117,12 @@
 	case entry.EventLate.ID():
 		return "It was refused and has not run: its last byte came after " + last.Fields["took"] + ", when its time was over."
 	default:
-		return ended(s, last, all)
+		return describeUnfinished(s, last, all)
 	}
 }
 
-// silentEnds names the processes that ended without a word.
-func silentEnds(lines []Line) string {
+// describeCrashes names the processes that ended without logging a stop.
+func describeCrashes(lines []Line) string {
 	newest := map[string]Line{}
 	var ends []string
 	for _, l := range lines {
@@ -137,7 +138,7 @@
 	return " Processes that ended without a word: " + strings.Join(ends, "; ") + "."
 }
 
-func served(last Line) string {
+func describeServed(last Line) string {
 	text := "It was served after " + last.Fields["took"]
 	if status := last.Fields["status"]; status >= "400" {
 		text = fmt.Sprintf("It was answered after %s with a backend server's own status %s, at try %s", last.Fields["took"], status, last.Fields["sent"])
@@ -148,16 +149,16 @@
 	return text + "."
 }
 
-func failed(s Story, last Line) string {
-	text := who(last) + " after " + last.Fields["took"] + ": " + last.Fields["err"] + waitedFor(last)
+func describeFailed(s Story, last Line) string {
+	text := failureSubject(last) + " after " + last.Fields["took"] + ": " + last.Fields["err"] + describePending(last)
 	if lost := lostServers(s, last.Fields["service"]); lost != "" {
 		text += "; lost meanwhile: " + lost
 	}
 	return text + "."
 }
 
-// before tells what had gone wrong before the caller left.
-func before(s Story) string {
+// earlierErrors lists the failed attempts before the caller left.
+func earlierErrors(s Story) string {
 	var errs []string
 	for _, l := range s.Lines {
 		if l.Event == exchange.EventAgain.ID() {
@@ -170,7 +171,8 @@
 	return "; before that: " + strings.Join(errs, "; ")
 }
 
-// lostServers names the servers of the request's service that were lost near it.
+// lostServers names the servers of the request's service that were lost at about
+// the time of the request.
 func lostServers(s Story, service string) string {
 	seen := map[string]bool{}
 	var out []string
@@ -184,25 +186,26 @@
 	return strings.Join(out, ", ")
 }
 
-// turnedAway says which version decided, and whether a newer one was near.
-func turnedAway(s Story, last Line, all []Line) string {
+// describeRejected names the configuration version that rejected the request, and a
+// newer version if it was applied shortly afterwards.
+func describeRejected(s Story, last Line, all []Line) string {
 	if by := endedBy(last); by != "" && by != exchange.EndedByConfiguration {
-		return unread(last)
+		return describeInvalid(last)
 	}
 	text := fmt.Sprintf("It was answered %s by version %s of the configuration: %s", last.Fields["status"], last.Fields["version"], last.Fields["err"])
 	for _, l := range all {
 		if l.Event != site.EventApplied.ID() || l.Process != last.Process {
 			continue
 		}
-		if gap := l.At.Sub(last.At); gap > 0 && gap < aroundTime {
+		if gap := l.At.Sub(last.At); gap > 0 && gap < relatedWindow {
 			text += fmt.Sprintf("; version %s came into force there %v later", l.Fields["version"], gap.Round(time.Millisecond))
 			break
 		}
 	}
-	return text + storeLost(s) + "."
+	return text + describeStoreLoss(s) + "."
 }
 
-func storeLost(s Story) string {
+func describeStoreLoss(s Story) string {
 	for _, l := range s.Around {
 		if l.Event == site.EventStoreLost.ID() {
 			return "; the store did not tell it: " + l.Fields["err"]
@@ -211,8 +214,9 @@
 	return ""
 }
 
-// ended is the case of a request without an end: its process ended first.
-func ended(s Story, last Line, all []Line) string {
+// describeUnfinished covers a request without an end event, usually because its
+// process ended first.
+func describeUnfinished(s Story, last Line, all []Line) string {
 	for _, l := range all {
 		if l.Process != last.Process || !l.At.After(last.At) {
 			continue
@@ -225,5 +229,5 @@
 				l.Process, last.At.Format(time.TimeOnly), l.At.Format(time.TimeOnly))
 		}
 	}
-	return "Its last line is no end: it is still running, or " + last.Process + " is gone for good" + before(s) + "."
+	return "Its last line is no end: it is still running, or " + last.Process + " is gone for good" + earlierErrors(s) + "."
 }
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -30,8 +30,8 @@
 level=error ts=2026-10-02T12:44:09.000000000Z process=edge-1 event=PY2722 name=exchange_failed request=r14 kind=at_most_once took=2s sent=0 pending=1 refused=0 server=i-6 ended_by=route_timeout err="no answer yet: exchange: time is up"
 `
 
-// Engineers on call are given a request's id and nothing else. Each kind of end
-// leads to its cause.
+// On-call engineers have only the ID of a request. Each kind of end must lead to
+// its cause.
 func TestCauses(t *testing.T) {
 	g := gomega.NewWithT(t)
 	lines, err := Read(strings.NewReader(logs))
@@ -58,8 +58,8 @@
 	}
 }
 
-// A line of the request uses a field that is also the line's own: the event
-// after which a stream went on must not hide the number of the line.
+// An event may have a field with the name of a header field: the number of the
+// event after which a stream was resumed must not replace the ID of the line.
 func TestFieldsThatRepeat(t *testing.T) {
 	g := gomega.NewWithT(t)
 	lines, err := Read(strings.NewReader(logs))
--- a/explain/line.go
+++ b/explain/line.go
@@ -1,5 +1,6 @@
-// Package explain tells from log lines alone what became of one request and
-// why. Engineers on call have nothing else: they can log in nowhere.
+// Package explain determines from log lines alone how a request ended and why, and
+// summarizes the requests of a period. On-call engineers have only the logs: they
+// cannot log in to any machine.
 package explain
 
 import (
@@ -17,19 +18,19 @@
 
 // Line is one log line of a process.
 type Line struct {
-	At      time.Time
-	Process string
-	Event   string // number, such as PY2720
-	Name    string
-	Fields  map[string]string
-	order   int
+	At       time.Time
+	Process  string
+	Event    string // number, such as PY2720
+	Name     string
+	Fields   map[string]string
+	position int
 }
 
-// maxLine bounds one log line; a list of a few hundred servers fits.
+// maxLine is the maximum length of a log line; a list of a few hundred servers fits.
 const maxLine = 1 << 20
 
-// Read reads log lines; what is none is passed over. Text before the first
-// field, such as a collector's own time and host, is dropped.
+// Read reads log lines and skips other text. Text before the first field, such as
+// a log collector's timestamp and host, is dropped.
 func Read(r io.Reader) ([]Line, error) {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(make([]byte, 0, 64<<10), maxLine)
@@ -41,7 +42,7 @@
 			continue
 		}
 		if line, ok := parse(text[start:]); ok {
-			line.order = len(lines)
+			line.position = len(lines)
 			lines = append(lines, line)
 		}
 	}
@@ -55,8 +56,8 @@
 		return line, false
 	}
 	for decoder.ScanKeyval() {
-		// The line's own fields come first; one of the same name after them is
-		// another matter's.
+		// The header fields come first; a later field of the same name belongs to
+		// the event.
 		if _, twice := line.Fields[string(decoder.Key())]; !twice {
 			line.Fields[string(decoder.Key())] = string(decoder.Value())
 		}
@@ -75,35 +76,35 @@
 	return line, line.Event != ""
 }
 
-// sorted returns lines by time; those of one process keep their order, whose
-// clock may have been set back between them.
-func sorted(lines []Line) []Line {
+// sortLines returns the lines ordered by time. Lines of one process keep their
+// order, because its clock may have been set back between them.
+func sortLines(lines []Line) []Line {
 	out := append([]Line(nil), lines...)
 	sort.SliceStable(out, func(i, j int) bool {
 		if out[i].Process == out[j].Process {
-			return out[i].order < out[j].order
+			return out[i].position < out[j].position
 		}
 		return out[i].At.Before(out[j].At)
 	})
 	return out
 }
 
-// names tells whether the line is about a request, alone or among others.
-func (l *Line) names(request string) bool {
+// mentions reports whether the line is about a request, alone or in a list.
+func (l *Line) mentions(request string) bool {
 	if l.Fields[event.FieldRequest] == request {
 		return true
 	}
-	_, found := l.among(request)
+	_, found := l.findInList(request)
 	return found
 }
 
-// serverOf returns the backend server of a request that is named among others.
+// serverOf returns the backend server of a request in a list of requests.
 func (l *Line) serverOf(request string) string {
-	server, _ := l.among(request)
+	server, _ := l.findInList(request)
 	return server
 }
 
-func (l *Line) among(request string) (server string, found bool) {
+func (l *Line) findInList(request string) (server string, found bool) {
 	list := l.Fields[event.FieldRequests]
 	if list == "" {
 		return "", false
--- a/explain/period.go
+++ b/explain/period.go
@@ -18,72 +18,72 @@
 	"github.com/pearyard/pearyard/site"
 )
 
-// Objective says when an answer is in time.
+// Objective is the latency within which an answer is in time.
 type Objective struct {
-	Answer time.Duration `json:"answer"` // until the answer, of a stream until its first event; 0: none
+	Answer time.Duration `json:"answer"` // until the answer, for a stream until its first event; 0: none
 	Gap    time.Duration `json:"gap"`    // longest pause between events; 0: none
 }
 
-// Period gathers what the lines of all processes tell of a time. Each file is
-// read by Read, lines of a process in their order; Summary then tells.
+// Period aggregates the log lines of all processes over a period. Read reads each
+// file, the lines of a process in their order; Summary then returns the result.
 //
-// It keeps counts by second, route and cause, and single requests only while
-// they are on their way and something has happened to them: ten million lines
-// need the memory of a few hundred thousand counts.
+// It keeps counts by second, route and cause, and single requests only while they
+// are running and an event other than their end has been read. Ten million lines
+// thus need only the memory of a few hundred thousand counts.
 type Period struct {
-	given      map[string]Objective // by kind, by the operator
-	objectives map[string]Objective // by kind, by the lines
-	names      interned
-	kinds      map[int32]string // of a route
-	seconds    map[slot]*tally
-	causes     map[causeSlot]*causeTally
-	open       map[string]*trouble           // by request
-	losses     map[string][]loss             // by zone
-	lostAt     map[string][]int64            // by server: seconds
-	zones      map[string]string             // of servers that were lost
-	pauses     map[pauseSlot]map[string]bool // servers of streams that paused so
-	processes  map[int32]*processState
-	Lines      int
-	Dropped    int // lines that processes dropped, by their own word
-	bad        map[string]*Bad
+	givenObjectives  map[string]Objective // by kind, set by the operator
+	loggedObjectives map[string]Objective // by kind, read from the lines
+	names            stringTable
+	kinds            map[int32]string // of a route
+	seconds          map[bucket]*tally
+	causes           map[causeBucket]*causeTally
+	open             map[string]*openRequest         // by request
+	losses           map[string][]loss               // by zone
+	lossSeconds      map[string][]int64              // by server: seconds
+	serverZones      map[string]string               // of servers that were lost, by server
+	pauses           map[pauseBucket]map[string]bool // servers of the streams that paused
+	processes        map[int32]*processState
+	Lines            int
+	Dropped          int // lines that processes report as dropped
+	unusable         map[string]*Bad
 }
 
-// loss is a server that a process found lost.
+// loss is a process's report that a server was lost.
 type loss struct {
 	second int64
 	server string
 }
 
-// processState is what a process has told of the store.
+// processState is whether a process can reach the store, according to its events.
 type processState struct{ storeLost, listLost bool }
 
-func (s *processState) storeAway() bool { return s.storeLost || s.listLost }
+func (s *processState) storeUnavailable() bool { return s.storeLost || s.listLost }
 
-// Bad counts lines that could not be used for one reason.
+// UnusableLines counts the lines that could not be used for one reason.
 type Bad struct {
 	Reason string `json:"reason"`
 	Count  int    `json:"count"`
 	First  string `json:"first"` // file and line of the first
 }
 
-// NewPeriod returns an empty period; given holds objectives by kind that go
-// before those of the lines.
+// NewPeriod returns an empty period. The given objectives, by kind, override those
+// read from the lines.
 func NewPeriod(given map[string]Objective) *Period {
 	return &Period{
-		given: given, objectives: map[string]Objective{}, names: interned{numbers: map[string]int32{}},
-		kinds: map[int32]string{}, seconds: map[slot]*tally{}, causes: map[causeSlot]*causeTally{},
-		open: map[string]*trouble{}, losses: map[string][]loss{}, lostAt: map[string][]int64{}, zones: map[string]string{},
-		pauses: map[pauseSlot]map[string]bool{}, processes: map[int32]*processState{}, bad: map[string]*Bad{},
+		givenObjectives: given, loggedObjectives: map[string]Objective{}, names: stringTable{numbers: map[string]int32{}},
+		kinds: map[int32]string{}, seconds: map[bucket]*tally{}, causes: map[causeBucket]*causeTally{},
+		open: map[string]*openRequest{}, losses: map[string][]loss{}, lossSeconds: map[string][]int64{}, serverZones: map[string]string{},
+		pauses: map[pauseBucket]map[string]bool{}, processes: map[int32]*processState{}, unusable: map[string]*Bad{},
 	}
 }
 
-// interned numbers texts that repeat.
-type interned struct {
+// stringTable assigns numbers to strings that repeat.
+type stringTable struct {
 	numbers map[string]int32
 	texts   []string
 }
 
-func (n *interned) number(text []byte) int32 {
+func (n *stringTable) indexOf(text []byte) int32 {
 	if number, ok := n.numbers[string(text)]; ok {
 		return number
 	}
@@ -93,18 +93,18 @@
 	return number
 }
 
-// readBuffer is larger than nearly all lines; longer ones are put together.
+// readBuffer is larger than nearly all lines; longer lines are read in parts.
 const readBuffer = 256 << 10
 
-// Read takes the lines of a file. Lines that can't be used are counted by their
-// reason; an error is one of reading.
+// Read reads the lines of a file. Unusable lines are counted by reason; the error
+// returned is a read error.
 func (p *Period) Read(r io.Reader, file string) error {
 	reader := bufio.NewReaderSize(r, readBuffer)
 	var rec record
 	for number := 1; ; number++ {
 		text, err := readLine(reader)
 		if len(text) > 0 {
-			p.take(&rec, text, file, number)
+			p.addLine(&rec, text, file, number)
 		}
 		if errors.Is(err, io.EOF) {
 			return nil
@@ -115,8 +115,8 @@
 	}
 }
 
-// readLine returns a line up to maxLine and a byte; the rest of a longer one is
-// dropped.
+// readLine returns a line, cut at maxLine+1 bytes so that the caller can see that
+// it is too long.
 func readLine(reader *bufio.Reader) ([]byte, error) {
 	text, err := reader.ReadSlice('\n')
 	if !errors.Is(err, bufio.ErrBufferFull) {
@@ -130,9 +130,9 @@
 	return long, err
 }
 
-func (p *Period) take(rec *record, text []byte, file string, number int) {
+func (p *Period) addLine(rec *record, text []byte, file string, number int) {
 	if len(text) > maxLine {
-		p.note(errLong, file, number)
+		p.countUnusable(errTooLong, file, number)
 		return
 	}
 	line, err := rec.scan(text)
@@ -141,64 +141,64 @@
 	}
 	if err == nil {
 		p.Lines++
-		err = p.apply(rec)
+		err = p.addEvent(rec)
 	}
 	if err != nil {
-		p.note(err, file, number)
+		p.countUnusable(err, file, number)
 	}
 }
 
-func (p *Period) note(err error, file string, number int) {
+func (p *Period) countUnusable(err error, file string, number int) {
 	reason := err.Error()
-	b := p.bad[reason]
+	b := p.unusable[reason]
 	if b == nil {
 		b = &Bad{Reason: reason, First: fmt.Sprintf("%s:%d", file, number)}
-		p.bad[reason] = b
+		p.unusable[reason] = b
 	}
 	b.Count++
 }
 
-// Numbers of the events that a summary uses.
+// IDs of the events that a summary uses.
 var (
 	idServed, idRefused, idFailed = exchange.EventServed.ID(), exchange.EventRefused.ID(), exchange.EventFailed.ID()
-	idLeft, idLinkLost, idCut     = exchange.EventCallerLeft.ID(), exchange.EventCallerLost.ID(), exchange.EventCut.ID()
+	idLeft, idCallerLost, idCut   = exchange.EventCallerLeft.ID(), exchange.EventCallerLost.ID(), exchange.EventCut.ID()
 	idQuarantined                 = exchange.EventQuarantined.ID()
 	idAgain, idResumed            = exchange.EventAgain.ID(), exchange.EventResumed.ID()
 	idCopied, idRunning           = exchange.EventCopied.ID(), exchange.EventRunning.ID()
 	idServerLost                  = exchange.EventServerLost.ID()
-	idTurnedAway, idNotYet        = entry.EventTurnedAway.ID(), entry.EventNoConfig.ID()
-	idStopping, idRouteRefused    = entry.EventStopRefused.ID(), entry.EventRouteRefused.ID()
+	idTurnedAway, idNoConfig      = entry.EventTurnedAway.ID(), entry.EventNoConfig.ID()
+	idStopRefused, idRouteRefused = entry.EventStopRefused.ID(), entry.EventRouteRefused.ID()
 	idStarted                     = entry.EventStarted.ID()
 	idApplied                     = site.EventApplied.ID()
-	idStoreLost, idStoreBack      = site.EventStoreLost.ID(), site.EventStoreRegained.ID()
-	idListLost, idListBack        = directory.EventListLost.ID(), directory.EventListRegained.ID()
+	idStoreLost, idStoreRegained  = site.EventStoreLost.ID(), site.EventStoreRegained.ID()
+	idListLost, idListRegained    = directory.EventListLost.ID(), directory.EventListRegained.ID()
 )
 
-func (p *Period) apply(rec *record) error {
-	process := p.names.number(rec.fields[fieldProcess])
+func (p *Period) addEvent(rec *record) error {
+	process := p.names.indexOf(rec.fields[fieldProcess])
 	p.countDropped(rec)
 	switch string(rec.fields[fieldEvent]) {
-	case idServed, idRefused, idFailed, idLeft, idLinkLost, idCut:
-		return p.ended(rec)
-	case idQuarantined, idStopping, idRouteRefused, idNotYet, idTurnedAway:
-		return p.turnedBack(rec, process)
+	case idServed, idRefused, idFailed, idLeft, idCallerLost, idCut:
+		return p.recordEnd(rec)
+	case idQuarantined, idStopRefused, idRouteRefused, idNoConfig, idTurnedAway:
+		return p.recordRejection(rec, process)
 	case idAgain, idResumed, idCopied:
-		return p.troubled(rec, process)
+		return p.recordAttemptEvent(rec, process)
 	case idRunning:
-		p.onTheirWay(rec, process)
+		p.recordRunning(rec, process)
 	case idServerLost:
-		p.serverLost(rec)
+		p.recordServerLoss(rec)
 	case idApplied:
-		return p.applied(rec)
+		return p.recordObjectives(rec)
 	case idStarted:
-		p.started(rec, process)
+		p.recordStart(rec, process)
 	case idStoreLost:
 		p.state(process).storeLost = true
-	case idStoreBack:
+	case idStoreRegained:
 		p.state(process).storeLost = false
 	case idListLost:
 		p.state(process).listLost = true
-	case idListBack:
+	case idListRegained:
 		p.state(process).listLost = false
 	}
 	return nil
@@ -218,25 +218,25 @@
 		if len(rec.fields[f]) > 0 {
 			n, err := strconv.Atoi(rec.text(f))
 			if err != nil {
-				continue // the line's own word is the only use of this field
+				continue // an unreadable count doesn't make the line unusable
 			}
 			p.Dropped += n
 		}
 	}
 }
 
-// applied learns the objectives that a configuration sets.
-func (p *Period) applied(rec *record) error {
+// recordObjectives records the objectives of a configuration that was applied.
+func (p *Period) recordObjectives(rec *record) error {
 	if len(rec.fields[fieldObjectives]) == 0 {
-		return nil // of a version that didn't tell them
+		return nil // written by a version that did not log objectives
 	}
 	for _, word := range strings.Split(rec.text(fieldObjectives), site.ObjectiveSeparator) {
 		kind, o, err := ParseObjective(word)
 		if err != nil {
-			return errValue
+			return errBadValue
 		}
-		old := p.objectives[kind]
-		p.objectives[kind] = Objective{Answer: max(old.Answer, o.Answer), Gap: max(old.Gap, o.Gap)}
+		old := p.loggedObjectives[kind]
+		p.loggedObjectives[kind] = Objective{Answer: max(old.Answer, o.Answer), Gap: max(old.Gap, o.Gap)}
 	}
 	return nil
 }
@@ -260,61 +260,64 @@
 }
 
 func (p *Period) objective(kind string) Objective {
-	if o, ok := p.given[kind]; ok {
+	if o, ok := p.givenObjectives[kind]; ok {
 		return o
 	}
-	return p.objectives[kind]
+	return p.loggedObjectives[kind]
 }
 
-func (p *Period) serverLost(rec *record) {
+func (p *Period) recordServerLoss(rec *record) {
 	zone, server := rec.text(fieldZone), rec.text(fieldServer)
 	second := rec.at.Unix()
 	p.losses[zone] = append(p.losses[zone], loss{second, server})
-	p.lostAt[server] = append(p.lostAt[server], second)
-	p.zones[server] = zone
+	p.lossSeconds[server] = append(p.lossSeconds[server], second)
+	p.serverZones[server] = zone
 }
 
-// started ends what was on its way in the process's run before.
-func (p *Period) started(rec *record, process int32) {
+// recordStart ends the requests that were running in the previous incarnation of
+// the process.
+func (p *Period) recordStart(rec *record, process int32) {
 	*p.state(process) = processState{}
 	for id, t := range p.open {
 		if t.process == process {
-			p.gone(id, t)
+			p.recordLost(id, t)
 		}
 	}
 }
 
-// routeNotTold stands for the routes of streams that have no end: the line that
-// names them while they run has none.
-const routeNotTold = "not_told"
+// unknownRoute is the route of streams without an end: the line that lists running
+// streams has no route.
+const unknownRoute = "not_told"
 
-// gone notes a request whose process ended without a word of it. One that no
-// line has named as running may have ended before lines that were dropped.
-func (p *Period) gone(id string, t *trouble) {
+// recordLost counts a request whose process ended before the request did. Requests
+// that were not listed as running are left out: they may have ended, and the line
+// was dropped.
+func (p *Period) recordLost(id string, t *openRequest) {
 	delete(p.open, id)
 	if !t.running {
 		return
 	}
-	route := p.names.number([]byte(routeNotTold))
+	route := p.names.indexOf([]byte(unknownRoute))
 	p.kinds[route] = site.Stream.String()
-	key := slot{t.at, route}
-	p.count(key, Failed)
-	p.caused(causeSlot{slot: key, outcome: Failed, cause: CauseProcessGone}, Example{Request: id, Route: routeNotTold})
+	key := bucket{t.lastSecond, route}
+	p.countOutcome(key, Failed)
+	p.countCause(causeBucket{bucket: key, outcome: Failed, cause: CauseProcessGone}, Example{Request: id, Route: unknownRoute})
 }
 
-// onTheirWay notes streams by the line that names each once.
-func (p *Period) onTheirWay(rec *record, process int32) {
+// recordRunning records the streams that a line lists as running; each stream is
+// listed once.
+func (p *Period) recordRunning(rec *record, process int32) {
 	for _, item := range strings.Split(rec.text(fieldRequests), event.RequestSeparator) {
 		id, _, _ := strings.Cut(item, event.ServerSeparator)
-		t := p.troubleOf(id, process)
-		t.running, t.at = true, rec.at.Unix()
+		t := p.openRequestOf(id, process)
+		t.running, t.lastSecond = true, rec.at.Unix()
 	}
 }
 
-func (p *Period) troubleOf(id string, process int32) *trouble {
+func (p *Period) openRequestOf(id string, process int32) *openRequest {
 	t := p.open[id]
 	if t == nil {
-		t = &trouble{process: process}
+		t = &openRequest{process: process}
 		p.open[id] = t
 	}
 	return t
--- a/explain/period_bench_test.go
+++ b/explain/period_bench_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// generated writes lines as a day with trouble has them: nine in ten are ends of
-// requests, and a tenth of these follow trouble.
+// generated produces the lines of a day with many failures: nine in ten lines are
+// ends of requests, and a tenth of those requests had a failed attempt.
 type generated struct {
 	left  int
 	at    time.Time
@@ -56,11 +56,11 @@
 		head, id, server%17, server, g.rand.IntN(320), server)
 }
 
-// BenchmarkPeriod reads as many lines as PEARYARD_BENCH_LINES says, or 200,000.
-// The bound is ten million in a minute and under 1 GB: 10,009,213 lines took 20.4 s
-// and 535 MB of the system's memory, the generator's 128 MB among them, on one
-// core of a busy machine. Reading all fields into a map a line, as Read does,
-// would need all lines in memory.
+// BenchmarkPeriod reads PEARYARD_BENCH_LINES lines, by default 200,000. The target
+// is ten million lines in one minute and under 1 GB: 10,009,213 lines took 20.4 s
+// and 535 MB of system memory, including 128 MB of the generator, on one core of a
+// busy machine. Reading all fields into a map per line, as Read does, would need
+// all lines in memory.
 func BenchmarkPeriod(b *testing.B) {
 	lines := 200_000
 	if n, err := strconv.Atoi(os.Getenv("PEARYARD_BENCH_LINES")); err == nil {
--- a/explain/period_test.go
+++ b/explain/period_test.go
@@ -11,10 +11,10 @@
 	"github.com/pearyard/pearyard/exchange"
 )
 
-// testObjectives is the line by which a process tells them.
+// testObjectives is the line in which a process logs its objectives.
 const testObjectives = `level=info ts=2026-10-02T12:00:00Z process=edge-1 event=PY2700 name=site_config_applied version=2 objectives=at_most_once:300ms,idempotent:300ms,stream:4.5s/700ms` + "\n"
 
-// lineOf writes a line at a time of the test's hour; at is minutes and seconds.
+// lineOf returns a log line; at is the minutes and seconds of its time.
 func lineOf(process, at, number, rest string) string {
 	return fmt.Sprintf("level=info ts=2026-10-02T12:%sZ process=%s event=%s name=x %s\n", at, process, number, rest)
 }
@@ -30,8 +30,8 @@
 	return p
 }
 
-// Engineers on call are told that answers were slow between two times. They ask
-// which requests of which kind came in that time and what became of them.
+// On-call engineers know that answers were slow between two times. The summary
+// counts the requests that arrived then, by kind and outcome.
 func TestSummaryCountsByKindAndArrival(t *testing.T) {
 	g := gomega.NewWithT(t)
 	logs := testObjectives +
@@ -50,14 +50,14 @@
 	g.Expect(s.Kinds).To(gomega.Equal([]KindCounts{
 		{Kind: "idempotent", Counts: Counts{Sent: 3, InTime: 1, Late: 1, Failed: 1}},
 		{Kind: "stream", Counts: Counts{Sent: 4, InTime: 1, Late: 1, Refused: 1, Left: 1}},
-		{Kind: noKind, Counts: Counts{Turned: 1}},
+		{Kind: unknownKind, Counts: Counts{Turned: 1}},
 	}))
-	g.Expect(s.Kinds[1].Share()).To(gomega.BeNumerically("~", 1.0/3, 1e-9), "one that left of its own accord is not owed")
+	g.Expect(s.Kinds[1].Share()).To(gomega.BeNumerically("~", 1.0/3, 1e-9), "a caller that left of its own accord is not counted")
 	g.Expect(s.Spans).To(gomega.HaveLen(1), "by arrival, not by the end")
 	g.Expect(s.Worst).To(gomega.Equal([]int{0}))
 }
 
-// Each rule, with the lines that a process writes in such a case.
+// Tests each rule with the lines that a process writes in that case.
 func TestSummaryCauses(t *testing.T) {
 	zoneLoss := lineOf("edge-1", "01:02.0", "PY2726", "server=i-1 service=m zone=errol err=x") +
 		lineOf("edge-2", "01:02.5", "PY2726", "server=i-2 service=m zone=errol err=x") +
@@ -131,8 +131,8 @@
 	}
 }
 
-// Callers come back in one moment after an outage, and streams wait at servers
-// that are sound. The cause is the wave, also in the seconds just after it.
+// After an outage all callers retry at once, and streams queue at healthy servers.
+// The cause is the surge, also in the seconds just after it.
 func TestSummaryTellsWaves(t *testing.T) {
 	g := gomega.NewWithT(t)
 	logs := testObjectives
@@ -158,8 +158,8 @@
 	g.Expect(got).To(gomega.Equal(map[Cause]int{CauseQueue: 17, CauseWave: 3}))
 }
 
-// A VM stands still for three seconds, and all streams through it pause. The lines
-// of the process name a pause for each, and five sound servers.
+// A VM stalls for three seconds, and all streams through it pause. The lines of the
+// process show a pause for each stream, with five healthy servers.
 func TestSummaryTellsAProcessThatStoodStill(t *testing.T) {
 	g := gomega.NewWithT(t)
 	logs := testObjectives
@@ -176,8 +176,8 @@
 	g.Expect(got).To(gomega.Equal(map[Cause]int{CauseStoodStill: 5, CausePause: 1}))
 }
 
-// A log's end is cut, a collector mixed two lines, and a line was damaged. What
-// is left is told, and what is missing is counted and named.
+// The end of a log is truncated, a collector interleaved two lines, and a line is
+// damaged. The other lines are used, and the unusable ones are counted by reason.
 func TestSummaryCountsLinesThatItCannotUse(t *testing.T) {
 	g := gomega.NewWithT(t)
 	good := lineOf("edge-1", "01:08.0", "PY2720", "request=a route=r kind=idempotent took=8ms status=200 ended_by=answer dropped_info=7")
@@ -194,16 +194,16 @@
 	g.Expect(s.Kinds).To(gomega.HaveLen(1))
 	g.Expect(s.Kinds[0].Counts).To(gomega.Equal(Counts{Sent: 1, InTime: 1}))
 	g.Expect(s.Bad).To(gomega.ConsistOf(
-		Bad{errCut.Error(), 3, "file0:6"},
-		Bad{errMixed.Error(), 1, "file0:4"},
-		Bad{errValue.Error(), 1, "file0:5"},
-		Bad{errTime.Error(), 1, "file0:7"},
-		Bad{errLong.Error(), 1, "file0:8"},
+		Bad{errTruncated.Error(), 3, "file0:6"},
+		Bad{errInterleaved.Error(), 1, "file0:4"},
+		Bad{errBadValue.Error(), 1, "file0:5"},
+		Bad{errBadTime.Error(), 1, "file0:7"},
+		Bad{errTooLong.Error(), 1, "file0:8"},
 	))
 	g.Expect(s.Dropped).To(gomega.Equal(7 * 3))
 }
 
-// A whole line after a cut one, or the last one without its end, is used.
+// A complete last line is used even without a newline.
 func TestSummaryUsesTheLastLine(t *testing.T) {
 	g := gomega.NewWithT(t)
 	last := lineOf("edge-1", "01:08.0", "PY2720", "request=a route=r kind=idempotent took=8ms status=200 ended_by=answer")
@@ -211,8 +211,8 @@
 	g.Expect(s.Kinds[0].Sent).To(gomega.Equal(1))
 }
 
-// The worst seconds are those in which the kinds fared worst, not those with the
-// most requests: a few streams don't drown in plain calls.
+// Spans are ranked by the mean share over the kinds, not by the number of requests:
+// a few late streams count as much as many plain calls.
 func TestSummaryNamesTheWorstSpans(t *testing.T) {
 	g := gomega.NewWithT(t)
 	logs := testObjectives
@@ -234,7 +234,7 @@
 	g.Expect(cut.Kinds[0].Sent).To(gomega.Equal(40))
 }
 
-// Objectives that the operator gives go before those of the lines.
+// Objectives set by the operator override those in the lines.
 func TestSummaryTakesGivenObjectives(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := NewPeriod(map[string]Objective{"idempotent": {Answer: time.Millisecond}})
@@ -255,12 +255,12 @@
 	}
 }
 
-// The rules go by words of errors that package exchange writes.
+// The rules match error texts of package exchange.
 func TestWordsOfErrors(t *testing.T) {
 	g := gomega.NewWithT(t)
-	g.Expect(new(exchange.LateError).Error()).To(gomega.ContainSubstring(wordsLate))
-	g.Expect((&exchange.SilentError{Alive: true}).Error()).To(gomega.ContainSubstring(wordsSilent))
-	g.Expect((&exchange.NotRunError{Reason: exchange.Busy}).Error()).To(gomega.ContainSubstring(wordsBusy))
+	g.Expect(new(exchange.LateError).Error()).To(gomega.ContainSubstring(textLate))
+	g.Expect((&exchange.SilentError{Alive: true}).Error()).To(gomega.ContainSubstring(textSilent))
+	g.Expect((&exchange.NotRunError{Reason: exchange.Busy}).Error()).To(gomega.ContainSubstring(textBusy))
 }
 
 func FuzzPeriod(f *testing.F) {
--- a/explain/rules.go
+++ b/explain/rules.go
@@ -6,96 +6,96 @@
 	"slices"
 )
 
-// Rules that need all lines.
+// Parameters of the rules that need all lines.
 const (
-	// zoneWithin and zoneServers: a zone that lost so many servers so close to
-	// each other has failed as a whole.
-	zoneWithin  = 2 // seconds
-	zoneServers = 3
-	// lossNear is how far a try's failure may be from the line by which some
-	// process found its server lost.
-	lossNear = 5 // seconds
-	// waveTimes the usual count of requests of a kind, and waveLasts seconds from
-	// then on: servers are still behind.
-	waveTimes = 2
-	waveLasts = 3
-	// stoodStillServers that pause for the same time at one process don't do so of
-	// themselves.
-	stoodStillServers = 3
+	// A zone that loses zoneLossServers within zoneLossWindow has failed as a whole.
+	zoneLossWindow  = 2 // seconds
+	zoneLossServers = 3
+	// lossTolerance is the maximum time between a failed attempt and the line in
+	// which some process reports its server lost.
+	lossTolerance = 5 // seconds
+	// A second with surgeFactor times the usual number of requests of a kind begins
+	// a surge. It lasts surgeDuration, since servers then still have a backlog.
+	surgeFactor   = 2
+	surgeDuration = 3 // seconds
+	// If streams of stallServers pause for the same time in one process, the cause
+	// is the process and not the servers.
+	stallServers = 3
 )
 
-// resolve decides what takes the lines of other requests and processes.
-func (b *builder) resolve(key causeSlot, kind string) Cause {
+// resolve refines a cause by the lines of other requests and processes.
+func (b *builder) resolve(key causeBucket, kind string) Cause {
 	switch key.cause {
 	case CauseServerLost:
-		return b.lossOf(key)
+		return b.serverLossCause(key)
 	case CausePause:
-		if len(b.period.pauses[key.paused]) >= stoodStillServers {
+		if len(b.period.pauses[key.pause]) >= stallServers {
 			return CauseStoodStill
 		}
 	case CauseQueue, CauseAdmission:
-		if b.waves[kind][key.second] {
+		if b.surges[kind][key.second] {
 			return CauseWave
 		}
 	}
 	return key.cause
 }
 
-func (b *builder) lossOf(key causeSlot) Cause {
-	try := key.try
-	if zone, found := b.period.zones[try.server]; found && b.zoneLosses[zone][try.at] {
+func (b *builder) serverLossCause(key causeBucket) Cause {
+	try := key.attempt
+	if zone, found := b.period.serverZones[try.server]; found && b.zoneLossSeconds[zone][try.second] {
 		return CauseZoneLost
 	}
-	if try.silent && !b.period.wasLost(try) {
+	if try.silent && !b.period.reportedLost(try) {
 		return CauseServerSilent
 	}
 	return CauseServerLost
 }
 
-func (p *Period) wasLost(try failedTry) bool {
-	return slices.ContainsFunc(p.lostAt[try.server], func(second int64) bool {
-		return second-lossNear <= try.at && try.at <= second+lossNear
+func (p *Period) reportedLost(try failedAttempt) bool {
+	return slices.ContainsFunc(p.lossSeconds[try.server], func(second int64) bool {
+		return second-lossTolerance <= try.second && try.second <= second+lossTolerance
 	})
 }
 
-// lossesOfZones returns the seconds near which zones had lost several servers.
-func (p *Period) lossesOfZones() map[string]map[int64]bool {
+// zoneLossSeconds returns, by zone, the seconds close to which the zone lost several
+// servers.
+func (p *Period) zoneLossSeconds() map[string]map[int64]bool {
 	out := map[string]map[int64]bool{}
 	for zone, losses := range p.losses {
 		slices.SortFunc(losses, func(a, b loss) int { return cmp.Compare(a.second, b.second) })
-		out[zone] = lossesOfZone(losses)
+		out[zone] = lossSeconds(losses)
 	}
 	return out
 }
 
-func lossesOfZone(losses []loss) map[int64]bool {
+func lossSeconds(losses []loss) map[int64]bool {
 	seconds := map[int64]bool{}
 	inWindow := map[string]int{}
 	from := 0
 	for _, l := range losses {
 		inWindow[l.server]++
-		for ; losses[from].second < l.second-zoneWithin; from++ {
-			leave(inWindow, losses[from].server)
+		for ; losses[from].second < l.second-zoneLossWindow; from++ {
+			removeServer(inWindow, losses[from].server)
 		}
-		if len(inWindow) < zoneServers {
+		if len(inWindow) < zoneLossServers {
 			continue
 		}
-		for second := l.second - lossNear; second <= l.second+lossNear; second++ {
+		for second := l.second - lossTolerance; second <= l.second+lossTolerance; second++ {
 			seconds[second] = true
 		}
 	}
 	return seconds
 }
 
-func leave(counts map[string]int, server string) {
+func removeServer(counts map[string]int, server string) {
 	counts[server]--
 	if counts[server] == 0 {
 		delete(counts, server)
 	}
 }
 
-// waves returns the seconds of a kind's waves and those just after them.
-func (p *Period) waves() map[string]map[int64]bool {
+// surges returns, by kind, the seconds of surges and those just after them.
+func (p *Period) surges() map[string]map[int64]bool {
 	counts := map[string]map[int64]int{}
 	for key, t := range p.seconds {
 		kind := p.kindOf(key.route)
@@ -108,22 +108,24 @@
 	}
 	out := map[string]map[int64]bool{}
 	for kind, perSecond := range counts {
-		out[kind] = wavesOf(perSecond)
+		out[kind] = findSurges(perSecond)
 	}
 	return out
 }
 
-// fewRequests is how many in a second are no wave: streams come one by one.
-const fewRequests = 4
+// minSurgeRequests is the smallest number of requests in a second that can be a
+// surge. Streams arrive singly, so that a few already are a multiple of the usual
+// number.
+const minSurgeRequests = 4
 
-func wavesOf(perSecond map[int64]int) map[int64]bool {
+func findSurges(perSecond map[int64]int) map[int64]bool {
 	usual := slices.Sorted(maps.Values(perSecond))[len(perSecond)/2]
 	waves := map[int64]bool{}
 	for second, n := range perSecond {
-		if n < fewRequests || n < waveTimes*usual {
+		if n < minSurgeRequests || n < surgeFactor*usual {
 			continue
 		}
-		for i := range int64(waveLasts) {
+		for i := range int64(surgeDuration) {
 			waves[second+i] = true
 		}
 	}
--- a/explain/scan.go
+++ b/explain/scan.go
@@ -7,17 +7,17 @@
 	"github.com/pkg/errors"
 )
 
-// Why a line could not be used.
+// Reasons why a line could not be used.
 var (
-	errCut   = errors.New("cut: its last field has no end, or a field that it must have is missing")
-	errMixed = errors.New("mixed: two lines stand in one")
-	errTime  = errors.New("its time can't be read")
-	errValue = errors.New("the value of a field can't be read")
-	errLong  = errors.New("too long")
+	errTruncated   = errors.New("cut: its last field has no end, or a field that it must have is missing")
+	errInterleaved = errors.New("mixed: two lines stand in one")
+	errBadTime     = errors.New("its time can't be read")
+	errBadValue    = errors.New("the value of a field can't be read")
+	errTooLong     = errors.New("too long")
 )
 
 // record is a line whose fields point into the reader's buffer. A summary reads
-// millions of lines: a map for each, as Line has it, takes ten times as long.
+// millions of lines, and a map for each, as in Line, takes ten times as long.
 type record struct {
 	at     time.Time
 	fields [fieldCount][]byte
@@ -103,20 +103,19 @@
 	}
 }
 
-// lineStart is what each line of a process begins with; a collector's own words
-// may stand before it.
-var lineStart = []byte("level=")
+// linePrefix begins each line of a process; a log collector may put text before it.
+var linePrefix = []byte("level=")
 
-// scan reads one line; it reports false for text that is no line of a process.
+// scan reads one line. It returns false for text that is not a line of a process.
 func (r *record) scan(text []byte) (bool, error) {
-	start := bytes.Index(text, lineStart)
+	start := bytes.Index(text, linePrefix)
 	if start < 0 {
 		return false, nil
 	}
 	r.fields = [fieldCount][]byte{}
-	rest := bytes.TrimRight(text[start+len(lineStart):], " \r\n")
-	if bytes.Contains(rest, lineStart) {
-		return true, errMixed
+	rest := bytes.TrimRight(text[start+len(linePrefix):], " \r\n")
+	if bytes.Contains(rest, linePrefix) {
+		return true, errInterleaved
 	}
 	for len(rest) > 0 {
 		name, value, after, err := nextField(rest)
@@ -124,28 +123,28 @@
 			return true, err
 		}
 		rest = after
-		// The line's own fields come first; one of the same name after them is
-		// another matter's.
+		// The header fields come first; a later field of the same name belongs to
+		// the event.
 		if f, used := fieldOf(name); used && r.fields[f] == nil {
 			r.fields[f] = value
 		}
 	}
-	return true, r.check()
+	return true, r.parseHeader()
 }
 
-// nextField cuts a field off; a quoted value keeps its escapes, which stand in
-// no value that is compared.
+// nextField splits off the first field. Escapes in a quoted value are kept, since
+// no value that is compared contains any.
 func nextField(text []byte) (name, value, rest []byte, err error) {
 	text = bytes.TrimLeft(text, " ")
 	end := bytes.IndexAny(text, "= ")
 	if end < 0 || text[end] == ' ' {
-		return nil, nil, text[max(0, end):], cutAtEnd(end)
+		return nil, nil, text[max(0, end):], missingValueError(end)
 	}
 	name, text = text[:end], text[end+1:]
 	if len(text) > 0 && text[0] == '"' {
 		end := closingQuote(text)
 		if end < 0 {
-			return nil, nil, nil, errCut
+			return nil, nil, nil, errTruncated
 		}
 		return name, text[1:end], text[end+1:], nil
 	}
@@ -156,11 +155,12 @@
 	return name, text[:end:end], text[end:], nil
 }
 
-// cutAtEnd returns the error of a name without a value at the line's end; one in
-// its middle, as the value of level leaves it, is passed over.
-func cutAtEnd(end int) error {
+// missingValueError returns an error for a name without a value at the end of the
+// line. In the middle of the line, where the value of level leaves one, it is
+// skipped.
+func missingValueError(end int) error {
 	if end < 0 {
-		return errCut
+		return errTruncated
 	}
 	return nil
 }
@@ -177,14 +177,14 @@
 	return -1
 }
 
-// check reads the time, without which a line is of no use.
-func (r *record) check() error {
+// parseHeader checks the required fields and parses the time.
+func (r *record) parseHeader() error {
 	if len(r.fields[fieldEvent]) == 0 || len(r.fields[fieldProcess]) == 0 || len(r.fields[fieldTime]) == 0 {
-		return errCut
+		return errTruncated
 	}
 	at, err := time.Parse(time.RFC3339Nano, string(r.fields[fieldTime]))
 	if err != nil {
-		return errTime
+		return errBadTime
 	}
 	r.at = at
 	return nil
@@ -192,19 +192,19 @@
 
 func (r *record) text(f field) string { return string(r.fields[f]) }
 
-// has tells whether a field's value holds some text.
-func (r *record) has(f field, text string) bool {
+// contains reports whether a field's value contains the text.
+func (r *record) contains(f field, text string) bool {
 	return bytes.Contains(r.fields[f], []byte(text))
 }
 
-// duration reads a field that a line of this kind must have.
+// duration parses a required field.
 func (r *record) duration(f field) (time.Duration, error) {
 	if len(r.fields[f]) == 0 {
-		return 0, errCut
+		return 0, errTruncated
 	}
 	d, err := time.ParseDuration(r.text(f))
 	if err != nil {
-		return 0, errValue
+		return 0, errBadValue
 	}
 	return d, nil
 }
--- a/explain/sides.go
+++ b/explain/sides.go
@@ -9,18 +9,18 @@
 	"github.com/pearyard/pearyard/site"
 )
 
-// endedBy returns the side that a request's last line names; lines of older
-// versions name none.
+// endedBy returns what ended a request according to its last line. Lines of older
+// versions lack this field.
 func endedBy(last Line) exchange.EndedBy { return exchange.EndedBy(last.Fields[event.FieldEndedBy]) }
 
-// who begins the sentence about a request that failed.
-func who(last Line) string {
+// failureSubject returns the beginning of the sentence about a failed request.
+func failureSubject(last Line) string {
 	server := last.Fields["server"]
 	switch endedBy(last) {
 	case exchange.EndedByServer:
 		return fmt.Sprintf("Its backend server %s broke it off", server)
 	case exchange.EndedByServerLink:
-		return fmt.Sprintf("The connection to its backend server %s %s", server, lostHow(last))
+		return fmt.Sprintf("The connection to its backend server %s %s", server, describeLinkLoss(last))
 	case exchange.EndedByNoServer:
 		return "No backend server took it any more, and it ended"
 	case exchange.EndedByDeadline:
@@ -36,19 +36,20 @@
 	}
 }
 
-// resetWords are those of the system's error for a connection that was reset.
-const resetWords = "connection reset by peer"
+// resetText is the operating system's error for a connection that was reset.
+const resetText = "connection reset by peer"
 
-// lostHow tells a reset, which the server may have sent itself, from silence.
-func lostHow(last Line) string {
-	if strings.Contains(last.Fields["err"], resetWords) {
+// describeLinkLoss distinguishes a reset, which the server itself may have sent,
+// from a connection that timed out.
+func describeLinkLoss(last Line) string {
+	if strings.Contains(last.Fields["err"], resetText) {
 		return "was reset, by the server or on the way,"
 	}
 	return "went silent: the server, its VM or the way to it was lost. It ended"
 }
 
-// waitedFor names the server that a request without any answer was waiting for.
-func waitedFor(last Line) string {
+// describePending names the server that had sent nothing when the request ended.
+func describePending(last Line) string {
 	f := last.Fields
 	stream := f["kind"] == site.Stream.String() && f["first"] == "0s" && f["ran"] == "0" && f["refused"] == "0"
 	plain := f["pending"] == "1" && f["sent"] == "0" && f["refused"] == "0"
@@ -58,8 +59,8 @@
 	return "; its backend server " + f["server"] + " had sent nothing yet"
 }
 
-// refused tells why a request has not run.
-func refused(last Line) string {
+// describeRefused tells why a request was not run.
+func describeRefused(last Line) string {
 	why := ""
 	switch endedBy(last) {
 	case exchange.EndedByNoServer:
@@ -78,17 +79,18 @@
 	return "It was refused and has not run: " + why + last.Fields["err"] + "."
 }
 
-// callerLeft tells a caller that gave up from one whose time was over.
-func callerLeft(last Line) string {
+// describeCallerLeft distinguishes a caller that left from one whose deadline
+// passed.
+func describeCallerLeft(last Line) string {
 	if endedBy(last) == exchange.EndedByDeadline {
-		return "Its caller's deadline passed after " + last.Fields["took"] + ", and the caller closed the connection" + waitedFor(last)
+		return "Its caller's deadline passed after " + last.Fields["took"] + ", and the caller closed the connection" + describePending(last)
 	}
-	return "Its caller closed the connection after " + last.Fields["took"] + waitedFor(last)
+	return "Its caller closed the connection after " + last.Fields["took"] + describePending(last)
 }
 
-// unread tells why a request was turned away for what came of it, or because
-// not all of it came.
-func unread(last Line) string {
+// describeInvalid tells why a request was rejected for its content, or because it
+// was not received in full.
+func describeInvalid(last Line) string {
 	text := "It was answered " + last.Fields["status"]
 	switch endedBy(last) {
 	case exchange.EndedByLimit:
--- a/explain/summary.go
+++ b/explain/summary.go
@@ -7,37 +7,38 @@
 	"time"
 )
 
-// Summary is what the lines tell of a period.
+// Summary is the result of reading the log lines of a period.
 type Summary struct {
 	From       time.Time            `json:"from"`
 	To         time.Time            `json:"to"`
 	Lines      int                  `json:"lines"`
-	Dropped    int                  `json:"dropped"` // by processes whose output wasn't read
+	Dropped    int                  `json:"dropped"` // lines that processes dropped because their output wasn't read
 	Bad        []Bad                `json:"bad,omitempty"`
-	Unfinished int                  `json:"unfinished"` // requests on their way at the last line
+	Unfinished int                  `json:"unfinished"` // requests still running at the last line
 	Objectives map[string]Objective `json:"objectives"`
 	Kinds      []KindCounts         `json:"kinds"`
 	Causes     []CauseCount         `json:"causes"`
 	Spans      []Span               `json:"spans"` // all, by time
-	Worst      []int                `json:"worst"` // numbers of the worst spans, worst first
+	Worst      []int                `json:"worst"` // indices of the worst spans, worst first
 }
 
-// Counts are of requests by what became of them. Each sending of a caller is one:
-// one that comes back after a refusal is a new request.
+// Counts are numbers of requests by outcome. A caller's retry after a refusal counts
+// as a new request.
 type Counts struct {
 	Sent    int `json:"sent"`
 	InTime  int `json:"in_time"`
 	Late    int `json:"late"`
 	Refused int `json:"refused"`
 	Failed  int `json:"failed"`
-	Left    int `json:"left"`   // of the caller's own accord; not owed
-	Turned  int `json:"turned"` // away as wrong in themselves; not among sent
-	// TurnedBlind of them by a process that did not hear from the store: they may
-	// have been right.
+	Left    int `json:"left"`   // the caller left of its own accord; not in Share
+	Turned  int `json:"turned"` // invalid; not included in Sent
+	// RejectedOutdated of them were rejected by a process that could not reach the
+	// store: they may have been valid.
 	TurnedBlind int `json:"turned_blind"`
 }
 
-// Share returns how many of the requests that were owed were in time; 1 of none.
+// Share returns the share in time of the requests whose caller did not leave; 1 if
+// there are none.
 func (c Counts) Share() float64 {
 	owed := c.Sent - c.Left
 	if owed <= 0 {
@@ -46,60 +47,61 @@
 	return float64(c.InTime) / float64(owed)
 }
 
-// KindCounts are the counts of a kind of request.
+// KindCounts are the counts of one kind of request.
 type KindCounts struct {
 	Kind string `json:"kind"`
 	Counts
 }
 
-// CauseCount says how many requests of a kind were not in time for a cause.
+// CauseCount is the number of requests of a kind that a cause kept from being in
+// time.
 type CauseCount struct {
 	Cause    Cause         `json:"cause"`
 	Kind     string        `json:"kind"`
 	Late     int           `json:"late"`
 	Refused  int           `json:"refused"`
 	Failed   int           `json:"failed"`
-	Waited   time.Duration `json:"waited"` // the mean of all that were not in time
+	Waited   time.Duration `json:"waited"` // mean over these requests
 	Examples []Example     `json:"examples,omitempty"`
 }
 
 func (c *CauseCount) total() int { return c.Late + c.Refused + c.Failed }
 
-// Span is a part of the period.
+// Span is one of the equal intervals that the period is divided into.
 type Span struct {
 	From   time.Time    `json:"from"`
 	Kinds  []KindCounts `json:"kinds"`
 	Causes []CauseCount `json:"causes"`
-	// Share is the mean over the kinds of their shares in time: a few streams
-	// weigh as much as many plain calls.
+	// Share is the mean of the kinds' shares in time, so that a few streams weigh as
+	// much as many plain calls.
 	Share float64 `json:"share"`
 }
 
-// View says how a summary is cut.
+// View selects the period of a summary and how it is divided.
 type View struct {
 	From, To time.Time     // by arrival; zero: all
 	Span     time.Duration // whole seconds
-	Worst    int           // how many of the worst spans are named
+	Worst    int           // number of worst spans listed
 }
 
-// DefaultSpan is short enough to tell the loss of a zone from what follows it.
+// DefaultSpan is short enough to separate the loss of a zone from its aftermath.
 const DefaultSpan = 2 * time.Second
 
-// noKind is of requests whose route no last line has named.
-const noKind = "unknown"
+// unknownKind is the kind of requests whose route appears in no end line.
+const unknownKind = "unknown"
 
 func (p *Period) kindOf(route int32) string {
 	if kind, ok := p.kinds[route]; ok {
 		return kind
 	}
-	return noKind
+	return unknownKind
 }
 
-// Summary tells what was read. It may be asked for several views.
+// Summary summarizes the lines read so far. It may be called for several views.
 func (p *Period) Summary(v View) Summary {
 	v.Span = max(time.Second, v.Span.Truncate(time.Second))
-	s := Summary{Lines: p.Lines, Dropped: p.Dropped, Bad: p.badLines(), Objectives: maps.Clone(p.objectives)}
-	maps.Copy(s.Objectives, p.given)
+	s := Summary{Lines: p.Lines, Dropped: p.Dropped, Bad: p.unusableLines(), Objectives: maps.Clone(p.loggedObjectives)}
+	maps.Copy(s.Objectives, p.givenObjectives)
 	for _, t := range p.open {
 		if t.running {
 			s.Unfinished++
@@ -116,29 +118,29 @@
 	return s
 }
 
-func (p *Period) badLines() []Bad {
+func (p *Period) unusableLines() []Bad {
 	var out []Bad
-	for _, b := range p.bad {
+	for _, b := range p.unusable {
 		out = append(out, *b)
 	}
 	slices.SortFunc(out, func(a, b Bad) int { return cmp.Compare(a.Reason, b.Reason) })
 	return out
 }
 
-// builder puts a summary together.
+// builder builds a summary.
 type builder struct {
-	period     *Period
-	view       View
-	from, to   int64 // seconds, the last one left out
-	first      int64 // of the first span
-	whole      part
-	spans      map[int64]*part           // by number
-	waves      map[string]map[int64]bool // by kind: seconds
-	zoneLosses map[string]map[int64]bool // by zone: seconds
+	period          *Period
+	view            View
+	from, to        int64 // seconds; to is exclusive
+	first           int64 // second at which the first span begins
+	total           aggregate
+	spans           map[int64]*aggregate      // by index
+	surges          map[string]map[int64]bool // by kind: seconds
+	zoneLossSeconds map[string]map[int64]bool // by zone: seconds
 }
 
-// part is a time's counts by kind and cause.
-type part struct {
+// aggregate holds the counts of an interval by kind and cause.
+type aggregate struct {
 	kinds  map[string]*KindCounts
 	causes map[causeKey]*CauseCount
 }
@@ -148,12 +150,12 @@
 	kind  string
 }
 
-func newPart() part {
-	return part{map[string]*KindCounts{}, map[causeKey]*CauseCount{}}
+func newAggregate() aggregate {
+	return aggregate{map[string]*KindCounts{}, map[causeKey]*CauseCount{}}
 }
 
 func (p *Period) newBuilder(v View) *builder {
-	b := &builder{period: p, view: v, whole: newPart(), spans: map[int64]*part{}}
+	b := &builder{period: p, view: v, total: newAggregate(), spans: map[int64]*aggregate{}}
 	b.from, b.to = p.bounds()
 	if !v.From.IsZero() {
 		b.from = max(b.from, v.From.Unix())
@@ -162,12 +164,12 @@
 		b.to = min(b.to, v.To.Unix())
 	}
 	b.first = b.from
-	b.waves = p.waves()
-	b.zoneLosses = p.lossesOfZones()
+	b.surges = p.surges()
+	b.zoneLossSeconds = p.zoneLossSeconds()
 	return b
 }
 
-// bounds returns the first second of the period and the one after its last.
+// bounds returns the first second of the period and the second after its last.
 func (p *Period) bounds() (from, to int64) {
 	for key := range p.seconds {
 		if from == 0 || key.second < from {
@@ -178,29 +180,29 @@
 	return from, to
 }
 
-// parts returns those that a second belongs to: the whole and its span.
-func (b *builder) parts(second int64) []*part {
+// aggregates returns the ones that a second belongs to: the total and its span.
+func (b *builder) aggregates(second int64) []*aggregate {
 	if second < b.from || second >= b.to {
 		return nil
 	}
 	number := (second - b.first) / int64(b.view.Span/time.Second)
 	span := b.spans[number]
 	if span == nil {
-		created := newPart()
+		created := newAggregate()
 		span = &created
 		b.spans[number] = span
 	}
-	return []*part{&b.whole, span}
+	return []*aggregate{&b.total, span}
 }
 
-func (b *builder) addCounts(key slot, t *tally) {
+func (b *builder) addCounts(key bucket, t *tally) {
 	kind := b.period.kindOf(key.route)
-	for _, part := range b.parts(key.second) {
+	for _, part := range b.aggregates(key.second) {
 		part.addCounts(kind, t)
 	}
 }
 
-func (p *part) addCounts(kind string, t *tally) {
+func (p *aggregate) addCounts(kind string, t *tally) {
 	k := p.kinds[kind]
 	if k == nil {
 		k = &KindCounts{Kind: kind}
@@ -211,22 +213,22 @@
 	k.Refused += int(t.counts[Refused])
 	k.Failed += int(t.counts[Failed])
 	k.Left += int(t.counts[Left])
-	k.Turned += int(t.turned)
-	k.TurnedBlind += int(t.turnedBlind)
+	k.Turned += int(t.rejected)
+	k.TurnedBlind += int(t.rejectedOutdated)
 	for _, n := range t.counts {
 		k.Sent += int(n)
 	}
 }
 
-func (b *builder) addCause(key causeSlot, t *causeTally) {
+func (b *builder) addCause(key causeBucket, t *causeTally) {
 	kind := b.period.kindOf(key.route)
 	cause := b.resolve(key, kind)
-	for _, part := range b.parts(key.second) {
+	for _, part := range b.aggregates(key.second) {
 		part.addCause(causeKey{cause, kind}, key.outcome, t)
 	}
 }
 
-func (p *part) addCause(key causeKey, outcome Outcome, t *causeTally) {
+func (p *aggregate) addCause(key causeKey, outcome Outcome, t *causeTally) {
 	c := p.causes[key]
 	if c == nil {
 		c = &CauseCount{Cause: key.cause, Kind: key.kind}
@@ -256,7 +258,7 @@
 
 func (b *builder) finish(s *Summary) {
 	s.From, s.To = time.Unix(b.from, 0).UTC(), time.Unix(b.to, 0).UTC()
-	s.Kinds, s.Causes = b.whole.sorted()
+	s.Kinds, s.Causes = b.total.sorted()
 	for _, number := range slices.Sorted(maps.Keys(b.spans)) {
 		span := Span{From: time.Unix(b.first, 0).Add(time.Duration(number) * b.view.Span).UTC()}
 		span.Kinds, span.Causes = b.spans[number].sorted()
@@ -270,7 +272,7 @@
 	s.Worst = s.Worst[:min(len(s.Worst), b.view.Worst)]
 }
 
-func (p *part) sorted() ([]KindCounts, []CauseCount) {
+func (p *aggregate) sorted() ([]KindCounts, []CauseCount) {
 	var kinds []KindCounts
 	for _, kind := range slices.Sorted(maps.Keys(p.kinds)) {
 		kinds = append(kinds, *p.kinds[kind])
--- a/explain/tally.go
+++ b/explain/tally.go
@@ -2,69 +2,70 @@
 
 import "time"
 
-// slot is a second of a route.
-type slot struct {
+// bucket is one second of one route.
+type bucket struct {
 	second int64
 	route  int32
 }
 
-// tally counts the requests that came in a second on a route.
+// tally counts the requests that arrived in a bucket.
 type tally struct {
 	counts [outcomes]int32
-	// turned away: 400, 401, 404 and the like; blind: by a process that did not
-	// hear from the store.
-	turned, turnedBlind int32
+	// rejected with 400, 401, 404 and the like; rejectedOutdated: of them by a process
+	// that could not reach the store.
+	rejected, rejectedOutdated int32
 }
 
-// causeSlot is a cause in a second of a route. What a server's loss was, a
-// zone's or its own, is decided once all lines are read.
-type causeSlot struct {
-	slot
+// causeBucket is a cause in a bucket. Whether the loss of a server was that of its
+// zone is decided once all lines are read.
+type causeBucket struct {
+	bucket
 	outcome Outcome
 	cause   Cause
-	try     failedTry // that its server broke off or left without an answer
-	paused  pauseSlot // of one that its server's pause made late
+	attempt failedAttempt // for CauseServerLost
+	pause   pauseBucket   // for CauseServerPause
 }
 
-// pauseSlot is a pause of about this length, at a process, in streams that ended
-// about then.
-type pauseSlot struct {
+// pauseBucket groups the streams of a process that paused for about the same time
+// and ended at about the same time.
+type pauseBucket struct {
 	process string
 	length  time.Duration
 	ended   int64 // second
 }
 
-// lengthStep and endedStep are what "about" means: streams of one process that
-// stood still pause for the same time but for an event's, and end within seconds.
+// lengthStep and endedStep are the granularity of a pauseBucket. When a process
+// stalls, the pauses of its streams differ by at most the time between two events,
+// and the streams end within seconds of each other.
 const (
 	lengthStep = 200 * time.Millisecond
 	endedStep  = 10 // seconds
 )
 
-func pauseOf(e *end) pauseSlot {
+func pauseBucketOf(e *requestEnd) pauseBucket {
 	ended := e.rec.at.Unix()
-	return pauseSlot{e.rec.text(fieldProcess), e.pause.Round(lengthStep), ended - ended%endedStep}
+	return pauseBucket{e.rec.text(fieldProcess), e.pause.Round(lengthStep), ended - ended%endedStep}
 }
 
-// paused notes the server of a stream that paused for long.
-func (p *Period) paused(at pauseSlot, server string) {
+// recordPause records the server of a stream with a long pause.
+func (p *Period) recordPause(at pauseBucket, server string) {
 	servers := p.pauses[at]
 	if servers == nil {
 		servers = map[string]bool{}
 		p.pauses[at] = servers
 	}
-	if len(servers) < stoodStillServers {
+	if len(servers) < stallServers {
 		servers[server] = true
 	}
 }
 
 type causeTally struct {
 	count    int32
-	waited   time.Duration // by all
+	waited   time.Duration // sum
 	examples []Example
 }
 
-// Example is a request that was not in time.
+// Example is one request that was not in time.
 type Example struct {
 	Request string        `json:"request"`
 	Route   string        `json:"route"`
@@ -75,5 +76,5 @@
 	Server  string        `json:"server,omitempty"`
 }
 
-// maxExamples of a cause in a second are kept.
+// maxExamples is how many examples of a cause are kept per bucket.
 const maxExamples = 2
