--- a/admin/admin.go
+++ b/admin/admin.go
@@ -18,26 +18,26 @@
 
 // Defaults and bounds.
 const (
-	DefaultWait     = 4 * time.Second // for a revision to be in force everywhere
+	DefaultWait     = 4 * time.Second // until a revision is in force everywhere
 	MaxWait         = 2 * time.Minute
 	MaxTextBytes    = 16 << 20 // 48,000 organisations take about 5 MB
 	DefaultHistory  = 20
 	MaxHistory      = 1000
-	DefaultTimeout  = 2 * time.Second // for one answer of one process
-	DefaultParallel = 32              // processes asked at once
+	DefaultTimeout  = 2 * time.Second // for one response of one process
+	DefaultParallel = 32              // processes queried at once
 )
 
-// Text is one accepted operators' text.
+// ConfigRevision is one accepted revision of the configuration.
 type Text struct {
 	Revision types.Revision
 	Base     types.Revision
 	Who      string
 	Note     string
 	At       time.Time
-	Raw      []byte // may be nil in a history
+	Raw      []byte // the configuration; may be nil in a history
 }
 
-// Change is a text that an operator wants in force in place of Base.
+// Change is a configuration that an operator submits to replace revision Base.
 type Change struct {
 	Base types.Revision
 	Raw  []byte
@@ -46,20 +46,20 @@
 }
 
 var (
-	// ErrNoRevision: there is no text of that revision.
+	// ErrNoRevision: the revision does not exist.
 	ErrNoRevision = errors.New("no such revision")
-	// ErrAmbiguous: the store's answer was lost; the text may be accepted.
+	// ErrAmbiguous: the store's response was lost; the change may have been accepted.
 	ErrAmbiguous = errors.New("the text may have been accepted; read the history")
 	// ErrNotFound: no process or backend server of that name is known.
 	ErrNotFound = errors.New("no such process or backend server")
-	// ErrNoToken: an administration API without a token is not served.
+	// ErrNoToken: the administration API is not served without a token.
 	ErrNoToken = errors.New("admin: a bearer token is required")
 )
 
-// RaceError refuses a text because another was accepted on its base first.
+// RaceError refuses a change because another one was accepted on the same base first.
 type RaceError struct {
 	Winner Text
-	Diff   string // from the loser's base to the winner; empty: the server makes it
+	Diff   string // from the base to the winner; empty: the server computes it
 }
 
 // Error implements error.
@@ -67,17 +67,18 @@
 	return errors.Errorf("revision %d by %s was accepted first", e.Winner.Revision, e.Winner.Who).Error()
 }
 
-// Texts is the store of accepted texts. Accept returns the new revision and the
-// warnings found, or *findings.ListError, *RaceError, ErrAmbiguous or another
-// error, after which nothing was accepted. Load returns ErrNoRevision for an unknown
-// revision. History returns the newest first and needn't fill Raw.
+// ConfigStore stores the accepted configurations. Accept returns the new revision
+// and the warnings found, or *findings.ListError, *RaceError, ErrAmbiguous or another
+// error. Except for ErrAmbiguous, an error means that nothing was accepted. Load
+// returns ErrNoRevision for an unknown revision. History returns the newest first and
+// needn't fill Raw.
 type Texts interface {
 	Accept(ctx context.Context, change Change) (types.Revision, findings.List, error)
 	Load(ctx context.Context, revision types.Revision) (Text, error)
 	History(ctx context.Context, limit int) ([]Text, error)
 }
 
-// State is what the membership says of a process.
+// State is the state of a process according to the membership.
 type State string
 
 // States of a process.
@@ -86,8 +87,8 @@
 	StateSuspect State = "suspect"
 	StateLeaving State = "leaving"
 	StateDead    State = "dead"
-	// StateAbsent: the text in force names the backend server, but no member
-	// serves it.
+	// StateAbsent: the configuration in force lists the backend server, but there is
+	// no member for it.
 	StateAbsent State = "absent"
 )
 
@@ -97,22 +98,22 @@
 	Role          types.Role
 	Zone          types.Zone
 	Address       string // of its peer listener, host:port
-	BackendServer string // beside a sidecar
+	BackendServer string // that the sidecar belongs to
 	State         State
 	Incarnation   types.Incarnation
 	Revision      types.Revision // newest that it is known to have in force
 	InFlight      int
-	Load          *types.Load // nil: not known
+	Load          *types.Load // nil: unknown
 }
 
-// Backend is a backend server as the text in force names it.
+// Backend is a backend server listed in the configuration in force.
 type Backend struct {
 	Name    string
 	Zone    types.Zone
 	Address string // of its sidecar
 }
 
-// Quarantine is one request body that is refused because it killed engines.
+// Quarantine is a request body that is refused because it crashed engines.
 type Quarantine struct {
 	Fingerprint  types.Fingerprint
 	Organisation types.Organisation
@@ -120,8 +121,8 @@
 	Until        time.Time
 }
 
-// Stopper starts a planned stop of a process and returns how many streams and
-// calls it still has in flight. Asking again for a stop that runs is harmless.
+// Stopper starts a planned stop of a process and returns how many streams and calls
+// it still has in flight. It is idempotent.
 type Stopper interface {
 	Stop(ctx context.Context, member Member, who string) (inFlight int, err error)
 }
@@ -131,19 +132,19 @@
 	Token       string // bearer token of operators
 	Process     types.ProcessID
 	Texts       Texts
-	InForce     func() Text         // the text in force in this process; zero: none
-	Members     func() []Member     // this process included
-	Quarantines func() []Quarantine // in this process's view
+	InForce     func() Text         // what is in force in this process; zero: nothing
+	Members     func() []Member     // including this process
+	Quarantines func() []Quarantine // known to this process
 	Stopper     Stopper
 	Recorder    *event.Recorder
 	Registerer  prometheus.Registerer
 
-	Backends func() []Backend           // of the text in force; nil: none are known
-	HTTP     *http.Client               // towards the peer listeners; nil: a plain one
+	Backends func() []Backend           // of the configuration in force; nil: none are known
+	HTTP     *http.Client               // for requests to the peer listeners; nil: a default client
 	Diff     func(from, to Text) string // nil: a unified diff of lines
-	Secrets  []string                   // values that a bundle must not show, besides the token
-	Timeout  time.Duration              // for one answer of one process; 0: DefaultTimeout
-	Parallel int                        // processes asked at once; 0: DefaultParallel
+	Secrets  []string                   // values that a bundle must not contain, besides the token
+	Timeout  time.Duration              // for one response of one process; 0: DefaultTimeout
+	Parallel int                        // processes queried at once; 0: DefaultParallel
 	Now      func() time.Time           // nil: time.Now
 }
 
@@ -195,11 +196,11 @@
 	}, nil
 }
 
-// idleTimeout closes connections to processes soon: they are asked seldom.
+// idleTimeout is short because processes are queried seldom.
 const idleTimeout = 10 * time.Second
 
-// newTransport returns a transport that never uses a proxy: peers are reached by
-// their IP numbers.
+// newTransport returns a transport that never uses a proxy: peers are addressed by
+// IP.
 func newTransport() *http.Transport {
 	return &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: DefaultTimeout}).DialContext,
@@ -211,22 +212,22 @@
 // PathBundle is where Handler serves the bundle, as a tar.gz.
 const PathBundle = "/admin/bundle"
 
-// Handler serves the API behind the bearer token.
+// Handler serves the API to clients with the bearer token.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(adminpb.CommandsPathPrefix, adminpb.NewCommandsServer(s))
 	mux.Handle(adminpb.QueriesPathPrefix, adminpb.NewQueriesServer(s))
 	mux.HandleFunc("GET "+PathBundle, s.serveBundle)
-	return s.authorised(http.MaxBytesHandler(mux, MaxTextBytes*2))
+	return s.requireToken(http.MaxBytesHandler(mux, MaxTextBytes*2))
 }
 
-// members returns the processes that there are or should be.
+// members returns the processes that exist or should exist.
 //
-// Failure guarded against: a router that has just started, or is cut off, knows
-// few members. It shows as "in force in 1 of 1 processes" while all others still
-// have the old text. The text in force says which backend servers there must be;
-// those that no member serves are listed as absent, asked at the address that
-// the text gives, and named if they don't answer.
+// Failure guarded against: a router that has just started, or is partitioned, knows
+// few members. It would report "in force in 1 of 1 processes" while all others still
+// have the old configuration. The configuration in force lists the backend servers
+// that must exist; those without a member are added as absent, queried at the
+// configured address, and reported if they don't respond.
 func (s *Server) members() []Member {
 	members := slices.Clone(s.opts.Members())
 	served := make(map[string]bool, len(members))
@@ -247,8 +248,8 @@
 	return members
 }
 
-// named returns the members that a process's or backend server's name means.
-func (s *Server) named(name string) []Member {
+// membersNamed returns the members with that process name or backend server name.
+func (s *Server) membersNamed(name string) []Member {
 	var out []Member
 	for _, m := range s.members() {
 		if string(m.Process) == name || (m.BackendServer != "" && m.BackendServer == name) {
--- a/admin/admin_test.go
+++ b/admin/admin_test.go
@@ -54,8 +54,9 @@
 var _ = Describe("Apply", func() {
 	ctx := context.Background()
 
-	// Two operators edit revision 1 at once. The second sees that she lost, to
-	// whom, and what he changed, so that she can merge; her text is nowhere.
+	// Two operators edit revision 1 concurrently. The one who applies second is told
+	// that the other one won and what that changed, so that she can merge. Her own
+	// configuration is not stored.
 	It("gives the loser of a race the winner and his diff", func() {
 		s := newSite()
 		for i, text := range []string{"a\n", "b\n"} {
@@ -85,9 +86,9 @@
 		Expect(codeOf(err)).To(Equal(twirp.Unknown))
 	})
 
-	// An operator waits for a limit to hold everywhere. One process learns of it
-	// late, one is frozen and never will. The answer counts the late one, names
-	// the frozen one, and comes within the bound.
+	// An operator waits until a limit is in force everywhere. One process applies it
+	// late, another is frozen and never does. The response counts the late process,
+	// lists the frozen one, and arrives within the requested time.
 	It("waits for a late process and names a frozen one", func() {
 		began := time.Now()
 		late := newProcess("late", types.RoleSidecar, func() types.Revision {
@@ -107,9 +108,10 @@
 		Expect(resp.GetInForce().GetBehind()[0].GetError()).NotTo(BeEmpty())
 	})
 
-	// A router that has just started knows of itself only. An operator applies a
-	// text through it and must not read "in force everywhere": of two backend
-	// servers that the text names, one has the revision, one can't be reached.
+	// A router that has just started knows only itself. An operator applies a
+	// configuration through it and must not be told that it is in force everywhere:
+	// of the two backend servers in the configuration, one has the revision and the
+	// other can't be reached.
 	It("counts the backend servers of the text that are no members", func() {
 		reached := newProcess("sidecar-1", types.RoleSidecar, at(1), 0)
 		s := newSite(newProcess("router-1", types.RoleRouter, at(1), 0))
@@ -127,9 +129,9 @@
 		Expect(codeOf(err)).To(Equal(twirp.NotFound))
 	})
 
-	// A VM died; its address was given to a new one that has the revision. The
-	// dead process must not be counted by the answer of its successor, and the
-	// operator must not wait for it.
+	// The address of a dead VM was reassigned to a new one that has the revision. The
+	// response of the new process must not count for the dead one, and the operator
+	// must not wait for the dead one.
 	It("names a dead process at once and isn't fooled by its address", func() {
 		other := newProcess("new-vm", types.RoleSidecar, at(1), 0)
 		dead := &process{member: other.member}
@@ -188,9 +190,8 @@
 })
 
 var _ = Describe("Explain", func() {
-	// A router sends a request to a sidecar whose clock is an hour behind. By
-	// their own clocks the sidecar's step came first; a vendor would look for the
-	// cause at the wrong end.
+	// A router sends a request to a sidecar whose clock is an hour behind. Ordered by
+	// uncorrected times, the sidecar's step would come first and mislead the reader.
 	It("orders steps by corrected clocks and names who did not answer", func() {
 		router := newProcess("router-1", types.RoleRouter, at(1), 0)
 		slow := newProcess("sidecar-1", types.RoleSidecar, at(1), -time.Hour)
@@ -243,8 +244,8 @@
 }
 
 var _ = Describe("the bundle", func() {
-	// A process hangs while an operator makes the bundle that shall explain why.
-	// The bundle comes within the bound, whole, and says who did not answer.
+	// A process hangs while an operator writes the bundle that is to show why. The
+	// bundle must be complete in bounded time and list the process as not responding.
 	It("ends although a process hangs, and names it", func() {
 		s := newSite(newProcess("router-1", types.RoleRouter, at(1), 0), newFrozen("frozen"))
 		_, err := s.commands().Apply(context.Background(), &adminpb.ApplyRequest{Text: []byte(`{"a": 1}`), Who: "ann"})
@@ -266,9 +267,9 @@
 		Expect(manifest.Processes[1].Failed).To(BeEmpty())
 	})
 
-	// An operator mails a bundle to the vendor. A key stands in the text, a
-	// colleague's note and an event repeat it, a dump holds the API's token under
-	// a harmless name. Whoever reads the mail must find none of them.
+	// An operator mails a bundle to the vendor. The configuration contains a key, a
+	// note and an event repeat it, and a dump contains the API's token under a harmless
+	// name. The bundle must not contain any of them.
 	It("holds no token, no key and no caller's content", func() {
 		p := newProcess("router-1", types.RoleRouter, at(1), 0)
 		s := newSite(p)
--- a/admin/auth.go
+++ b/admin/auth.go
@@ -11,12 +11,12 @@
 
 const bearerPrefix = "Bearer "
 
-// authorised lets calls with the bearer token through.
+// requireToken refuses calls without the bearer token.
 //
 // Failure guarded against: guessing the token byte by byte from the time that a
-// refusal takes. Both sides are hashed, so that they have one length, and
+// refusal takes. Both values are hashed, so that they have the same length, and
 // compared in constant time.
-func (s *Server) authorised(next http.Handler) http.Handler {
+func (s *Server) requireToken(next http.Handler) http.Handler {
 	want := sha256.Sum256([]byte(s.opts.Token))
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		token, ok := strings.CutPrefix(r.Header.Get("Authorization"), bearerPrefix)
--- a/admin/bundle.go
+++ b/admin/bundle.go
@@ -22,12 +22,12 @@
 
 // Bounds of a bundle.
 const (
-	bundleTexts    = 10        // newest revisions whose texts go in
-	bundleMaxBytes = 512 << 20 // before compression; what is over it is named in the manifest
-	fileMode       = 0o600     // as unpacked: a bundle is for its reader only
+	bundleConfigs  = 10        // newest revisions that are included in full
+	bundleMaxBytes = 512 << 20 // before compression; the manifest lists what is left out
+	fileMode       = 0o600     // of the unpacked files, which may be confidential
 )
 
-// Names of the files of a bundle. Those of a process are in processes/<process>/.
+// Names of the files of a bundle. The files of a process are in processes/<process>/.
 const (
 	fileReadme     = "README.txt"
 	fileHistory    = "history.json"
@@ -38,7 +38,7 @@
 	fileVersion    = "version.json"
 	fileMetrics    = "metrics.txt"
 	fileGoroutines = "goroutines.txt"
-	dirTexts       = "texts"
+	dirConfigs     = "texts"
 	dirProcesses   = "processes"
 )
 
@@ -56,11 +56,11 @@
 	MadeAt    time.Time         `json:"made_at"`
 	MadeBy    string            `json:"made_by"`
 	Build     inspect.Version   `json:"build"`
-	Problems  []string          `json:"problems"` // of the parts that are no process's
+	Problems  []string          `json:"problems"` // with parts that don't belong to a process
 	Processes []ManifestProcess `json:"processes"`
 }
 
-// ManifestProcess says what came of asking one process.
+// ManifestProcess is the result of querying one process.
 type ManifestProcess struct {
 	Process       string            `json:"process"`
 	Role          string            `json:"role"`
@@ -69,13 +69,13 @@
 	Directory     string            `json:"directory"`
 	Files         []string          `json:"files"`
 	Failed        map[string]string `json:"failed,omitempty"`    // file to reason
-	Truncated     []string          `json:"truncated,omitempty"` // files cut at their bound
-	ClockOffsetMS float64           `json:"clock_offset_ms"`     // its clock less the asking router's
+	Truncated     []string          `json:"truncated,omitempty"` // files cut at their size limit
+	ClockOffsetMS float64           `json:"clock_offset_ms"`     // its clock minus the querying router's
 	ClockErrorMS  float64           `json:"clock_error_ms"`
 }
 
-// serveBundle streams the bundle. One that can't be ended is cut off, so that
-// its reader sees a broken transfer and never takes a part for the whole.
+// serveBundle streams the bundle. On an error it aborts the connection, so that the
+// client sees a broken transfer and doesn't take a partial bundle for a complete one.
 func (s *Server) serveBundle(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Content-Type", "application/gzip")
 	if err := s.WriteBundle(r.Context(), w); err != nil {
@@ -83,8 +83,8 @@
 	}
 }
 
-// WriteBundle writes the bundle as a tar.gz. It holds one process's files in
-// memory per process asked at once.
+// WriteBundle writes the bundle as a tar.gz. It holds in memory the files of the
+// processes that are queried at once.
 func (s *Server) WriteBundle(ctx context.Context, w io.Writer) error {
 	zipped := gzip.NewWriter(w)
 	b := &bundle{
@@ -102,8 +102,8 @@
 	return zipped.Close()
 }
 
-// bundle is one being written. Texts come first: their secrets are then known
-// to the masker when dumps and events are written.
+// bundle is a bundle being written. Configurations come first, so that the masker
+// knows their secrets when dumps and events are written.
 type bundle struct {
 	server   *Server
 	tar      *tar.Writer
@@ -113,16 +113,16 @@
 }
 
 func (b *bundle) write(ctx context.Context) error {
-	if err := b.file(fileReadme, []byte(bundleReadme)); err != nil {
+	if err := b.writeFile(fileReadme, []byte(bundleReadme)); err != nil {
 		return err
 	}
-	if err := b.texts(ctx); err != nil {
+	if err := b.writeConfigs(ctx); err != nil {
 		return err
 	}
-	if err := b.status(ctx); err != nil {
+	if err := b.writeStatus(ctx); err != nil {
 		return err
 	}
-	if err := b.processes(ctx); err != nil {
+	if err := b.writeProcesses(ctx); err != nil {
 		return err
 	}
 	sort.Slice(b.manifest.Processes, func(i, j int) bool {
@@ -133,84 +133,85 @@
 		return err
 	}
 	b.server.opts.Recorder.Emit(eventBundle, "processes", len(b.manifest.Processes), "bytes", b.bytes)
-	return b.file(fileManifest, b.masker.plain(raw))
+	return b.writeFile(fileManifest, b.masker.maskText(raw))
 }
 
-// texts writes the texts and the history; with the store down, what is in force here.
-func (b *bundle) texts(ctx context.Context) error {
+// writeConfigs writes the configurations and the history; if the store is
+// unavailable, only the configuration in force here.
+func (b *bundle) writeConfigs(ctx context.Context) error {
 	inForce := b.server.opts.InForce()
 	if inForce.Revision != 0 {
-		if err := b.file(textFile("in-force", inForce), b.masker.json(inForce.Raw)); err != nil {
+		if err := b.writeFile(configFile("in-force", inForce), b.masker.maskJSON(inForce.Raw)); err != nil {
 			return err
 		}
 	}
 	history, err := b.server.opts.Texts.History(ctx, MaxHistory)
 	if err != nil {
-		b.problem("history", err)
+		b.addProblem("history", err)
 		return nil
 	}
 	resp := &adminpb.HistoryResponse{}
 	for i, text := range history {
-		if i < bundleTexts {
-			if err := b.text(ctx, text); err != nil {
+		if i < bundleConfigs {
+			if err := b.writeConfig(ctx, text); err != nil {
 				return err
 			}
 		}
 		text.Raw = nil
-		resp.Revisions = append(resp.Revisions, textPB(text))
+		resp.Revisions = append(resp.Revisions, revisionPB(text))
 	}
-	return b.message(fileHistory, resp)
+	return b.writeMessage(fileHistory, resp)
 }
 
-func textFile(kind string, text Text) string {
-	return path.Join(dirTexts, fmt.Sprintf("%s-%08d.json", kind, text.Revision))
+func configFile(kind string, text Text) string {
+	return path.Join(dirConfigs, fmt.Sprintf("%s-%08d.json", kind, text.Revision))
 }
 
-func (b *bundle) text(ctx context.Context, text Text) error {
+func (b *bundle) writeConfig(ctx context.Context, text Text) error {
 	loaded, err := b.server.opts.Texts.Load(ctx, text.Revision)
 	if err != nil {
-		b.problem(fmt.Sprintf("text of revision %d", text.Revision), err)
+		b.addProblem(fmt.Sprintf("text of revision %d", text.Revision), err)
 		return nil
 	}
-	return b.file(textFile("accepted", loaded), b.masker.json(loaded.Raw))
+	return b.writeFile(configFile("accepted", loaded), b.masker.maskJSON(loaded.Raw))
 }
 
-func (b *bundle) problem(what string, err error) {
+func (b *bundle) addProblem(what string, err error) {
 	b.manifest.Problems = append(b.manifest.Problems, what+": "+err.Error())
 }
 
-func (b *bundle) status(ctx context.Context) error {
+func (b *bundle) writeStatus(ctx context.Context) error {
 	status, err := b.server.Status(ctx, &adminpb.StatusRequest{})
 	if err != nil {
-		b.problem(fileStatus, err)
+		b.addProblem(fileStatus, err)
 		return nil
 	}
-	return b.message(fileStatus, status)
+	return b.writeMessage(fileStatus, status)
 }
 
-func (b *bundle) message(name string, m proto.Message) error {
+func (b *bundle) writeMessage(name string, m proto.Message) error {
 	raw, err := protojson.MarshalOptions{Multiline: true, UseProtoNames: true}.Marshal(m)
 	if err != nil {
 		return err
 	}
-	return b.file(name, b.masker.plain(raw))
+	return b.writeFile(name, b.masker.maskText(raw))
 }
 
-func (b *bundle) processes(ctx context.Context) error {
+func (b *bundle) writeProcesses(ctx context.Context) error {
 	unanswered := 0
 	members := b.server.members()
-	err := gather(ctx, b.server.opts.Parallel, members, b.server.collect, func(m Member, got collected) error {
+	err := queryAll(ctx, b.server.opts.Parallel, members, b.server.collectFiles, func(m Member, got collected) error {
 		if len(got.failed) > 0 {
 			unanswered++
 		}
-		return b.process(m, got)
+		return b.writeProcess(m, got)
 	})
-	b.server.noteUnanswered("bundle", unanswered)
+	b.server.recordUnanswered("bundle", unanswered)
 	return err
 }
 
-// process writes the files of one process.
-func (b *bundle) process(m Member, got collected) error {
+// writeProcess writes the files of one process.
+func (b *bundle) writeProcess(m Member, got collected) error {
 	entry := ManifestProcess{
 		Process:       string(m.Process),
 		Role:          string(m.Role),
@@ -220,7 +221,7 @@
 		Failed:        got.failed,
 		Truncated:     got.truncated,
 		ClockOffsetMS: milliseconds(got.clock.offset),
-		ClockErrorMS:  milliseconds(got.clock.bound),
+		ClockErrorMS:  milliseconds(got.clock.maxError),
 	}
 	for _, file := range maskFiles(b.masker.child(), got.files) {
 		raw := file.raw
@@ -228,7 +229,7 @@
 			entry.Failed[file.name] = fmt.Sprintf("left out: the bundle is over %d bytes", bundleMaxBytes)
 			continue
 		}
-		if err := b.file(path.Join(entry.Directory, file.name), raw); err != nil {
+		if err := b.writeFile(path.Join(entry.Directory, file.name), raw); err != nil {
 			return err
 		}
 		entry.Files = append(entry.Files, file.name)
@@ -237,25 +238,26 @@
 	return nil
 }
 
-// maskFiles masks the JSON files first and searches all files after that: a
-// secret that one file names may stand without its name in another.
+// maskFiles masks the JSON files by member names first and then replaces the known
+// secrets in all files: a secret found by its name in one file may appear without
+// that name in another.
 func maskFiles(m *masker, files []collectedFile) []collectedFile {
 	out := make([]collectedFile, len(files))
 	for i, file := range files {
 		out[i] = file
 		if path.Ext(file.name) == ".json" {
-			out[i].raw = m.json(file.raw)
+			out[i].raw = m.maskJSON(file.raw)
 		}
 	}
 	for i := range out {
-		out[i].raw = m.plain(out[i].raw)
+		out[i].raw = m.maskText(out[i].raw)
 	}
 	return out
 }
 
 func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-func (b *bundle) file(name string, raw []byte) error {
+func (b *bundle) writeFile(name string, raw []byte) error {
 	header := &tar.Header{Name: name, Mode: fileMode, Size: int64(len(raw)), ModTime: b.manifest.MadeAt, Format: tar.FormatPAX}
 	if err := b.tar.WriteHeader(header); err != nil {
 		return err
--- a/admin/collect.go
+++ b/admin/collect.go
@@ -8,12 +8,12 @@
 	"github.com/pearyard/pearyard/inspect"
 )
 
-// collected is what one process answered for a bundle.
+// collected holds the responses of one process for a bundle.
 type collected struct {
 	files     []collectedFile
 	failed    map[string]string
 	truncated []string
-	clock     clock
+	clock     clockEstimate
 }
 
 type collectedFile struct {
@@ -21,9 +21,9 @@
 	raw  []byte
 }
 
-// sources are asked in the order of their worth: a process that hangs half way
-// has given the more telling half.
-var sources = []struct {
+// fileSources are fetched in order of their value for a diagnosis, so that a process
+// that hangs midway has delivered the more useful files.
+var fileSources = []struct {
 	file  string
 	path  string
 	limit int64
@@ -35,13 +35,13 @@
 	{fileMetrics, inspect.PathMetrics, metricsLimit},
 }
 
-// collect asks one process for all its files. They share one timeout: a process
-// that hangs costs one wait, not one for each file.
-func (s *Server) collect(ctx context.Context, m Member) collected {
+// collectFiles fetches all files of one process. They share one timeout, so that a
+// process that hangs costs one timeout and not one per file.
+func (s *Server) collectFiles(ctx context.Context, m Member) collected {
 	ctx, cancel := context.WithTimeout(ctx, s.opts.Timeout)
 	defer cancel()
 	out := collected{failed: map[string]string{}}
-	for _, source := range sources {
+	for _, source := range fileSources {
 		sent := s.opts.Now()
 		got, err := s.peers.get(ctx, m, source.path, nil, source.limit)
 		if err != nil {
@@ -52,20 +52,21 @@
 			out.truncated = append(out.truncated, source.file)
 		}
 		if source.file == fileEvents {
-			out.clock = clockOf(sent, s.opts.Now(), got.raw)
+			out.clock = clockFromEvents(sent, s.opts.Now(), got.raw)
 		}
 		out.files = append(out.files, collectedFile{name: source.file, raw: got.raw})
 	}
 	return out
 }
 
-// clockOf reads the process's time from its events; it is zero if they don't parse.
-func clockOf(sent, received time.Time, events []byte) clock {
+// clockFromEvents estimates the process's clock from the time in its events
+// response. The estimate is zero if that can't be parsed.
+func clockFromEvents(sent, received time.Time, events []byte) clockEstimate {
 	var head struct {
 		Now time.Time `json:"now"`
 	}
 	if json.Unmarshal(events, &head) != nil {
-		return clock{}
+		return clockEstimate{}
 	}
-	return estimate(sent, received, head.Now)
+	return estimateClock(sent, received, head.Now)
 }
--- a/admin/commands.go
+++ b/admin/commands.go
@@ -12,7 +12,8 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// Apply accepts a text on its base. Findings and a lost race are answers, not errors.
+// Apply submits a configuration. Findings and a lost race are part of the response,
+// not errors.
 func (s *Server) Apply(ctx context.Context, req *adminpb.ApplyRequest) (*adminpb.ApplyResponse, error) {
 	if len(req.GetText()) == 0 {
 		return nil, twirp.RequiredArgumentError("text")
@@ -23,19 +24,19 @@
 	change := Change{Base: types.Revision(req.GetBase()), Raw: req.GetText(), Who: req.GetWho(), Note: req.GetNote()}
 	revision, warnings, err := s.opts.Texts.Accept(ctx, change)
 	if err != nil {
-		return s.notAccepted(ctx, change, err)
+		return s.applyFailure(ctx, change, err)
 	}
 	s.metrics.applies.WithLabelValues(resultAccepted).Inc()
 	s.opts.Recorder.Emit(eventAccepted, "revision", revision, "base", change.Base, "who", change.Who, "note", change.Note)
 	resp := &adminpb.ApplyResponse{Revision: uint64(revision), Findings: findingsPB(warnings)}
 	if req.GetWait() {
-		resp.InForce = s.waitInForce(ctx, revision, waitBound(req.GetWaitMs()))
+		resp.InForce = s.waitInForce(ctx, revision, waitLimit(req.GetWaitMs()))
 	}
 	return resp, nil
 }
 
-// notAccepted tells apart why a text was not accepted, or may not have been.
-func (s *Server) notAccepted(ctx context.Context, change Change, err error) (*adminpb.ApplyResponse, error) {
+// applyFailure maps the error of an apply to a response or a twirp error.
+func (s *Server) applyFailure(ctx context.Context, change Change, err error) (*adminpb.ApplyResponse, error) {
 	var found *findings.ListError
 	var race *RaceError
 	switch {
@@ -62,44 +63,45 @@
 const metaAmbiguous = "ambiguous"
 
 // racePB describes the winner and what it changed. The diff is left out if the
-// texts can't be read; the race is reported all the same.
+// configurations can't be read; the race is reported nevertheless.
 func (s *Server) racePB(ctx context.Context, base types.Revision, race *RaceError) *adminpb.Race {
 	winner := race.Winner
 	if winner.Raw == nil {
 		loaded, err := s.opts.Texts.Load(ctx, winner.Revision)
 		if err != nil {
-			return &adminpb.Race{Winner: textPB(winner), Diff: race.Diff}
+			return &adminpb.Race{Winner: revisionPB(winner), Diff: race.Diff}
 		}
 		winner = loaded
 	}
-	out := &adminpb.Race{Winner: textPB(winner), Diff: race.Diff}
+	out := &adminpb.Race{Winner: revisionPB(winner), Diff: race.Diff}
 	if out.GetDiff() != "" {
 		return out
 	}
-	if from, err := s.load(ctx, base); err == nil {
+	if from, err := s.loadRevision(ctx, base); err == nil {
 		out.Diff = s.opts.Diff(from, winner)
 	}
 	return out
 }
 
-// load returns the text of a revision; revision 0 is the empty text before the first.
-func (s *Server) load(ctx context.Context, revision types.Revision) (Text, error) {
+// loadRevision returns a revision; revision 0 is the empty configuration before the
+// first.
+func (s *Server) loadRevision(ctx context.Context, revision types.Revision) (Text, error) {
 	if revision == 0 {
 		return Text{}, nil
 	}
 	return s.opts.Texts.Load(ctx, revision)
 }
 
-func waitBound(ms int64) time.Duration {
+func waitLimit(ms int64) time.Duration {
 	if ms <= 0 {
 		return DefaultWait
 	}
 	return min(time.Duration(ms)*time.Millisecond, MaxWait)
 }
 
-// Stop hands a planned stop to the process of that name and returns its progress.
+// Stop starts a planned stop of the named process and returns its progress.
 func (s *Server) Stop(ctx context.Context, req *adminpb.StopRequest) (*adminpb.StopResponse, error) {
-	member, err := s.stoppable(req)
+	member, err := s.findStoppable(req)
 	if err != nil {
 		return nil, err
 	}
@@ -111,14 +113,14 @@
 		return nil, twirp.Unavailable.Errorf("stop of %s: %s", member.Process, err)
 	}
 	s.opts.Recorder.Emit(eventStop, "process", member.Process, "who", req.GetWho(), "in_flight", inFlight)
-	drain := s.drainOf(ctx, member)
+	drain := s.queryDrain(ctx, member)
 	if drain.GetState() == drainUnknown {
 		drain.Streams = uint32(inFlight)
 	}
 	return &adminpb.StopResponse{Drain: drain}, nil
 }
 
-func (s *Server) stoppable(req *adminpb.StopRequest) (Member, error) {
+func (s *Server) findStoppable(req *adminpb.StopRequest) (Member, error) {
 	role := map[adminpb.Kind]types.Role{
 		adminpb.Kind_KIND_BACKEND: types.RoleSidecar,
 		adminpb.Kind_KIND_ROUTER:  types.RoleRouter,
@@ -127,7 +129,7 @@
 		return Member{}, twirp.InvalidArgumentError("kind", "must be a backend server or a router")
 	}
 	var found []Member
-	for _, m := range s.named(req.GetName()) {
+	for _, m := range s.membersNamed(req.GetName()) {
 		if m.Role == role && m.State != StateDead && m.State != StateAbsent {
 			found = append(found, m)
 		}
--- a/admin/convert.go
+++ b/admin/convert.go
@@ -12,7 +12,7 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-func textPB(text Text) *adminpb.Revision {
+func revisionPB(text Text) *adminpb.Revision {
 	return &adminpb.Revision{
 		Revision: uint64(text.Revision),
 		Base:     uint64(text.Base),
@@ -90,7 +90,7 @@
 // diffContext is how many unchanged lines a diff shows around a change.
 const diffContext = 3
 
-// lineDiff is the diff used unless Options bring another.
+// lineDiff is the default of Options.Diff.
 func lineDiff(from, to Text) string {
 	diff, err := difflib.GetUnifiedDiffString(difflib.UnifiedDiff{
 		A:        difflib.SplitLines(string(from.Raw)),
--- a/admin/doc.go
+++ b/admin/doc.go
@@ -1,6 +1,6 @@
-// Package admin serves the administration API of a router: commands that change
-// the system and queries that only read it, on a listener of their own behind a
-// bearer token. It is stateless: any router serves any call.
+// Package admin serves the administration API of a router: commands that change the
+// system and queries that only read it, on a separate listener and protected by a
+// bearer token. It is stateless: any router can serve any call.
 //
 // May import of pearyard: event, findings, inspect, rpc/admin, types.
 package admin
--- a/admin/drain.go
+++ b/admin/drain.go
@@ -20,12 +20,12 @@
 	drainUnknown = "unknown"
 )
 
-// wrongProcess reports an answer from a process that has taken over the address.
-func wrongProcess(got types.ProcessID) error {
+// wrongProcessError reports a response from another process at the member's address.
+func wrongProcessError(got types.ProcessID) error {
 	return errors.Errorf("the address answers as %q", got)
 }
 
-// drains asks each leaving process how far it is.
+// drains queries each leaving process for its progress.
 func (s *Server) drains(ctx context.Context, members []Member) []*adminpb.Drain {
 	var leaving []Member
 	for _, m := range members {
@@ -34,7 +34,7 @@
 		}
 	}
 	var out []*adminpb.Drain
-	_ = gather(ctx, s.opts.Parallel, leaving, s.drainOf, func(_ Member, drain *adminpb.Drain) error {
+	_ = queryAll(ctx, s.opts.Parallel, leaving, s.queryDrain, func(_ Member, drain *adminpb.Drain) error {
 		out = append(out, drain)
 		return nil
 	})
@@ -42,10 +42,10 @@
 	return out
 }
 
-// drainOf asks one process; the error is part of the answer.
-func (s *Server) drainOf(ctx context.Context, m Member) *adminpb.Drain {
+// queryDrain queries one process; an error is part of the result.
+func (s *Server) queryDrain(ctx context.Context, m Member) *adminpb.Drain {
 	out := &adminpb.Drain{Process: string(m.Process), State: drainUnknown}
-	drain, err := s.askDrain(ctx, m)
+	drain, err := s.fetchDrain(ctx, m)
 	if err != nil {
 		out.Error = err.Error()
 		return out
@@ -62,7 +62,7 @@
 	return out
 }
 
-func (s *Server) askDrain(ctx context.Context, m Member) (inspect.Drain, error) {
+func (s *Server) fetchDrain(ctx context.Context, m Member) (inspect.Drain, error) {
 	var state inspect.State
 	query := url.Values{inspect.ParamSection: {inspect.SectionDrain}}
 	err := s.peers.getJSON(ctx, m, inspect.PathState, query, stateLimit, &state)
@@ -70,7 +70,7 @@
 		return inspect.Drain{}, err
 	}
 	if state.Process != m.Process {
-		return inspect.Drain{}, wrongProcess(state.Process)
+		return inspect.Drain{}, wrongProcessError(state.Process)
 	}
 	section, ok := state.Sections[inspect.SectionDrain]
 	if !ok || section.Error != "" {
--- a/admin/explain.go
+++ b/admin/explain.go
@@ -12,7 +12,7 @@
 	adminpb "github.com/pearyard/pearyard/rpc/admin"
 )
 
-// explainCaveat goes with every explanation.
+// explainCaveat is part of every explanation.
 const explainCaveat = "Times are corrected by each process's clock offset as estimated while asking; steps of " +
 	"different processes closer together than their clock errors may have happened in the other order. " +
 	"Processes that restarted or did not answer have lost or kept back their part."
@@ -20,9 +20,9 @@
 // maxSteps bounds an explanation; the newest steps are kept.
 const maxSteps = 5000
 
-// Dump returns the state of one process as it answers it.
+// Dump returns the state of one process as that process reports it.
 func (s *Server) Dump(ctx context.Context, req *adminpb.DumpRequest) (*adminpb.DumpResponse, error) {
-	members := s.named(req.GetProcess())
+	members := s.membersNamed(req.GetProcess())
 	if len(members) != 1 {
 		return nil, twirp.NotFound.Errorf("%s names %d processes", req.GetProcess(), len(members))
 	}
@@ -33,25 +33,25 @@
 	return &adminpb.DumpResponse{State: got.raw, Truncated: got.truncated}, nil
 }
 
-// eventsAnswer is what came of asking one process for its events.
-type eventsAnswer struct {
+// eventsResult is the result of querying one process for its events.
+type eventsResult struct {
 	events inspect.Events
-	clock  clock
+	clock  clockEstimate
 	err    error
 }
 
-// Explain merges the events of one request from every process that answers.
+// Explain merges the events of one request from every process that responds.
 func (s *Server) Explain(ctx context.Context, req *adminpb.ExplainRequest) (*adminpb.ExplainResponse, error) {
 	if req.GetRequest() == "" {
 		return nil, twirp.RequiredArgumentError("request")
 	}
-	ask := func(ctx context.Context, m Member) (out eventsAnswer) {
+	query := func(ctx context.Context, m Member) (out eventsResult) {
 		out.events, out.clock, out.err = s.peers.events(ctx, m, req.GetRequest())
 		return out
 	}
 	resp := &adminpb.ExplainResponse{Caveat: explainCaveat}
 	unanswered := 0
-	err := gather(ctx, s.opts.Parallel, s.members(), ask, func(m Member, got eventsAnswer) error {
+	err := queryAll(ctx, s.opts.Parallel, s.members(), query, func(m Member, got eventsResult) error {
 		if got.err != nil {
 			unanswered++
 		}
@@ -63,12 +63,12 @@
 	if err != nil {
 		return nil, twirp.Unavailable.Error(err.Error())
 	}
-	s.noteUnanswered("explain", unanswered)
+	s.recordUnanswered("explain", unanswered)
 	sortExplanation(resp)
 	return resp, nil
 }
 
-func (s *Server) noteUnanswered(what string, processes int) {
+func (s *Server) recordUnanswered(what string, processes int) {
 	if processes == 0 {
 		return
 	}
@@ -76,9 +76,9 @@
 	s.opts.Recorder.Emit(eventGatherPartial, "what", what, "unanswered", processes)
 }
 
-// sortExplanation orders steps by corrected time. The sort is stable and each
-// process's steps come in the order of its ring, so that a clock set back within
-// one process doesn't hide which of its equal times came first.
+// sortExplanation orders steps by corrected time. The sort is stable, and the steps
+// of a process are given in the order of its event buffer, so that steps of one
+// process with equal times keep their order.
 func sortExplanation(resp *adminpb.ExplainResponse) {
 	sort.SliceStable(resp.Steps, func(i, j int) bool { return resp.Steps[i].AtUnixUs < resp.Steps[j].AtUnixUs })
 	sort.Slice(resp.Asked, func(i, j int) bool { return resp.Asked[i].Process < resp.Asked[j].Process })
@@ -88,11 +88,11 @@
 	}
 }
 
-func askedPB(m Member, got eventsAnswer) *adminpb.Asked {
+func askedPB(m Member, got eventsResult) *adminpb.Asked {
 	out := &adminpb.Asked{
 		Process:       string(m.Process),
 		ClockOffsetUs: got.clock.offset.Microseconds(),
-		ClockErrorUs:  got.clock.bound.Microseconds(),
+		ClockErrorUs:  got.clock.maxError.Microseconds(),
 		Overwritten:   got.events.Overwritten,
 	}
 	if got.err != nil {
@@ -101,7 +101,7 @@
 	return out
 }
 
-func stepsPB(m Member, got eventsAnswer) []*adminpb.Step {
+func stepsPB(m Member, got eventsResult) []*adminpb.Step {
 	out := make([]*adminpb.Step, len(got.events.Entries))
 	for i, entry := range got.events.Entries {
 		out[i] = stepPB(m, entry, got.clock.offset)
--- a/admin/inforce.go
+++ b/admin/inforce.go
@@ -10,32 +10,33 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// pollInterval is the pause between two rounds of asking those behind.
+// pollInterval is the pause between two rounds of querying the processes behind.
 const pollInterval = 100 * time.Millisecond
 
-// WaitInForce waits for a revision that was accepted before.
+// WaitInForce waits until an accepted revision is in force in every process.
 func (s *Server) WaitInForce(ctx context.Context, req *adminpb.InForceRequest) (*adminpb.InForce, error) {
-	return s.waitInForce(ctx, types.Revision(req.GetRevision()), waitBound(req.GetWaitMs())), nil
+	return s.waitInForce(ctx, types.Revision(req.GetRevision()), waitLimit(req.GetWaitMs())), nil
 }
 
-// waitInForce waits until every process has the revision in force, within the
-// bound, and names those that don't. It ends early once only dead processes are
-// behind: they are named, but waiting for them is of no use.
+// waitInForce waits until every process has the revision in force, at most for the
+// given time, and lists the processes that are behind. It returns early once only
+// dead processes are behind: waiting for them is useless.
 //
-// What membership knows of a process's revision lags; those that seem behind are
-// asked directly, so that a slow rumour doesn't pass for a slow configuration.
+// The revision that the membership has for a process lags. Processes that seem behind
+// are queried directly, so that slow gossip isn't taken for slow distribution of the
+// configuration.
 func (s *Server) waitInForce(ctx context.Context, revision types.Revision, bound time.Duration) *adminpb.InForce {
 	started := s.opts.Now()
 	ctx, cancel := context.WithTimeout(ctx, bound)
 	defer cancel()
 	confirmed := map[types.ProcessID]types.Revision{}
 	for {
-		result, waitFor := s.inForceRound(ctx, revision, confirmed)
+		result, retry := s.checkInForce(ctx, revision, confirmed)
 		if len(result.GetBehind()) == 0 {
 			s.metrics.inForce.Observe(s.opts.Now().Sub(started).Seconds())
 			return result
 		}
-		if waitFor && pause(ctx, pollInterval) {
+		if retry && sleep(ctx, pollInterval) {
 			continue
 		}
 		s.opts.Recorder.Emit(eventNotInForce, "revision", revision, "behind", len(result.GetBehind()),
@@ -44,8 +45,8 @@
 	}
 }
 
-// pause returns false if ctx ends first.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep returns false if ctx ends first.
+func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -56,8 +57,9 @@
 	}
 }
 
-// inForceRound counts once; waitFor says that a process which isn't dead is behind.
-func (s *Server) inForceRound(ctx context.Context, revision types.Revision, confirmed map[types.ProcessID]types.Revision) (result *adminpb.InForce, waitFor bool) {
+// checkInForce checks all processes once. retry is whether a process is behind that
+// isn't dead.
+func (s *Server) checkInForce(ctx context.Context, revision types.Revision, confirmed map[types.ProcessID]types.Revision) (result *adminpb.InForce, retry bool) {
 	members := s.members()
 	var behind []Member
 	for _, m := range members {
@@ -66,25 +68,25 @@
 		}
 	}
 	result = &adminpb.InForce{Processes: uint32(len(members))}
-	ask := func(ctx context.Context, m Member) versionAnswer { return s.version(ctx, m) }
+	query := func(ctx context.Context, m Member) revisionResult { return s.queryRevision(ctx, m) }
 	asked := map[types.ProcessID]bool{}
-	_ = gather(ctx, s.opts.Parallel, behind, ask, func(m Member, got versionAnswer) error {
+	_ = queryAll(ctx, s.opts.Parallel, behind, query, func(m Member, got revisionResult) error {
 		asked[m.Process] = true
 		confirmed[m.Process] = max(confirmed[m.Process], got.revision)
 		if confirmed[m.Process] < revision {
 			result.Behind = append(result.Behind, behindPB(m, confirmed[m.Process], got.err))
-			waitFor = waitFor || m.State != StateDead
+			retry = retry || m.State != StateDead
 		}
 		return nil
 	})
 	for _, m := range behind {
-		if !asked[m.Process] { // the bound ended the round first
+		if !asked[m.Process] { // ctx ended first
 			result.Behind = append(result.Behind, behindPB(m, confirmed[m.Process], ctx.Err()))
 		}
 	}
 	sort.Slice(result.Behind, func(i, j int) bool { return result.Behind[i].Process < result.Behind[j].Process })
 	result.InForce = result.Processes - uint32(len(result.Behind))
-	return result, waitFor
+	return result, retry
 }
 
 func behindPB(m Member, confirmed types.Revision, err error) *adminpb.Behind {
@@ -95,23 +97,23 @@
 	return out
 }
 
-// versionAnswer is what came of asking one process for its revision.
-type versionAnswer struct {
+// revisionResult is the result of querying one process for its revision.
+type revisionResult struct {
 	revision types.Revision
 	err      error
 }
 
-// version asks a process for the revision in force. An answer of another process
-// that has taken over the address doesn't count; of an absent one only the
-// address is known.
-func (s *Server) version(ctx context.Context, m Member) versionAnswer {
+// queryRevision queries a process for the revision in force. A response of another
+// process at the same address is an error, except for an absent member, of which
+// only the address is known.
+func (s *Server) queryRevision(ctx context.Context, m Member) revisionResult {
 	var version inspect.Version
 	err := s.peers.getJSON(ctx, m, inspect.PathVersion, nil, versionLimit, &version)
 	if err != nil {
-		return versionAnswer{err: err}
+		return revisionResult{err: err}
 	}
 	if m.State != StateAbsent && version.Process != m.Process {
-		return versionAnswer{err: wrongProcess(version.Process)}
+		return revisionResult{err: wrongProcessError(version.Process)}
 	}
-	return versionAnswer{revision: version.Revision}
+	return revisionResult{revision: version.Revision}
 }
--- a/admin/mask.go
+++ b/admin/mask.go
@@ -16,49 +16,49 @@
 	"github.com/go-json-experiment/json/jsontext"
 )
 
-// secretWords are the words in a JSON member's name that make its strings a
-// secret or a caller's own content.
+// secretWords are the words in a JSON member's name that mark its strings as secrets
+// or as content of a caller.
 var secretWords = map[string]bool{
 	"token": true, "tokens": true, "key": true, "keys": true, "secret": true, "secrets": true,
 	"password": true, "passwords": true, "authorization": true, "bearer": true, "credential": true, "credentials": true,
 	"prompt": true, "body": true, "emitted": true,
-	"head": true, // of a section that was cut: JSON without an end, whose names can't be read
+	"head": true, // the start of a truncated section: incomplete JSON, which can't be masked by names
 }
 
-// minSecretBytes is the shortest value that is searched for outside its own
-// place: replacing every "a" would leave nothing to read.
+// minSecretBytes is the minimum length of a secret that is also replaced elsewhere:
+// replacing every "a" would make the bundle unreadable.
 const minSecretBytes = 6
 
-// masker replaces secrets. A masked value shows as `masked-` and a tag that is
-// the same for equal values of one bundle and tells nothing else: it is keyed
-// by a random number that is thrown away with the masker.
+// masker replaces secrets. A masked value becomes `masked-` and a tag. Equal values
+// in one bundle have equal tags, which reveal nothing else: a tag is a MAC with a
+// random key that is discarded with the masker.
 //
-// Failure guarded against: a bundle goes to a vendor, by mail as likely as not,
-// and a token in it opens the site. Names alone don't catch a value that was
-// logged under another name, so each secret met under its name, and each one
-// given, is also replaced wherever else its text stands.
+// Failure guarded against: a bundle is sent to a vendor, often by mail, and a token
+// in it would give access to the site. Names alone don't find a value that was
+// logged under another name, so each secret found by its name, and each given one,
+// is also replaced wherever else it appears.
 //
-// A process's own dump is masked by a child, whose finds are thrown away with
-// it: keys differ from process to process, and all of them together would grow
-// with the site.
+// The files of each process are masked by a child, which is discarded with the
+// secrets that it found: they differ between processes, and keeping all of them would
+// take memory in proportion to the site.
 type masker struct {
-	parent   *masker
-	salt     [sha256.Size]byte
-	known    map[string]string // value to replacement
-	replacer *strings.Replacer // of known; nil: to be built
+	parent       *masker
+	salt         [sha256.Size]byte
+	replacements map[string]string // value to replacement
+	replacer     *strings.Replacer // of known; nil: to be built
 }
 
 func newMasker(secrets ...string) *masker {
-	m := &masker{known: map[string]string{}}
+	m := &masker{replacements: map[string]string{}}
 	_, _ = rand.Read(m.salt[:])
 	for _, secret := range secrets {
-		m.learn(secret)
+		m.addSecret(secret)
 	}
 	return m
 }
 
 func (m *masker) child() *masker {
-	return &masker{parent: m, salt: m.salt, known: map[string]string{}}
+	return &masker{parent: m, salt: m.salt, replacements: map[string]string{}}
 }
 
 const (
@@ -66,38 +66,37 @@
 	maskTagBytes = 4
 )
 
-// learn notes a secret and returns what stands in its place.
-func (m *masker) learn(value string) string {
+// addSecret records a secret and returns its replacement.
+func (m *masker) addSecret(value string) string {
 	if strings.HasPrefix(value, maskPrefix) {
 		return value
 	}
 	mac := hmac.New(sha256.New, m.salt[:])
 	mac.Write([]byte(value))
 	masked := maskPrefix + hex.EncodeToString(mac.Sum(nil)[:maskTagBytes])
-	if _, ok := m.known[value]; !ok && len(value) >= minSecretBytes {
-		m.known[value] = masked
+	if _, ok := m.replacements[value]; !ok && len(value) >= minSecretBytes {
+		m.replacements[value] = masked
 		m.replacer = nil
 	}
 	return masked
 }
 
-// plain replaces the known secrets in a text of any form.
-func (m *masker) plain(raw []byte) []byte {
+// maskText replaces the known secrets in a text of any format.
+func (m *masker) maskText(raw []byte) []byte {
 	if m.parent != nil {
-		raw = m.parent.plain(raw)
+		raw = m.parent.maskText(raw)
 	}
-	if len(m.known) == 0 {
+	if len(m.replacements) == 0 {
 		return raw
 	}
 	if m.replacer == nil {
-		m.replacer = newReplacer(m.known)
+		m.replacer = newReplacer(m.replacements)
 	}
 	return []byte(m.replacer.Replace(string(raw)))
 }
 
-// newReplacer replaces each value as it is and as it stands inside a JSON
-// string; the longest first, so that a secret which contains another is replaced
-// whole.
+// newReplacer replaces each value both verbatim and as escaped in a JSON string, the
+// longest first, so that a secret that contains another one is replaced entirely.
 func newReplacer(known map[string]string) *strings.Replacer {
 	secrets := make([]string, 0, len(known))
 	for secret := range known {
@@ -111,44 +110,45 @@
 	return strings.NewReplacer(pairs...)
 }
 
-// escapedJSON returns the value as it stands inside a JSON string.
+// escapedJSON returns the value as it is escaped in a JSON string.
 func escapedJSON(value string) string {
 	quoted, _ := json.Marshal(value) // a string always encodes
 	return string(quoted[1 : len(quoted)-1])
 }
 
-// notJSON stands in place of what can't be masked by names.
+// notJSON replaces a document that can't be masked by names.
 const notJSON = `{"left_out": "not valid JSON, so its secrets can't be found"}`
 
-// json masks a JSON document and keeps its layout. What doesn't parse, such as a
-// dump that was cut, is not passed on. It goes through the document token by
-// token: the tree of a text of 48,000 organisations would take 100 MB.
-func (m *masker) json(raw []byte) []byte {
+// maskJSON masks a JSON document and keeps its layout. A document that can't be
+// parsed, such as a truncated dump, is replaced by notJSON. The document is processed
+// token by token: the tree of a configuration of 48,000 organisations would take
+// 100 MB.
+func (m *masker) maskJSON(raw []byte) []byte {
 	out := bytes.NewBuffer(make([]byte, 0, len(raw)))
 	dec := jsontext.NewDecoder(bytes.NewBuffer(raw), jsontext.AllowDuplicateNames(true), jsontext.AllowInvalidUTF8(true))
-	walk := secretWalk{}
+	walk := secretTracker{}
 	copied, end := 0, 0
 	for {
 		token, err := dec.ReadToken()
 		if err == io.EOF && end > 0 {
 			out.Write(raw[copied:])
-			return m.plain(out.Bytes())
+			return m.maskText(out.Bytes())
 		}
 		if err != nil {
 			return []byte(notJSON)
 		}
 		start := tokenStart(raw, end)
 		end = int(dec.InputOffset())
-		if !walk.secret(dec, token) {
+		if !walk.isSecret(dec, token) {
 			continue
 		}
 		out.Write(raw[copied:start])
-		out.WriteString(strconv.Quote(m.learn(token.String())))
+		out.WriteString(strconv.Quote(m.addSecret(token.String())))
 		copied = end
 	}
 }
 
-// tokenStart returns where the token begins that follows the one ending at end.
+// tokenStart returns the start of the token after the one that ends at end.
 func tokenStart(raw []byte, end int) int {
 	for end < len(raw) && strings.IndexByte(" \t\r\n,:", raw[end]) >= 0 {
 		end++
@@ -156,17 +156,17 @@
 	return end
 }
 
-// secretWalk follows a document's tokens and knows which strings are secret:
-// those under a secret name, at any depth.
-type secretWalk struct {
-	named bool // the name just read is a secret one
-	depth int  // of the outermost object or array under a secret name; 0: none
+// secretTracker follows the tokens of a document and determines which strings are
+// secret: those under a secret name, at any depth.
+type secretTracker struct {
+	afterSecretName bool // the preceding token is a secret name
+	depth           int  // of the outermost object or array under a secret name; 0: none
 }
 
-// secret reports whether the token is a secret string.
-func (w *secretWalk) secret(dec *jsontext.Decoder, token jsontext.Token) bool {
-	named := w.named
-	w.named = false
+// isSecret reports whether the token is a secret string.
+func (w *secretTracker) isSecret(dec *jsontext.Decoder, token jsontext.Token) bool {
+	named := w.afterSecretName
+	w.afterSecretName = false
 	switch token.Kind() {
 	case '{', '[':
 		if named && w.depth == 0 {
@@ -178,7 +178,7 @@
 		}
 	case '"':
 		if isName(dec) {
-			w.named = secretName(token.String())
+			w.afterSecretName = isSecretName(token.String())
 			return false
 		}
 		return (named || w.depth > 0) && token.String() != ""
@@ -186,14 +186,15 @@
 	return false
 }
 
-// isName reports whether the string just read is the name of an object's member.
+// isName reports whether the last string read is the name of an object member.
 func isName(dec *jsontext.Decoder) bool {
 	kind, length := dec.StackIndex(dec.StackDepth())
 	return kind == '{' && length%2 == 1
 }
 
-// secretName splits a name such as admin_token or adminToken into its words.
-func secretName(name string) bool {
+// isSecretName reports whether a word of a name such as admin_token or adminToken is
+// a secret word.
+func isSecretName(name string) bool {
 	words := strings.FieldsFunc(splitCamel(name), func(r rune) bool { return !unicode.IsLetter(r) })
 	for _, word := range words {
 		if secretWords[strings.ToLower(word)] {
@@ -203,7 +204,8 @@
 	return false
 }
 
-// splitCamel sets a space before each upper-case letter that follows a lower-case one.
+// splitCamel inserts a space before each upper-case letter that follows a lower-case
+// one.
 func splitCamel(name string) string {
 	var out strings.Builder
 	previous := rune(0)
--- a/admin/mask_test.go
+++ b/admin/mask_test.go
@@ -9,11 +9,11 @@
 	"github.com/onsi/gomega"
 )
 
-// tag matches what stands in place of a secret.
+// tag matches the replacement of a secret.
 var tag = regexp.MustCompile(`masked-[0-9a-f]{8}`)
 
-// FuzzMask feeds documents of any form: masking must neither panic nor let a
-// named secret through, and what it returns is JSON again.
+// FuzzMask masks arbitrary documents: masking must neither panic nor leave a known
+// secret in place, and valid JSON must stay valid.
 func FuzzMask(f *testing.F) {
 	f.Add([]byte(`{"a": [1, {"b": "hunter2-secret"}], "d": null}`), "hunter2-secret")
 	f.Add([]byte(`{"note": "in a comment" /* hunter2-secret */}`), "hunter2-secret")
@@ -24,35 +24,35 @@
 			t.Skip("also part of what masking writes, or too short to search for")
 		}
 		before := bytes.Clone(document)
-		masked := newMasker(secret).json(document)
+		masked := newMasker(secret).maskJSON(document)
 		if !bytes.Equal(before, document) {
 			t.Fatalf("masking changed the text in force: %q became %q", before, document)
 		}
 		if !json.Valid(masked) && json.Valid(document) && !bytes.Contains(document, []byte(secret)) {
 			t.Fatalf("%q became %q", document, masked)
 		}
-		// A secret of hexadecimal digits may stand in a random tag by chance, or
-		// across its edge; outside the tags it must never stand.
+		// A secret of hexadecimal digits may occur by chance in a random tag or across
+		// its edge. It must never occur outside the tags.
 		if bytes.Contains(tag.ReplaceAll(masked, []byte{0, 0xff}), []byte(secret)) {
 			t.Fatalf("%q holds %q", masked, secret)
 		}
 	})
 }
 
-// Every way in which a value stands under a secret name, and what stands beside it.
+// Covers every way in which a value can be under a secret name, and values next to it.
 func TestMaskFollowsNames(t *testing.T) {
 	g := gomega.NewWithT(t)
 	document := `{"adminToken": "a1", "keys": ["b1", {"x": "b2", "n": [7, "b3"]}], "after": ["c1"], "key": null, "then": "c2",
   "token": {"deep": [["b4"]]}, "password": "", "last": {"secret": true, "kept": "c3"}}`
-	masked := string(newMasker().json([]byte(document)))
+	masked := string(newMasker().maskJSON([]byte(document)))
 	for _, secret := range []string{`"a1"`, `"b1"`, `"b2"`, `"b3"`, `"b4"`} {
 		g.Expect(masked).NotTo(gomega.ContainSubstring(secret))
 	}
 	for _, kept := range []string{`"c1"`, `"c2"`, `"c3"`, `"key": null`, `"password": ""`, `"secret": true`, "[7,", "\n  \"token\""} {
 		g.Expect(masked).To(gomega.ContainSubstring(kept))
 	}
-	g.Expect(string(newMasker().json([]byte(`{"key": "cut`)))).To(gomega.Equal(notJSON))
-	g.Expect(string(newMasker().json(nil))).To(gomega.Equal(notJSON))
+	g.Expect(string(newMasker().maskJSON([]byte(`{"key": "cut`)))).To(gomega.Equal(notJSON))
+	g.Expect(string(newMasker().maskJSON(nil))).To(gomega.Equal(notJSON))
 }
 
 func TestMaskTagsTellEqualValuesWithinOneBundleOnly(t *testing.T) {
@@ -64,8 +64,8 @@
 		MaxTokens int `json:"max_tokens"`
 		Keeper    string
 	}
-	g.Expect(json.Unmarshal(newMasker().json(document), &first)).To(gomega.Succeed())
-	g.Expect(json.Unmarshal(newMasker().json(document), &second)).To(gomega.Succeed())
+	g.Expect(json.Unmarshal(newMasker().maskJSON(document), &first)).To(gomega.Succeed())
+	g.Expect(json.Unmarshal(newMasker().maskJSON(document), &second)).To(gomega.Succeed())
 	g.Expect(first.Key).To(gomega.Equal(first.Keys[0]))
 	g.Expect(first.Key).NotTo(gomega.Equal(second.Key))
 	g.Expect(first.MaxTokens).To(gomega.Equal(5))
--- a/admin/queries.go
+++ b/admin/queries.go
@@ -11,25 +11,26 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// Get returns the text of a revision, or the newest. With the store down, the
-// newest is what this router has in force, and the answer says so.
+// Get returns a revision, by default the newest. If the store is unavailable, it
+// returns the revision in force in this router instead of the newest, and the response
+// says so.
 func (s *Server) Get(ctx context.Context, req *adminpb.GetRequest) (*adminpb.GetResponse, error) {
 	if req.GetRevision() != 0 {
 		text, err := s.opts.Texts.Load(ctx, types.Revision(req.GetRevision()))
 		if err != nil {
 			return nil, s.queryError(err)
 		}
-		return &adminpb.GetResponse{Revision: textPB(text)}, nil
+		return &adminpb.GetResponse{Revision: revisionPB(text)}, nil
 	}
 	text, fallback, err := s.newest(ctx)
 	if err != nil {
 		return nil, s.queryError(err)
 	}
-	return &adminpb.GetResponse{Revision: textPB(text), StoreUnavailable: fallback}, nil
+	return &adminpb.GetResponse{Revision: revisionPB(text), StoreUnavailable: fallback}, nil
 }
 
-// newest returns the newest accepted text; fallback says that the store did not
-// answer and the text is the one in force here.
+// newest returns the newest accepted revision. If the store does not respond, it
+// returns the revision in force here, and fallback is true.
 func (s *Server) newest(ctx context.Context) (text Text, fallback bool, err error) {
 	history, err := s.opts.Texts.History(ctx, 1)
 	if err == nil && len(history) == 0 {
@@ -48,7 +49,7 @@
 	return inForce, true, nil
 }
 
-// History lists accepted revisions, newest first, without their texts.
+// History lists accepted revisions, newest first, without the configurations.
 func (s *Server) History(ctx context.Context, req *adminpb.HistoryRequest) (*adminpb.HistoryResponse, error) {
 	history, err := s.opts.Texts.History(ctx, historyLimit(req.GetLimit()))
 	if err != nil {
@@ -57,7 +58,7 @@
 	resp := &adminpb.HistoryResponse{}
 	for _, text := range history {
 		text.Raw = nil
-		resp.Revisions = append(resp.Revisions, textPB(text))
+		resp.Revisions = append(resp.Revisions, revisionPB(text))
 	}
 	return resp, nil
 }
@@ -69,7 +70,7 @@
 	return int(min(limit, MaxHistory))
 }
 
-// Diff compares two revisions, or a revision and a text that is not applied.
+// Diff compares two revisions, or a revision and a configuration that was not applied.
 func (s *Server) Diff(ctx context.Context, req *adminpb.DiffRequest) (*adminpb.DiffResponse, error) {
 	from, err := s.revisionOrNewest(ctx, req.GetFrom())
 	if err != nil {
@@ -97,7 +98,7 @@
 func (s *Server) Status(ctx context.Context, req *adminpb.StatusRequest) (*adminpb.StatusResponse, error) {
 	members := s.members()
 	if req.GetName() != "" {
-		members = s.named(req.GetName())
+		members = s.membersNamed(req.GetName())
 	}
 	sort.Slice(members, func(i, j int) bool { return members[i].Process < members[j].Process })
 	resp := &adminpb.StatusResponse{
@@ -112,7 +113,7 @@
 	return resp, nil
 }
 
-// queryError gives an error its twirp code.
+// queryError converts an error to a twirp error.
 func (s *Server) queryError(err error) error {
 	if errors.Is(err, ErrNoRevision) || errors.Is(err, ErrNotFound) {
 		return twirp.NotFound.Error(err.Error())
--- a/admin/scale_test.go
+++ b/admin/scale_test.go
@@ -19,12 +19,12 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// targetProcesses is the target's size: 400 routers and 1,600 sidecars.
+// targetProcesses is the size of the target site: 400 routers and 1,600 sidecars.
 const targetProcesses = 2000
 
-// oneForAll serves every member from one listener: the client dials it whatever
-// the address, and the Host header says which process is meant.
-func oneForAll(tb testing.TB, handler http.Handler) (*http.Client, []Member) {
+// serveAllMembers serves every member from one listener: the client dials it for every
+// address, and the Host header tells which process is queried.
+func serveAllMembers(tb testing.TB, handler http.Handler) (*http.Client, []Member) {
 	tb.Helper()
 	server := httptest.NewServer(handler)
 	tb.Cleanup(server.Close)
@@ -41,10 +41,11 @@
 	return &http.Client{Transport: transport}, members
 }
 
-// BenchmarkWaitInForce asks all processes of the target's size for a revision
-// that membership has not heard of from any: the worst round of apply --wait.
+// BenchmarkWaitInForce queries all processes of a site of the target size for a
+// revision that the membership has not reported for any of them, which is the worst
+// case of apply --wait.
 func BenchmarkWaitInForce(b *testing.B) {
-	client, members := oneForAll(b, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	client, members := serveAllMembers(b, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_ = json.NewEncoder(w).Encode(inspect.Version{
 			Identity: inspect.Identity{Process: types.ProcessID(r.Host)}, Revision: 7,
 		})
@@ -63,8 +64,8 @@
 	}
 }
 
-// BenchmarkBundle makes the bundle of a site of the target's size, each process
-// with 64 KB of state and 300 events.
+// BenchmarkBundle writes the bundle of a site of the target size, each process with
+// 64 KB of state and 300 events.
 func BenchmarkBundle(b *testing.B) {
 	recorder := event.Discard()
 	for i := range 300 {
@@ -75,10 +76,10 @@
 		b.Fatal(err)
 	}
 	registry.Add("state", func() any { return strings.Repeat("0123456789abcde ", 4<<10) })
-	client, members := oneForAll(b, registry.Handler())
+	client, members := serveAllMembers(b, registry.Handler())
 	s, err := New(Options{
 		Token: "t", Members: func() []Member { return members }, HTTP: client,
-		Texts: noTexts{}, InForce: func() Text { return Text{} },
+		Texts: noConfigs{}, InForce: func() Text { return Text{} },
 	})
 	if err != nil {
 		b.Fatal(err)
@@ -92,7 +93,7 @@
 	}
 }
 
-// countingWriter counts what is written to it.
+// countingWriter counts the bytes written to it.
 type countingWriter struct{ bytes int }
 
 func (c *countingWriter) Write(p []byte) (int, error) {
@@ -100,12 +101,12 @@
 	return len(p), nil
 }
 
-// noTexts is a store that is down.
-type noTexts struct{ Texts }
+// noConfigs is a store without any revision.
+type noConfigs struct{ Texts }
 
-func (noTexts) History(context.Context, int) ([]Text, error) { return nil, ErrNoRevision }
+func (noConfigs) History(context.Context, int) ([]Text, error) { return nil, ErrNoRevision }
 
-// BenchmarkMaskText masks a text of the target's 48,000 organisations.
+// BenchmarkMaskText masks a configuration of the target's 48,000 organisations.
 func BenchmarkMaskText(b *testing.B) {
 	var document bytes.Buffer
 	document.WriteString(`{"organisations":[`)
@@ -115,28 +116,28 @@
 	document.WriteString(`]}`)
 	b.SetBytes(int64(document.Len()))
 	for b.Loop() {
-		newMasker().json(document.Bytes())
+		newMasker().maskJSON(document.Bytes())
 	}
 }
 
-// Two processes whose clocks are kept in step: the estimate is worse than they
-// are and must not move their steps; a clock that is off must be corrected.
+// For two processes with synchronized clocks, the estimate is less precise than the
+// clocks and must not shift their steps. A clock that is wrong must be corrected.
 func TestEstimateLeavesClocksInStep(t *testing.T) {
 	g := gomega.NewWithT(t)
 	sent := time.Unix(1000, 0)
 	received := sent.Add(10 * time.Millisecond)
-	g.Expect(estimate(sent, received, sent.Add(time.Millisecond))).To(gomega.Equal(clock{bound: 5 * time.Millisecond}))
-	g.Expect(estimate(sent, received, sent.Add(time.Hour)).offset).To(gomega.Equal(time.Hour - 5*time.Millisecond))
+	g.Expect(estimateClock(sent, received, sent.Add(time.Millisecond))).To(gomega.Equal(clockEstimate{maxError: 5 * time.Millisecond}))
+	g.Expect(estimateClock(sent, received, sent.Add(time.Hour)).offset).To(gomega.Equal(time.Hour - 5*time.Millisecond))
 }
 
-// A take that fails, such as a reader of the bundle that went away, ends the
-// gathering; asks that still run must not be left waiting.
+// When consume fails, for example because the client of a bundle has disconnected,
+// queryAll ends, and queries that are still running must not stay blocked.
 func TestGatherEndsWhenItsReaderFails(t *testing.T) {
 	g := gomega.NewWithT(t)
 	members := make([]Member, 100)
-	ask := func(context.Context, Member) int { return 1 }
+	query := func(context.Context, Member) int { return 1 }
 	taken := 0
-	err := gather(context.Background(), 4, members, ask, func(Member, int) error {
+	err := queryAll(context.Background(), 4, members, query, func(Member, int) error {
 		taken++
 		if taken == 3 {
 			return context.Canceled
@@ -147,5 +148,5 @@
 	g.Expect(taken).To(gomega.Equal(3))
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	g.Expect(gather(ctx, 4, members, ask, func(Member, int) error { return nil })).To(gomega.MatchError(context.Canceled))
+	g.Expect(queryAll(ctx, 4, members, query, func(Member, int) error { return nil })).To(gomega.MatchError(context.Canceled))
 }
--- a/admin/suite_test.go
+++ b/admin/suite_test.go
@@ -31,15 +31,15 @@
 
 var kindStep = event.Define(4099, "admin_test_step", event.Info, "A step in a test.", "nothing")
 
-// texts is a store of texts in memory; accept and history may be replaced by a fault.
-type texts struct {
+// memoryStore is an in-memory ConfigStore. accept and history can inject failures.
+type memoryStore struct {
 	mu      sync.Mutex
 	all     []admin.Text
 	accept  func(admin.Change) (types.Revision, findings.List, error)
 	history error
 }
 
-func (t *texts) Accept(_ context.Context, c admin.Change) (types.Revision, findings.List, error) {
+func (t *memoryStore) Accept(_ context.Context, c admin.Change) (types.Revision, findings.List, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.accept != nil {
@@ -53,7 +53,7 @@
 	return revision, nil, nil
 }
 
-func (t *texts) Load(_ context.Context, revision types.Revision) (admin.Text, error) {
+func (t *memoryStore) Load(_ context.Context, revision types.Revision) (admin.Text, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if revision == 0 || int(revision) > len(t.all) {
@@ -62,7 +62,7 @@
 	return t.all[revision-1], nil
 }
 
-func (t *texts) History(context.Context, int) ([]admin.Text, error) {
+func (t *memoryStore) History(context.Context, int) ([]admin.Text, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []admin.Text
@@ -77,7 +77,7 @@
 	member   admin.Member
 	registry *inspect.Registry
 	recorder *event.Recorder
-	clock    time.Duration // its clock less the true one
+	clock    time.Duration // error of its clock
 }
 
 func newProcess(name string, role types.Role, revision func() types.Revision, clock time.Duration) *process {
@@ -99,10 +99,11 @@
 	return p
 }
 
-// later is how long after the other processes one with a wrong clock emits its events.
+// later is how long after the other processes a process with a wrong clock emits its
+// events.
 const later = 50 * time.Millisecond
 
-// handler serves the process; one with a wrong clock writes its events by that clock.
+// handler serves the process. With a wrong clock, the times of its events are shifted.
 func (p *process) handler() http.Handler {
 	if p.clock == 0 {
 		return p.registry.Handler()
@@ -120,7 +121,7 @@
 	})
 }
 
-// newFrozen returns a process that takes connections and never answers.
+// newFrozen returns a process that accepts connections and never responds.
 func newFrozen(name string) *process {
 	release := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -136,9 +137,9 @@
 	}}
 }
 
-// site is a router's administration API over processes.
+// site is a router's administration API and the processes of its site.
 type site struct {
-	texts     *texts
+	texts     *memoryStore
 	processes []*process
 	backends  []admin.Backend
 	stops     []types.ProcessID
@@ -149,7 +150,7 @@
 const testTimeout = 300 * time.Millisecond
 
 func newSite(processes ...*process) *site {
-	s := &site{texts: &texts{}, processes: processes}
+	s := &site{texts: &memoryStore{}, processes: processes}
 	server, err := admin.New(admin.Options{
 		Token: token, Process: "router-1", Texts: s.texts, InForce: s.inForce, Members: s.members, Stopper: s,
 		Backends: func() []admin.Backend { return s.backends },
@@ -186,7 +187,7 @@
 	return 2, nil
 }
 
-// bearer is a client with a token.
+// bearer is a transport that sends the token.
 type bearer string
 
 func (b bearer) RoundTrip(r *http.Request) (*http.Response, error) {
