--- a/cli/apply.go
+++ b/cli/apply.go
@@ -20,19 +20,19 @@
 	flagWaitFor = "wait-for"
 )
 
-// defaultWait is the time in which a revision has to be in force everywhere.
+// defaultWait is the time within which a revision must be in force everywhere.
 const defaultWait = 4 * time.Second
 
 func (p *program) applyCommand() *urfave.Command {
 	return &urfave.Command{
 		Name:      "apply",
-		Usage:     "put a text in force in place of a base revision",
+		Usage:     "submit a configuration that replaces a base revision",
 		ArgsUsage: "FILE",
 		Flags: remoteFlags(
-			&urfave.Uint64Flag{Name: flagBase, Usage: "`REVISION` that the text was made from; 0 for the first text"},
-			&urfave.StringFlag{Name: flagNote, Usage: "why, for the history"},
+			&urfave.Uint64Flag{Name: flagBase, Usage: "`REVISION` that the configuration was edited from; 0 for the first one"},
+			&urfave.StringFlag{Name: flagNote, Usage: "reason for the change, for the history"},
 			&urfave.BoolFlag{Name: flagWait, Usage: "wait until every process has it in force"},
-			&urfave.DurationFlag{Name: flagWaitFor, Value: defaultWait, Usage: "bound of --wait"},
+			&urfave.DurationFlag{Name: flagWaitFor, Value: defaultWait, Usage: "maximum time of --wait"},
 			whoFlag(),
 		),
 		Before: checkOutput,
@@ -46,7 +46,7 @@
 		return err
 	}
 	if !c.IsSet(flagBase) {
-		return usageErrorf("--%s is required: the revision that the text was made from", flagBase)
+		return usageErrorf("--%s is required: the revision that the configuration was edited from", flagBase)
 	}
 	raw, err := p.readFile(args[0])
 	if err != nil {
@@ -68,41 +68,41 @@
 	if err != nil {
 		return err
 	}
-	return showApplied(c, args[0], resp)
+	return printApplied(c, args[0], resp)
 }
 
-// applyRounds is how often each router is tried.
+// applyRounds is how often each router is called.
 const applyRounds = 2
 
-// apply has a text accepted by any router.
+// apply submits a configuration through any router.
 //
-// Failure guarded against: the answer to an apply is lost after the text was
-// accepted. It shows as an error, and an operator who then applies again, on the
-// new base, undoes what others accepted in between. So after every failure that
-// leaves the outcome open the history is read back. If it holds no successor of
-// the base, the call is sent again with the same base: the store accepts one
-// successor of a base at the most, so that the first call, if it comes through
-// late, and the second can't both take effect, whichever wins.
+// Failure guarded against: the response to an apply is lost after the configuration
+// was accepted. If that were reported as an error, an operator who applies again on
+// the new base would undo what others submitted in between. So after every failure
+// with an unknown outcome the history is read. If it has no successor of the base,
+// the call is sent again with the same base. The store accepts at most one successor
+// of a base, so the first call, if it arrives late, and the second can't both take
+// effect, whichever wins.
 func (c *client) apply(ctx context.Context, req *adminpb.ApplyRequest) (*adminpb.ApplyResponse, error) {
-	open := false // an earlier call may have taken effect
-	sent := false // an earlier call reached a router, whatever that said
+	ambiguous := false // an earlier call may have taken effect
+	sent := false      // an earlier call reached a router, whatever the response
 	var err error
 	for range applyRounds {
 		for _, address := range c.addresses {
 			var resp *adminpb.ApplyResponse
 			resp, err = c.applyAt(ctx, address, req)
 			if err == nil {
-				return c.own(ctx, req, resp, sent)
+				return c.resolveOwnRace(ctx, req, resp, sent)
 			}
 			if neverSent(err) {
 				continue
 			}
-			if !another(err) {
+			if !retryableElsewhere(err) {
 				return nil, err
 			}
 			sent = true
-			open = open || !refusedByStore(err)
-			if !open {
+			ambiguous = ambiguous || !refusedByStore(err)
+			if !ambiguous {
 				continue
 			}
 			resp, readErr := c.readBack(ctx, req)
@@ -111,14 +111,14 @@
 			}
 		}
 	}
-	if open {
-		return nil, exitErrorf(ExitUnknown, "the text may have been accepted (%s); `pearyard history` will show it once a router answers", err)
+	if ambiguous {
+		return nil, exitErrorf(ExitUnknown, "the configuration may have been accepted (%s); `pearyard history` will show it once a router responds", err)
 	}
 	return nil, errors.Wrap(err, "not accepted")
 }
 
 func (c *client) applyAt(ctx context.Context, address string, req *adminpb.ApplyRequest) (*adminpb.ApplyResponse, error) {
-	return try(ctx, c.timeout+waitTime(req), address, func(ctx context.Context, address string) (*adminpb.ApplyResponse, error) {
+	return callRouter(ctx, c.timeout+waitTime(req), address, func(ctx context.Context, address string) (*adminpb.ApplyResponse, error) {
 		return c.commands(address).Apply(ctx, req)
 	})
 }
@@ -130,16 +130,16 @@
 	return time.Duration(req.GetWaitMs()) * time.Millisecond
 }
 
-// refusedByStore reports a router's own word that nothing was accepted.
+// refusedByStore reports whether a router itself responded that nothing was accepted.
 func refusedByStore(err error) bool {
 	var answer twirp.Error
 	return errors.As(err, &answer) && answer.Code() == twirp.Unavailable && answer.Meta("http_error_from_intermediary") == ""
 }
 
-// own recognises a lost race against an earlier call of this very command. The
-// winner that the race names may stand on top of that call's text, so the
-// successor of the base decides.
-func (c *client) own(ctx context.Context, req *adminpb.ApplyRequest, resp *adminpb.ApplyResponse, sent bool) (*adminpb.ApplyResponse, error) {
+// resolveOwnRace detects a race that was lost against an earlier call of the same
+// command. The winner in the response may be based on the configuration of that call,
+// so the successor of the base decides.
+func (c *client) resolveOwnRace(ctx context.Context, req *adminpb.ApplyRequest, resp *adminpb.ApplyResponse, sent bool) (*adminpb.ApplyResponse, error) {
 	winner := resp.GetRace().GetWinner()
 	if !sent || winner == nil {
 		return resp, nil
@@ -149,7 +149,7 @@
 	}
 	found, err := c.readBack(ctx, req)
 	if found == nil && err == nil {
-		return nil, exitErrorf(ExitUnknown, "revision %d by %s is in force; whether the text was accepted before it, `pearyard history` will show",
+		return nil, exitErrorf(ExitUnknown, "revision %d by %s is in force; `pearyard history` will show whether the configuration was accepted before it",
 			winner.GetRevision(), winner.GetWho())
 	}
 	return found, err
@@ -161,7 +161,7 @@
 		req.GetNote() == accepted.GetNote()
 }
 
-// accepted answers for a text that was found accepted.
+// accepted returns the response for a configuration that was found to be accepted.
 func (c *client) accepted(ctx context.Context, req *adminpb.ApplyRequest, revision uint64) (*adminpb.ApplyResponse, error) {
 	resp := &adminpb.ApplyResponse{Revision: revision}
 	if !req.GetWait() {
@@ -171,23 +171,23 @@
 		return c.queries(address).WaitInForce(ctx, &adminpb.InForceRequest{Revision: revision, WaitMs: req.GetWaitMs()})
 	})
 	if err != nil {
-		return nil, exitErrorf(ExitNotInForce, "revision %d is accepted; where it is in force is not known: %s", revision, err)
+		return nil, exitErrorf(ExitNotInForce, "revision %d is accepted; it is unknown where it is in force: %s", revision, err)
 	}
 	resp.InForce = inForce
 	return resp, nil
 }
 
-// readBackLimit is how much history is read to find the base's successor.
+// readBackLimit is how many revisions are read to find the successor of the base.
 const readBackLimit = 100
 
-// readBack looks for the successor of the base. It returns nothing if there is
-// none yet.
+// readBack looks for the successor of the base. It returns nil if there is none yet
+// or the history can't be read.
 func (c *client) readBack(ctx context.Context, req *adminpb.ApplyRequest) (*adminpb.ApplyResponse, error) {
 	history, err := query(ctx, c, 0, func(ctx context.Context, address string) (*adminpb.HistoryResponse, error) {
 		return c.queries(address).History(ctx, &adminpb.HistoryRequest{Limit: readBackLimit})
 	})
 	if err != nil {
-		return nil, nil // still open; the next router is tried
+		return nil, nil // still unknown; the next router is called
 	}
 	successor := successorOf(req.GetBase(), history.GetRevisions())
 	if successor == 0 {
@@ -197,7 +197,7 @@
 		return c.queries(address).Get(ctx, &adminpb.GetRequest{Revision: successor})
 	})
 	if err != nil {
-		return nil, exitErrorf(ExitUnknown, "revision %d follows %d, but its text can't be read: %s", successor, req.GetBase(), err)
+		return nil, exitErrorf(ExitUnknown, "revision %d follows %d, but it can't be read: %s", successor, req.GetBase(), err)
 	}
 	if sameChange(req, got.GetRevision()) {
 		return c.accepted(ctx, req, successor)
@@ -206,8 +206,8 @@
 	return &adminpb.ApplyResponse{Race: race}, nil
 }
 
-// diffFrom returns what a revision changed, empty if that can't be read. The
-// first text has no base to compare with.
+// diffFrom returns what a revision changed, or "" if that can't be read. The first
+// revision has no base to compare with.
 func (c *client) diffFrom(ctx context.Context, base, successor uint64) string {
 	if base == 0 {
 		return ""
@@ -221,7 +221,7 @@
 	return resp.GetDiff()
 }
 
-// successorOf returns the smallest revision after base, 0 if there is none.
+// successorOf returns the smallest revision after base, or 0 if there is none.
 func successorOf(base uint64, revisions []*adminpb.Revision) uint64 {
 	successor := uint64(0)
 	for _, r := range revisions {
@@ -232,8 +232,9 @@
 	return successor
 }
 
-// showApplied prints the answer; what is not a full success is the exit code.
-func showApplied(c *urfave.Context, file string, resp *adminpb.ApplyResponse) error {
+// printApplied prints the response. It returns an error with an exit code unless the
+// command succeeded completely.
+func printApplied(c *urfave.Context, file string, resp *adminpb.ApplyResponse) error {
 	if c.String(flagOutput) == outputJSON {
 		if err := printMessage(c, resp); err != nil {
 			return err
@@ -273,7 +274,7 @@
 		return exitErrorf(ExitRace, "not accepted: revision %d by %s (%q) was accepted on the same base first",
 			winner.GetRevision(), winner.GetWho(), winner.GetNote())
 	case resp.GetRevision() == 0:
-		return exitErrorf(ExitFindings, "not accepted: the text has %d findings", len(resp.GetFindings()))
+		return exitErrorf(ExitFindings, "not accepted: the configuration has %d findings", len(resp.GetFindings()))
 	case len(resp.GetInForce().GetBehind()) > 0:
 		return exitErrorf(ExitNotInForce, "revision %d is accepted, but not in force in %d processes",
 			resp.GetRevision(), len(resp.GetInForce().GetBehind()))
--- a/cli/apply_test.go
+++ b/cli/apply_test.go
@@ -17,28 +17,29 @@
 	adminpb "github.com/pearyard/pearyard/rpc/admin"
 )
 
-// store is what several routers share: the accepted texts.
-type store struct {
-	mu  sync.Mutex
-	all []*adminpb.Revision
+// revisionStore holds the accepted revisions, which several routers share.
+type revisionStore struct {
+	mu        sync.Mutex
+	revisions []*adminpb.Revision
 }
 
-// router is the administration API of one router, with faults.
-type router struct {
-	adminpb.Queries  // calls that a test doesn't expect panic
-	adminpb.Commands // likewise
-	store            *store
-	applies          int
-	loseAnswer       bool // the text is accepted, the connection cut
-	refuse           bool // the store is down: nothing is accepted
-	failLate         bool // the text is accepted, and the router fails after that
-	mute             bool // history can't be read
+// fakeRouter is the administration API of one router, with failures that a test can
+// inject.
+type fakeRouter struct {
+	adminpb.Queries  // nil: unexpected calls panic
+	adminpb.Commands // nil, too
+	store            *revisionStore
+	applyCalls       int
+	loseResponse     bool // the change is accepted, but the connection is closed
+	refuse           bool // the store is unavailable: nothing is accepted
+	failAfterCommit  bool // the change is accepted, and the router fails afterwards
+	failHistory      bool // the history can't be read
 	behind           string
 	before           func() // runs before an apply takes effect
 }
 
-func (r *router) Apply(_ context.Context, req *adminpb.ApplyRequest) (*adminpb.ApplyResponse, error) {
-	r.applies++
+func (r *fakeRouter) Apply(_ context.Context, req *adminpb.ApplyRequest) (*adminpb.ApplyResponse, error) {
+	r.applyCalls++
 	if r.refuse {
 		return nil, twirp.Unavailable.Error("not accepted: the store is down")
 	}
@@ -46,10 +47,10 @@
 		r.before()
 	}
 	resp := r.store.accept(req)
-	if r.failLate {
+	if r.failAfterCommit {
 		return nil, twirp.Unavailable.Error("not accepted: no room")
 	}
-	if r.loseAnswer {
+	if r.loseResponse {
 		panic(http.ErrAbortHandler)
 	}
 	if req.GetWait() && resp.GetRevision() != 0 {
@@ -58,45 +59,45 @@
 	return resp, nil
 }
 
-func (s *store) accept(req *adminpb.ApplyRequest) *adminpb.ApplyResponse {
+func (s *revisionStore) accept(req *adminpb.ApplyRequest) *adminpb.ApplyResponse {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if int(req.GetBase()) != len(s.all) {
+	if int(req.GetBase()) != len(s.revisions) {
 		// The winner is the newest, as in the store.
-		return &adminpb.ApplyResponse{Race: &adminpb.Race{Winner: s.all[len(s.all)-1], Diff: "-a\n+b"}}
+		return &adminpb.ApplyResponse{Race: &adminpb.Race{Winner: s.revisions[len(s.revisions)-1], Diff: "-a\n+b"}}
 	}
-	revision := uint64(len(s.all) + 1)
-	s.all = append(s.all, &adminpb.Revision{Revision: revision, Who: req.GetWho(), Note: req.GetNote(), Text: req.GetText()})
+	revision := uint64(len(s.revisions) + 1)
+	s.revisions = append(s.revisions, &adminpb.Revision{Revision: revision, Who: req.GetWho(), Note: req.GetNote(), Text: req.GetText()})
 	return &adminpb.ApplyResponse{Revision: revision}
 }
 
-func (r *router) inForce() *adminpb.InForce {
+func (r *fakeRouter) inForce() *adminpb.InForce {
 	if r.behind == "" {
 		return &adminpb.InForce{Processes: 3, InForce: 3}
 	}
 	return &adminpb.InForce{Processes: 3, InForce: 2, Behind: []*adminpb.Behind{{Process: r.behind, State: "suspect"}}}
 }
 
-func (r *router) WaitInForce(context.Context, *adminpb.InForceRequest) (*adminpb.InForce, error) {
+func (r *fakeRouter) WaitInForce(context.Context, *adminpb.InForceRequest) (*adminpb.InForce, error) {
 	return r.inForce(), nil
 }
 
-func (r *router) History(context.Context, *adminpb.HistoryRequest) (*adminpb.HistoryResponse, error) {
-	if r.mute {
+func (r *fakeRouter) History(context.Context, *adminpb.HistoryRequest) (*adminpb.HistoryResponse, error) {
+	if r.failHistory {
 		return nil, twirp.Unavailable.Error("the store is down")
 	}
 	r.store.mu.Lock()
 	defer r.store.mu.Unlock()
-	return &adminpb.HistoryResponse{Revisions: r.store.all}, nil
+	return &adminpb.HistoryResponse{Revisions: r.store.revisions}, nil
 }
 
-func (r *router) Get(_ context.Context, req *adminpb.GetRequest) (*adminpb.GetResponse, error) {
+func (r *fakeRouter) Get(_ context.Context, req *adminpb.GetRequest) (*adminpb.GetResponse, error) {
 	r.store.mu.Lock()
 	defer r.store.mu.Unlock()
-	return &adminpb.GetResponse{Revision: r.store.all[req.GetRevision()-1]}, nil
+	return &adminpb.GetResponse{Revision: r.store.revisions[req.GetRevision()-1]}, nil
 }
 
-func (r *router) serve(t *testing.T) string {
+func (r *fakeRouter) serve(t *testing.T) string {
 	t.Helper()
 	mux := http.NewServeMux()
 	mux.Handle(adminpb.CommandsPathPrefix, adminpb.NewCommandsServer(r))
@@ -106,7 +107,7 @@
 	return server.URL
 }
 
-// result is what an operator sees of a command.
+// result is the exit code and output of a command.
 type result struct {
 	code           int
 	stdout, stderr string
@@ -119,7 +120,7 @@
 	return result{code: code, stdout: stdout.String(), stderr: stderr.String()}
 }
 
-func textFile(t *testing.T, text string) string {
+func configFile(t *testing.T, text string) string {
 	t.Helper()
 	name := filepath.Join(t.TempDir(), "text.json")
 	if err := os.WriteFile(name, []byte(text), 0o600); err != nil {
@@ -130,122 +131,125 @@
 
 func apply(t *testing.T, routers string, more ...string) result {
 	t.Helper()
-	args := []string{"apply", textFile(t, `{"mine": 1}`), "--base", "0", "--who", "ann", "--admin", routers}
+	args := []string{"apply", configFile(t, `{"mine": 1}`), "--base", "0", "--who", "ann", "--admin", routers}
 	return runCLI(t, append(args, more...)...)
 }
 
-// An operator applies a text. It is accepted, and the router dies before the
-// answer leaves. She must read "accepted as revision 1", once, and not "lost a
-// race" against herself; nothing is applied twice.
+// A configuration is accepted, and the router dies before it responds. The command
+// must print "accepted as revision 1" and not report a race lost against itself, and
+// nothing may be applied twice.
 func TestApplyWhoseAnswerIsLost(t *testing.T) {
 	g := gomega.NewWithT(t)
-	s := &store{}
-	first := &router{store: s, loseAnswer: true, behind: "sidecar-9"}
-	second := &router{store: s, behind: "sidecar-9"}
+	s := &revisionStore{}
+	first := &fakeRouter{store: s, loseResponse: true, behind: "sidecar-9"}
+	second := &fakeRouter{store: s, behind: "sidecar-9"}
 	got := apply(t, first.serve(t)+","+second.serve(t), "--wait")
 	g.Expect(got.stdout).To(gomega.ContainSubstring("accepted as revision 1\n"))
-	g.Expect(first.applies + second.applies).To(gomega.Equal(1))
-	g.Expect(s.all).To(gomega.HaveLen(1))
+	g.Expect(first.applyCalls + second.applyCalls).To(gomega.Equal(1))
+	g.Expect(s.revisions).To(gomega.HaveLen(1))
 	g.Expect(got.stdout).To(gomega.ContainSubstring("sidecar-9"))
 	g.Expect(got.code).To(gomega.Equal(ExitNotInForce))
 }
 
-// The answer is lost and another operator's text was accepted on the base before
-// hers came through: she lost, whatever the connection did. Seldom she read that
-// her text may have been accepted: the router's failure came whole ("Internal
-// service panic"), its connection was closed a moment later, and the history had
-// been asked for on that connection; with one router nobody else was asked.
+// The response is lost, but another operator's change was accepted on the same base
+// first, so the command must report a lost race. It used to report now and then that
+// the outcome was unknown: the router's error arrived in full ("Internal service
+// panic"), its connection was closed a moment later, and the history had been
+// requested on that connection. With a single router, no other one was called.
 func TestApplyWhoseAnswerIsLostAfterALostRace(t *testing.T) {
 	g := gomega.NewWithT(t)
-	s := &store{}
-	r := &router{store: s, loseAnswer: true}
+	s := &revisionStore{}
+	r := &fakeRouter{store: s, loseResponse: true}
 	r.before = func() { s.accept(&adminpb.ApplyRequest{Text: []byte("his"), Who: "bob"}) }
 	got := apply(t, r.serve(t))
 	g.Expect(got.code).To(gomega.Equal(ExitRace))
 	g.Expect(got.stderr).To(gomega.ContainSubstring("bob"))
-	g.Expect(s.all).To(gomega.HaveLen(1))
+	g.Expect(s.revisions).To(gomega.HaveLen(1))
 }
 
-// The answer is lost and the history can't be read at first; the second try, on
-// the same base, then loses to the first try. That is no race: it is her text.
+// The response is lost and the history can't be read at first. The second call, on the
+// same base, then loses against the first one. The command must recognize that the
+// winner is its own change.
 func TestApplyThatMeetsItsOwnEarlierTry(t *testing.T) {
 	g := gomega.NewWithT(t)
-	s := &store{}
-	first, second := &router{store: s, loseAnswer: true, mute: true}, &router{store: s, mute: true}
+	s := &revisionStore{}
+	first, second := &fakeRouter{store: s, loseResponse: true, failHistory: true}, &fakeRouter{store: s, failHistory: true}
 	got := apply(t, first.serve(t)+","+second.serve(t))
 	g.Expect(got).To(gomega.Equal(result{stdout: "accepted as revision 1\n"}))
-	g.Expect(second.applies).To(gomega.Equal(1))
-	g.Expect(s.all).To(gomega.HaveLen(1))
+	g.Expect(second.applyCalls).To(gomega.Equal(1))
+	g.Expect(s.revisions).To(gomega.HaveLen(1))
 }
 
-// The answer is lost, another operator builds on her text at once, and only then
-// can the history be read. The race names him, but her text was accepted first:
-// told "race lost" she would apply it again, on top of his.
+// The response is lost, another operator applies a change based on this one at once,
+// and only then can the history be read. The race names the other operator, but this
+// change was accepted first. If the command reported a lost race, the operator would
+// apply the change again, on top of the other one.
 func TestApplyFoundUnderAnotherOperatorsText(t *testing.T) {
 	g := gomega.NewWithT(t)
-	s := &store{}
-	first, second := &router{store: s, loseAnswer: true, mute: true}, &router{store: s, mute: true}
+	s := &revisionStore{}
+	first, second := &fakeRouter{store: s, loseResponse: true, failHistory: true}, &fakeRouter{store: s, failHistory: true}
 	second.before = func() {
 		s.accept(&adminpb.ApplyRequest{Base: 1, Text: []byte("his"), Who: "bob"})
-		second.mute = false
+		second.failHistory = false
 	}
 	got := apply(t, first.serve(t)+","+second.serve(t))
 	g.Expect(got).To(gomega.Equal(result{stdout: "accepted as revision 1\n"}))
-	g.Expect(s.all).To(gomega.HaveLen(2))
-	second.mute = true
-	first.mute = true
-	s.all = nil
+	g.Expect(s.revisions).To(gomega.HaveLen(2))
+	second.failHistory = true
+	first.failHistory = true
+	s.revisions = nil
 	second.before = func() { s.accept(&adminpb.ApplyRequest{Base: 1, Text: []byte("his"), Who: "bob"}) }
 	g.Expect(apply(t, first.serve(t)+","+second.serve(t)).code).To(gomega.Equal(ExitUnknown))
 }
 
-// A router commits the text, fails on what it does next and answers that nothing
-// was accepted. The next router then knows of a race, which is against herself.
+// A router commits the change, fails afterwards and responds that nothing was
+// accepted. The next router then reports a race, which was lost against the command's
+// own change.
 func TestApplyAfterARouterThatFailsLate(t *testing.T) {
 	g := gomega.NewWithT(t)
-	s := &store{}
-	first, second := &router{store: s, failLate: true}, &router{store: s}
+	s := &revisionStore{}
+	first, second := &fakeRouter{store: s, failAfterCommit: true}, &fakeRouter{store: s}
 	got := apply(t, first.serve(t)+","+second.serve(t))
 	g.Expect(got).To(gomega.Equal(result{stdout: "accepted as revision 1\n"}))
-	g.Expect(s.all).To(gomega.HaveLen(1))
+	g.Expect(s.revisions).To(gomega.HaveLen(1))
 }
 
-// The answer is lost and no router can read the history: the command doesn't
-// guess, it says that the outcome is open.
+// The response is lost and no router can read the history. The command must report
+// that the outcome is unknown.
 func TestApplyWhoseOutcomeStaysOpen(t *testing.T) {
 	g := gomega.NewWithT(t)
-	r := &router{store: &store{}, loseAnswer: true, mute: true}
+	r := &fakeRouter{store: &revisionStore{}, loseResponse: true, failHistory: true}
 	got := apply(t, r.serve(t))
 	g.Expect(got.code).To(gomega.Equal(ExitUnknown))
 	g.Expect(got.stderr).To(gomega.ContainSubstring("pearyard history"))
 }
 
-// Two operators race. The loser's command ends with 4 and shows the winner and
-// his diff, so that a script can fetch, merge and apply again.
+// Two operators apply concurrently. The loser's command exits with 4 and shows the
+// winner and its diff, so that a script can fetch, merge and apply again.
 func TestRaceEndsWithItsOwnCode(t *testing.T) {
 	g := gomega.NewWithT(t)
-	s := &store{}
+	s := &revisionStore{}
 	s.accept(&adminpb.ApplyRequest{Text: []byte("his"), Who: "bob", Note: "more runners"})
-	r := &router{store: s}
+	r := &fakeRouter{store: s}
 	got := apply(t, r.serve(t))
 	g.Expect(got.code).To(gomega.Equal(ExitRace))
 	g.Expect(got.stdout).To(gomega.ContainSubstring("+b"))
 	g.Expect(got.stderr).To(gomega.ContainSubstring(`revision 1 by bob ("more runners")`))
-	g.Expect(r.applies).To(gomega.Equal(1))
+	g.Expect(r.applyCalls).To(gomega.Equal(1))
 }
 
 func TestApplyGoesOnToTheNextRouter(t *testing.T) {
 	g := gomega.NewWithT(t)
-	s := &store{}
-	down, up := &router{store: s, refuse: true}, &router{store: s}
+	s := &revisionStore{}
+	down, up := &fakeRouter{store: s, refuse: true}, &fakeRouter{store: s}
 	got := apply(t, "127.0.0.1:1,"+down.serve(t)+","+up.serve(t), "--wait")
 	g.Expect(got).To(gomega.Equal(result{stdout: "accepted as revision 1\nin force in 3 of 3 processes\n"}))
 	got = apply(t, down.serve(t))
 	g.Expect(got.code).To(gomega.Equal(ExitUnreachable))
 }
 
-// The transfer of a bundle breaks half way. A part that looks like a bundle must
-// not stand under its name: it would be mailed.
+// The transfer of a bundle breaks midway. A partial file must not remain under the
+// name of the bundle, where it could be taken for a complete one and sent on.
 func TestBrokenBundleLeavesNoFile(t *testing.T) {
 	g := gomega.NewWithT(t)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -264,9 +268,9 @@
 
 func TestWrongTokenEndsWithItsOwnCode(t *testing.T) {
 	g := gomega.NewWithT(t)
-	asked := 0
+	calls := 0
 	refuse := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		asked++
+		calls++
 		g.Expect(r.Header.Get("Authorization")).To(gomega.Equal("Bearer wrong"))
 		_ = twirp.WriteError(w, twirp.Unauthenticated.Error("wrong token"))
 	})
@@ -275,20 +279,20 @@
 	t.Setenv(EnvAdmin, server.URL+","+server.URL)
 	t.Setenv(EnvToken, "wrong")
 	g.Expect(runCLI(t, "status").code).To(gomega.Equal(ExitUnauthorized))
-	g.Expect(asked).To(gomega.Equal(1), "the next router would refuse it too")
+	g.Expect(calls).To(gomega.Equal(1), "the next router would refuse it too")
 }
 
-// A router closes a connection while the next question is on its way there: it is the
-// end of an answer that failed before. With that one router alone, the question
-// has to be asked again on a new connection.
+// A router closes a kept-alive connection, for example after a failed response, while
+// the next query is being sent on it. With a single router, the query must be sent
+// again on a new connection.
 func TestQuestionIsAskedAgainWhenItsConnectionBreaks(t *testing.T) {
 	g := gomega.NewWithT(t)
-	s := &store{}
+	s := &revisionStore{}
 	s.accept(&adminpb.ApplyRequest{Text: []byte("his"), Who: "bob"})
-	queries := adminpb.NewQueriesServer(&router{store: s})
-	asked := 0
+	queries := adminpb.NewQueriesServer(&fakeRouter{store: s})
+	calls := 0
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if asked++; asked > 1 {
+		if calls++; calls > 1 {
 			queries.ServeHTTP(w, r)
 			return
 		}
@@ -300,5 +304,5 @@
 	got := runCLI(t, "history", "--admin", server.URL)
 	g.Expect(got.code).To(gomega.Equal(ExitOK))
 	g.Expect(got.stdout).To(gomega.ContainSubstring("bob"))
-	g.Expect(asked).To(gomega.Equal(2))
+	g.Expect(calls).To(gomega.Equal(2))
 }
--- a/cli/arguments.go
+++ b/cli/arguments.go
@@ -7,13 +7,13 @@
 	urfave "github.com/urfave/cli/v2"
 )
 
-// completionFlag ends the arguments of a shell's request for completions.
+// completionFlag is the last argument when a shell requests completions.
 const completionFlag = "--generate-bash-completion"
 
-// flagsFirst moves a command's flags before its arguments, so that operators may
-// write `apply FILE --base 3`: the library stops reading flags at the first
-// argument. What follows "--" stays as it is, and so does the line of a command
-// that has commands below it: which flags belong to which shows only by their order.
+// flagsFirst moves a command's flags before its arguments, so that operators may write
+// `apply FILE --base 3`: the library stops parsing flags at the first argument.
+// Arguments after "--" stay as they are, and so do those of a command with
+// subcommands, because only the order shows which flags belong to which command.
 func flagsFirst(args []string, commands []*urfave.Command) []string {
 	if len(args) < 2 || slices.Contains(args, completionFlag) {
 		return args
--- a/cli/cli.go
+++ b/cli/cli.go
@@ -15,19 +15,19 @@
 	"github.com/pearyard/pearyard/inspect"
 )
 
-// Options of New; unset fields mean the process's own.
+// Options of New. Unset fields default to those of the process.
 type Options struct {
 	Stdin  io.Reader
 	Stdout io.Writer
 	Stderr io.Writer
 	HTTP   *http.Client
-	// Demo runs the demonstration; without it there is no such command.
+	// Demo runs the demo; if nil, there is no such command.
 	Demo func(ctx context.Context, stdout io.Writer) error
-	// Bench measures pearyard itself; without it there is no such command.
+	// Bench is the command that measures pearyard itself; if nil, there is none.
 	Bench *urfave.Command
 }
 
-// Names of the flags that every command has, or most.
+// Names of the flags that all or most commands have.
 const (
 	flagAdmin   = "admin"
 	flagToken   = "token"
@@ -48,15 +48,15 @@
 	outputJSON = "json"
 )
 
-// defaultTimeout bounds one try of one router.
+// defaultTimeout limits one call of one router.
 const defaultTimeout = 10 * time.Second
 
-// program holds what the commands share.
+// program holds what all commands share.
 type program struct {
 	opts Options
 }
 
-// New returns the command line as an app; Run is what a main wants.
+// New returns the command line as an app. A main function calls Run instead.
 func New(opts Options) *urfave.App {
 	if opts.Stdin == nil {
 		opts.Stdin = os.Stdin
@@ -82,7 +82,7 @@
 		Commands:             p.commands(),
 		CommandNotFound:      nil,
 		ExitErrHandler:       func(*urfave.Context, error) {}, // Run maps errors to exit codes
-		Action:               noCommand,
+		Action:               unknownCommand,
 	}
 }
 
@@ -91,16 +91,16 @@
 	return fmt.Sprintf("%s %s %s", build.Build, build.Commit, build.Go)
 }
 
-// noCommand refuses what is no command; without arguments it shows the help.
-func noCommand(c *urfave.Context) error {
+// unknownCommand refuses an unknown command; without arguments it prints the help.
+func unknownCommand(c *urfave.Context) error {
 	if c.Args().Present() {
 		return usageErrorf("no command %q; see pearyard help", c.Args().First())
 	}
 	return urfave.ShowAppHelp(c)
 }
 
-// Run runs the command line args, the program's name first, and returns the
-// exit code. Errors are written to Stderr.
+// Run runs the command line args, which begins with the program's name, and returns
+// the exit code. Errors are written to Stderr.
 func Run(ctx context.Context, args []string, opts Options) int {
 	app := New(opts)
 	err := app.RunContext(ctx, flagsFirst(args, app.Commands))
@@ -133,22 +133,22 @@
 	if p.opts.Bench != nil {
 		commands = append(commands, p.opts.Bench)
 	}
-	tellUsageErrors(commands)
+	setUsageErrors(commands)
 	return commands
 }
 
-// tellUsageErrors gives wrong flags their exit code, also of commands below commands.
-func tellUsageErrors(commands []*urfave.Command) {
+// setUsageErrors sets the exit code of wrong flags for all commands and subcommands.
+func setUsageErrors(commands []*urfave.Command) {
 	for _, command := range commands {
 		command.OnUsageError = func(_ *urfave.Context, err error, _ bool) error { return usageErrorf("%s", err) }
-		tellUsageErrors(command.Subcommands)
+		setUsageErrors(command.Subcommands)
 	}
 }
 
 func (p *program) demoCommand() *urfave.Command {
 	return &urfave.Command{
 		Name:   "demo",
-		Usage:  "run a site with stand-ins in this process and show a failure",
+		Usage:  "run a site with simulated engines and platform in this process and show a failure",
 		Flags:  outputFlags(),
 		Before: checkOutput,
 		Action: func(c *urfave.Context) error { return p.opts.Demo(c.Context, c.App.Writer) },
@@ -163,16 +163,16 @@
 // remoteFlags are the flags of commands that call a router.
 func remoteFlags(more ...urfave.Flag) []urfave.Flag {
 	return outputFlags(append(more,
-		&urfave.StringSliceFlag{Name: flagAdmin, EnvVars: []string{EnvAdmin}, Usage: "administration `ADDRESS`es of routers; the next is tried when one is down"},
-		&urfave.StringFlag{Name: flagToken, EnvVars: []string{EnvToken}, Usage: "bearer token; prefer the variable, a flag shows in the list of processes"},
-		&urfave.DurationFlag{Name: flagTimeout, Value: defaultTimeout, Usage: "bound of one try of one router"},
+		&urfave.StringSliceFlag{Name: flagAdmin, EnvVars: []string{EnvAdmin}, Usage: "administration `ADDRESS`es of routers; the next is called when one is unavailable"},
+		&urfave.StringFlag{Name: flagToken, EnvVars: []string{EnvToken}, Usage: "bearer token; prefer the environment variable, since flags are visible in the process list"},
+		&urfave.DurationFlag{Name: flagTimeout, Value: defaultTimeout, Usage: "maximum time of one call of one router"},
 	)...)
 }
 
-// whoFlag names the operator. The API has one token for all operators, so the
-// name is a statement, not a proof.
+// whoFlag names the operator. The API has one token for all operators, so the name is
+// not authenticated.
 func whoFlag() urfave.Flag {
-	return &urfave.StringFlag{Name: flagWho, EnvVars: []string{"PEARYARD_WHO", "USER"}, Value: "operator", Usage: "who makes the change, for the history"}
+	return &urfave.StringFlag{Name: flagWho, EnvVars: []string{"PEARYARD_WHO", "USER"}, Value: "operator", Usage: "name of the operator, for the history"}
 }
 
 func checkOutput(c *urfave.Context) error {
@@ -184,7 +184,8 @@
 	}
 }
 
-// arguments returns exactly the named arguments or a usage error.
+// arguments returns the arguments if there is exactly one per name, or else a usage
+// error.
 func arguments(c *urfave.Context, names ...string) ([]string, error) {
 	if c.NArg() != len(names) {
 		return nil, usageErrorf("%s takes %d arguments %v, got %d", c.Command.Name, len(names), names, c.NArg())
@@ -192,10 +193,11 @@
 	return c.Args().Slice(), nil
 }
 
-// maxFileBytes bounds a text read from a file or from standard input.
+// maxFileBytes is the maximum size of a configuration read from a file or standard
+// input.
 const maxFileBytes = admin.MaxTextBytes
 
-// readFile reads a text; "-" is standard input.
+// readFile reads a file; "-" is standard input.
 func (p *program) readFile(name string) ([]byte, error) {
 	in := p.opts.Stdin
 	if name != "-" {
--- a/cli/cli_test.go
+++ b/cli/cli_test.go
@@ -11,7 +11,7 @@
 	"github.com/onsi/gomega"
 	"github.com/rogpeppe/go-internal/testscript"
 
-	_ "github.com/pearyard/pearyard/admin" // events that the scripts ask for
+	_ "github.com/pearyard/pearyard/admin" // defines the events that the scripts look up
 )
 
 func TestMain(m *testing.M) {
@@ -64,7 +64,7 @@
 	}
 }
 
-// FuzzFlagsFirst: whatever is typed, no argument is lost or made up.
+// FuzzFlagsFirst checks that no argument is lost or added, whatever the input.
 func FuzzFlagsFirst(f *testing.F) {
 	f.Add("F", "--base", "3")
 	f.Add("--wait", "--", "-x")
--- a/cli/client.go
+++ b/cli/client.go
@@ -19,7 +19,7 @@
 type client struct {
 	addresses []string // base URLs
 	http      *http.Client
-	timeout   time.Duration // of one try
+	timeout   time.Duration // of one call
 }
 
 // client returns the client that a command's flags describe.
@@ -68,33 +68,34 @@
 	return adminpb.NewCommandsProtobufClient(address, c.http)
 }
 
-// query asks one router after the other until one answers. It is for calls that
-// may run twice.
+// query calls one router after the other until one responds. It is for calls that may
+// run twice.
 //
-// A router that closes a kept connection after its answer may live; it answers on a new one.
-func query[T any](ctx context.Context, c *client, extra time.Duration, ask func(context.Context, string) (T, error)) (T, error) {
+// If a connection breaks, the same router is called once more, on a new connection: it
+// may only have closed a kept-alive connection after its previous response.
+func query[T any](ctx context.Context, c *client, extra time.Duration, call func(context.Context, string) (T, error)) (T, error) {
 	var answer T
 	var err error
 	for _, address := range c.addresses {
-		answer, err = try(ctx, c.timeout+extra, address, ask)
+		answer, err = callRouter(ctx, c.timeout+extra, address, call)
 		if connectionBroke(err) && ctx.Err() == nil {
-			answer, err = try(ctx, c.timeout+extra, address, ask)
+			answer, err = callRouter(ctx, c.timeout+extra, address, call)
 		}
-		if err == nil || !another(err) || ctx.Err() != nil {
+		if err == nil || !retryableElsewhere(err) || ctx.Err() != nil {
 			return answer, err
 		}
 	}
-	return answer, errors.Wrapf(err, "no router of %s answers", strings.Join(c.addresses, ", "))
+	return answer, errors.Wrapf(err, "none of the routers %s responds", strings.Join(c.addresses, ", "))
 }
 
-func try[T any](ctx context.Context, timeout time.Duration, address string, ask func(context.Context, string) (T, error)) (T, error) {
+func callRouter[T any](ctx context.Context, timeout time.Duration, address string, call func(context.Context, string) (T, error)) (T, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	return ask(ctx, address)
+	return call(ctx, address)
 }
 
-// another reports whether another router may do better.
-func another(err error) bool {
+// retryableElsewhere reports whether the call may succeed at another router.
+func retryableElsewhere(err error) bool {
 	var answer twirp.Error
 	if !errors.As(err, &answer) {
 		return true
@@ -107,15 +108,15 @@
 	}
 }
 
-// connectionBroke reports that a connection which had been made ended without an
-// answer. A router that lives answers on a new one.
+// connectionBroke reports whether an established connection ended without a response.
+// A router that is alive responds on a new one.
 func connectionBroke(err error) bool {
 	var sending *url.Error
 	return errors.As(err, &sending) && !sending.Timeout() && !neverSent(err)
 }
 
-// neverSent reports that the connection was not made, so that the router can't
-// have seen the call.
+// neverSent reports whether no connection was established, so that the router can't
+// have received the call.
 func neverSent(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
--- a/cli/doc.go
+++ b/cli/doc.go
@@ -1,6 +1,6 @@
-// Package cli is the operators' command line. Each command is one call of the
-// administration API, or works offline on a file; docs/operations/command-line.md
-// describes them and their exit codes.
+// Package cli is the operators' command line. Each command calls the administration
+// API or works offline on files; docs/operations/command-line.md describes them and
+// their exit codes.
 //
 // May import of pearyard: admin, event, explain, findings, inspect, rpc/admin,
 // text.
--- a/cli/exit.go
+++ b/cli/exit.go
@@ -21,7 +21,7 @@
 	ExitNotFound     = 9
 )
 
-// exitError is an error with the exit code that tells it to scripts.
+// exitError is an error with an exit code for scripts.
 type exitError struct {
 	code    int
 	message string
@@ -38,7 +38,7 @@
 	return exitErrorf(ExitUsage, format, args...)
 }
 
-// exitCode finds the exit code of an error.
+// exitCode returns the exit code of an error.
 func exitCode(err error) int {
 	var exit *exitError
 	if errors.As(err, &exit) {
--- a/cli/explain.go
+++ b/cli/explain.go
@@ -18,7 +18,7 @@
 	logsStdin = "-"
 )
 
-// explainLogs tells from log files what became of a request and why.
+// explainLogs explains from log files how a request ended and why.
 func explainLogs(c *urfave.Context, files []string, request string) error {
 	var lines []explain.Line
 	for _, name := range files {
@@ -36,14 +36,14 @@
 		return err
 	}
 	if len(story.Lines) == 0 {
-		return exitErrorf(ExitNotFound, "no line names %s", request)
+		return exitErrorf(ExitNotFound, "no line mentions %s", request)
 	}
 	return nil
 }
 
 func logsFlags() []urfave.Flag {
 	return []urfave.Flag{&urfave.StringSliceFlag{
-		Name: flagLogs, Usage: "read log files in place of asking processes; - is standard input; repeatable",
+		Name: flagLogs, Usage: "read log files instead of querying processes; - is standard input; repeatable",
 	}}
 }
 
--- a/cli/output.go
+++ b/cli/output.go
@@ -11,7 +11,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// printMessage prints an answer of the API as JSON, fields that are empty included.
+// printMessage prints a response of the API as JSON, including empty fields.
 func printMessage(c *urfave.Context, m proto.Message) error {
 	raw, err := protojson.MarshalOptions{UseProtoNames: true, EmitUnpopulated: true}.Marshal(m)
 	if err != nil {
@@ -26,10 +26,10 @@
 	return encoder.Encode(v)
 }
 
-// table is rows of cells for a terminal.
+// table holds rows of cells to print in aligned columns.
 type table [][]string
 
-// columnGap is how many spaces stand between two columns.
+// columnGap is the number of spaces between two columns.
 const columnGap = 2
 
 func (t table) print(c *urfave.Context) error {
--- a/cli/site.go
+++ b/cli/site.go
@@ -16,7 +16,7 @@
 func (p *program) statusCommand() *urfave.Command {
 	return &urfave.Command{
 		Name:      "status",
-		Usage:     "show processes, quarantines and drains as one router sees them",
+		Usage:     "show processes, quarantines and drains as known to one router",
 		ArgsUsage: "[PROCESS|BACKEND]",
 		Flags:     remoteFlags(),
 		Before:    checkOutput,
@@ -42,7 +42,7 @@
 	}
 	for _, q := range resp.GetQuarantines() {
 		_, _ = fmt.Fprintf(c.App.Writer, "\nquarantined: request body %s of %s, %d engines lost, until %s\n",
-			q.GetFingerprint(), q.GetOrganisation(), q.GetDeaths(), when(q.GetUntilUnixMs()))
+			q.GetFingerprint(), q.GetOrganisation(), q.GetDeaths(), formatTime(q.GetUntilUnixMs()))
 	}
 	for _, d := range resp.GetDrains() {
 		_, _ = fmt.Fprintln(c.App.Writer, drainLine(d))
@@ -98,11 +98,11 @@
 func (p *program) stopCommand() *urfave.Command {
 	return &urfave.Command{
 		Name:      "stop",
-		Usage:     "start a planned stop of a backend server or a router; nothing in flight is cut",
+		Usage:     "start a planned stop of a backend server or a router; requests in flight are finished",
 		ArgsUsage: "BACKEND|ROUTER",
 		Flags: remoteFlags(
-			&urfave.StringFlag{Name: flagKind, Usage: "backend or router; by default what the name is"},
-			&urfave.BoolFlag{Name: flagWait, Usage: "wait until the drain is done, telling its progress; Ctrl-C ends the waiting, not the stop"},
+			&urfave.StringFlag{Name: flagKind, Usage: "backend or router; by default the kind of the named process"},
+			&urfave.BoolFlag{Name: flagWait, Usage: "wait until the drain is done and print its progress; Ctrl-C ends the waiting, not the stop"},
 			whoFlag(),
 		),
 		Before: checkOutput,
@@ -123,20 +123,20 @@
 	if err != nil {
 		return err
 	}
-	// Asking twice for one stop is harmless, so the next router may be asked.
+	// Stop is idempotent, so the next router may be called.
 	resp, err := query(c.Context, client, 0, func(ctx context.Context, address string) (*adminpb.StopResponse, error) {
 		return client.commands(address).Stop(ctx, &adminpb.StopRequest{Kind: kind, Name: args[0], Who: c.String(flagWho)})
 	})
 	if err != nil {
 		return err
 	}
-	if err := showDrain(c, resp.GetDrain()); err != nil || !c.Bool(flagWait) {
+	if err := printDrain(c, resp.GetDrain()); err != nil || !c.Bool(flagWait) {
 		return err
 	}
 	return client.waitDrained(c, resp.GetDrain())
 }
 
-// kindOf returns the kind that the flag says, or else that of the process named.
+// kindOf returns the kind given by the flag, or else the kind of the named process.
 func (c *client) kindOf(ctx context.Context, flag, name string) (adminpb.Kind, error) {
 	switch flag {
 	case "backend":
@@ -160,7 +160,7 @@
 	return adminpb.Kind_KIND_BACKEND, nil
 }
 
-func showDrain(c *urfave.Context, drain *adminpb.Drain) error {
+func printDrain(c *urfave.Context, drain *adminpb.Drain) error {
 	if c.String(flagOutput) == outputJSON {
 		return printMessage(c, drain)
 	}
@@ -168,16 +168,16 @@
 	return err
 }
 
-// drainPoll is the pause between two questions for a drain's progress.
-const drainPoll = time.Second
+// drainPollInterval is the pause between two queries of a drain's progress.
+const drainPollInterval = time.Second
 
-// waitDrained tells the progress until the drain is done or its process is gone.
+// waitDrained prints the progress until the drain is done or its process has ended.
 func (c *client) waitDrained(cc *urfave.Context, drain *adminpb.Drain) error {
 	for drain.GetState() != "done" {
 		select {
 		case <-cc.Context.Done():
-			return exitErrorf(ExitInternal, "no longer waiting; the stop of %s goes on", drain.GetProcess())
-		case <-time.After(drainPoll):
+			return exitErrorf(ExitInternal, "no longer waiting; the stop of %s continues", drain.GetProcess())
+		case <-time.After(drainPollInterval):
 		}
 		status, err := c.status(cc.Context, drain.GetProcess())
 		if err != nil {
@@ -189,18 +189,18 @@
 			return nil
 		}
 		if next == nil {
-			continue // the router that answers has not heard of it yet
+			continue // the responding router does not know of the drain yet
 		}
 		drain = next
-		if err := showDrain(cc, drain); err != nil {
+		if err := printDrain(cc, drain); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// drainIn finds the drain of a process; gone says that the process is dead or
-// no longer a member.
+// drainIn finds the drain of a process. gone is whether the process is dead or no
+// longer a member.
 func drainIn(status *adminpb.StatusResponse, process string) (drain *adminpb.Drain, gone bool) {
 	gone = true
 	for _, m := range status.GetMembers() {
@@ -217,7 +217,7 @@
 func (p *program) explainCommand() *urfave.Command {
 	return &urfave.Command{
 		Name:      "explain",
-		Usage:     "show what every process did with one request, in order; with --summary, how all requests of a period fared",
+		Usage:     "show what every process did with one request, in order; with --summary, the outcomes of all requests of a period",
 		ArgsUsage: "REQUEST-ID",
 		Flags:     slices.Concat(remoteFlags(), logsFlags(), summaryFlags()),
 		Before:    checkOutput,
@@ -240,7 +240,7 @@
 	if err != nil {
 		return err
 	}
-	resp, err := query(c.Context, client, gatherTime, func(ctx context.Context, address string) (*adminpb.ExplainResponse, error) {
+	resp, err := query(c.Context, client, gatherTimeout, func(ctx context.Context, address string) (*adminpb.ExplainResponse, error) {
 		return client.queries(address).Explain(ctx, &adminpb.ExplainRequest{Request: args[0]})
 	})
 	if err != nil {
@@ -252,7 +252,7 @@
 		err = printExplanation(c, resp)
 	}
 	if err == nil && len(resp.GetSteps()) == 0 {
-		return exitErrorf(ExitNotFound, "no process that answers holds an event of %s", args[0])
+		return exitErrorf(ExitNotFound, "no responding process has an event of %s", args[0])
 	}
 	return err
 }
--- a/cli/site_test.go
+++ b/cli/site_test.go
@@ -20,7 +20,7 @@
 
 var kindTest = event.Define(4098, "cli_test_step", event.Info, "A step in a test.", "nothing")
 
-// smallSite is the administration API of a router before one sidecar.
+// smallSite is the administration API of a router and a site with one sidecar.
 type smallSite struct {
 	member  admin.Member
 	texts   []admin.Text
@@ -28,7 +28,7 @@
 	stopped []string
 }
 
-// Accept implements admin.Texts; the command's tests of apply have their own store.
+// Accept implements admin.ConfigStore; the tests of apply have a store of their own.
 func (s *smallSite) Accept(context.Context, admin.Change) (types.Revision, findings.List, error) {
 	return 0, nil, admin.ErrAmbiguous
 }
--- a/cli/summary.go
+++ b/cli/summary.go
@@ -22,24 +22,24 @@
 	flagObjective = "objective"
 )
 
-// defaultWorst spans are shown one by one.
+// defaultWorst is how many spans are shown one by one.
 const defaultWorst = 3
 
 func summaryFlags() []urfave.Flag {
 	return []urfave.Flag{
-		&urfave.BoolFlag{Name: flagSummary, Usage: "tell from the log files which requests of a period were in time, and why the others were not"},
-		&urfave.DurationFlag{Name: flagSpan, Value: explain.DefaultSpan, Usage: "length of the spans that the period is cut into, whole seconds"},
+		&urfave.BoolFlag{Name: flagSummary, Usage: "show from log files which requests of a period were in time, and why the others were not"},
+		&urfave.DurationFlag{Name: flagSpan, Value: explain.DefaultSpan, Usage: "length of the spans that the period is divided into, whole seconds"},
 		&urfave.IntFlag{Name: flagWorst, Value: defaultWorst, Usage: "how many of the worst spans are shown"},
-		&urfave.TimestampFlag{Name: flagFrom, Layout: time.RFC3339, Usage: "first second of the period, by requests' arrival"},
+		&urfave.TimestampFlag{Name: flagFrom, Layout: time.RFC3339, Usage: "first second of the period, by arrival of the requests"},
 		&urfave.TimestampFlag{Name: flagTo, Layout: time.RFC3339, Usage: "end of the period"},
-		&urfave.StringSliceFlag{Name: flagObjective, Usage: "`KIND:ANSWER/GAP` such as stream:4.5s/700ms, in place of what the configuration's lines say; repeatable"},
+		&urfave.StringSliceFlag{Name: flagObjective, Usage: "`KIND:ANSWER/GAP` such as stream:4.5s/700ms, overrides the logged objectives; repeatable"},
 	}
 }
 
-// summarize tells from log files how the requests of a period fared.
+// summarize prints the outcomes of a period's requests from log files.
 func summarize(c *urfave.Context) error {
 	if c.NArg() > 0 {
-		return usageErrorf("--%s takes no request", flagSummary)
+		return usageErrorf("--%s does not take a request ID", flagSummary)
 	}
 	if len(c.StringSlice(flagLogs)) == 0 {
 		return usageErrorf("--%s needs --%s", flagSummary, flagLogs)
@@ -108,7 +108,7 @@
 	if err != nil {
 		return err
 	}
-	if err := printGaps(c, s); err != nil {
+	if err := printOmissions(c, s); err != nil {
 		return err
 	}
 	if err := printPart(c, s.Kinds, s.Causes); err != nil {
@@ -126,8 +126,8 @@
 	return nil
 }
 
-// printGaps tells what the summary can't know.
-func printGaps(c *urfave.Context, s explain.Summary) error {
+// printOmissions prints what is missing from the summary.
+func printOmissions(c *urfave.Context, s explain.Summary) error {
 	w := c.App.Writer
 	if s.Dropped > 0 {
 		fmt.Fprintf(w, "; %d more were dropped by processes", s.Dropped)
@@ -139,7 +139,7 @@
 		fmt.Fprintf(w, "\n%d lines not used, %s (first: %s)", bad.Count, bad.Reason, bad.First)
 	}
 	if len(s.Objectives) == 0 {
-		fmt.Fprintf(w, "\nNo line tells the routes' objectives: every whole answer counts as in time. Give --%s.", flagObjective)
+		fmt.Fprintf(w, "\nNo line has the objectives of the routes: every complete answer counts as in time. Use --%s.", flagObjective)
 	}
 	_, err := fmt.Fprintln(w)
 	return err
--- a/cli/summary_test.go
+++ b/cli/summary_test.go
@@ -16,24 +16,24 @@
 level=info ts=2026-10-02T12:00:09Z process=edge-1 event=PY2720 name=exchange_ser
 `
 
-// Engineers on call know that answers were slow, but no request's id: they give
-// the logs of the time and get the counts, the causes and requests to look at.
+// On-call engineers know that answers were slow, but have no request ID. From the logs
+// of that time the summary shows counts, causes and example requests.
 func TestSummaryOfLogs(t *testing.T) {
 	g := gomega.NewWithT(t)
 	file := filepath.Join(t.TempDir(), "log")
 	g.Expect(os.WriteFile(file, []byte(summaryLogs), 0o600)).To(gomega.Succeed())
 
-	told := runCLI(t, "explain", "--summary", "--logs", file)
-	g.Expect(told.code).To(gomega.Equal(ExitOK), told.stderr)
-	g.Expect(told.stdout).To(gomega.ContainSubstring("1 lines not used, cut"))
-	g.Expect(told.stdout).To(gomega.MatchRegexp(`stream +1 +0 +1 +0 +0`))
-	g.Expect(told.stdout).To(gomega.MatchRegexp(`queue +stream +1 +0 +0 +8s +a1 took 8s, first event 5s, longest pause 3ms, server i-9`))
-	g.Expect(told.stdout).To(gomega.ContainSubstring("from 2026-10-02T12:00:01Z: 0.00 in time"))
+	got := runCLI(t, "explain", "--summary", "--logs", file)
+	g.Expect(got.code).To(gomega.Equal(ExitOK), got.stderr)
+	g.Expect(got.stdout).To(gomega.ContainSubstring("1 lines not used, cut"))
+	g.Expect(got.stdout).To(gomega.MatchRegexp(`stream +1 +0 +1 +0 +0`))
+	g.Expect(got.stdout).To(gomega.MatchRegexp(`queue +stream +1 +0 +0 +8s +a1 took 8s, first event 5s, longest pause 3ms, server i-9`))
+	g.Expect(got.stdout).To(gomega.ContainSubstring("from 2026-10-02T12:00:01Z: 0.00 in time"))
 
-	told = runCLI(t, "explain", "--summary", "--logs", file, "--output", "json", "--objective", "stream:6s")
-	g.Expect(told.code).To(gomega.Equal(ExitOK), told.stderr)
+	got = runCLI(t, "explain", "--summary", "--logs", file, "--output", "json", "--objective", "stream:6s")
+	g.Expect(got.code).To(gomega.Equal(ExitOK), got.stderr)
 	var summary explain.Summary
-	g.Expect(json.Unmarshal([]byte(told.stdout), &summary)).To(gomega.Succeed())
+	g.Expect(json.Unmarshal([]byte(got.stdout), &summary)).To(gomega.Succeed())
 	g.Expect(summary.Kinds[0].InTime).To(gomega.Equal(1))
 }
 
--- a/cli/text.go
+++ b/cli/text.go
@@ -17,7 +17,7 @@
 func (p *program) checkCommand() *urfave.Command {
 	return &urfave.Command{
 		Name:      "check",
-		Usage:     "check a text offline and show all findings",
+		Usage:     "check a configuration offline and show all findings",
 		ArgsUsage: "FILE",
 		Flags:     outputFlags(),
 		Before:    checkOutput,
@@ -35,14 +35,14 @@
 		return err
 	}
 	_, list := text.Parse(raw)
-	showFindings(c, args[0], list)
+	printFindings(c, args[0], list)
 	if list.HasErrors() {
 		return exitErrorf(ExitFindings, "%s can't be accepted", args[0])
 	}
 	return nil
 }
 
-func showFindings(c *urfave.Context, file string, list findings.List) {
+func printFindings(c *urfave.Context, file string, list findings.List) {
 	if c.String(flagOutput) == outputJSON {
 		_, _ = fmt.Fprintln(c.App.Writer, string(list.JSON()))
 		return
@@ -60,15 +60,16 @@
 func (p *program) getCommand() *urfave.Command {
 	return &urfave.Command{
 		Name:   "get",
-		Usage:  "print a text; its revision goes to standard error",
-		Flags:  remoteFlags(&urfave.Uint64Flag{Name: flagRevision, Usage: "0 is the newest"}),
+		Usage:  "print a configuration; its revision is printed to standard error",
+		Flags:  remoteFlags(&urfave.Uint64Flag{Name: flagRevision, Usage: "0 means the newest"}),
 		Before: checkOutput,
 		Action: p.get,
 	}
 }
 
-// gotText is the JSON of get: the text as it was written, not as bytes.
-type gotText struct {
+// getOutput is the JSON output of get, with the configuration as a string and not as
+// base64.
+type getOutput struct {
 	Revision         uint64 `json:"revision"`
 	Base             uint64 `json:"base"`
 	Who              string `json:"who"`
@@ -91,21 +92,21 @@
 	}
 	got := resp.GetRevision()
 	if c.String(flagOutput) == outputJSON {
-		return printJSON(c, gotText{
+		return printJSON(c, getOutput{
 			Revision: got.GetRevision(), Base: got.GetBase(), Who: got.GetWho(), Note: got.GetNote(),
-			At: when(got.GetAtUnixMs()), StoreUnavailable: resp.GetStoreUnavailable(), Text: string(got.GetText()),
+			At: formatTime(got.GetAtUnixMs()), StoreUnavailable: resp.GetStoreUnavailable(), Text: string(got.GetText()),
 		})
 	}
 	if resp.GetStoreUnavailable() {
-		_, _ = fmt.Fprintln(c.App.ErrWriter, "the store does not answer; this is what the router has in force, newer ones may exist")
+		_, _ = fmt.Fprintln(c.App.ErrWriter, "the store does not respond; this is the revision in force in the router, there may be newer ones")
 	}
-	_, _ = fmt.Fprintf(c.App.ErrWriter, "revision %d by %s at %s\n", got.GetRevision(), got.GetWho(), when(got.GetAtUnixMs()))
+	_, _ = fmt.Fprintf(c.App.ErrWriter, "revision %d by %s at %s\n", got.GetRevision(), got.GetWho(), formatTime(got.GetAtUnixMs()))
 	_, err = c.App.Writer.Write(got.GetText())
 	return err
 }
 
-// when prints a time of the API.
-func when(unixMs int64) string {
+// formatTime formats a time of the API.
+func formatTime(unixMs int64) string {
 	if unixMs == 0 {
 		return "-"
 	}
@@ -140,7 +141,7 @@
 	}
 	rows := table{{"REVISION", "AT", "WHO", "NOTE"}}
 	for _, r := range resp.GetRevisions() {
-		rows = append(rows, []string{strconv.FormatUint(r.GetRevision(), 10), when(r.GetAtUnixMs()), r.GetWho(), r.GetNote()})
+		rows = append(rows, []string{strconv.FormatUint(r.GetRevision(), 10), formatTime(r.GetAtUnixMs()), r.GetWho(), r.GetNote()})
 	}
 	return rows.print(c)
 }
@@ -148,7 +149,7 @@
 func (p *program) diffCommand() *urfave.Command {
 	return &urfave.Command{
 		Name:      "diff",
-		Usage:     "compare two revisions, or a revision and a file; two files are compared offline by diff(1)",
+		Usage:     "compare two revisions, or a revision and a file; to compare two files, use diff(1)",
 		ArgsUsage: "REVISION REVISION|FILE",
 		Flags:     remoteFlags(),
 		Before:    checkOutput,
@@ -180,8 +181,8 @@
 	return nil
 }
 
-// diffRequest reads a number as a revision and all else as a file; a file whose
-// name is a number is given as ./NUMBER.
+// diffRequest takes a number as a revision and anything else as a file. A file whose
+// name is a number can be given as ./NUMBER.
 func (p *program) diffRequest(c *urfave.Context) (*adminpb.DiffRequest, error) {
 	args, err := arguments(c, "REVISION", "REVISION|FILE")
 	if err != nil {
--- a/cli/vendor.go
+++ b/cli/vendor.go
@@ -18,13 +18,13 @@
 	adminpb "github.com/pearyard/pearyard/rpc/admin"
 )
 
-// gatherTime is what asking every process of a site may take on top of a try's
-// bound: with a zone of 95 processes frozen, each 32 of them cost one timeout.
-const gatherTime = 30 * time.Second
+// gatherTimeout is added to the timeout of a call that queries every process of a
+// site: with a zone of 95 frozen processes, every 32 of them cost one timeout.
+const gatherTimeout = 30 * time.Second
 
-// bundleTime is the same for a bundle, whose files are read, masked and packed
-// besides: 2,000 processes took 20 s.
-const bundleTime = 2 * time.Minute
+// bundleTimeout is the same for a bundle, whose files are also fetched, masked and
+// compressed: 2,000 processes took 20 s.
+const bundleTimeout = 2 * time.Minute
 
 func (p *program) dumpCommand() *urfave.Command {
 	return &urfave.Command{
@@ -53,7 +53,7 @@
 		return err
 	}
 	if resp.GetTruncated() {
-		_, _ = fmt.Fprintln(c.App.ErrWriter, "the dump is cut at its bound")
+		_, _ = fmt.Fprintln(c.App.ErrWriter, "the dump is truncated at its size limit")
 	}
 	if _, err := c.App.Writer.Write(resp.GetState()); err != nil {
 		return err
@@ -67,7 +67,7 @@
 func (p *program) bundleCommand() *urfave.Command {
 	return &urfave.Command{
 		Name:   "bundle",
-		Usage:  "write a tar.gz that a vendor without access can work from",
+		Usage:  "write a tar.gz from which a vendor without access can diagnose the site",
 		Flags:  remoteFlags(&urfave.StringFlag{Name: flagFile, Usage: "`FILE` to write"}),
 		Before: checkOutput,
 		Action: p.bundle,
@@ -83,7 +83,7 @@
 	if err != nil {
 		return err
 	}
-	size, err := query(c.Context, client, bundleTime, func(ctx context.Context, address string) (int64, error) {
+	size, err := query(c.Context, client, bundleTimeout, func(ctx context.Context, address string) (int64, error) {
 		return client.saveBundle(ctx, address, name)
 	})
 	if err != nil {
@@ -92,18 +92,18 @@
 	if c.String(flagOutput) == outputJSON {
 		return printJSON(c, bundleResult{File: name, Bytes: size})
 	}
-	_, err = fmt.Fprintf(c.App.Writer, "%s: %d bytes; MANIFEST.json in it names processes that did not answer\n", name, size)
+	_, err = fmt.Fprintf(c.App.Writer, "%s: %d bytes; its MANIFEST.json lists the processes that did not respond\n", name, size)
 	return err
 }
 
-// bundleResult is the JSON of bundle.
+// bundleResult is the JSON output of bundle.
 type bundleResult struct {
 	File  string `json:"file"`
 	Bytes int64  `json:"bytes"`
 }
 
-// saveBundle writes the bundle under another name first: a transfer that broke
-// never stands under the name that the operator sends on.
+// saveBundle writes the bundle to a temporary file first, so that an incomplete
+// transfer never has the final name.
 func (c *client) saveBundle(ctx context.Context, address, name string) (int64, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, address+admin.PathBundle, nil)
 	if err != nil {
@@ -145,9 +145,9 @@
 func (p *program) eventsCommand() *urfave.Command {
 	return &urfave.Command{
 		Name:      "events",
-		Usage:     "explain an event of the catalogue, or list all",
+		Usage:     "describe an event of the catalogue, or list all",
 		ArgsUsage: "[PY2101]",
-		Flags:     outputFlags(&urfave.BoolFlag{Name: flagMarkdown, Usage: "the whole catalogue as the page docs/EVENTS.md"}),
+		Flags:     outputFlags(&urfave.BoolFlag{Name: flagMarkdown, Usage: "print the whole catalogue as Markdown, as in docs/EVENTS.md"}),
 		Before:    checkOutput,
 		Action:    p.events,
 	}
@@ -180,7 +180,7 @@
 	return rows.print(c)
 }
 
-// eventEntry is the JSON of one kind of event.
+// eventEntry is the JSON output for one kind of event.
 type eventEntry struct {
 	ID    string      `json:"id"`
 	Name  string      `json:"name"`
