--- a/catalogue/catalogue_test.go
+++ b/catalogue/catalogue_test.go
@@ -50,8 +50,8 @@
 	return ""
 }
 
-// A new package defines events and nobody adds it here: `pearyard events`
-// doesn't know the number that an operator reads in a log.
+// If a package that defines events is not imported here, `pearyard events` does not
+// know the event IDs that operators read in its log lines.
 func TestEveryPackageWithEventsIsImported(t *testing.T) {
 	g := gomega.NewWithT(t)
 	file, err := parser.ParseFile(token.NewFileSet(), "catalogue.go", nil, parser.ImportsOnly)
--- a/catalogue/packages_test.go
+++ b/catalogue/packages_test.go
@@ -16,10 +16,10 @@
 
 const module = "github.com/pearyard/pearyard/"
 
-// allowed is the paragraph of a package's comment that says what it may import.
+// allowed matches the sentence of a package comment that lists the allowed imports.
 var allowed = regexp.MustCompile(`May import of pearyard: ([^.]*)\.`)
 
-// rootPackages returns the folders at the root that hold Go files.
+// rootPackages returns the folders at the root that contain Go files.
 func rootPackages(t *testing.T) []string {
 	t.Helper()
 	files, err := filepath.Glob("../*/*.go")
@@ -34,7 +34,8 @@
 	return slices.Compact(out)
 }
 
-// importsOf returns what the files of a root package import of pearyard, tests aside.
+// importsOf returns the packages of pearyard that a root package imports, except in
+// its tests.
 func importsOf(t *testing.T, name string) []string {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join("..", name, "*.go"))
@@ -61,9 +62,9 @@
 	return slices.Compact(out)
 }
 
-// A package takes in another one for a small thing, that one takes in a third,
-// and soon none can be read or changed alone. What a package may import stands
-// in its doc.go; more is a decision and changes that line.
+// Guards against unintended dependencies, with which packages can no longer be read or
+// changed on their own. The doc.go of a package lists what it may import; adding an
+// import is a decision that changes this list.
 func TestPackagesImportWhatTheirCommentsAllow(t *testing.T) {
 	g := gomega.NewWithT(t)
 	checked := 0
@@ -84,5 +85,5 @@
 		}
 		g.Expect(want).To(gomega.ContainElements(importsOf(t, name)), "%s/doc.go", name)
 	}
-	g.Expect(checked).To(gomega.BeNumerically(">", len(rootPackages(t))/2), "the paragraphs are read")
+	g.Expect(checked).To(gomega.BeNumerically(">", len(rootPackages(t))/2), "the lists of imports are found")
 }
--- a/catalogue/places_test.go
+++ b/catalogue/places_test.go
@@ -9,7 +9,7 @@
 	"github.com/onsi/gomega"
 )
 
-// Places of the table in docs/design/core.md.
+// Places in the table of docs/design/core.md.
 const (
 	placeCore     = "core"
 	placeOwn      = "own face"
@@ -18,10 +18,10 @@
 	placeTools    = "tools"
 )
 
-// placeRow is a row of the table of packages.
+// placeRow matches a row of the table of packages.
 var placeRow = regexp.MustCompile("(?m)^\\| `([a-z]+)` \\| ([a-z' ]+) \\|")
 
-// placesOf reads the table of packages: all places that a package is given.
+// placesOf reads the table of packages and returns the places given for each package.
 func placesOf(t *testing.T) map[string][]string {
 	t.Helper()
 	raw, err := os.ReadFile("../docs/design/core.md")
@@ -39,8 +39,9 @@
 	return out
 }
 
-// A new package answers a question that another one answers already, and nobody
-// was asked where it belongs; or one was removed and its row still sends readers there.
+// Each package must have exactly one row in the table. Otherwise a new package could
+// duplicate an existing one without a decision on where it belongs, or the row of a
+// removed package could remain.
 func TestEachPackageHasOnePlace(t *testing.T) {
 	g := gomega.NewWithT(t)
 	places := placesOf(t)
@@ -53,9 +54,9 @@
 	g.Expect(named).To(gomega.ConsistOf(rootPackages(t)), "docs/design/core.md, table of packages")
 }
 
-// A package that both faces use takes in something of one of them, and from then
-// on a change for one customer can break the other. Generated messages (rpc) are
-// nobody's face.
+// A core package that imports a package of one face (a customer-specific API) would
+// let a change for one customer break the other. Generated messages (rpc) belong to
+// no face.
 func TestCoreImportsNoFace(t *testing.T) {
 	g := gomega.NewWithT(t)
 	places := placesOf(t)
@@ -72,5 +73,5 @@
 			}
 		}
 	}
-	g.Expect(core).To(gomega.BeNumerically(">", 5), "the table is read")
+	g.Expect(core).To(gomega.BeNumerically(">", 5), "the table has core packages")
 }
--- a/client/client.go
+++ b/client/client.go
@@ -20,16 +20,16 @@
 const (
 	pathCompletions = "/v1/completions"
 	maxEventBytes   = 1 << 20
-	// returnPause is the wait between two tries to come back.
-	returnPause = 20 * time.Millisecond
-	// DefaultPatience is how long a caller tries to come back after a break.
+	// resumePause is the pause between two attempts to resume.
+	resumePause = 20 * time.Millisecond
+	// DefaultResumeTimeout is how long the client tries to resume a broken stream.
 	DefaultPatience = 10 * time.Second
 )
 
-// ErrBroken: the stream broke and no router took the caller back in time.
+// ErrBroken: the stream broke and could not be resumed in time.
 var ErrBroken = errors.New("client: stream broke and could not be continued")
 
-// RefusedError is a final answer without a result.
+// RefusedError is a final response without a result.
 type RefusedError struct {
 	Status     int
 	Code       types.Code
@@ -46,16 +46,16 @@
 
 // Options configure a Client.
 type Options struct {
-	Routers  []string // ip:port, tried in turn
+	Routers  []string // ip:port, called in turn
 	Key      string   // API key
 	HTTP     *http.Client
 	Patience time.Duration // 0: DefaultPatience
-	// Silence is how long a stream may bring nothing until the caller goes to
-	// the next router; 0 waits without a bound.
+	// IdleTimeout is how long a stream may send nothing before the client resumes it
+	// through the next router; 0: no limit.
 	Silence time.Duration
 }
 
-// Client calls routers.
+// Client generates answers through any of several routers.
 type Client struct{ opts Options }
 
 // New returns a client.
@@ -69,109 +69,111 @@
 	return &Client{opts: opts}
 }
 
-// Request asks for one generation.
+// Request describes one generation.
 type Request struct {
 	Model          string `json:"model"`
 	Prompt         string `json:"prompt"`
 	MaxTokens      int    `json:"max_tokens"`
 	Stream         bool   `json:"stream"`
 	IdempotencyKey string `json:"-"`
-	First          int    `json:"-"` // index of the router that is tried first
+	First          int    `json:"-"` // index of the router that is called first
 }
 
-// Gap is one pause in the output, as the caller saw it.
+// Gap is a pause in the output as seen by the client.
 type Gap struct {
 	AtToken  int
 	Length   time.Duration
-	Returned bool // the caller had to come back through another connection
+	Returned bool // the stream was resumed on another connection
 }
 
-// Answer is what a caller got.
+// Answer is the result of a generation.
 type Answer struct {
 	Texts      []string
 	Finish     string
 	FirstToken time.Duration
 	Longest    Gap // longest pause between two tokens
-	Returns    int // times the caller came back
+	Returns    int // number of times that the stream was resumed
 	RequestIDs []types.RequestID
 }
 
-// stream is the state of one generation over its connections.
+// stream is the state of one generation across its connections.
 type stream struct {
-	client  *Client
-	req     Request
-	body    []byte
-	answer  Answer
-	lastID  string
-	begun   time.Time
-	last    time.Time // when the last token came
-	back    bool      // the next token is the first after a return
-	onToken func(index int, text string)
+	client    *Client
+	req       Request
+	body      []byte
+	answer    Answer
+	lastID    string
+	started   time.Time
+	lastToken time.Time // when the last token was received
+	resumed   bool      // the next token is the first after resuming
+	onToken   func(index int, text string)
 }
 
-// Generate streams a generation to its end, through as many connections as it
-// takes. onToken may be nil.
+// Generate streams a generation to its end, over as many connections as necessary.
+// onToken may be nil.
 func (c *Client) Generate(ctx context.Context, req Request, onToken func(index int, text string)) (Answer, error) {
 	req.Stream = true
 	body, err := json.Marshal(req)
 	if err != nil {
 		return Answer{}, errors.Wrap(err, "client: encode")
 	}
-	s := &stream{client: c, req: req, body: body, begun: time.Now(), onToken: onToken}
+	s := &stream{client: c, req: req, body: body, started: time.Now(), onToken: onToken}
 	return s.run(ctx)
 }
 
 func (s *stream) run(ctx context.Context) (Answer, error) {
 	brokenSince := time.Time{}
-	for try := s.req.First; ; try++ {
-		have := len(s.answer.Texts)
-		done, err := s.connection(ctx, s.client.opts.Routers[try%len(s.client.opts.Routers)])
+	for attempt := s.req.First; ; attempt++ {
+		received := len(s.answer.Texts)
+		done, err := s.readConnection(ctx, s.client.opts.Routers[attempt%len(s.client.opts.Routers)])
 		var refused *RefusedError
 		switch {
 		case done:
 			return s.answer, nil
 		case ctx.Err() != nil:
 			return s.answer, ctx.Err()
-		case errors.As(err, &refused) && !s.mayComeBack(refused):
+		case errors.As(err, &refused) && !s.canResume(refused):
 			return s.answer, err
 		}
-		if len(s.answer.Texts) > have || brokenSince.IsZero() {
+		if len(s.answer.Texts) > received || brokenSince.IsZero() {
 			brokenSince = time.Now()
 		}
 		if time.Since(brokenSince) > s.client.opts.Patience {
 			return s.answer, errors.Wrapf(ErrBroken, "last: %v", err)
 		}
 		s.answer.Returns++
-		s.back = true
-		pause(ctx, returnPause)
+		s.resumed = true
+		sleep(ctx, resumePause)
 	}
 }
 
-// mayComeBack: in the middle of an answer, a router that is stopping or can't
-// reach those who hold the generation is no reason to give the answer up.
-func (s *stream) mayComeBack(refused *RefusedError) bool {
+// canResume reports whether the stream can be resumed after a refusal. In the middle
+// of an answer, it goes on if a router is stopping or can't reach the processes that
+// hold the generation.
+func (s *stream) canResume(refused *RefusedError) bool {
 	if s.lastID == "" && s.answer.Returns == 0 {
 		return refused.Code == types.CodeLeaving
 	}
 	return refused.Status == http.StatusServiceUnavailable && refused.Code != types.CodeQuarantined
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
 	}
 }
 
-// connection reads one connection until the answer is whole or it breaks.
-func (s *stream) connection(ctx context.Context, router string) (done bool, err error) {
+// readConnection reads one connection until the answer is complete or the connection
+// breaks.
+func (s *stream) readConnection(ctx context.Context, router string) (done bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+router+pathCompletions, bytes.NewReader(s.body))
 	if err != nil {
 		return false, err
 	}
-	alive, stop := s.watch(cancel)
+	extend, stop := s.watchIdle(cancel)
 	defer stop()
 	req.Header.Set("Authorization", "Bearer "+s.client.opts.Key)
 	req.Header.Set("Content-Type", "application/json")
@@ -190,22 +192,21 @@
 	if resp.StatusCode != http.StatusOK {
 		return false, Refusal(resp)
 	}
-	return s.events(resp.Body, alive)
+	return s.readEvents(resp.Body, extend)
 }
 
-// watch ends a connection that is silent for too long.
-//
-// A frozen router keeps connections open, so the caller has to leave it by time.
-func (s *stream) watch(giveUp func()) (alive, stop func()) {
-	silence := s.client.opts.Silence
-	if silence == 0 {
+// watchIdle cancels a connection that has been idle for too long. A frozen router keeps
+// connections open, so that only a timeout detects it.
+func (s *stream) watchIdle(cancel func()) (extend, stop func()) {
+	timeout := s.client.opts.Silence
+	if timeout == 0 {
 		return func() {}, func() {}
 	}
-	timer := time.AfterFunc(silence, giveUp)
-	return func() { timer.Reset(silence) }, func() { timer.Stop() }
+	timer := time.AfterFunc(timeout, cancel)
+	return func() { timer.Reset(timeout) }, func() { timer.Stop() }
 }
 
-// event is the part of an event's data that a caller needs.
+// event is the part of an event's data that the client needs.
 type event struct {
 	Choices []struct {
 		Text         string  `json:"text"`
@@ -223,12 +224,12 @@
 	RetryAfter int `json:"retry_after"` // seconds; 0: none
 }
 
-func (s *stream) events(body io.Reader, alive func()) (done bool, err error) {
+func (s *stream) readEvents(body io.Reader, extend func()) (done bool, err error) {
 	scanner := bufio.NewScanner(body)
 	scanner.Buffer(nil, maxEventBytes)
 	id := ""
 	for scanner.Scan() {
-		alive()
+		extend()
 		line := scanner.Text()
 		if value, ok := strings.CutPrefix(line, "id: "); ok {
 			id = value
@@ -241,7 +242,7 @@
 		if data == "[DONE]" {
 			return s.answer.Finish != "", nil
 		}
-		if err := s.take(id, data); err != nil {
+		if err := s.handleEvent(id, data); err != nil {
 			return false, err
 		}
 		id = ""
@@ -249,7 +250,7 @@
 	return false, errors.Wrap(ErrBroken, "connection ended")
 }
 
-func (s *stream) take(id, data string) error {
+func (s *stream) handleEvent(id, data string) error {
 	var e event
 	if err := json.Unmarshal([]byte(data), &e); err != nil {
 		return errors.Wrap(err, "client: event")
@@ -265,7 +266,7 @@
 		s.answer.Finish = *reason
 		return nil
 	}
-	s.noteTime()
+	s.recordTokenTime()
 	s.lastID = id
 	s.answer.Texts = append(s.answer.Texts, e.Choices[0].Text)
 	if s.onToken != nil {
@@ -274,18 +275,18 @@
 	return nil
 }
 
-func (s *stream) noteTime() {
+func (s *stream) recordTokenTime() {
 	now := time.Now()
-	if s.last.IsZero() {
-		s.answer.FirstToken = now.Sub(s.begun)
-	} else if gap := now.Sub(s.last); gap > s.answer.Longest.Length {
-		s.answer.Longest = Gap{AtToken: len(s.answer.Texts), Length: gap, Returned: s.back}
+	if s.lastToken.IsZero() {
+		s.answer.FirstToken = now.Sub(s.started)
+	} else if gap := now.Sub(s.lastToken); gap > s.answer.Longest.Length {
+		s.answer.Longest = Gap{AtToken: len(s.answer.Texts), Length: gap, Returned: s.resumed}
 	}
-	s.last = now
-	s.back = false
+	s.lastToken = now
+	s.resumed = false
 }
 
-// Refusal reads a refusal from an answer that isn't OK.
+// Refusal reads a refusal from a response whose status isn't OK.
 func Refusal(resp *http.Response) *RefusedError {
 	var body struct {
 		Error errorDetail `json:"error"`
