--- a/admin/bundle.go
+++ b/admin/bundle.go
@@ -151,26 +151,26 @@
 		return nil
 	}
 	resp := &adminpb.HistoryResponse{}
-	for i, text := range history {
+	for i, config := range history {
 		if i < bundleConfigs {
-			if err := b.writeConfig(ctx, text); err != nil {
+			if err := b.writeConfig(ctx, config); err != nil {
 				return err
 			}
 		}
-		text.Raw = nil
-		resp.Revisions = append(resp.Revisions, revisionPB(text))
+		config.Raw = nil
+		resp.Revisions = append(resp.Revisions, revisionPB(config))
 	}
 	return b.writeMessage(fileHistory, resp)
 }
 
-func configFile(kind string, text Text) string {
-	return path.Join(dirConfigs, fmt.Sprintf("%s-%08d.json", kind, text.Revision))
+func configFile(kind string, config Text) string {
+	return path.Join(dirConfigs, fmt.Sprintf("%s-%08d.json", kind, config.Revision))
 }
 
-func (b *bundle) writeConfig(ctx context.Context, text Text) error {
-	loaded, err := b.server.opts.Texts.Load(ctx, text.Revision)
+func (b *bundle) writeConfig(ctx context.Context, config Text) error {
+	loaded, err := b.server.opts.Texts.Load(ctx, config.Revision)
 	if err != nil {
-		b.addProblem(fmt.Sprintf("text of revision %d", text.Revision), err)
+		b.addProblem(fmt.Sprintf("text of revision %d", config.Revision), err)
 		return nil
 	}
 	return b.writeFile(configFile("accepted", loaded), b.masker.maskJSON(loaded.Raw))
--- a/admin/convert.go
+++ b/admin/convert.go
@@ -12,14 +12,14 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-func revisionPB(text Text) *adminpb.Revision {
+func revisionPB(config Text) *adminpb.Revision {
 	return &adminpb.Revision{
-		Revision: uint64(text.Revision),
-		Base:     uint64(text.Base),
-		Who:      text.Who,
-		Note:     text.Note,
-		AtUnixMs: unixMilli(text.At),
-		Text:     text.Raw,
+		Revision: uint64(config.Revision),
+		Base:     uint64(config.Base),
+		Who:      config.Who,
+		Note:     config.Note,
+		AtUnixMs: unixMilli(config.At),
+		Text:     config.Raw,
 	}
 }
 
@@ -105,9 +105,9 @@
 	return strings.TrimRight(diff, "\n")
 }
 
-func diffName(text Text) string {
-	if text.Revision == 0 {
+func diffName(config Text) string {
+	if config.Revision == 0 {
 		return "text"
 	}
-	return "revision " + strconv.FormatUint(uint64(text.Revision), 10)
+	return "revision " + strconv.FormatUint(uint64(config.Revision), 10)
 }
--- a/admin/queries.go
+++ b/admin/queries.go
@@ -16,31 +16,31 @@
 // says so.
 func (s *Server) Get(ctx context.Context, req *adminpb.GetRequest) (*adminpb.GetResponse, error) {
 	if req.GetRevision() != 0 {
-		text, err := s.opts.Texts.Load(ctx, types.Revision(req.GetRevision()))
+		config, err := s.opts.Texts.Load(ctx, types.Revision(req.GetRevision()))
 		if err != nil {
 			return nil, s.queryError(err)
 		}
-		return &adminpb.GetResponse{Revision: revisionPB(text)}, nil
+		return &adminpb.GetResponse{Revision: revisionPB(config)}, nil
 	}
-	text, fallback, err := s.newest(ctx)
+	config, fallback, err := s.newest(ctx)
 	if err != nil {
 		return nil, s.queryError(err)
 	}
-	return &adminpb.GetResponse{Revision: revisionPB(text), StoreUnavailable: fallback}, nil
+	return &adminpb.GetResponse{Revision: revisionPB(config), StoreUnavailable: fallback}, nil
 }
 
 // newest returns the newest accepted revision. If the store does not respond, it
 // returns the revision in force here, and fallback is true.
-func (s *Server) newest(ctx context.Context) (text Text, fallback bool, err error) {
+func (s *Server) newest(ctx context.Context) (config Text, fallback bool, err error) {
 	history, err := s.opts.Texts.History(ctx, 1)
 	if err == nil && len(history) == 0 {
 		return Text{}, false, ErrNoRevision
 	}
 	if err == nil {
-		text, err = s.opts.Texts.Load(ctx, history[0].Revision)
+		config, err = s.opts.Texts.Load(ctx, history[0].Revision)
 	}
 	if err == nil {
-		return text, false, nil
+		return config, false, nil
 	}
 	inForce := s.opts.InForce()
 	if inForce.Revision == 0 {
@@ -56,9 +56,9 @@
 		return nil, s.queryError(err)
 	}
 	resp := &adminpb.HistoryResponse{}
-	for _, text := range history {
-		text.Raw = nil
-		resp.Revisions = append(resp.Revisions, revisionPB(text))
+	for _, config := range history {
+		config.Raw = nil
+		resp.Revisions = append(resp.Revisions, revisionPB(config))
 	}
 	return resp, nil
 }
@@ -90,8 +90,8 @@
 	if revision != 0 {
 		return s.opts.Texts.Load(ctx, types.Revision(revision))
 	}
-	text, _, err := s.newest(ctx)
-	return text, err
+	config, _, err := s.newest(ctx)
+	return config, err
 }
 
 // Status returns this router's view of the members, quarantines and drains.
--- a/cli/explain.go
+++ b/cli/explain.go
@@ -28,14 +28,14 @@
 		}
 		lines = append(lines, read...)
 	}
-	story := explain.Of(lines, request)
+	explanation := explain.Of(lines, request)
 	if c.String(flagOutput) == outputJSON {
-		return printJSON(c, story)
+		return printJSON(c, explanation)
 	}
-	if err := printStory(c, story); err != nil {
+	if err := printLogExplanation(c, explanation); err != nil {
 		return err
 	}
-	if len(story.Lines) == 0 {
+	if len(explanation.Lines) == 0 {
 		return exitErrorf(ExitNotFound, "no line mentions %s", request)
 	}
 	return nil
@@ -59,16 +59,16 @@
 	return explain.Read(io.Reader(file))
 }
 
-func printStory(c *urfave.Context, story explain.Story) error {
+func printLogExplanation(c *urfave.Context, explanation explain.Story) error {
 	rows := table{}
-	for _, line := range slices.Concat(story.Lines, story.Around) {
+	for _, line := range slices.Concat(explanation.Lines, explanation.Around) {
 		rows = append(rows, []string{line.At.UTC().Format("15:04:05.000000"), line.Process, line.Event, line.Name, fieldsOf(line)})
 	}
 	slices.SortStableFunc(rows, func(a, b []string) int { return strings.Compare(a[0], b[0]) })
 	if err := rows.print(c); err != nil {
 		return err
 	}
-	_, err := fmt.Fprintln(c.App.Writer, story.Cause)
+	_, err := fmt.Fprintln(c.App.Writer, explanation.Cause)
 	return err
 }
 
--- a/client/client.go
+++ b/client/client.go
@@ -49,7 +49,7 @@
 	Routers  []string // ip:port, called in turn
 	Key      string   // API key
 	HTTP     *http.Client
-	Patience time.Duration // 0: DefaultPatience
+	Patience time.Duration // 0: DefaultResumeTimeout
 	// IdleTimeout is how long a stream may send nothing before the client resumes it
 	// through the next router; 0: no limit.
 	Silence time.Duration
