--- a/admin/admin.go
+++ b/admin/admin.go
@@ -20,7 +20,7 @@
 const (
 	DefaultWait     = 4 * time.Second // until a revision is in force everywhere
 	MaxWait         = 2 * time.Minute
-	MaxTextBytes    = 16 << 20 // 48,000 organisations take about 5 MB
+	MaxConfigBytes  = 16 << 20 // 48,000 organisations take about 5 MB
 	DefaultHistory  = 20
 	MaxHistory      = 1000
 	DefaultTimeout  = 2 * time.Second // for one response of one process
@@ -28,7 +28,7 @@
 )
 
 // ConfigRevision is one accepted revision of the configuration.
-type Text struct {
+type ConfigRevision struct {
 	Revision types.Revision
 	Base     types.Revision
 	Who      string
@@ -58,7 +58,7 @@
 
 // RaceError refuses a change because another one was accepted on the same base first.
 type RaceError struct {
-	Winner Text
+	Winner ConfigRevision
 	Diff   string // from the base to the winner; empty: the server computes it
 }
 
@@ -72,10 +72,10 @@
 // error. Except for ErrAmbiguous, an error means that nothing was accepted. Load
 // returns ErrNoRevision for an unknown revision. History returns the newest first and
 // needn't fill Raw.
-type Texts interface {
+type ConfigStore interface {
 	Accept(ctx context.Context, change Change) (types.Revision, findings.List, error)
-	Load(ctx context.Context, revision types.Revision) (Text, error)
-	History(ctx context.Context, limit int) ([]Text, error)
+	Load(ctx context.Context, revision types.Revision) (ConfigRevision, error)
+	History(ctx context.Context, limit int) ([]ConfigRevision, error)
 }
 
 // State is the state of a process according to the membership.
@@ -131,21 +131,21 @@
 type Options struct {
 	Token       string // bearer token of operators
 	Process     types.ProcessID
-	Texts       Texts
-	InForce     func() Text         // what is in force in this process; zero: nothing
-	Members     func() []Member     // including this process
-	Quarantines func() []Quarantine // known to this process
+	Store       ConfigStore
+	InForce     func() ConfigRevision // what is in force in this process; zero: nothing
+	Members     func() []Member       // including this process
+	Quarantines func() []Quarantine   // known to this process
 	Stopper     Stopper
 	Recorder    *event.Recorder
 	Registerer  prometheus.Registerer
 
-	Backends func() []Backend           // of the configuration in force; nil: none are known
-	HTTP     *http.Client               // for requests to the peer listeners; nil: a default client
-	Diff     func(from, to Text) string // nil: a unified diff of lines
-	Secrets  []string                   // values that a bundle must not contain, besides the token
-	Timeout  time.Duration              // for one response of one process; 0: DefaultTimeout
-	Parallel int                        // processes queried at once; 0: DefaultParallel
-	Now      func() time.Time           // nil: time.Now
+	Backends func() []Backend                     // of the configuration in force; nil: none are known
+	HTTP     *http.Client                         // for requests to the peer listeners; nil: a default client
+	Diff     func(from, to ConfigRevision) string // nil: a unified diff of lines
+	Secrets  []string                             // values that a bundle must not contain, besides the token
+	Timeout  time.Duration                        // for one response of one process; 0: DefaultTimeout
+	Parallel int                                  // processes queried at once; 0: DefaultParallel
+	Now      func() time.Time                     // nil: time.Now
 }
 
 // Server implements the twirp services Commands and Queries and the bundle.
@@ -218,7 +218,7 @@
 	mux.Handle(adminpb.CommandsPathPrefix, adminpb.NewCommandsServer(s))
 	mux.Handle(adminpb.QueriesPathPrefix, adminpb.NewQueriesServer(s))
 	mux.HandleFunc("GET "+PathBundle, s.serveBundle)
-	return s.requireToken(http.MaxBytesHandler(mux, MaxTextBytes*2))
+	return s.requireToken(http.MaxBytesHandler(mux, MaxConfigBytes*2))
 }
 
 // members returns the processes that exist or should exist.
--- a/admin/bundle.go
+++ b/admin/bundle.go
@@ -145,7 +145,7 @@
 			return err
 		}
 	}
-	history, err := b.server.opts.Texts.History(ctx, MaxHistory)
+	history, err := b.server.opts.Store.History(ctx, MaxHistory)
 	if err != nil {
 		b.addProblem("history", err)
 		return nil
@@ -163,12 +163,12 @@
 	return b.writeMessage(fileHistory, resp)
 }
 
-func configFile(kind string, config Text) string {
+func configFile(kind string, config ConfigRevision) string {
 	return path.Join(dirConfigs, fmt.Sprintf("%s-%08d.json", kind, config.Revision))
 }
 
-func (b *bundle) writeConfig(ctx context.Context, config Text) error {
-	loaded, err := b.server.opts.Texts.Load(ctx, config.Revision)
+func (b *bundle) writeConfig(ctx context.Context, config ConfigRevision) error {
+	loaded, err := b.server.opts.Store.Load(ctx, config.Revision)
 	if err != nil {
 		b.addProblem(fmt.Sprintf("text of revision %d", config.Revision), err)
 		return nil
--- a/admin/commands.go
+++ b/admin/commands.go
@@ -18,11 +18,11 @@
 	if len(req.GetText()) == 0 {
 		return nil, twirp.RequiredArgumentError("text")
 	}
-	if len(req.GetText()) > MaxTextBytes {
+	if len(req.GetText()) > MaxConfigBytes {
 		return nil, twirp.InvalidArgumentError("text", "is too large")
 	}
 	change := Change{Base: types.Revision(req.GetBase()), Raw: req.GetText(), Who: req.GetWho(), Note: req.GetNote()}
-	revision, warnings, err := s.opts.Texts.Accept(ctx, change)
+	revision, warnings, err := s.opts.Store.Accept(ctx, change)
 	if err != nil {
 		return s.applyFailure(ctx, change, err)
 	}
@@ -67,7 +67,7 @@
 func (s *Server) racePB(ctx context.Context, base types.Revision, race *RaceError) *adminpb.Race {
 	winner := race.Winner
 	if winner.Raw == nil {
-		loaded, err := s.opts.Texts.Load(ctx, winner.Revision)
+		loaded, err := s.opts.Store.Load(ctx, winner.Revision)
 		if err != nil {
 			return &adminpb.Race{Winner: revisionPB(winner), Diff: race.Diff}
 		}
@@ -85,11 +85,11 @@
 
 // loadRevision returns a revision; revision 0 is the empty configuration before the
 // first.
-func (s *Server) loadRevision(ctx context.Context, revision types.Revision) (Text, error) {
+func (s *Server) loadRevision(ctx context.Context, revision types.Revision) (ConfigRevision, error) {
 	if revision == 0 {
-		return Text{}, nil
+		return ConfigRevision{}, nil
 	}
-	return s.opts.Texts.Load(ctx, revision)
+	return s.opts.Store.Load(ctx, revision)
 }
 
 func waitLimit(ms int64) time.Duration {
--- a/admin/convert.go
+++ b/admin/convert.go
@@ -12,7 +12,7 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-func revisionPB(config Text) *adminpb.Revision {
+func revisionPB(config ConfigRevision) *adminpb.Revision {
 	return &adminpb.Revision{
 		Revision: uint64(config.Revision),
 		Base:     uint64(config.Base),
@@ -91,7 +91,7 @@
 const diffContext = 3
 
 // lineDiff is the default of Options.Diff.
-func lineDiff(from, to Text) string {
+func lineDiff(from, to ConfigRevision) string {
 	diff, err := difflib.GetUnifiedDiffString(difflib.UnifiedDiff{
 		A:        difflib.SplitLines(string(from.Raw)),
 		B:        difflib.SplitLines(string(to.Raw)),
@@ -105,7 +105,7 @@
 	return strings.TrimRight(diff, "\n")
 }
 
-func diffName(config Text) string {
+func diffName(config ConfigRevision) string {
 	if config.Revision == 0 {
 		return "text"
 	}
--- a/admin/queries.go
+++ b/admin/queries.go
@@ -16,7 +16,7 @@
 // says so.
 func (s *Server) Get(ctx context.Context, req *adminpb.GetRequest) (*adminpb.GetResponse, error) {
 	if req.GetRevision() != 0 {
-		config, err := s.opts.Texts.Load(ctx, types.Revision(req.GetRevision()))
+		config, err := s.opts.Store.Load(ctx, types.Revision(req.GetRevision()))
 		if err != nil {
 			return nil, s.queryError(err)
 		}
@@ -31,27 +31,27 @@
 
 // newest returns the newest accepted revision. If the store does not respond, it
 // returns the revision in force here, and fallback is true.
-func (s *Server) newest(ctx context.Context) (config Text, fallback bool, err error) {
-	history, err := s.opts.Texts.History(ctx, 1)
+func (s *Server) newest(ctx context.Context) (config ConfigRevision, fallback bool, err error) {
+	history, err := s.opts.Store.History(ctx, 1)
 	if err == nil && len(history) == 0 {
-		return Text{}, false, ErrNoRevision
+		return ConfigRevision{}, false, ErrNoRevision
 	}
 	if err == nil {
-		config, err = s.opts.Texts.Load(ctx, history[0].Revision)
+		config, err = s.opts.Store.Load(ctx, history[0].Revision)
 	}
 	if err == nil {
 		return config, false, nil
 	}
 	inForce := s.opts.InForce()
 	if inForce.Revision == 0 {
-		return Text{}, true, err
+		return ConfigRevision{}, true, err
 	}
 	return inForce, true, nil
 }
 
 // History lists accepted revisions, newest first, without the configurations.
 func (s *Server) History(ctx context.Context, req *adminpb.HistoryRequest) (*adminpb.HistoryResponse, error) {
-	history, err := s.opts.Texts.History(ctx, historyLimit(req.GetLimit()))
+	history, err := s.opts.Store.History(ctx, historyLimit(req.GetLimit()))
 	if err != nil {
 		return nil, s.queryError(err)
 	}
@@ -76,7 +76,7 @@
 	if err != nil {
 		return nil, s.queryError(err)
 	}
-	to := Text{Raw: req.GetToText()}
+	to := ConfigRevision{Raw: req.GetToText()}
 	if len(to.Raw) == 0 {
 		to, err = s.revisionOrNewest(ctx, req.GetTo())
 	}
@@ -86,9 +86,9 @@
 	return &adminpb.DiffResponse{Diff: s.opts.Diff(from, to)}, nil
 }
 
-func (s *Server) revisionOrNewest(ctx context.Context, revision uint64) (Text, error) {
+func (s *Server) revisionOrNewest(ctx context.Context, revision uint64) (ConfigRevision, error) {
 	if revision != 0 {
-		return s.opts.Texts.Load(ctx, types.Revision(revision))
+		return s.opts.Store.Load(ctx, types.Revision(revision))
 	}
 	config, _, err := s.newest(ctx)
 	return config, err
--- a/admin/scale_test.go
+++ b/admin/scale_test.go
@@ -51,7 +51,7 @@
 		})
 	}))
 	s, err := New(Options{
-		Token: "t", Members: func() []Member { return members }, HTTP: client, InForce: func() Text { return Text{} },
+		Token: "t", Members: func() []Member { return members }, HTTP: client, InForce: func() ConfigRevision { return ConfigRevision{} },
 	})
 	if err != nil {
 		b.Fatal(err)
@@ -79,7 +79,7 @@
 	client, members := serveAllMembers(b, registry.Handler())
 	s, err := New(Options{
 		Token: "t", Members: func() []Member { return members }, HTTP: client,
-		Texts: noConfigs{}, InForce: func() Text { return Text{} },
+		Store: noConfigs{}, InForce: func() ConfigRevision { return ConfigRevision{} },
 	})
 	if err != nil {
 		b.Fatal(err)
@@ -102,9 +102,9 @@
 }
 
 // noConfigs is a store without any revision.
-type noConfigs struct{ Texts }
+type noConfigs struct{ ConfigStore }
 
-func (noConfigs) History(context.Context, int) ([]Text, error) { return nil, ErrNoRevision }
+func (noConfigs) History(context.Context, int) ([]ConfigRevision, error) { return nil, ErrNoRevision }
 
 // BenchmarkMaskText masks a configuration of the target's 48,000 organisations.
 func BenchmarkMaskText(b *testing.B) {
--- a/admin/suite_test.go
+++ b/admin/suite_test.go
@@ -34,7 +34,7 @@
 // memoryStore is an in-memory ConfigStore. accept and history can inject failures.
 type memoryStore struct {
 	mu      sync.Mutex
-	all     []admin.Text
+	all     []admin.ConfigRevision
 	accept  func(admin.Change) (types.Revision, findings.List, error)
 	history error
 }
@@ -49,23 +49,23 @@
 		return 0, nil, &admin.RaceError{Winner: t.all[c.Base]}
 	}
 	revision := types.Revision(len(t.all) + 1)
-	t.all = append(t.all, admin.Text{Revision: revision, Base: c.Base, Raw: c.Raw, Who: c.Who, Note: c.Note, At: time.Now()})
+	t.all = append(t.all, admin.ConfigRevision{Revision: revision, Base: c.Base, Raw: c.Raw, Who: c.Who, Note: c.Note, At: time.Now()})
 	return revision, nil, nil
 }
 
-func (t *memoryStore) Load(_ context.Context, revision types.Revision) (admin.Text, error) {
+func (t *memoryStore) Load(_ context.Context, revision types.Revision) (admin.ConfigRevision, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if revision == 0 || int(revision) > len(t.all) {
-		return admin.Text{}, admin.ErrNoRevision
+		return admin.ConfigRevision{}, admin.ErrNoRevision
 	}
 	return t.all[revision-1], nil
 }
 
-func (t *memoryStore) History(context.Context, int) ([]admin.Text, error) {
+func (t *memoryStore) History(context.Context, int) ([]admin.ConfigRevision, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var out []admin.Text
+	var out []admin.ConfigRevision
 	for i := len(t.all) - 1; i >= 0; i-- {
 		out = append(out, t.all[i])
 	}
@@ -152,7 +152,7 @@
 func newSite(processes ...*process) *site {
 	s := &site{texts: &memoryStore{}, processes: processes}
 	server, err := admin.New(admin.Options{
-		Token: token, Process: "router-1", Texts: s.texts, InForce: s.inForce, Members: s.members, Stopper: s,
+		Token: token, Process: "router-1", Store: s.texts, InForce: s.inForce, Members: s.members, Stopper: s,
 		Backends: func() []admin.Backend { return s.backends },
 		Recorder: event.Discard(), Secrets: []string{"platform-password"}, Timeout: testTimeout,
 	})
@@ -164,11 +164,11 @@
 	return s
 }
 
-func (s *site) inForce() admin.Text {
+func (s *site) inForce() admin.ConfigRevision {
 	s.texts.mu.Lock()
 	defer s.texts.mu.Unlock()
 	if len(s.texts.all) == 0 {
-		return admin.Text{}
+		return admin.ConfigRevision{}
 	}
 	return s.texts.all[len(s.texts.all)-1]
 }
--- a/cli/cli.go
+++ b/cli/cli.go
@@ -195,7 +195,7 @@
 
 // maxFileBytes is the maximum size of a configuration read from a file or standard
 // input.
-const maxFileBytes = admin.MaxTextBytes
+const maxFileBytes = admin.MaxConfigBytes
 
 // readFile reads a file; "-" is standard input.
 func (p *program) readFile(name string) ([]byte, error) {
--- a/cli/explain.go
+++ b/cli/explain.go
@@ -28,7 +28,7 @@
 		}
 		lines = append(lines, read...)
 	}
-	explanation := explain.Of(lines, request)
+	explanation := explain.Request(lines, request)
 	if c.String(flagOutput) == outputJSON {
 		return printJSON(c, explanation)
 	}
@@ -59,7 +59,7 @@
 	return explain.Read(io.Reader(file))
 }
 
-func printLogExplanation(c *urfave.Context, explanation explain.Story) error {
+func printLogExplanation(c *urfave.Context, explanation explain.Explanation) error {
 	rows := table{}
 	for _, line := range slices.Concat(explanation.Lines, explanation.Around) {
 		rows = append(rows, []string{line.At.UTC().Format("15:04:05.000000"), line.Process, line.Event, line.Name, fieldsOf(line)})
--- a/cli/site_test.go
+++ b/cli/site_test.go
@@ -23,7 +23,7 @@
 // smallSite is the administration API of a router and a site with one sidecar.
 type smallSite struct {
 	member  admin.Member
-	texts   []admin.Text
+	texts   []admin.ConfigRevision
 	drain   inspect.Drain
 	stopped []string
 }
@@ -33,15 +33,15 @@
 	return 0, nil, admin.ErrAmbiguous
 }
 
-func (s *smallSite) Load(_ context.Context, revision types.Revision) (admin.Text, error) {
+func (s *smallSite) Load(_ context.Context, revision types.Revision) (admin.ConfigRevision, error) {
 	if revision == 0 || int(revision) > len(s.texts) {
-		return admin.Text{}, admin.ErrNoRevision
+		return admin.ConfigRevision{}, admin.ErrNoRevision
 	}
 	return s.texts[revision-1], nil
 }
 
-func (s *smallSite) History(context.Context, int) ([]admin.Text, error) {
-	return []admin.Text{s.texts[1], s.texts[0]}, nil
+func (s *smallSite) History(context.Context, int) ([]admin.ConfigRevision, error) {
+	return []admin.ConfigRevision{s.texts[1], s.texts[0]}, nil
 }
 
 // Stop implements admin.Stopper.
@@ -69,8 +69,8 @@
 		Address: strings.TrimPrefix(peer.URL, "http://"),
 	}
 	server, err := admin.New(admin.Options{
-		Token: "t0ken-t0ken", Process: "router-1", Texts: s, Stopper: s,
-		InForce: func() admin.Text { return s.texts[1] },
+		Token: "t0ken-t0ken", Process: "router-1", Store: s, Stopper: s,
+		InForce: func() admin.ConfigRevision { return s.texts[1] },
 		Members: func() []admin.Member { return []admin.Member{s.member} },
 		Quarantines: func() []admin.Quarantine {
 			return []admin.Quarantine{{Fingerprint: 255, Organisation: "suva", Deaths: 2}}
@@ -87,7 +87,7 @@
 
 func TestCommandsAgainstASite(t *testing.T) {
 	g := gomega.NewWithT(t)
-	s := &smallSite{texts: []admin.Text{
+	s := &smallSite{texts: []admin.ConfigRevision{
 		{Revision: 1, Raw: []byte("a\n"), Who: "ann", Note: "first"},
 		{Revision: 2, Raw: []byte("b\n"), Who: "bob", Note: "second"},
 	}}
--- a/cli/summary.go
+++ b/cli/summary.go
@@ -135,7 +135,7 @@
 	if s.Unfinished > 0 {
 		fmt.Fprintf(w, "; %d requests have no end yet", s.Unfinished)
 	}
-	for _, bad := range s.Bad {
+	for _, bad := range s.Unusable {
 		fmt.Fprintf(w, "\n%d lines not used, %s (first: %s)", bad.Count, bad.Reason, bad.First)
 	}
 	if len(s.Objectives) == 0 {
@@ -148,7 +148,7 @@
 func printPart(c *urfave.Context, kinds []explain.KindCounts, causes []explain.CauseCount) error {
 	rows := table{{"kind", "sent", "in time", "late", "refused", "failed", "left", "turned away", "blind", "share"}}
 	for _, k := range kinds {
-		rows = append(rows, append(append([]string{k.Kind}, numbers(k.Sent, k.InTime, k.Late, k.Refused, k.Failed, k.Left, k.Turned, k.TurnedBlind)...),
+		rows = append(rows, append(append([]string{k.Kind}, numbers(k.Sent, k.InTime, k.Late, k.Refused, k.Failed, k.Left, k.Rejected, k.RejectedOutdated)...),
 			fmt.Sprintf("%.3f", k.Share())))
 	}
 	if err := rows.print(c); err != nil || len(causes) == 0 {
--- a/client/client.go
+++ b/client/client.go
@@ -23,7 +23,7 @@
 	// resumePause is the pause between two attempts to resume.
 	resumePause = 20 * time.Millisecond
 	// DefaultResumeTimeout is how long the client tries to resume a broken stream.
-	DefaultPatience = 10 * time.Second
+	DefaultResumeTimeout = 10 * time.Second
 )
 
 // ErrBroken: the stream broke and could not be resumed in time.
@@ -46,13 +46,13 @@
 
 // Options configure a Client.
 type Options struct {
-	Routers  []string // ip:port, called in turn
-	Key      string   // API key
-	HTTP     *http.Client
-	Patience time.Duration // 0: DefaultResumeTimeout
+	Routers       []string // ip:port, called in turn
+	Key           string   // API key
+	HTTP          *http.Client
+	ResumeTimeout time.Duration // 0: DefaultResumeTimeout
 	// IdleTimeout is how long a stream may send nothing before the client resumes it
 	// through the next router; 0: no limit.
-	Silence time.Duration
+	IdleTimeout time.Duration
 }
 
 // Client generates answers through any of several routers.
@@ -63,8 +63,8 @@
 	if opts.HTTP == nil {
 		opts.HTTP = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
 	}
-	if opts.Patience == 0 {
-		opts.Patience = DefaultPatience
+	if opts.ResumeTimeout == 0 {
+		opts.ResumeTimeout = DefaultResumeTimeout
 	}
 	return &Client{opts: opts}
 }
@@ -81,9 +81,9 @@
 
 // Gap is a pause in the output as seen by the client.
 type Gap struct {
-	AtToken  int
-	Length   time.Duration
-	Returned bool // the stream was resumed on another connection
+	AtToken int
+	Length  time.Duration
+	Resumed bool // the stream was resumed on another connection
 }
 
 // Answer is the result of a generation.
@@ -92,7 +92,7 @@
 	Finish     string
 	FirstToken time.Duration
 	Longest    Gap // longest pause between two tokens
-	Returns    int // number of times that the stream was resumed
+	Resumes    int // number of times that the stream was resumed
 	RequestIDs []types.RequestID
 }
 
@@ -138,10 +138,10 @@
 		if len(s.answer.Texts) > received || brokenSince.IsZero() {
 			brokenSince = time.Now()
 		}
-		if time.Since(brokenSince) > s.client.opts.Patience {
+		if time.Since(brokenSince) > s.client.opts.ResumeTimeout {
 			return s.answer, errors.Wrapf(ErrBroken, "last: %v", err)
 		}
-		s.answer.Returns++
+		s.answer.Resumes++
 		s.resumed = true
 		sleep(ctx, resumePause)
 	}
@@ -151,7 +151,7 @@
 // of an answer, it goes on if a router is stopping or can't reach the processes that
 // hold the generation.
 func (s *stream) canResume(refused *RefusedError) bool {
-	if s.lastID == "" && s.answer.Returns == 0 {
+	if s.lastID == "" && s.answer.Resumes == 0 {
 		return refused.Code == types.CodeLeaving
 	}
 	return refused.Status == http.StatusServiceUnavailable && refused.Code != types.CodeQuarantined
@@ -198,7 +198,7 @@
 // watchIdle cancels a connection that has been idle for too long. A frozen router keeps
 // connections open, so that only a timeout detects it.
 func (s *stream) watchIdle(cancel func()) (extend, stop func()) {
-	timeout := s.client.opts.Silence
+	timeout := s.client.opts.IdleTimeout
 	if timeout == 0 {
 		return func() {}, func() {}
 	}
@@ -280,7 +280,7 @@
 	if s.lastToken.IsZero() {
 		s.answer.FirstToken = now.Sub(s.started)
 	} else if gap := now.Sub(s.lastToken); gap > s.answer.Longest.Length {
-		s.answer.Longest = Gap{AtToken: len(s.answer.Texts), Length: gap, Returned: s.resumed}
+		s.answer.Longest = Gap{AtToken: len(s.answer.Texts), Length: gap, Resumed: s.resumed}
 	}
 	s.lastToken = now
 	s.resumed = false
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -117,7 +117,7 @@
 		prefilled += counters.Prefilled
 	}
 	undisturbed := uint64(len(prompt)+3) / 4
-	fmt.Fprintf(p.out, "\n\ntokens received: %d, returns of the caller: %d, deaths survived: %d\n", len(answer.Texts), answer.Returns, p.died)
+	fmt.Fprintf(p.out, "\n\ntokens received: %d, returns of the caller: %d, deaths survived: %d\n", len(answer.Texts), answer.Resumes, p.died)
 	for _, latency := range p.latencies {
 		fmt.Fprintf(p.out, "resume latency: %s\n", latency.Round(100*time.Microsecond))
 	}
--- a/embedded/site_test.go
+++ b/embedded/site_test.go
@@ -37,7 +37,7 @@
 			}
 		})
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(answer.Returns).To(BeNumerically(">=", 1))
+	g.Expect(answer.Resumes).To(BeNumerically(">=", 1))
 	g.Expect(answer.Texts).To(HaveLen(300))
 	g.Expect(standin.CheckAnswer("a lifting plan", answer.Texts)).To(Succeed())
 }
--- a/entry/endedby_test.go
+++ b/entry/endedby_test.go
@@ -30,7 +30,7 @@
 	g.Expect(last.Fields["ended_by"]).To(gomega.Equal(v.endedBy), "%s %v", last.Name, last.Fields)
 	g.Expect(last.Event).To(gomega.Equal(v.event), "%v", last.Fields)
 	g.Eventually(func() int { return w.endedCount(v.endedBy) }).Should(gomega.Equal(1), "counter")
-	g.Expect(explain.Of(w.lines(), id).Cause).To(gomega.ContainSubstring(v.explained))
+	g.Expect(explain.Request(w.lines(), id).Cause).To(gomega.ContainSubstring(v.explained))
 }
 
 // expectServerEnds waits until the backend servers have recorded these ends of a request's
@@ -240,7 +240,7 @@
 		last := w.lastLine(c.id)
 		g.Expect(last.Fields["ended_by"]).To(gomega.Equal("stop"), "%s %v", last.Name, last.Fields)
 		g.Expect(last.Event).To(gomega.Equal("PY2734"))
-		g.Expect(explain.Of(w.lines(), c.id).Cause).To(gomega.ContainSubstring("The planned stop of edge-1 cut it after"))
+		g.Expect(explain.Request(w.lines(), c.id).Cause).To(gomega.ContainSubstring("The planned stop of edge-1 cut it after"))
 	}
 	g.Expect(w.endedCount("stop")).To(gomega.Equal(streams))
 	g.Expect(w.logs.text()).To(gomega.MatchRegexp("event=PY2755 .*cut=%d ", streams), "the line of the stop counts them")
--- a/explain/causes.go
+++ b/explain/causes.go
@@ -19,7 +19,7 @@
 	// connection properly before the answer was complete.
 	CauseServerFailed Cause = "server_failed"
 	// CauseServerBusy: a server had no free capacity (PY2724 with "busy").
-	CauseServerFull Cause = "server_full"
+	CauseServerBusy Cause = "server_full"
 	// CauseCopyReplaced: a stream's server was lost after its KV copy had been
 	// replaced, or after replacing it had failed (PY2729, PY2724). A replacement copy
 	// lacks what was generated after the call that made it.
@@ -30,29 +30,29 @@
 	// CauseQueue: nothing failed; the request was queued at its server.
 	CauseQueue Cause = "queue"
 	// CauseSurge: as queue or admission, during or just after a surge of requests.
-	CauseWave Cause = "return_wave"
+	CauseSurge Cause = "return_wave"
 	// CauseServerPause: nothing failed; the server paused between two events.
-	CausePause Cause = "server_pause"
+	CauseServerPause Cause = "server_pause"
 	// CauseProcessStalled: as server_pause, but streams of several servers paused for
 	// the same time in one process: the process, its VM or its network stalled.
-	CauseStoodStill Cause = "process_stood_still"
+	CauseProcessStalled Cause = "process_stood_still"
 	// CauseAdmission: refused, because no server would have finished it in time (PY2721).
 	CauseAdmission Cause = "admission"
 	// CauseNoServer: no server was known, or all refused the request.
 	CauseNoServer Cause = "no_server"
 	// CauseRetryBudget: the retry budget was spent.
-	CauseRetries Cause = "out_of_retries"
+	CauseRetryBudget Cause = "out_of_retries"
 	// CauseQuarantined: refused, because the request had crashed several servers (PY2727).
-	CauseCrashes Cause = "crashes_servers"
+	CauseQuarantined Cause = "crashes_servers"
 	// CauseStop: a planned stop refused or interrupted the request (PY2756, PY2734).
 	CauseStop Cause = "stop"
 	// CauseStart: the process had just started (PY2751).
 	CauseStart Cause = "start"
 	// CauseStoreUnavailable: as CauseStart, and the process could not reach the store
 	// (PY2702, PY2711).
-	CauseStore Cause = "store_away"
+	CauseStoreUnavailable Cause = "store_away"
 	// CauseProcessLost: the process ended without logging a stop.
-	CauseProcessGone Cause = "process_gone"
+	CauseProcessLost Cause = "process_gone"
 	// CauseCaller: the caller left, or the connection to it was lost.
 	CauseCaller Cause = "caller"
 	// CauseUnclear: no rule fits.
@@ -108,7 +108,7 @@
 	case t.serverFailed:
 		return CauseServerFailed
 	case t.serverBusy:
-		return CauseServerFull
+		return CauseServerBusy
 	default:
 		return ""
 	}
--- a/explain/ends.go
+++ b/explain/ends.go
@@ -89,7 +89,7 @@
 		return nil
 	}
 	keyed := e.causeBucket(key, outcome, cause)
-	if cause == CausePause {
+	if cause == CauseServerPause {
 		p.recordPause(keyed.pause, rec.text(fieldServer))
 	}
 	p.countCause(keyed, Example{
@@ -166,7 +166,7 @@
 func (e *requestEnd) delayCause() Cause {
 	cause := e.open.attemptCause()
 	if !e.exceededAnswer() && e.exceededGap() && (cause == "" || e.open.resumed && e.open.resumePause < e.objective.Gap) {
-		return CausePause
+		return CauseServerPause
 	}
 	if cause != "" {
 		return cause
@@ -181,7 +181,7 @@
 	case e.by == exchange.EndedByStop:
 		return CauseStop
 	case e.by == exchange.EndedByLimit, e.rec.contains(fieldError, textBudget):
-		return CauseRetries
+		return CauseRetryBudget
 	case e.by == exchange.EndedByDeadline, e.by == exchange.EndedByRouteTimeout:
 		return e.delayCause()
 	case e.by == exchange.EndedByServerLink:
@@ -194,7 +194,7 @@
 func (e *requestEnd) failureCause() Cause {
 	switch e.by {
 	case exchange.EndedByLimit:
-		return CauseRetries
+		return CauseRetryBudget
 	case exchange.EndedByStop:
 		return CauseStop
 	case exchange.EndedByDeadline, exchange.EndedByRouteTimeout:
@@ -238,7 +238,7 @@
 // the loss of its zone: the newest failed attempt, or the one in the last line.
 func (e *requestEnd) causeBucket(key bucket, outcome Outcome, cause Cause) causeBucket {
 	s := causeBucket{bucket: key, outcome: outcome, cause: cause}
-	if cause == CausePause {
+	if cause == CauseServerPause {
 		s.pause = pauseBucketOf(e)
 		return s
 	}
@@ -262,7 +262,7 @@
 	cause := CauseUnclear
 	switch string(rec.fields[fieldEvent]) {
 	case idQuarantined:
-		cause = CauseCrashes
+		cause = CauseQuarantined
 	case idStopRefused:
 		cause = CauseStop
 	case idNoConfig:
@@ -272,7 +272,7 @@
 		return nil
 	}
 	if cause == CauseStart && p.state(process).storeUnavailable() {
-		cause = CauseStore
+		cause = CauseStoreUnavailable
 	}
 	p.countOutcome(key, Refused)
 	p.countCause(causeBucket{bucket: key, outcome: Refused, cause: cause}, Example{Request: rec.text(fieldRequest), Route: rec.text(fieldRoute)})
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -13,7 +13,7 @@
 )
 
 // Explanation tells how one request ended and why.
-type Story struct {
+type Explanation struct {
 	Lines  []Line // of the request itself
 	Around []Line // of the servers and processes involved, close in time
 	Cause  string // a sentence
@@ -25,9 +25,9 @@
 
 // Request explains a request. The explanation has no lines if none mentions the
 // request.
-func Of(lines []Line, request string) Story {
+func Request(lines []Line, request string) Explanation {
 	lines = sortLines(lines)
-	var s Story
+	var s Explanation
 	for _, l := range lines {
 		if l.mentions(request) {
 			s.Lines = append(s.Lines, l)
@@ -89,7 +89,7 @@
 	return own[len(own)-1]
 }
 
-func describeCause(s Story, all []Line) string {
+func describeCause(s Explanation, all []Line) string {
 	last := finalLine(s.Lines)
 	switch last.Event {
 	case exchange.EventServed.ID():
@@ -149,7 +149,7 @@
 	return text + "."
 }
 
-func describeFailed(s Story, last Line) string {
+func describeFailed(s Explanation, last Line) string {
 	text := failureSubject(last) + " after " + last.Fields["took"] + ": " + last.Fields["err"] + describePending(last)
 	if lost := lostServers(s, last.Fields["service"]); lost != "" {
 		text += "; lost meanwhile: " + lost
@@ -158,7 +158,7 @@
 }
 
 // earlierErrors lists the failed attempts before the caller left.
-func earlierErrors(s Story) string {
+func earlierErrors(s Explanation) string {
 	var errs []string
 	for _, l := range s.Lines {
 		if l.Event == exchange.EventAgain.ID() {
@@ -173,7 +173,7 @@
 
 // lostServers names the servers of the request's service that were lost at about
 // the time of the request.
-func lostServers(s Story, service string) string {
+func lostServers(s Explanation, service string) string {
 	seen := map[string]bool{}
 	var out []string
 	for _, l := range s.Around {
@@ -188,7 +188,7 @@
 
 // describeRejected names the configuration version that rejected the request, and a
 // newer version if it was applied shortly afterwards.
-func describeRejected(s Story, last Line, all []Line) string {
+func describeRejected(s Explanation, last Line, all []Line) string {
 	if by := endedBy(last); by != "" && by != exchange.EndedByConfiguration {
 		return describeInvalid(last)
 	}
@@ -205,7 +205,7 @@
 	return text + describeStoreLoss(s) + "."
 }
 
-func describeStoreLoss(s Story) string {
+func describeStoreLoss(s Explanation) string {
 	for _, l := range s.Around {
 		if l.Event == site.EventStoreLost.ID() {
 			return "; the store did not tell it: " + l.Fields["err"]
@@ -216,7 +216,7 @@
 
 // describeUnfinished covers a request without an end event, usually because its
 // process ended first.
-func describeUnfinished(s Story, last Line, all []Line) string {
+func describeUnfinished(s Explanation, last Line, all []Line) string {
 	for _, l := range all {
 		if l.Process != last.Process || !l.At.After(last.At) {
 			continue
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -53,7 +53,7 @@
 		"r7":  {"backend server's own status 500, at try 2"},
 	} {
 		for _, w := range words {
-			g.Expect(Of(lines, request).Cause).To(gomega.ContainSubstring(w), request)
+			g.Expect(Request(lines, request).Cause).To(gomega.ContainSubstring(w), request)
 		}
 	}
 }
@@ -72,7 +72,7 @@
 	f.Fuzz(func(_ *testing.T, text string) {
 		lines, err := Read(strings.NewReader(text))
 		if err == nil {
-			Of(lines, "r1")
+			Request(lines, "r1")
 		}
 	})
 }
--- a/explain/period.go
+++ b/explain/period.go
@@ -45,7 +45,7 @@
 	processes        map[int32]*processState
 	Lines            int
 	Dropped          int // lines that processes report as dropped
-	unusable         map[string]*Bad
+	unusable         map[string]*UnusableLines
 }
 
 // loss is a process's report that a server was lost.
@@ -60,7 +60,7 @@
 func (s *processState) storeUnavailable() bool { return s.storeLost || s.listLost }
 
 // UnusableLines counts the lines that could not be used for one reason.
-type Bad struct {
+type UnusableLines struct {
 	Reason string `json:"reason"`
 	Count  int    `json:"count"`
 	First  string `json:"first"` // file and line of the first
@@ -73,7 +73,7 @@
 		givenObjectives: given, loggedObjectives: map[string]Objective{}, names: stringTable{numbers: map[string]int32{}},
 		kinds: map[int32]string{}, seconds: map[bucket]*tally{}, causes: map[causeBucket]*causeTally{},
 		open: map[string]*openRequest{}, losses: map[string][]loss{}, lossSeconds: map[string][]int64{}, serverZones: map[string]string{},
-		pauses: map[pauseBucket]map[string]bool{}, processes: map[int32]*processState{}, unusable: map[string]*Bad{},
+		pauses: map[pauseBucket]map[string]bool{}, processes: map[int32]*processState{}, unusable: map[string]*UnusableLines{},
 	}
 }
 
@@ -152,7 +152,7 @@
 	reason := err.Error()
 	b := p.unusable[reason]
 	if b == nil {
-		b = &Bad{Reason: reason, First: fmt.Sprintf("%s:%d", file, number)}
+		b = &UnusableLines{Reason: reason, First: fmt.Sprintf("%s:%d", file, number)}
 		p.unusable[reason] = b
 	}
 	b.Count++
@@ -301,7 +301,7 @@
 	p.kinds[route] = site.Stream.String()
 	key := bucket{t.lastSecond, route}
 	p.countOutcome(key, Failed)
-	p.countCause(causeBucket{bucket: key, outcome: Failed, cause: CauseProcessGone}, Example{Request: id, Route: unknownRoute})
+	p.countCause(causeBucket{bucket: key, outcome: Failed, cause: CauseProcessLost}, Example{Request: id, Route: unknownRoute})
 }
 
 // recordRunning records the streams that a line lists as running; each stream is
--- a/explain/period_test.go
+++ b/explain/period_test.go
@@ -50,7 +50,7 @@
 	g.Expect(s.Kinds).To(gomega.Equal([]KindCounts{
 		{Kind: "idempotent", Counts: Counts{Sent: 3, InTime: 1, Late: 1, Failed: 1}},
 		{Kind: "stream", Counts: Counts{Sent: 4, InTime: 1, Late: 1, Refused: 1, Left: 1}},
-		{Kind: unknownKind, Counts: Counts{Turned: 1}},
+		{Kind: unknownKind, Counts: Counts{Rejected: 1}},
 	}))
 	g.Expect(s.Kinds[1].Share()).To(gomega.BeNumerically("~", 1.0/3, 1e-9), "a caller that left of its own accord is not counted")
 	g.Expect(s.Spans).To(gomega.HaveLen(1), "by arrival, not by the end")
@@ -85,7 +85,7 @@
 		"silent in a zone that is lost, and not known to be down yet": {
 			again((&exchange.SilentError{Silence: 400 * time.Millisecond, Alive: true}).Error()) + lateStream + zoneLoss, CauseZoneLost,
 		},
-		"own pause": {resumed("copy", "40ms") + again("exchange: broken: unexpected EOF") + lateStream, CausePause},
+		"own pause": {resumed("copy", "40ms") + again("exchange: broken: unexpected EOF") + lateStream, CauseServerPause},
 		"copy": {
 			lineOf("edge-1", "01:01.2", "PY2729", "request=a server=i-1 lost=i-4 to=i-5 took=9ms err=null") +
 				again("exchange: broken: unexpected EOF") + resumed("copy", "3s") + lateStream + zoneLoss, CauseCopyReplaced,
@@ -95,19 +95,19 @@
 				resumed("prompt_read_again", "3s") + lateStream, CauseServerLost,
 		},
 		"no word of a copy": {resumed("prompt_read_again", "3s") + lateStream, CauseNoCopy},
-		"pause":             {lateStream, CausePause},
+		"pause":             {lateStream, CauseServerPause},
 		"queue":             {lineOf("edge-1", "01:08.0", "PY2720", "request=a route=r kind=stream took=8s first=5s pause=1ms server=i-9 ended_by=answer"), CauseQueue},
-		"full":              {again("exchange: not run: busy: 503") + lineOf("edge-1", "01:08.0", "PY2720", "request=a route=r kind=idempotent took=8s status=200 ended_by=answer"), CauseServerFull},
+		"full":              {again("exchange: not run: busy: 503") + lineOf("edge-1", "01:08.0", "PY2720", "request=a route=r kind=idempotent took=8s status=200 ended_by=answer"), CauseServerBusy},
 		"waited":            {lineOf("edge-1", "01:08.0", "PY2723", "request=a route=r kind=stream took=8s first=0s pause=0s ended_by=caller"), CauseQueue},
 		"500":               {lineOf("edge-1", "01:08.0", "PY2720", "request=a route=r kind=idempotent took=8ms status=500 ended_by=server"), CauseServerFailed},
 		"cut":               {lineOf("edge-1", "01:08.0", "PY2734", "request=a route=r kind=stream took=8s first=1s pause=1ms ended_by=stop"), CauseStop},
 		"link":              {lineOf("edge-1", "01:08.0", "PY2735", "request=a route=r kind=stream took=8s first=1s pause=1ms ended_by=caller_link"), CauseCaller},
-		"budget":            {lineOf("edge-1", "01:08.0", "PY2721", `request=a route=r kind=idempotent took=8ms ended_by=limit err="exchange: retry budget spent"`), CauseRetries},
+		"budget":            {lineOf("edge-1", "01:08.0", "PY2721", `request=a route=r kind=idempotent took=8ms ended_by=limit err="exchange: retry budget spent"`), CauseRetryBudget},
 		"stop":              {lineOf("edge-1", "01:08.0", "PY2756", "request=a route=r need=7s left=1s ended_by=stop"), CauseStop},
-		"crashes":           {lineOf("edge-1", "01:08.0", "PY2727", "request=a route=r fingerprint=1 ended_by=limit"), CauseCrashes},
+		"crashes":           {lineOf("edge-1", "01:08.0", "PY2727", "request=a route=r fingerprint=1 ended_by=limit"), CauseQuarantined},
 		"start":             {lineOf("edge-1", "01:08.0", "PY2751", "request=a missing=list ended_by=start"), CauseStart},
 		"store": {
-			lineOf("edge-1", "01:00.0", "PY2702", "err=refused") + lineOf("edge-1", "01:08.0", "PY2751", "request=a missing=list ended_by=start"), CauseStore,
+			lineOf("edge-1", "01:00.0", "PY2702", "err=refused") + lineOf("edge-1", "01:08.0", "PY2751", "request=a missing=list ended_by=start"), CauseStoreUnavailable,
 		},
 		"store is back": {
 			lineOf("edge-1", "01:00.0", "PY2702", "err=refused") + lineOf("edge-1", "01:01.0", "PY2703", "after=1s") +
@@ -115,7 +115,7 @@
 		},
 		"timeout": {again("exchange: broken: x") + lineOf("edge-1", "01:08.0", "PY2722", "request=a route=r kind=idempotent took=8s server=i-1 ended_by=route_timeout"), CauseServerLost},
 		"gone": {
-			lineOf("edge-1", "01:02.0", "PY2732", "requests=a@i-1") + lineOf("edge-2", "01:02.5", "PY2752", "") + lineOf("edge-1", "01:03.0", "PY2752", ""), CauseProcessGone,
+			lineOf("edge-1", "01:02.0", "PY2732", "requests=a@i-1") + lineOf("edge-2", "01:02.5", "PY2752", "") + lineOf("edge-1", "01:03.0", "PY2752", ""), CauseProcessLost,
 		},
 		"admission": {lineOf("edge-1", "01:08.0", "PY2721", `request=a route=r kind=stream took=8ms first=0s pause=0s ended_by=no_server err="`+new(exchange.LateError).Error()+`"`), CauseAdmission},
 	} {
@@ -126,7 +126,7 @@
 			g.Expect(s.Causes[0].Cause).To(gomega.Equal(c.want))
 			g.Expect(s.Causes[0].Examples).To(gomega.HaveLen(1))
 			g.Expect(s.Causes[0].Examples[0].Request).To(gomega.Equal("a"))
-			g.Expect(s.Bad).To(gomega.BeEmpty())
+			g.Expect(s.Unusable).To(gomega.BeEmpty())
 		})
 	}
 }
@@ -155,7 +155,7 @@
 	for _, c := range s.Causes {
 		got[c.Cause] = c.Late
 	}
-	g.Expect(got).To(gomega.Equal(map[Cause]int{CauseQueue: 17, CauseWave: 3}))
+	g.Expect(got).To(gomega.Equal(map[Cause]int{CauseQueue: 17, CauseSurge: 3}))
 }
 
 // A VM stalls for three seconds, and all streams through it pause. The lines of the
@@ -173,7 +173,7 @@
 	for _, c := range s.Causes {
 		got[c.Cause] = c.Late
 	}
-	g.Expect(got).To(gomega.Equal(map[Cause]int{CauseStoodStill: 5, CausePause: 1}))
+	g.Expect(got).To(gomega.Equal(map[Cause]int{CauseProcessStalled: 5, CauseServerPause: 1}))
 }
 
 // The end of a log is truncated, a collector interleaved two lines, and a line is
@@ -193,12 +193,12 @@
 	s := read(t, logs).Summary(View{})
 	g.Expect(s.Kinds).To(gomega.HaveLen(1))
 	g.Expect(s.Kinds[0].Counts).To(gomega.Equal(Counts{Sent: 1, InTime: 1}))
-	g.Expect(s.Bad).To(gomega.ConsistOf(
-		Bad{errTruncated.Error(), 3, "file0:6"},
-		Bad{errInterleaved.Error(), 1, "file0:4"},
-		Bad{errBadValue.Error(), 1, "file0:5"},
-		Bad{errBadTime.Error(), 1, "file0:7"},
-		Bad{errTooLong.Error(), 1, "file0:8"},
+	g.Expect(s.Unusable).To(gomega.ConsistOf(
+		UnusableLines{errTruncated.Error(), 3, "file0:6"},
+		UnusableLines{errInterleaved.Error(), 1, "file0:4"},
+		UnusableLines{errBadValue.Error(), 1, "file0:5"},
+		UnusableLines{errBadTime.Error(), 1, "file0:7"},
+		UnusableLines{errTooLong.Error(), 1, "file0:8"},
 	))
 	g.Expect(s.Dropped).To(gomega.Equal(7 * 3))
 }
--- a/explain/rules.go
+++ b/explain/rules.go
@@ -28,13 +28,13 @@
 	switch key.cause {
 	case CauseServerLost:
 		return b.serverLossCause(key)
-	case CausePause:
+	case CauseServerPause:
 		if len(b.period.pauses[key.pause]) >= stallServers {
-			return CauseStoodStill
+			return CauseProcessStalled
 		}
 	case CauseQueue, CauseAdmission:
 		if b.surges[kind][key.second] {
-			return CauseWave
+			return CauseSurge
 		}
 	}
 	return key.cause
--- a/explain/summary.go
+++ b/explain/summary.go
@@ -13,7 +13,7 @@
 	To         time.Time            `json:"to"`
 	Lines      int                  `json:"lines"`
 	Dropped    int                  `json:"dropped"` // lines that processes dropped because their output wasn't read
-	Bad        []Bad                `json:"bad,omitempty"`
+	Unusable   []UnusableLines      `json:"bad,omitempty"`
 	Unfinished int                  `json:"unfinished"` // requests still running at the last line
 	Objectives map[string]Objective `json:"objectives"`
 	Kinds      []KindCounts         `json:"kinds"`
@@ -25,16 +25,16 @@
 // Counts are numbers of requests by outcome. A caller's retry after a refusal counts
 // as a new request.
 type Counts struct {
-	Sent    int `json:"sent"`
-	InTime  int `json:"in_time"`
-	Late    int `json:"late"`
-	Refused int `json:"refused"`
-	Failed  int `json:"failed"`
-	Left    int `json:"left"`   // the caller left of its own accord; not in Share
-	Turned  int `json:"turned"` // invalid; not included in Sent
+	Sent     int `json:"sent"`
+	InTime   int `json:"in_time"`
+	Late     int `json:"late"`
+	Refused  int `json:"refused"`
+	Failed   int `json:"failed"`
+	Left     int `json:"left"`   // the caller left of its own accord; not in Share
+	Rejected int `json:"turned"` // invalid; not included in Sent
 	// RejectedOutdated of them were rejected by a process that could not reach the
 	// store: they may have been valid.
-	TurnedBlind int `json:"turned_blind"`
+	RejectedOutdated int `json:"turned_blind"`
 }
 
 // Share returns the share in time of the requests whose caller did not leave; 1 if
@@ -100,7 +100,7 @@
 // Summary summarizes the lines read so far. It may be called for several views.
 func (p *Period) Summary(v View) Summary {
 	v.Span = max(time.Second, v.Span.Truncate(time.Second))
-	s := Summary{Lines: p.Lines, Dropped: p.Dropped, Bad: p.unusableLines(), Objectives: maps.Clone(p.loggedObjectives)}
+	s := Summary{Lines: p.Lines, Dropped: p.Dropped, Unusable: p.unusableLines(), Objectives: maps.Clone(p.loggedObjectives)}
 	maps.Copy(s.Objectives, p.givenObjectives)
 	for _, t := range p.open {
 		if t.running {
@@ -118,12 +118,12 @@
 	return s
 }
 
-func (p *Period) unusableLines() []Bad {
-	var out []Bad
+func (p *Period) unusableLines() []UnusableLines {
+	var out []UnusableLines
 	for _, b := range p.unusable {
 		out = append(out, *b)
 	}
-	slices.SortFunc(out, func(a, b Bad) int { return cmp.Compare(a.Reason, b.Reason) })
+	slices.SortFunc(out, func(a, b UnusableLines) int { return cmp.Compare(a.Reason, b.Reason) })
 	return out
 }
 
@@ -213,8 +213,8 @@
 	k.Refused += int(t.counts[Refused])
 	k.Failed += int(t.counts[Failed])
 	k.Left += int(t.counts[Left])
-	k.Turned += int(t.rejected)
-	k.TurnedBlind += int(t.rejectedOutdated)
+	k.Rejected += int(t.rejected)
+	k.RejectedOutdated += int(t.rejectedOutdated)
 	for _, n := range t.counts {
 		k.Sent += int(n)
 	}
--- a/node/admin.go
+++ b/node/admin.go
@@ -28,7 +28,7 @@
 		return nil
 	}
 	server, err := admin.New(admin.Options{
-		Token: r.opts.AdminToken, Process: r.opts.ID, Texts: texts{r},
+		Token: r.opts.AdminToken, Process: r.opts.ID, Store: texts{r},
 		InForce: r.inForce, Members: r.adminMembers, Quarantines: r.quarantines,
 		Backends: r.backends, Stopper: stopper{r}, Recorder: r.recorder, Registerer: r.registry, HTTP: r.peer.Client(),
 	})
@@ -61,7 +61,7 @@
 func (t texts) failure(ctx context.Context, err error) error {
 	var race *config.RaceError
 	if errors.As(err, &race) {
-		winner := admin.Text{Revision: race.Winner, Who: race.By, Note: race.Note}
+		winner := admin.ConfigRevision{Revision: race.Winner, Who: race.By, Note: race.Note}
 		return &admin.RaceError{Winner: winner, Diff: race.Diff}
 	}
 	var undecided *config.UndecidedError
@@ -72,15 +72,15 @@
 }
 
 // Load returns one accepted text.
-func (t texts) Load(ctx context.Context, revision types.Revision) (admin.Text, error) {
+func (t texts) Load(ctx context.Context, revision types.Revision) (admin.ConfigRevision, error) {
 	raw, err := t.r.store.Load(ctx, revision)
 	if errors.Is(err, backing.ErrNotFound) {
-		return admin.Text{}, admin.ErrNoRevision
+		return admin.ConfigRevision{}, admin.ErrNoRevision
 	}
 	if err != nil {
-		return admin.Text{}, err
+		return admin.ConfigRevision{}, err
 	}
-	out := admin.Text{Revision: revision, Raw: raw}
+	out := admin.ConfigRevision{Revision: revision, Raw: raw}
 	if e, err := t.r.store.Entry(ctx, revision); err == nil { // the text matters more than who accepted it
 		out.Base, out.Who, out.Note, out.At = e.Base, e.By, e.Note, e.At
 	}
@@ -88,7 +88,7 @@
 }
 
 // History returns the accepted texts, the newest first, without their bodies.
-func (t texts) History(ctx context.Context, limit int) ([]admin.Text, error) {
+func (t texts) History(ctx context.Context, limit int) ([]admin.ConfigRevision, error) {
 	entries, err := t.r.store.History(ctx, limit)
 	if err != nil {
 		return nil, err
@@ -96,9 +96,9 @@
 	if err := t.behind(entries); err != nil {
 		return nil, err
 	}
-	out := make([]admin.Text, 0, len(entries))
+	out := make([]admin.ConfigRevision, 0, len(entries))
 	for _, e := range entries {
-		out = append(out, admin.Text{Revision: e.Revision, Base: e.Base, Who: e.By, Note: e.Note, At: e.At})
+		out = append(out, admin.ConfigRevision{Revision: e.Revision, Base: e.Base, Who: e.By, Note: e.Note, At: e.At})
 	}
 	return out, nil
 }
@@ -119,12 +119,12 @@
 	return nil
 }
 
-func (r *Router) inForce() admin.Text {
+func (r *Router) inForce() admin.ConfigRevision {
 	snapshot := r.holder.Current()
 	if snapshot == nil {
-		return admin.Text{}
+		return admin.ConfigRevision{}
 	}
-	return admin.Text{Revision: snapshot.Revision, Raw: snapshot.Raw}
+	return admin.ConfigRevision{Revision: snapshot.Revision, Raw: snapshot.Raw}
 }
 
 func (r *Router) adminMembers() []admin.Member {
--- a/router/cluster_test.go
+++ b/router/cluster_test.go
@@ -152,7 +152,7 @@
 			}
 		})
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(answer.Returns).To(BeZero())
+	g.Expect(answer.Resumes).To(BeZero())
 	g.Expect(answer.Texts).To(HaveLen(200))
 	g.Expect(standin.CheckAnswer("list the pears", answer.Texts)).To(Succeed())
 }
--- a/router/handover_test.go
+++ b/router/handover_test.go
@@ -32,7 +32,7 @@
 
 func (a generateResult) expectComplete(g Gomega, tokens int) {
 	g.Expect(a.err).NotTo(HaveOccurred())
-	g.Expect(a.answer.Returns).To(BeZero())
+	g.Expect(a.answer.Resumes).To(BeZero())
 	g.Expect(a.answer.Texts).To(HaveLen(tokens))
 	g.Expect(standin.CheckAnswer("list the pears", a.answer.Texts)).To(Succeed())
 }
--- a/scenario/caller.go
+++ b/scenario/caller.go
@@ -63,7 +63,7 @@
 			c.answer, c.err = whole(ctx, httpClient, addresses[ask.first-1], ask)
 			return
 		}
-		opts := client.Options{Routers: addresses, Key: embedded.Key, HTTP: httpClient, Silence: ask.patience}
+		opts := client.Options{Routers: addresses, Key: embedded.Key, HTTP: httpClient, IdleTimeout: ask.patience}
 		req := client.Request{Model: embedded.Model, Prompt: ask.prompt, MaxTokens: ask.tokens, IdempotencyKey: ask.key, First: ask.first - 1}
 		c.answer, c.err = client.New(opts).Generate(ctx, req, func(index int, _ string) {
 			c.mu.Lock()
--- a/scenario/crowd.go
+++ b/scenario/crowd.go
@@ -71,7 +71,7 @@
 	for i := range callers {
 		all.Go(func() {
 			one := client.New(client.Options{Routers: b.site.callerAddresses(), Key: keyOf(args[1]),
-				HTTP: &http.Client{Transport: transport}, Silence: callerSilence})
+				HTTP: &http.Client{Transport: transport}, IdleTimeout: callerSilence})
 			for round := range rounds {
 				c.ask(b, one, client.Request{Model: embedded.Model, MaxTokens: tokens, First: i % b.site.size.routers,
 					Prompt: fmt.Sprintf("request %d of caller %d of %s", round, i, args[1])})
--- a/scenario/expect.go
+++ b/scenario/expect.go
@@ -77,7 +77,7 @@
 			case "longest-gap":
 				return c.answer.Longest.Length.Seconds(), true
 			case "returns":
-				return float64(c.answer.Returns), true
+				return float64(c.answer.Resumes), true
 			}
 			return 0, false
 		})
