--- a/admin/convert.go
+++ b/admin/convert.go
@@ -12,14 +12,14 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-func textPB(text Text) *adminpb.Revision {
+func revisionPB(config ConfigRevision) *adminpb.Revision {
 	return &adminpb.Revision{
-		Revision: uint64(text.Revision),
-		Base:     uint64(text.Base),
-		Who:      text.Who,
-		Note:     text.Note,
-		AtUnixMs: unixMilli(text.At),
-		Text:     text.Raw,
+		Revision: uint64(config.Revision),
+		Base:     uint64(config.Base),
+		Who:      config.Who,
+		Note:     config.Note,
+		AtUnixMs: unixMilli(config.At),
+		Text:     config.Raw,
 	}
 }
 
@@ -90,8 +90,8 @@
 // diffContext is how many unchanged lines a diff shows around a change.
 const diffContext = 3
 
-// lineDiff is the diff used unless Options bring another.
-func lineDiff(from, to Text) string {
+// lineDiff is the default of Options.Diff.
+func lineDiff(from, to ConfigRevision) string {
 	diff, err := difflib.GetUnifiedDiffString(difflib.UnifiedDiff{
 		A:        difflib.SplitLines(string(from.Raw)),
 		B:        difflib.SplitLines(string(to.Raw)),
@@ -105,9 +105,9 @@
 	return strings.TrimRight(diff, "\n")
 }
 
-func diffName(text Text) string {
-	if text.Revision == 0 {
+func diffName(config ConfigRevision) string {
+	if config.Revision == 0 {
 		return "text"
 	}
-	return "revision " + strconv.FormatUint(uint64(text.Revision), 10)
+	return "revision " + strconv.FormatUint(uint64(config.Revision), 10)
 }
--- a/admin/queries.go
+++ b/admin/queries.go
@@ -11,53 +11,54 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// Get returns the text of a revision, or the newest. With the store down, the
-// newest is what this router has in force, and the answer says so.
+// Get returns a revision, by default the newest. If the store is unavailable, it
+// returns the revision in force in this router instead of the newest, and the response
+// says so.
 func (s *Server) Get(ctx context.Context, req *adminpb.GetRequest) (*adminpb.GetResponse, error) {
 	if req.GetRevision() != 0 {
-		text, err := s.opts.Texts.Load(ctx, types.Revision(req.GetRevision()))
+		config, err := s.opts.Store.Load(ctx, types.Revision(req.GetRevision()))
 		if err != nil {
 			return nil, s.queryError(err)
 		}
-		return &adminpb.GetResponse{Revision: textPB(text)}, nil
+		return &adminpb.GetResponse{Revision: revisionPB(config)}, nil
 	}
-	text, fallback, err := s.newest(ctx)
+	config, fallback, err := s.newest(ctx)
 	if err != nil {
 		return nil, s.queryError(err)
 	}
-	return &adminpb.GetResponse{Revision: textPB(text), StoreUnavailable: fallback}, nil
+	return &adminpb.GetResponse{Revision: revisionPB(config), StoreUnavailable: fallback}, nil
 }
 
-// newest returns the newest accepted text; fallback says that the store did not
-// answer and the text is the one in force here.
-func (s *Server) newest(ctx context.Context) (text Text, fallback bool, err error) {
-	history, err := s.opts.Texts.History(ctx, 1)
+// newest returns the newest accepted revision. If the store does not respond, it
+// returns the revision in force here, and fallback is true.
+func (s *Server) newest(ctx context.Context) (config ConfigRevision, fallback bool, err error) {
+	history, err := s.opts.Store.History(ctx, 1)
 	if err == nil && len(history) == 0 {
-		return Text{}, false, ErrNoRevision
+		return ConfigRevision{}, false, ErrNoRevision
 	}
 	if err == nil {
-		text, err = s.opts.Texts.Load(ctx, history[0].Revision)
+		config, err = s.opts.Store.Load(ctx, history[0].Revision)
 	}
 	if err == nil {
-		return text, false, nil
+		return config, false, nil
 	}
 	inForce := s.opts.InForce()
 	if inForce.Revision == 0 {
-		return Text{}, true, err
+		return ConfigRevision{}, true, err
 	}
 	return inForce, true, nil
 }
 
-// History lists accepted revisions, newest first, without their texts.
+// History lists accepted revisions, newest first, without the configurations.
 func (s *Server) History(ctx context.Context, req *adminpb.HistoryRequest) (*adminpb.HistoryResponse, error) {
-	history, err := s.opts.Texts.History(ctx, historyLimit(req.GetLimit()))
+	history, err := s.opts.Store.History(ctx, historyLimit(req.GetLimit()))
 	if err != nil {
 		return nil, s.queryError(err)
 	}
 	resp := &adminpb.HistoryResponse{}
-	for _, text := range history {
-		text.Raw = nil
-		resp.Revisions = append(resp.Revisions, textPB(text))
+	for _, config := range history {
+		config.Raw = nil
+		resp.Revisions = append(resp.Revisions, revisionPB(config))
 	}
 	return resp, nil
 }
@@ -69,13 +70,13 @@
 	return int(min(limit, MaxHistory))
 }
 
-// Diff compares two revisions, or a revision and a text that is not applied.
+// Diff compares two revisions, or a revision and a configuration that was not applied.
 func (s *Server) Diff(ctx context.Context, req *adminpb.DiffRequest) (*adminpb.DiffResponse, error) {
 	from, err := s.revisionOrNewest(ctx, req.GetFrom())
 	if err != nil {
 		return nil, s.queryError(err)
 	}
-	to := Text{Raw: req.GetToText()}
+	to := ConfigRevision{Raw: req.GetToText()}
 	if len(to.Raw) == 0 {
 		to, err = s.revisionOrNewest(ctx, req.GetTo())
 	}
@@ -85,19 +86,19 @@
 	return &adminpb.DiffResponse{Diff: s.opts.Diff(from, to)}, nil
 }
 
-func (s *Server) revisionOrNewest(ctx context.Context, revision uint64) (Text, error) {
+func (s *Server) revisionOrNewest(ctx context.Context, revision uint64) (ConfigRevision, error) {
 	if revision != 0 {
-		return s.opts.Texts.Load(ctx, types.Revision(revision))
+		return s.opts.Store.Load(ctx, types.Revision(revision))
 	}
-	text, _, err := s.newest(ctx)
-	return text, err
+	config, _, err := s.newest(ctx)
+	return config, err
 }
 
 // Status returns this router's view of the members, quarantines and drains.
 func (s *Server) Status(ctx context.Context, req *adminpb.StatusRequest) (*adminpb.StatusResponse, error) {
 	members := s.members()
 	if req.GetName() != "" {
-		members = s.named(req.GetName())
+		members = s.membersNamed(req.GetName())
 	}
 	sort.Slice(members, func(i, j int) bool { return members[i].Process < members[j].Process })
 	resp := &adminpb.StatusResponse{
@@ -112,7 +113,7 @@
 	return resp, nil
 }
 
-// queryError gives an error its twirp code.
+// queryError converts an error to a twirp error.
 func (s *Server) queryError(err error) error {
 	if errors.Is(err, ErrNoRevision) || errors.Is(err, ErrNotFound) {
 		return twirp.NotFound.Error(err.Error())
