--- a/admin/metrics.go
+++ b/admin/metrics.go
@@ -26,17 +26,17 @@
 	factory := promauto.With(reg)
 	return &metrics{
 		applies: factory.NewCounterVec(prometheus.CounterOpts{
-			Name: "pearyard_admin_applies_total", Help: "Submitted configurations by result.",
+			Name: "pearyard_admin_applies_total", Help: "Applied texts by result.",
 		}, []string{"result"}),
 		unauthorized: factory.NewCounter(prometheus.CounterOpts{
-			Name: "pearyard_admin_unauthorized_total", Help: "Calls without a valid bearer token.",
+			Name: "pearyard_admin_unauthorized_total", Help: "Calls without the bearer token.",
 		}),
 		unanswered: factory.NewCounter(prometheus.CounterOpts{
-			Name: "pearyard_admin_unanswered_total", Help: "Processes that did not respond when queried for an explanation or a bundle.",
+			Name: "pearyard_admin_unanswered_total", Help: "Processes that did not answer when asked for their state.",
 		}),
 		inForce: factory.NewHistogram(prometheus.HistogramOpts{
 			Name:    "pearyard_admin_in_force_seconds",
-			Help:    "Time from accepting a revision until every process had it in force, if an operator waited for it.",
+			Help:    "Time from the acceptance of a revision until every process had it in force, where an operator waited.",
 			Buckets: []float64{.05, .1, .2, .5, 1, 2, 4, 8, 30},
 		}),
 	}
