--- a/standin/nursery/engine.go
+++ b/standin/nursery/engine.go
@@ -8,53 +8,57 @@
 	"time"
 )
 
-// Engine says what bounds a model engine. The zero value reads each prompt
-// beside its streams, in the same short time, and has memory for all.
+// Engine holds the limits of a simulated model engine. The zero value prefills
+// each prompt in the same short time without pausing other streams, and has
+// unlimited memory.
 type Engine struct {
-	// ReadLeast and ReadMost bound how long a prompt is read. One is read at a
-	// time, and no stream of the engine gets an event meanwhile.
+	// ReadLeast and ReadMost bound the prefill time of a prompt. Prompts are
+	// prefilled one at a time, and no stream of the engine produces events
+	// meanwhile.
 	ReadLeast, ReadMost time.Duration
-	// Memory holds prompts, events and copies, in tokens. Without room a request
-	// is refused; when running streams outgrow it, the newest is preempted.
+	// Memory is the space for prompts, events and KV copies, in tokens; 0 means
+	// unlimited. A request that doesn't fit is refused. When running streams
+	// outgrow the memory, the newest is preempted.
 	Memory int
 }
 
 const (
-	// betweenPrompts is how long streams go on between two prompts: about ten
-	// events. Without it a queue of prompts would stop all streams until its end.
-	betweenPrompts = 80 * time.Millisecond
-	// eventTokens is what one event adds to a stream's memory.
+	// prefillGap is the time for which streams run between two prefills, about ten
+	// events. Without it, a queue of prompts would stop all streams until the queue
+	// is empty.
+	prefillGap = 80 * time.Millisecond
+	// eventTokens is the memory that one event adds to a stream.
 	eventTokens = 5
 )
 
-// engine is the memory and the processor of one start of a server.
+// engine simulates the memory and the compute of one incarnation of a server.
 type engine struct {
-	reads chan struct{} // holds the one who reads a prompt
+	prefillSlot chan struct{} // semaphore of size 1, held during a prefill
 
-	mu      sync.Mutex
-	prompts map[string]bool // that are kept, by their pieces
-	is      Engine
-	used    int    // tokens
-	running []*run // in memory, the newest last
-	waiting int    // preempted runs
-	changed chan struct{}
-	resumes time.Time // when the prompt that is being read has been read
+	mu            sync.Mutex
+	cachedPrompts map[string]bool // by the prompt's block list
+	limits        Engine
+	used          int           // memory in use, in tokens
+	running       []*allocation // streams that hold memory, the newest last
+	waiting       int           // preempted streams
+	changed       chan struct{}
+	prefillEnd    time.Time // streams are paused until then
 }
 
-// run is what a request takes of an engine.
-type run struct {
+// allocation is the engine memory that a request holds.
+type allocation struct {
 	tokens    int
 	preempted bool
 }
 
-func newEngine(is Engine) *engine {
-	return &engine{is: is, prompts: map[string]bool{}, reads: make(chan struct{}, 1), changed: make(chan struct{})}
+func newEngine(limits Engine) *engine {
+	return &engine{limits: limits, cachedPrompts: map[string]bool{}, prefillSlot: make(chan struct{}, 1), changed: make(chan struct{})}
 }
 
-func (e *engine) set(is Engine) {
+func (e *engine) setLimits(limits Engine) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.is = is
+	e.limits = limits
 	e.changedLocked()
 }
 
@@ -63,49 +67,52 @@
 	e.changed = make(chan struct{})
 }
 
-func (e *engine) fits(tokens int) bool { return e.is.Memory <= 0 || e.used+tokens <= e.is.Memory }
+func (e *engine) fits(tokens int) bool {
+	return e.limits.Memory <= 0 || e.used+tokens <= e.limits.Memory
+}
 
-// admit takes memory for a request; false if the engine is full. What goes on
-// from a copy goes before the preempted, all else behind them.
-func (e *engine) admit(tokens int, fromCopy bool) (*run, bool) {
+// admit allocates memory for a request; it returns false if the engine is full.
+// A request that resumes from a KV copy takes precedence over preempted streams;
+// any other request is refused while a preempted stream waits.
+func (e *engine) admit(tokens int, fromCopy bool) (*allocation, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !e.fits(tokens) || (e.waiting > 0 && !fromCopy) {
 		return nil, false
 	}
-	r := &run{tokens: tokens}
-	e.enterLocked(r)
+	r := &allocation{tokens: tokens}
+	e.addLocked(r)
 	return r, true
 }
 
-func (e *engine) enterLocked(r *run) {
+func (e *engine) addLocked(r *allocation) {
 	e.used += r.tokens
 	e.running = append(e.running, r)
 }
 
-// leave gives a request's memory back.
-func (e *engine) leave(r *run) {
+// release frees a request's memory.
+func (e *engine) release(r *allocation) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if r.preempted {
 		e.waiting--
 	} else {
-		e.dropLocked(r)
+		e.removeLocked(r)
 	}
 	e.changedLocked()
 }
 
-func (e *engine) dropLocked(r *run) {
+func (e *engine) removeLocked(r *allocation) {
 	e.used -= r.tokens
-	e.running = slices.DeleteFunc(e.running, func(x *run) bool { return x == r })
+	e.running = slices.DeleteFunc(e.running, func(x *allocation) bool { return x == r })
 }
 
-// hold takes memory for a copy. free gives it back; it is nil if the engine has
-// memory for all.
-func (e *engine) hold(tokens int) (free func(), ok bool) {
+// reserveCopy allocates memory for a KV copy. free releases it; it is nil if the
+// engine's memory is unlimited.
+func (e *engine) reserveCopy(tokens int) (free func(), ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.is.Memory <= 0 {
+	if e.limits.Memory <= 0 {
 		return nil, true
 	}
 	if !e.fits(tokens) {
@@ -120,56 +127,58 @@
 	}), true
 }
 
-// step lets a stream make its next event: it waits for its memory, if that was
-// taken, and for the prompt that is being read. False if the caller left.
-func (e *engine) step(ctx context.Context, r *run, request string) bool {
+// step blocks until a stream may produce its next event: until a preempted
+// stream has memory again and no prefill is running. It returns false if the
+// caller disconnected.
+func (e *engine) step(ctx context.Context, r *allocation, request string) bool {
 	for {
 		e.mu.Lock()
-		preempted, rest := r.preempted, time.Until(e.resumes)
-		if !preempted && rest <= 0 {
+		preempted, pause := r.preempted, time.Until(e.prefillEnd)
+		if !preempted && pause <= 0 {
 			e.growLocked(r)
 			e.mu.Unlock()
 			return true
 		}
 		e.mu.Unlock()
-		if preempted && !e.comeBack(ctx, r, request) {
+		if preempted && !e.readmit(ctx, r, request) {
 			return false
 		}
-		if !preempted && !sleep(ctx, rest) {
+		if !preempted && !sleep(ctx, pause) {
 			return false
 		}
 	}
 }
 
-// growLocked adds an event. The newest streams are preempted until all fits
-// again; one stream always goes on.
-func (e *engine) growLocked(r *run) {
+// growLocked adds the memory of one event. It preempts the newest streams until
+// the rest fits again; one stream always keeps running.
+func (e *engine) growLocked(r *allocation) {
 	r.tokens += eventTokens
 	e.used += eventTokens
 	for !e.fits(0) && len(e.running) > 1 {
 		newest := e.running[len(e.running)-1]
-		e.dropLocked(newest)
+		e.removeLocked(newest)
 		newest.preempted = true
 		e.waiting++
 	}
 }
 
-// comeBack waits until a preempted stream has memory again and has been read again.
-func (e *engine) comeBack(ctx context.Context, r *run, request string) bool {
+// readmit waits until a preempted stream has memory again and then prefills it
+// again. It returns false if the caller disconnected.
+func (e *engine) readmit(ctx context.Context, r *allocation, request string) bool {
 	for {
 		e.mu.Lock()
 		changed := e.changed
-		// Copies alone keep nobody out: two engines full of each other's would
-		// wait for each other.
-		back := e.fits(r.tokens) || len(e.running) == 0
-		if back {
+		// Copies alone never block a stream. Otherwise two engines, each full of
+		// the other's copies, would wait for each other forever.
+		fits := e.fits(r.tokens) || len(e.running) == 0
+		if fits {
 			e.waiting--
 			r.preempted = false
-			e.enterLocked(r)
+			e.addLocked(r)
 		}
 		e.mu.Unlock()
-		if back {
-			return e.read(ctx, request)
+		if fits {
+			return e.prefill(ctx, request)
 		}
 		select {
 		case <-changed:
@@ -179,46 +188,48 @@
 	}
 }
 
-// read reads a request's prompt. False if its caller left meanwhile.
-func (e *engine) read(ctx context.Context, request string) bool {
+// prefill simulates the prefill of a request's prompt. It returns false if the
+// caller disconnected meanwhile.
+func (e *engine) prefill(ctx context.Context, request string) bool {
 	e.mu.Lock()
-	is := e.is
+	limits := e.limits
 	e.mu.Unlock()
-	if is.ReadMost <= 0 {
-		time.Sleep(readPrompt)
+	if limits.ReadMost <= 0 {
+		time.Sleep(defaultPrefill)
 		return true
 	}
 	select {
-	case e.reads <- struct{}{}:
+	case e.prefillSlot <- struct{}{}:
 	case <-ctx.Done():
 		return false
 	}
-	defer func() { <-e.reads }()
-	if !sleep(ctx, betweenPrompts) {
+	defer func() { <-e.prefillSlot }()
+	if !sleep(ctx, prefillGap) {
 		return false
 	}
-	took := is.readingTime(request)
-	e.pauseUntil(time.Now().Add(took))
-	read := sleep(ctx, took)
-	e.pauseUntil(time.Now())
-	return read
+	duration := limits.prefillTime(request)
+	e.pauseStreamsUntil(time.Now().Add(duration))
+	finished := sleep(ctx, duration)
+	e.pauseStreamsUntil(time.Now())
+	return finished
 }
 
-func (e *engine) pauseUntil(end time.Time) {
+func (e *engine) pauseStreamsUntil(end time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.resumes = end
+	e.prefillEnd = end
 }
 
-// readingTime is the same each time that a request is read.
-func (is Engine) readingTime(request string) time.Duration {
+// prefillTime derives the prefill time from the request, so that each prefill of
+// the same request takes the same time.
+func (limits Engine) prefillTime(request string) time.Duration {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(request))
-	span := max(1, is.ReadMost-is.ReadLeast)
-	return is.ReadLeast + time.Duration(hash.Sum64()%uint64(span))
+	span := max(1, limits.ReadMost-limits.ReadLeast)
+	return limits.ReadLeast + time.Duration(hash.Sum64()%uint64(span))
 }
 
-// sleep returns false if ctx ended first.
+// sleep waits for d; it returns false if ctx ended first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
--- a/standin/nursery/engine_test.go
+++ b/standin/nursery/engine_test.go
@@ -12,13 +12,13 @@
 	"github.com/onsi/gomega"
 )
 
-// bounded starts a server whose engine is bound.
-func bounded(t *testing.T, cloud *Cloud, is Engine) *Server {
+// startLimited starts a server whose engine has the given limits.
+func startLimited(t *testing.T, cloud *Cloud, limits Engine) *Server {
 	t.Helper()
 	server, err := cloud.NewServer("llm", "a", func(own string) string { return own })
 	gomega.NewWithT(t).Expect(err).NotTo(gomega.HaveOccurred())
 	t.Cleanup(server.Crash)
-	server.SetEngine(is)
+	server.SetEngine(limits)
 	return server
 }
 
@@ -30,13 +30,13 @@
 	return NewCloud(store)
 }
 
-// slowGap makes a stream of two seconds.
+// slowGap makes a stream last two seconds.
 const slowGap = 50 * time.Millisecond
 
-// outcome is what a stream's caller saw.
+// outcome is what a stream's caller observed.
 type outcome struct {
 	status, events int
-	longest        time.Duration // between two events
+	longest        time.Duration // longest gap between two events
 }
 
 func stream(t *testing.T, s *Server, id string, headers ...string) outcome {
@@ -72,54 +72,55 @@
 	return got
 }
 
-// runsOf waits until so many requests run.
-func runsOf(t *testing.T, c *Cloud, n int) {
+// awaitRuns waits until n runs have begun.
+func awaitRuns(t *testing.T, c *Cloud, n int) {
 	t.Helper()
 	gomega.NewWithT(t).Eventually(c.Ledger.Runs, "5s", "2ms").Should(gomega.HaveLen(n))
 }
 
-// The soak could not see streams that a sound engine holds up: the stand-in read
-// a prompt beside its streams, in no time of theirs.
+// Guards against a stand-in whose prefills don't delay other streams: the soak
+// test could then not detect wrong reactions to pauses of a healthy engine.
 func TestPromptHoldsUpTheStreamsBesideIt(t *testing.T) {
 	t.Parallel()
 	g := gomega.NewWithT(t)
 	cloud := newCloud(t)
-	s := bounded(t, cloud, Engine{ReadLeast: 500 * time.Millisecond, ReadMost: 500 * time.Millisecond})
+	s := startLimited(t, cloud, Engine{ReadLeast: 500 * time.Millisecond, ReadMost: 500 * time.Millisecond})
 	s.EventGap.Store(int64(slowGap))
 	first := make(chan outcome, 1)
 	go func() { first <- stream(t, s, "first") }()
-	runsOf(t, cloud, 1)
-	time.Sleep(700 * time.Millisecond) // it makes events now, and for two seconds
+	awaitRuns(t, cloud, 1)
+	time.Sleep(700 * time.Millisecond) // its own prefill is over; it produces events for two seconds
 	g.Expect(stream(t, s, "second").events).To(gomega.Equal(Events))
 	got := <-first
 	g.Expect(got.events).To(gomega.Equal(Events))
 	g.Expect(got.longest).To(gomega.BeNumerically(">=", 450*time.Millisecond))
 }
 
-// An engine without room refuses: a request, and the copy of another's run, so
-// that nothing can go on there.
+// A full engine refuses requests. It also refuses to hold a KV copy of a run on
+// another server, so that the run can't be resumed there.
 func TestFullEngineRefuses(t *testing.T) {
 	t.Parallel()
 	g := gomega.NewWithT(t)
 	cloud := newCloud(t)
-	full, source := bounded(t, cloud, Engine{Memory: 1300}), bounded(t, cloud, Engine{})
+	full, source := startLimited(t, cloud, Engine{Memory: 1300}), startLimited(t, cloud, Engine{})
 	full.EventGap.Store(int64(slowGap))
 	source.EventGap.Store(int64(slowGap))
 	running := make(chan outcome, 1)
 	go func() { running <- stream(t, full, "running") }()
-	runsOf(t, cloud, 1)
+	awaitRuns(t, cloud, 1)
 	g.Expect(stream(t, full, "more").status).To(gomega.Equal(http.StatusServiceUnavailable))
 	copied := make(chan outcome, 1)
 	go func() { copied <- stream(t, source, "copied", "Kv-Backup", full.Address) }()
-	runsOf(t, cloud, 2)
+	awaitRuns(t, cloud, 2)
 	g.Expect((<-running).events).To(gomega.Equal(Events))
 	got := stream(t, full, "copied", "Kv-From", full.Address+"/copied", "Last-Event-Id", "5")
 	g.Expect(got.status).To(gomega.Equal(http.StatusServiceUnavailable))
 	g.Expect((<-copied).events).To(gomega.Equal(Events))
 
-	// With room there is a copy. It can be gone on from once, and gives its room back.
+	// With enough memory the copy is held. One request can resume from it, and its
+	// memory is freed afterwards.
 	go func() { copied <- stream(t, source, "again", "Kv-Backup", full.Address) }()
-	runsOf(t, cloud, 3)
+	awaitRuns(t, cloud, 3)
 	g.Expect(stream(t, full, "other").status).To(gomega.Equal(http.StatusServiceUnavailable))
 	got = stream(t, full, "again", "Kv-From", full.Address+"/again", "Last-Event-Id", "30")
 	g.Expect(got.events).To(gomega.Equal(Events - 30))
@@ -129,13 +130,13 @@
 	g.Expect(stream(t, full, "last").events).To(gomega.Equal(Events))
 }
 
-// Two streams outgrow an engine's memory: the newest stops in its middle, is
-// read again when the other has ended, and is whole.
+// Two streams outgrow an engine's memory. The newest is preempted, is prefilled
+// again when the other has ended, and still delivers every event.
 func TestNewestStreamIsPreemptedAndGoesOn(t *testing.T) {
 	t.Parallel()
 	g := gomega.NewWithT(t)
 	cloud := newCloud(t)
-	s := bounded(t, cloud, Engine{Memory: 2200})
+	s := startLimited(t, cloud, Engine{Memory: 2200})
 	ends := make(chan outcome, 2)
 	for i := range 2 {
 		go func() { ends <- stream(t, s, fmt.Sprintf("r%d", i)) }()
@@ -143,11 +144,11 @@
 	a, b := <-ends, <-ends
 	g.Expect([]int{a.events, b.events}).To(gomega.Equal([]int{Events, Events}))
 	g.Expect(a.longest).To(gomega.BeNumerically("<", b.longest))
-	g.Expect(b.longest).To(gomega.BeNumerically(">", readPrompt+100*time.Millisecond))
+	g.Expect(b.longest).To(gomega.BeNumerically(">", defaultPrefill+100*time.Millisecond))
 }
 
-// What a request took of an engine is given back when its caller leaves, also
-// while it waits for memory.
+// A request's memory is freed when its caller disconnects, also while the request
+// is preempted and waits for memory.
 func TestLeavingGivesMemoryBack(t *testing.T) {
 	t.Parallel()
 	g := gomega.NewWithT(t)
@@ -160,11 +161,11 @@
 	g.Expect(b.preempted).To(gomega.BeTrue())
 	_, ok := e.admit(1, false)
 	g.Expect(ok).To(gomega.BeFalse())
-	left, leave := context.WithCancel(t.Context())
-	leave()
-	g.Expect(e.step(left, b, "b")).To(gomega.BeFalse())
-	e.leave(b)
-	e.leave(a)
+	ctx, cancel := context.WithCancel(t.Context())
+	cancel()
+	g.Expect(e.step(ctx, b, "b")).To(gomega.BeFalse())
+	e.release(b)
+	e.release(a)
 	g.Expect(e.used).To(gomega.BeZero())
 	_, ok = e.admit(2000, false)
 	g.Expect(ok).To(gomega.BeTrue())
--- a/standin/nursery/restart_test.go
+++ b/standin/nursery/restart_test.go
@@ -9,41 +9,41 @@
 	"github.com/pkg/errors"
 )
 
-// tries bounds how many servers are started until one has a port that is free on the
-// callers' address.
-const tries = 20
+// maxStarts bounds how many servers are started until one has a port that is free on
+// the callers' address.
+const maxStarts = 20
 
-// Guards against a server that can't start again since a call made while it was down has
-// its port as the call's own end.
+// Guards against a server that can't restart because a call made while it was down uses
+// its port as the call's local port.
 func TestServerStartsAgainThoughACallHasItsPort(t *testing.T) {
 	g := gomega.NewWithT(t)
 	store, err := NewStore()
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	defer store.Close()
-	server, call := crashedServerWithACallFromItsPort(g, store)
+	server, call := crashedServerWithCallFromItsPort(g, store)
 	defer call.Close()
 	g.Expect(server.RestartUnderItsID()).To(gomega.Succeed())
 	server.Crash()
 }
 
-func crashedServerWithACallFromItsPort(g *gomega.WithT, store *Store) (*Server, net.Conn) {
+func crashedServerWithCallFromItsPort(g *gomega.WithT, store *Store) (*Server, net.Conn) {
 	cloud := NewCloud(store)
-	for range tries {
+	for range maxStarts {
 		server, err := cloud.NewServer("s", "a", func(own string) string { return own })
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		server.Crash()
-		call, err := callFromPortOf(server, store.Address)
+		call, err := dialFromPortOf(server, store.Address)
 		if err == nil {
 			return server, call
 		}
-		// A connection of another process, or what is left of one, has the port.
+		// A connection of another process, perhaps in TIME_WAIT, has the port.
 		g.Expect(errors.Is(err, syscall.EADDRINUSE)).To(gomega.BeTrue(), err.Error())
 	}
 	g.Fail("no server's port was free on the callers' address")
 	return nil, nil
 }
 
-func callFromPortOf(server *Server, to string) (net.Conn, error) {
+func dialFromPortOf(server *Server, to string) (net.Conn, error) {
 	_, port, err := net.SplitHostPort(server.Address)
 	if err != nil {
 		return nil, err
--- a/standin/nursery/server.go
+++ b/standin/nursery/server.go
@@ -13,39 +13,39 @@
 	"time"
 )
 
-// Sizes and speeds of a stand-in server, some ten times those of a real one.
+// Sizes and speeds of a stand-in server, about ten times faster than a real one.
 const (
-	Events      = 40 // of a stream
-	eventGap    = 8 * time.Millisecond
-	readPrompt  = 60 * time.Millisecond
-	plainWork   = 10 * time.Millisecond
-	queueLength = 64
-	LargeAnswer = 32 << 20 // bytes of an answer to a target below /large/
+	Events         = 40 // number of events of a stream
+	eventGap       = 8 * time.Millisecond
+	defaultPrefill = 60 * time.Millisecond
+	plainDuration  = 10 * time.Millisecond
+	queueLength    = 64
+	LargeAnswer    = 32 << 20 // bytes of the response to a target below /large/
 )
 
-// Run is one run of a request on a server.
+// Run is one execution of a request on a server.
 type Run struct {
 	Request, Server, Target, Organisation string
 	At                                    time.Time
-	After                                 int // event after which it went on
+	After                                 int // event after which it resumed; 0 for a fresh run
 }
 
-// Ledger notes what servers ran, for the checks.
+// Ledger records what the servers ran, for the checks of the tests.
 type Ledger struct {
 	mu       sync.Mutex
 	runs     []Run
-	arrivals []Run // also those that were refused
+	arrivals []Run // including refused requests
 	ends     map[string][]How
 }
 
-// How is what a server saw of a run's end.
+// How tells how a run ended, as its server saw it.
 type How string
 
 // Ends of runs.
 const (
-	Whole     How = "whole"     // the answer was written to its end
-	BrokeOff  How = "broke off" // the server ended it
-	Abandoned How = "abandoned" // the server's caller closed the connection
+	Whole     How = "whole"     // the response was written completely
+	BrokeOff  How = "broke off" // the server closed the connection or crashed
+	Abandoned How = "abandoned" // the caller closed the connection
 )
 
 // Ends returns how the runs of a request ended, as their servers saw it.
@@ -55,20 +55,20 @@
 	return append([]How(nil), l.ends[request]...)
 }
 
-func (l *Ledger) ended(request string, how How) {
+func (l *Ledger) recordEnd(request string, how How) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.ends[request] = append(l.ends[request], how)
 }
 
-// Runs returns what ran so far.
+// Runs returns all runs so far.
 func (l *Ledger) Runs() []Run {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]Run(nil), l.runs...)
 }
 
-// Arrivals returns what reached servers so far.
+// Arrivals returns all requests that reached a server so far.
 func (l *Ledger) Arrivals() []Run {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -78,60 +78,63 @@
 // Server is one backend server at a fixed address.
 type Server struct {
 	Service, Zone string
-	// Address is what the store lists: that of a proxy in front of it, or its own.
+	// Address is the address listed in the store: the server's own or that of a
+	// proxy in front of it.
 	Address string
 
-	cloud *Cloud
-	mu    sync.Mutex
-	id    string
-	born  int64 // Unix milliseconds of the present start
-	http  *http.Server
-	// listener is closed beside http, which doesn't know it until Serve has run.
+	cloud       *Cloud
+	mu          sync.Mutex
+	id          string
+	startMillis int64 // start of this incarnation, in Unix milliseconds
+	http        *http.Server
+	// listener is closed along with http, which doesn't know it before Serve runs.
 	listener net.Listener
-	busy     atomic.Int64
-	// LostAnswers is the share of a thousand answers that are cut after the run.
+	active   atomic.Int64
+	// LostAnswers is how many of a thousand plain responses are dropped after the run.
 	LostAnswers atomic.Int64
 	answers     atomic.Int64
-	// EventGap is the time between two events of a stream, in nanoseconds; 0: the usual.
-	EventGap atomic.Int64
-	listen   string
-	crashed  atomic.Bool
-	is       Engine
-	engine   *engine // of the present start
-	draining bool
-	drainAt  time.Time
-}
-
-// Cloud is all servers with the store that lists them and the copies they hold.
+	// EventGap is the time between two events of a stream, in nanoseconds; 0 means
+	// the default.
+	EventGap   atomic.Int64
+	ownAddress string
+	crashed    atomic.Bool
+	limits     Engine
+	engine     *engine // of this incarnation
+	draining   bool
+	drainAt    time.Time
+}
+
+// Cloud consists of all servers, the store that lists them and the KV copies that
+// they hold.
 type Cloud struct {
 	Watch
 
 	Store  *Store
 	Ledger *Ledger
 
-	mu      sync.Mutex
-	copies  map[string]int        // by address/run or address/handle: events made
-	held    map[string][]heldCopy // by request
-	servers map[string]*Server    // by address
-	next    atomic.Int64
+	mu             sync.Mutex
+	copies         map[string]int            // events in each KV copy, by address/request or address|source/handle
+	reservedCopies map[string][]reservedCopy // by request
+	servers        map[string]*Server        // by address
+	lastID         atomic.Int64
 }
 
-// NewCloud returns a cloud over a store.
+// NewCloud returns a cloud without servers that uses the given store.
 func NewCloud(store *Store) *Cloud {
 	return &Cloud{
 		Store: store, Ledger: &Ledger{ends: map[string][]How{}},
-		copies: map[string]int{}, held: map[string][]heldCopy{}, servers: map[string]*Server{},
+		copies: map[string]int{}, reservedCopies: map[string][]reservedCopy{}, servers: map[string]*Server{},
 	}
 }
 
-// NewServer starts a server; front returns the address under which it is
-// listed, given its own.
+// NewServer starts a server and lists it in the store. front maps the server's own
+// address to the one that is listed.
 func (c *Cloud) NewServer(service, zone string, front func(own string) string) (*Server, error) {
 	s := &Server{Service: service, Zone: zone, cloud: c}
 	if err := s.start(net.JoinHostPort(serversIP, "0"), c.newID()); err != nil {
 		return nil, err
 	}
-	s.Address = front(s.listen)
+	s.Address = front(s.ownAddress)
 	c.mu.Lock()
 	c.servers[s.Address] = s
 	c.mu.Unlock()
@@ -139,13 +142,14 @@
 	return s, nil
 }
 
-// serversIP is a loopback address from which nobody calls: calls have 127.0.0.1 and any
-// free port as their own end, which a server that is down needs to start again.
+// serversIP is a loopback address that no client uses as its local address. Clients
+// call from 127.0.0.1 and any free port; on that address they could take the port that
+// a stopped server needs for its restart.
 const serversIP = "127.0.94.1"
 
-func (c *Cloud) newID() string { return fmt.Sprintf("i-%04d", c.next.Add(1)) }
+func (c *Cloud) newID() string { return fmt.Sprintf("i-%04d", c.lastID.Add(1)) }
 
-// start starts a process, which holds nothing of what one before it held.
+// start starts a new incarnation, without the memory and KV copies of the one before.
 func (s *Server) start(address, id string) error {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -153,20 +157,20 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.listen = listener.Addr().String()
-	s.id, s.born = id, max(s.born+1, time.Now().UnixMilli())
+	s.ownAddress = listener.Addr().String()
+	s.id, s.startMillis = id, max(s.startMillis+1, time.Now().UnixMilli())
 	s.draining = false
 	s.crashed.Store(false)
-	s.cloud.forget(s.Address)
-	s.engine = newEngine(s.is)
-	server := &http.Server{Handler: s.handler(s.engine, s.id, s.born)}
+	s.cloud.forgetCopies(s.Address)
+	s.engine = newEngine(s.limits)
+	server := &http.Server{Handler: s.handler(s.engine, s.id, s.startMillis)}
 	s.http, s.listener = server, listener
 	go func() { _ = server.Serve(listener) }()
 	return nil
 }
 
-// forget drops the copies that the process at an address held.
-func (c *Cloud) forget(address string) {
+// forgetCopies drops the KV copies held at an address.
+func (c *Cloud) forgetCopies(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for key := range c.copies {
@@ -176,31 +180,31 @@
 	}
 }
 
-// SetEngine says what bounds the engine from now on, also after a restart.
-func (s *Server) SetEngine(is Engine) {
+// SetEngine sets the limits of the engine; they also apply after a restart.
+func (s *Server) SetEngine(limits Engine) {
 	s.mu.Lock()
-	s.is = is
+	s.limits = limits
 	s.mu.Unlock()
-	s.present().set(is)
+	s.currentEngine().setLimits(limits)
 }
 
-func (s *Server) present() *engine {
+func (s *Server) currentEngine() *engine {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.engine
 }
 
-// Busy returns how many requests it is serving.
-func (s *Server) Busy() int64 { return s.busy.Load() }
+// Busy returns how many requests the server is serving.
+func (s *Server) Busy() int64 { return s.active.Load() }
 
-// Born returns the Unix millisecond of the present start.
+// Born returns when this incarnation started, in Unix milliseconds.
 func (s *Server) Born() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.born
+	return s.startMillis
 }
 
-// ID returns the id of the present start.
+// ID returns the id of this incarnation.
 func (s *Server) ID() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -213,7 +217,7 @@
 	if s.draining {
 		state = "draining"
 	}
-	id, born := s.id, s.born
+	id, born := s.id, s.startMillis
 	s.mu.Unlock()
 	entry, _ := json.Marshal(map[string]any{
 		"service": s.Service, "address": s.Address, "zone": s.Zone, "version": "v1", "slots": queueLength,
@@ -222,7 +226,8 @@
 	s.cloud.Store.Put("servers", id, entry)
 }
 
-// Crash ends the process with all its connections; its entry stays for a while.
+// Crash stops the server and closes all its connections. Its entry stays in the
+// store.
 func (s *Server) Crash() {
 	s.mu.Lock()
 	server, listener := s.http, s.listener
@@ -232,7 +237,7 @@
 	_ = server.Close()
 }
 
-// Restart starts it again at the same address under another id.
+// Restart starts a new incarnation at the same address under a new id.
 func (s *Server) Restart() error {
 	old := s.ID()
 	if err := s.startAgain(s.cloud.newID()); err != nil {
@@ -243,7 +248,7 @@
 	return nil
 }
 
-// RestartUnderItsID starts it again at the same address under the id that it had.
+// RestartUnderItsID starts a new incarnation at the same address under the same id.
 func (s *Server) RestartUnderItsID() error {
 	if err := s.startAgain(s.ID()); err != nil {
 		return err
@@ -254,12 +259,12 @@
 
 func (s *Server) startAgain(id string) error {
 	s.mu.Lock()
-	address := s.listen
+	address := s.ownAddress
 	s.mu.Unlock()
 	return s.start(address, id)
 }
 
-// Drain reports that it leaves; it goes on serving what comes.
+// Drain lists the server as draining; it still serves every request.
 func (s *Server) Drain() {
 	s.mu.Lock()
 	s.draining, s.drainAt = true, time.Now()
@@ -267,7 +272,7 @@
 	s.register()
 }
 
-// Stay takes back that it leaves.
+// Stay cancels Drain.
 func (s *Server) Stay() {
 	s.mu.Lock()
 	s.draining = false
@@ -275,7 +280,7 @@
 	s.register()
 }
 
-// DrainedFor returns for how long it has been leaving; 0: it isn't.
+// DrainedFor returns how long the server has been draining; 0 if it isn't.
 func (s *Server) DrainedFor() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -290,7 +295,7 @@
 	mux.HandleFunc("GET /pearyard/report", func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = fmt.Fprintf(w, `{"phase":"unified","born":%d}`, born)
 	})
-	mux.HandleFunc("GET /pearyard/kv-list", e.listKept)
+	mux.HandleFunc("GET /pearyard/kv-list", e.serveCachedPrompts)
 	mux.HandleFunc("POST /pearyard/kv-move", s.move)
 	mux.HandleFunc("DELETE /pearyard/kv-handle/{handle}", func(_ http.ResponseWriter, r *http.Request) {
 		s.cloud.freeCopies(strings.TrimPrefix(r.PathValue("handle"), handlePrefix))
@@ -302,27 +307,28 @@
 
 const (
 	handlePrefix = "h"
-	// movedTokens is what a copy that was asked for takes; the call doesn't tell.
-	movedTokens = 1200
+	// moveTokens is the memory of a KV copy made by a move; the call doesn't give
+	// its size.
+	moveTokens = 1200
 )
 
 func (s *Server) move(w http.ResponseWriter, r *http.Request) {
 	var body struct{ ID, To string }
 	_ = json.NewDecoder(r.Body).Decode(&body)
 	handle := handlePrefix + body.ID
-	if !s.cloud.keepCopy(body.ID, body.To, body.To+"|"+s.Address+"/"+handle, movedTokens, 0) {
+	if !s.cloud.keepCopy(body.ID, body.To, body.To+"|"+s.Address+"/"+handle, moveTokens, 0) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	_ = json.NewEncoder(w).Encode(map[string]any{"kvHandle": handle, "created": 0})
 }
 
-// serve answers one request as a backend server does.
+// serve handles one request as a backend server does.
 func (s *Server) serve(e *engine, id string, w http.ResponseWriter, r *http.Request) {
 	request := r.Header.Get("Attempt-Id")
 	after, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
 	run := Run{Request: request, Server: id, Target: r.RequestURI, Organisation: r.Header.Get("Tenant"), At: time.Now(), After: after}
-	s.cloud.Ledger.note(&s.cloud.Ledger.arrivals, run)
+	s.cloud.Ledger.record(&s.cloud.Ledger.arrivals, run)
 	w.Header().Set("Attempt-Id", request)
 	if want := r.Header.Get("Target-Instance"); want != "" && want != id {
 		w.Header().Set("Instance-Id", id)
@@ -330,41 +336,41 @@
 		return
 	}
 	from := r.Header.Get("Kv-From")
-	if from != "" && !s.cloud.holds(s.Address, from) {
+	if from != "" && !s.cloud.hasCopy(s.Address, from) {
 		refuse(w)
 		return
 	}
-	if s.busy.Add(1) > queueLength {
-		s.busy.Add(-1)
+	if s.active.Add(1) > queueLength {
+		s.active.Add(-1)
 		refuse(w)
 		return
 	}
-	defer s.busy.Add(-1)
+	defer s.active.Add(-1)
 	if from != "" {
-		s.cloud.freeCopies(request) // what it held is the run's own now
+		s.cloud.freeCopies(request) // the run's own allocation replaces them
 	}
-	taken, ok := e.admit(tokensOf(r, after), from != "")
+	memory, ok := e.admit(requestTokens(r, after), from != "")
 	if !ok {
 		refuse(w)
 		return
 	}
-	defer e.leave(taken)
-	s.cloud.Ledger.note(&s.cloud.Ledger.runs, run)
+	defer e.release(memory)
+	s.cloud.Ledger.record(&s.cloud.Ledger.runs, run)
 	w.Header().Set("Response-Signature", id+"."+request)
 	if strings.HasPrefix(r.URL.Path, "/stream/") {
-		s.stream(w, r, e, taken, after)
+		s.stream(w, r, e, memory, after)
 		return
 	}
 	s.plain(w, r)
 }
 
-// refuse says that a request was not run.
+// refuse answers that the request was not executed.
 func refuse(w http.ResponseWriter) {
 	w.Header().Set("Not-Executed", "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-func (l *Ledger) note(list *[]Run, run Run) {
+func (l *Ledger) record(list *[]Run, run Run) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	*list = append(*list, run)
@@ -372,21 +378,21 @@
 
 func (s *Server) plain(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
-	time.Sleep(plainWork)
+	time.Sleep(plainDuration)
 	if share := s.LostAnswers.Load(); share > 0 && s.answers.Add(1)*share%1000 < share {
-		s.cloud.Ledger.ended(r.Header.Get("Attempt-Id"), BrokeOff)
+		s.cloud.Ledger.recordEnd(r.Header.Get("Attempt-Id"), BrokeOff)
 		panic(http.ErrAbortHandler)
 	}
 	answer := PlainAnswer(r.RequestURI, body)
 	w.Header().Set("Content-Length", strconv.Itoa(len(answer)))
 	if _, err := io.WriteString(w, answer); err != nil {
-		s.left(r)
+		s.recordDisconnect(r)
 		return
 	}
-	s.cloud.Ledger.ended(r.Header.Get("Attempt-Id"), Whole)
+	s.cloud.Ledger.recordEnd(r.Header.Get("Attempt-Id"), Whole)
 }
 
-// PlainAnswer is what a server answers to a plain request.
+// PlainAnswer returns the body of the response to a plain request.
 func PlainAnswer(target string, body []byte) string {
 	if strings.HasPrefix(target, "/large/") {
 		return strings.Repeat("x", LargeAnswer)
@@ -394,11 +400,11 @@
 	return fmt.Sprintf("answer to %s of %d bytes", target, len(body))
 }
 
-// left notes that a stream's connection is gone.
-func (s *Server) left(r *http.Request) {
+// recordDisconnect records that a run ended because its connection closed.
+func (s *Server) recordDisconnect(r *http.Request) {
 	how := Abandoned
 	if s.crashed.Load() {
 		how = BrokeOff
 	}
-	s.cloud.Ledger.ended(r.Header.Get("Attempt-Id"), how)
+	s.cloud.Ledger.recordEnd(r.Header.Get("Attempt-Id"), how)
 }
--- a/standin/nursery/store.go
+++ b/standin/nursery/store.go
@@ -1,6 +1,6 @@
-// Package nursery is a stand-in for the users' platform as its pages describe
-// it: the store and backend servers, in one process, for end-to-end tests and
-// the soak. It checks what callers can't see: what ran, how often, and when.
+// Package nursery simulates the users' platform as its documentation describes
+// it: the store and the backend servers, in one process, for end-to-end tests and
+// the soak test. It records what callers can't see: what ran, how often and when.
 package nursery
 
 import (
@@ -12,15 +12,15 @@
 	"time"
 )
 
-// StoreFault is how the store treats calls.
+// StoreFault is a fault that the store applies to all calls.
 type StoreFault int32
 
 // Faults of the store.
 const (
-	StoreWell   StoreFault = iota
-	StoreBusy              // 503
-	StoreSilent            // no answer
-	StoreSlow              // each answer takes slowAnswer
+	StoreWell   StoreFault = iota // no fault
+	StoreBusy                     // answers 503
+	StoreSilent                   // never answers
+	StoreSlow                     // answers after slowAnswer
 )
 
 const (
@@ -37,20 +37,20 @@
 	Deleted bool   `json:"deleted,omitempty"`
 }
 
-// Store is the platform's store.
+// Store is a stand-in for the platform's store.
 type Store struct {
 	Address string
 	server  *http.Server
 
 	mu      sync.Mutex
-	rows    map[string]row // by table/key; deleted ones stay as marks
+	rows    map[string]row // by table/key; deleted rows stay as tombstones
 	version uint64
-	dropped uint64 // history up to here is gone
+	dropped uint64 // changes up to this version can't be read any more
 	changed chan struct{}
 	fault   StoreFault
 }
 
-// NewStore starts a store on loopback.
+// NewStore starts a store on a loopback port.
 func NewStore() (*Store, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -61,7 +61,7 @@
 	mux.HandleFunc("POST /pearyard/rows-tx", s.tx)
 	mux.HandleFunc("GET /pearyard/rows-get", s.get)
 	mux.HandleFunc("GET /pearyard/rows-feed", s.feed)
-	s.server = &http.Server{Handler: s.faulty(mux)}
+	s.server = &http.Server{Handler: s.withFault(mux)}
 	go func() { _ = s.server.Serve(listener) }()
 	return s, nil
 }
@@ -69,22 +69,23 @@
 // Close stops the store.
 func (s *Store) Close() { _ = s.server.Close() }
 
-// SetFault sets how calls are treated from now on.
+// SetFault sets the fault of all later calls.
 func (s *Store) SetFault(f StoreFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
 }
 
-// DropHistory forgets all changes so far.
+// DropHistory discards all changes so far: reading on from an earlier revision
+// answers 410.
 func (s *Store) DropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.dropped = s.version
-	s.wake()
+	s.notifyWatchers()
 }
 
-func (s *Store) faulty(next http.Handler) http.Handler {
+func (s *Store) withFault(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
 		fault := s.fault
@@ -104,18 +105,18 @@
 	})
 }
 
-func (s *Store) wake() {
+func (s *Store) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Put writes a row as the operator or a backend server does, whatever the fault.
+// Put writes a row as the operator or a backend server does, regardless of the fault.
 func (s *Store) Put(table, key string, value []byte) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.version++
 	s.rows[table+"/"+key] = row{Table: table, Key: key, Value: value, Version: s.version}
-	s.wake()
+	s.notifyWatchers()
 	return s.version
 }
 
@@ -125,7 +126,7 @@
 	defer s.mu.Unlock()
 	s.version++
 	s.rows[table+"/"+key] = row{Table: table, Key: key, Version: s.version, Deleted: true}
-	s.wake()
+	s.notifyWatchers()
 }
 
 func (s *Store) tx(w http.ResponseWriter, r *http.Request) {
@@ -148,12 +149,12 @@
 
 func (s *Store) get(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
-	s.answer(w, s.find(func(x row) bool {
+	s.answer(w, s.selectRows(func(x row) bool {
 		return x.Table == q.Get("table") && !x.Deleted && x.Key >= q.Get("source") && (q.Get("to") == "" || x.Key < q.Get("to"))
 	}))
 }
 
-func (s *Store) find(match func(row) bool) []row {
+func (s *Store) selectRows(match func(row) bool) []row {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var found []row
@@ -178,7 +179,7 @@
 			w.WriteHeader(http.StatusGone)
 			return
 		}
-		rows := s.find(func(x row) bool { return x.Table == q.Get("table") && x.Version > since })
+		rows := s.selectRows(func(x row) bool { return x.Table == q.Get("table") && x.Version > since })
 		if len(rows) > 0 {
 			s.answer(w, rows)
 			return
--- a/standin/nursery/stream.go
+++ b/standin/nursery/stream.go
@@ -8,34 +8,34 @@
 	"time"
 )
 
-// EventText is the data of an event of a stream.
+// EventText returns the data of event n of a stream.
 func EventText(target string, n int) string { return fmt.Sprintf("part %d of %s", n, target) }
 
-// copyLife is how long the copy of a run that broke off is kept.
-const copyLife = 3 * time.Second
+// abortedCopyRetention is how long the KV copies of an interrupted run are kept.
+const abortedCopyRetention = 3 * time.Second
 
-func (s *Server) stream(w http.ResponseWriter, r *http.Request, e *engine, taken *run, after int) {
+func (s *Server) stream(w http.ResponseWriter, r *http.Request, e *engine, memory *allocation, after int) {
 	request := r.Header.Get("Attempt-Id")
 	if backup := r.Header.Get("Kv-Backup"); backup != "" {
-		s.cloud.keepCopy(request, backup, backup+"/"+request, tokensOf(r, s.cloud.length()), after)
+		s.cloud.keepCopy(request, backup, backup+"/"+request, requestTokens(r, s.cloud.length()), after)
 	}
-	whole := s.makeEvents(w, r, e, taken, after)
+	whole := s.makeEvents(w, r, e, memory, after)
 	if !whole {
-		s.left(r)
-		time.AfterFunc(copyLife, func() { s.cloud.freeCopies(request) })
+		s.recordDisconnect(r)
+		time.AfterFunc(abortedCopyRetention, func() { s.cloud.freeCopies(request) })
 		return
 	}
-	s.cloud.Ledger.ended(request, Whole)
+	s.cloud.Ledger.recordEnd(request, Whole)
 	s.cloud.freeCopies(request)
 }
 
-// makeEvents writes a stream to its end; false if its connection ended first.
-func (s *Server) makeEvents(w http.ResponseWriter, r *http.Request, e *engine, taken *run, after int) bool {
+// makeEvents writes a stream to its end; it returns false if the connection closed first.
+func (s *Server) makeEvents(w http.ResponseWriter, r *http.Request, e *engine, memory *allocation, after int) bool {
 	request := r.Header.Get("Attempt-Id")
-	if r.Header.Get("Kv-From") == "" && !e.keeps(promptOf(r)) && !e.read(r.Context(), request) {
+	if r.Header.Get("Kv-From") == "" && !e.hasCached(promptBlocks(r)) && !e.prefill(r.Context(), request) {
 		return false
 	}
-	e.keep(promptOf(r))
+	e.cachePrompt(promptBlocks(r))
 	w.Header().Set("Content-Type", "text/event-stream")
 	flush := http.NewResponseController(w)
 	gap := eventGap
@@ -43,10 +43,10 @@
 		gap = time.Duration(own)
 	}
 	for n := after + 1; n <= s.cloud.length(); n++ {
-		if !sleep(r.Context(), gap) || !e.step(r.Context(), taken, request) {
+		if !sleep(r.Context(), gap) || !e.step(r.Context(), memory, request) {
 			return false
 		}
-		s.cloud.wrote(request, n)
+		s.cloud.notifyEvent(request, n)
 		if _, err := fmt.Fprintf(w, "id: %d\ndata: %s\n\n", n, EventText(r.RequestURI, n)); err != nil {
 			return false
 		}
@@ -55,25 +55,27 @@
 	return true
 }
 
-// tokensOf returns what a request takes of an engine's memory after some events.
-func tokensOf(r *http.Request, events int) int {
+// requestTokens returns the memory of a request that has produced the given number
+// of events, in tokens.
+func requestTokens(r *http.Request, events int) int {
 	prompt, _, _ := strings.Cut(r.Header.Get("Token-Usage"), ",")
 	n, _ := strconv.Atoi(prompt)
 	return n + events*eventTokens
 }
 
-// heldCopy is a copy that takes memory of an engine which can run full.
-type heldCopy struct {
+// reservedCopy is a KV copy that occupies memory of an engine with limited memory.
+type reservedCopy struct {
 	key  string
 	free func()
 }
 
-// keepCopy notes a copy of a request's memory; false if there is no room for it.
+// keepCopy records a KV copy of a request under key; it returns false if the engine
+// at the given address has no memory for it.
 func (c *Cloud) keepCopy(request, at, key string, tokens, made int) bool {
 	var free func()
 	if holder := c.serverAt(at); holder != nil {
 		var ok bool
-		if free, ok = holder.present().hold(tokens); !ok {
+		if free, ok = holder.currentEngine().reserveCopy(tokens); !ok {
 			return false
 		}
 	}
@@ -81,17 +83,17 @@
 	defer c.mu.Unlock()
 	c.copies[key] = made
 	if free != nil {
-		c.held[request] = append(c.held[request], heldCopy{key, free})
+		c.reservedCopies[request] = append(c.reservedCopies[request], reservedCopy{key, free})
 	}
 	return true
 }
 
-// freeCopies drops the copies of a request that take memory of engines which can
-// run full; others are kept.
+// freeCopies drops the copies of a request that occupy memory of engines with limited
+// memory; other copies are kept.
 func (c *Cloud) freeCopies(request string) {
 	c.mu.Lock()
-	held := c.held[request]
-	delete(c.held, request)
+	held := c.reservedCopies[request]
+	delete(c.reservedCopies, request)
 	for _, x := range held {
 		delete(c.copies, x.key)
 	}
@@ -101,13 +103,14 @@
 	}
 }
 
-// holds tells whether a copy lies at an address.
-func (c *Cloud) holds(at, from string) bool {
+// hasCopy reports whether the server at an address holds the copy named by a Kv-From
+// header.
+func (c *Cloud) hasCopy(at, from string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	_, grown := c.copies[from]
-	_, asked := c.copies[at+"|"+from]
-	return grown || asked
+	_, backup := c.copies[from]
+	_, moved := c.copies[at+"|"+from]
+	return backup || moved
 }
 
 func (c *Cloud) serverAt(address string) *Server {
--- a/standin/nursery/watch.go
+++ b/standin/nursery/watch.go
@@ -1,10 +1,11 @@
 package nursery
 
-// Watch is what a measurement sets of all streams, before servers start.
+// Watch holds the options of all streams. A measurement sets them before servers
+// start.
 type Watch struct {
-	// Length is how many events a stream has; 0: Events.
+	// Length is the number of events of a stream; 0 means Events.
 	Length int
-	// Wrote, if set, is told of each event right before it is written.
+	// Wrote, if set, is called right before each event is written.
 	Wrote func(request string, event int)
 }
 
@@ -15,7 +16,7 @@
 	return Events
 }
 
-func (w *Watch) wrote(request string, event int) {
+func (w *Watch) notifyEvent(request string, event int) {
 	if w.Wrote != nil {
 		w.Wrote(request, event)
 	}
