--- a/standin/chain.go
+++ b/standin/chain.go
@@ -14,46 +14,46 @@
 )
 
 const (
-	tokenPrefix   = " w"
-	tokenTextLen  = len(tokenPrefix) + 8
-	gapSearch     = 4096               // tokens looked ahead to tell a gap from a mixture
-	chainMultiply = 0x9e3779b97f4a7c15 // odd, so that no bit of the state is lost
+	tokenPrefix     = " w"
+	tokenTextLen    = len(tokenPrefix) + 8
+	maxGapSearch    = 4096               // how many tokens to search ahead to tell a gap from a mixture
+	chainMultiplier = 0x9e3779b97f4a7c15 // odd, so that the multiplication is invertible
 )
 
-// chain is the running hash of a prompt and all token ids after it. The next id
-// depends on every id before, so a token that is missing, repeated or from
+// chain is the running hash of a prompt and all token IDs after it. The next ID
+// depends on every ID before, so a token that is missing, repeated or from
 // another generation changes all that follow it.
 type chain uint64
 
 func newChain(prompt string) chain { return chain(xxhash.Sum64String(prompt)) }
 
 func (c chain) add(id uint32) chain {
-	return chain(bits.RotateLeft64((uint64(c)^uint64(id))*chainMultiply, 29))
+	return chain(bits.RotateLeft64((uint64(c)^uint64(id))*chainMultiplier, 29))
 }
 
-func (c chain) next() uint32 { return uint32(uint64(c) * chainMultiply >> 32) }
+func (c chain) next() uint32 { return uint32(uint64(c) * chainMultiplier >> 32) }
 
-// firstID draws the id that opens a generation; two runs of one prompt differ
-// from here on, as those of a sampling engine do.
-func firstID() uint32 { return rand.Uint32() }
+// randomTokenID returns a random ID for the first token of a generation. Two runs
+// of one prompt therefore differ, as they do on an engine that samples.
+func randomTokenID() uint32 { return rand.Uint32() }
 
-// TokenText is the text of a token id.
+// TokenText returns the text of a token ID.
 func TokenText(id uint32) string { return fmt.Sprintf("%s%08x", tokenPrefix, id) }
 
 // TokenID is the inverse of TokenText.
 func TokenID(text string) (uint32, error) {
 	digits, ok := strings.CutPrefix(text, tokenPrefix)
 	if !ok || len(text) != tokenTextLen {
-		return 0, errors.Errorf("%q is no token of a stand-in engine", text)
+		return 0, errors.Errorf("%q is not a token of a stand-in engine", text)
 	}
 	id, err := strconv.ParseUint(digits, 16, 32)
 	if err != nil {
-		return 0, errors.Errorf("%q is no token of a stand-in engine", text)
+		return 0, errors.Errorf("%q is not a token of a stand-in engine", text)
 	}
 	return uint32(id), nil
 }
 
-// SplitText cuts a joined answer into the texts of its tokens.
+// SplitText splits the text of an answer into the texts of its tokens.
 func SplitText(answer string) []string {
 	texts := make([]string, 0, len(answer)/tokenTextLen+1)
 	for len(answer) > tokenTextLen {
@@ -72,12 +72,13 @@
 // Faults that CheckAnswer tells apart.
 const (
 	FaultGap     Fault = "gap"     // tokens are missing before Index
-	FaultRepeat  Fault = "repeat"  // the token at Index stood in the answer before
+	FaultRepeat  Fault = "repeat"  // the token at Index occurs earlier in the answer
 	FaultMixture Fault = "mixture" // the token at Index is from another generation or prompt
-	FaultForeign Fault = "foreign" // the text at Index is no token at all
+	FaultForeign Fault = "foreign" // the text at Index is not a token
 )
 
-// AnswerError says where an answer stops being one whole generation.
+// AnswerError reports the first token at which an answer is not one complete
+// generation.
 type AnswerError struct {
 	Fault Fault
 	Index int
@@ -89,8 +90,8 @@
 	return fmt.Sprintf("%s at token %d (%q)", e.Fault, e.Index, e.Text)
 }
 
-// CheckAnswer accepts the texts of one unspliced generation of prompt, whatever
-// its first token, and returns *AnswerError for anything else.
+// CheckAnswer returns nil if the texts are those of one unbroken generation of
+// prompt, with any first token, and *AnswerError otherwise.
 func CheckAnswer(prompt string, texts []string) error {
 	seen := make(map[uint32]bool, len(texts))
 	state := newChain(prompt)
@@ -100,7 +101,7 @@
 			return &AnswerError{Fault: FaultForeign, Index: i, Text: text}
 		}
 		if i > 0 && id != state.next() {
-			return &AnswerError{Fault: nameFault(state, id, seen), Index: i, Text: text}
+			return &AnswerError{Fault: classifyFault(state, id, seen), Index: i, Text: text}
 		}
 		seen[id] = true
 		state = state.add(id)
@@ -108,11 +109,11 @@
 	return nil
 }
 
-func nameFault(state chain, id uint32, seen map[uint32]bool) Fault {
+func classifyFault(state chain, id uint32, seen map[uint32]bool) Fault {
 	if seen[id] {
 		return FaultRepeat
 	}
-	for range gapSearch {
+	for range maxGapSearch {
 		state = state.add(state.next())
 		if state.next() == id {
 			return FaultGap
@@ -121,8 +122,8 @@
 	return FaultMixture
 }
 
-// chainOf continues a prompt after the tokens emitted so far.
-func chainOf(prompt string, emitted []types.Token) chain {
+// chainAfter returns the chain of a prompt and the tokens emitted so far.
+func chainAfter(prompt string, emitted []types.Token) chain {
 	state := newChain(prompt)
 	for _, token := range emitted {
 		state = state.add(token.ID)
--- a/standin/command/command.go
+++ b/standin/command/command.go
@@ -1,5 +1,5 @@
-// Package command is the command line of pearyard-standin: a model engine, a
-// plain service or the platform as a process of its own.
+// Package command implements the command line of pearyard-standin, which runs a
+// stand-in model engine, plain service or platform in a process of its own.
 package command
 
 import (
@@ -20,11 +20,11 @@
 // CrashStatus is the exit status of an engine that a poisoned request crashed.
 const CrashStatus = 3
 
-// Main runs the command line and returns its exit code.
+// Main runs the command line and returns the exit code.
 func Main(args []string) int {
 	app := &cli.App{
 		Name:     "pearyard-standin",
-		Usage:    "stand-ins of model engine, plain service and platform",
+		Usage:    "run a stand-in for a model engine, a plain service or the platform",
 		Commands: []*cli.Command{engineCommand(), plainCommand(), platformCommand()},
 	}
 	if err := app.Run(args); err != nil {
@@ -37,21 +37,21 @@
 func engineCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "engine",
-		Usage: "a model engine; a prompt that contains POISON crashes it",
+		Usage: "run a model engine; a prompt that contains POISON crashes it",
 		Flags: []cli.Flag{
 			listenFlag(),
 			&cli.StringSliceFlag{Name: "model", Usage: "model served from the start; none means any"},
-			&cli.DurationFlag{Name: "step-base", Usage: "time of a decoding step"},
+			&cli.DurationFlag{Name: "step-base", Usage: "duration of a decoding step"},
 			&cli.DurationFlag{Name: "step-per-request", Usage: "added to a step for each request in the batch"},
 			&cli.DurationFlag{Name: "prefill-per-token", Usage: "added to a step for each uncached prompt token"},
 			&cli.IntFlag{Name: "capacity", Usage: "requests in a batch"},
 			&cli.IntFlag{Name: "max-queue", Usage: "requests waiting for the batch"},
 			&cli.IntFlag{Name: "cache-blocks", Usage: "blocks in the prefix cache"},
-			&cli.DurationFlag{Name: "cache-event-delay", Usage: "how late cache events show"},
-			&cli.Float64Flag{Name: "cache-event-loss", Usage: "share of cache events that never show"},
-			&cli.DurationFlag{Name: "load-lag", Usage: "how old load reports are"},
+			&cli.DurationFlag{Name: "cache-event-delay", Usage: "delay before a cache event becomes visible"},
+			&cli.Float64Flag{Name: "cache-event-loss", Usage: "fraction of cache events that are lost"},
+			&cli.DurationFlag{Name: "load-lag", Usage: "age of load reports"},
 			&cli.BoolFlag{Name: "check-fence", Usage: "refuse orders with an old fencing number"},
-			&cli.IntFlag{Name: "stop-after", Usage: "tokens after which an answer ends by itself"},
+			&cli.IntFlag{Name: "stop-after", Usage: "tokens after which a generation stops; 0 means never"},
 			&cli.IntFlag{Name: "poison-after", Usage: "tokens that a poisoned request gets before the crash"},
 		},
 		Action: func(c *cli.Context) error { return serve(c.String("listen"), standin.NewEngine(engineOptions(c))) },
@@ -80,7 +80,7 @@
 func plainCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "plain",
-		Usage: "a plain service that counts the runs of calls",
+		Usage: "run a plain service that counts the calls it has run",
 		Flags: []cli.Flag{
 			listenFlag(),
 			&cli.DurationFlag{Name: "latency", Usage: "time before a call takes effect"},
@@ -94,13 +94,13 @@
 func platformCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "platform",
-		Usage: "table service, object store, VM list and weight store",
+		Usage: "run the platform: table service, object store, VM list and weight store",
 		Flags: []cli.Flag{
 			listenFlag(),
-			&cli.IntFlag{Name: "writes", Usage: "rows and objects written a second"},
-			&cli.IntFlag{Name: "reads", Usage: "reads a second"},
-			&cli.IntFlag{Name: "weight-reads", Usage: "calls to the weight store a second"},
-			&cli.DurationFlag{Name: "vm-lag", Usage: "how old the VM list is"},
+			&cli.IntFlag{Name: "writes", Usage: "rows and objects written per second"},
+			&cli.IntFlag{Name: "reads", Usage: "reads per second"},
+			&cli.IntFlag{Name: "weight-reads", Usage: "calls to the weight store per second"},
+			&cli.DurationFlag{Name: "vm-lag", Usage: "age of the VM list"},
 		},
 		Action: func(c *cli.Context) error {
 			return serve(c.String("listen"), standin.NewPlatform(standin.PlatformOptions{
@@ -117,7 +117,7 @@
 	return &cli.StringFlag{Name: "listen", Value: "127.0.0.1:0", Usage: "IP:port to listen on; port 0 takes a free one"}
 }
 
-// serve prints the address in use and serves until a signal ends the process.
+// serve prints the listen address and serves until the process gets a signal.
 func serve(address string, handler http.Handler) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -128,11 +128,11 @@
 	group.Add(func() error { return server.Serve(listener) }, func(error) { _ = server.Close() })
 	group.Add(run.SignalHandler(context.Background(), os.Interrupt, syscall.SIGTERM))
 	fmt.Println("listening", listener.Addr())
-	return ended(group.Run())
+	return ignoreSignal(group.Run())
 }
 
-// ended takes the end by a signal for the good end that it is.
-func ended(err error) error {
+// ignoreSignal returns nil for a stop by a signal, which is a regular end.
+func ignoreSignal(err error) error {
 	if errors.Is(err, run.ErrSignal) {
 		return nil
 	}
--- a/standin/connections.go
+++ b/standin/connections.go
@@ -6,13 +6,14 @@
 	"sync"
 )
 
-// connections is the reachability of a stand-in: up, down (every connection is
-// dropped) or frozen (connections stay open and nothing is answered).
+// connections simulates whether a stand-in is reachable. It is enabled, disabled
+// (every connection is dropped) or frozen (connections stay open and nothing is
+// answered).
 type connections struct {
-	mu     sync.Mutex // guards all below
-	dead   bool
-	broken chan struct{} // closed to drop the connections open now
-	frozen chan struct{} // nil unless frozen; closed by thaw
+	mu       sync.Mutex // guards the fields below
+	disabled bool
+	broken   chan struct{} // closed to drop the currently open connections
+	frozen   chan struct{} // nil unless frozen; closed by thaw
 }
 
 func newConnections() *connections { return &connections{broken: make(chan struct{})} }
@@ -24,18 +25,18 @@
 	c.broken = make(chan struct{})
 }
 
-func (c *connections) down() {
+func (c *connections) disable() {
 	c.mu.Lock()
-	c.dead = true
+	c.disabled = true
 	c.mu.Unlock()
 	c.cut()
 	c.thaw()
 }
 
-func (c *connections) up() {
+func (c *connections) enable() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.dead = false
+	c.disabled = false
 }
 
 func (c *connections) freeze() {
@@ -55,7 +56,7 @@
 	}
 }
 
-// apply sets the faults that every stand-in has.
+// apply sets the faults that all stand-ins have in common.
 func (c *connections) apply(freeze *bool, cut bool) {
 	if cut {
 		c.cut()
@@ -70,7 +71,7 @@
 	c.thaw()
 }
 
-// awaitThaw returns once nothing is frozen or done is closed.
+// awaitThaw returns when the stand-in isn't frozen or done is closed.
 func (c *connections) awaitThaw(done <-chan struct{}) {
 	c.mu.Lock()
 	frozen := c.frozen
@@ -84,16 +85,17 @@
 	}
 }
 
-// guard runs next as long as the stand-in is reachable. Dropping a connection
-// is panic(http.ErrAbortHandler): the caller sees it break, not an answer. A
-// call that came in while frozen runs after the thaw even if its caller has left
-// by then, as in a paused process whose socket holds the call.
-func (c *connections) guard(next http.Handler) http.Handler {
+// withFaults runs next while the stand-in is reachable. It drops a connection by
+// panic(http.ErrAbortHandler), so that the caller sees a broken connection and no
+// response. A call that arrives while the stand-in is frozen runs after the thaw
+// even if its caller has disconnected, as in a paused process whose socket buffer
+// holds the call.
+func (c *connections) withFaults(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		c.mu.Lock()
-		dead, broken := c.dead, c.broken
+		disabled, broken := c.disabled, c.broken
 		c.mu.Unlock()
-		if dead {
+		if disabled {
 			panic(http.ErrAbortHandler)
 		}
 		ctx, cancel := context.WithCancel(r.Context())
@@ -108,13 +110,13 @@
 			}
 		}()
 		c.awaitThaw(broken)
-		dropIf(broken)
+		abortIfClosed(broken)
 		next.ServeHTTP(w, r.WithContext(ctx))
-		dropIf(broken)
+		abortIfClosed(broken)
 	})
 }
 
-func dropIf(broken <-chan struct{}) {
+func abortIfClosed(broken <-chan struct{}) {
 	select {
 	case <-broken:
 		panic(http.ErrAbortHandler)
--- a/standin/control.go
+++ b/standin/control.go
@@ -12,9 +12,9 @@
 	maxBodyBytes = 64 << 20
 )
 
-// controlled adds the faults and the dump beside an API, out of reach of the
-// faults themselves.
-func controlled[F any](api http.Handler, apply func(F), dump func() any) *http.ServeMux {
+// withControl adds the endpoints for faults and the dump to an API. The faults
+// don't affect these endpoints.
+func withControl[F any](api http.Handler, apply func(F), dump func() any) *http.ServeMux {
 	mux := http.NewServeMux()
 	mux.Handle("/", api)
 	mux.HandleFunc("POST "+pathFaults, func(w http.ResponseWriter, r *http.Request) {
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -17,56 +17,56 @@
 	defaultCacheBlocks = 4096
 )
 
-// EngineOptions describes a stand-in engine. Zero means no delay, no lag, no
-// loss and no limit, but for the sizes, which have defaults.
+// EngineOptions configures a stand-in engine. Zero means no delay, no lag, no
+// loss and no limit, except for the sizes, which have defaults.
 type EngineOptions struct {
-	Models          []string      // models it answers for from the start; none means any
-	StepBase        time.Duration // time of a decoding step
+	Models          []string      // models served from the start; none means any
+	StepBase        time.Duration // duration of a decoding step
 	StepPerRequest  time.Duration // added to a step for each request in the batch
 	PrefillPerToken time.Duration // added to a step for each prompt token not in the prefix cache
 	Capacity        int           // requests in a batch; default 16
 	MaxQueue        int           // requests waiting for the batch; default 256
 	CacheBlocks     int           // blocks that the prefix cache holds; default 4096
-	CacheEventDelay time.Duration // how late cache events show
-	CacheEventLoss  float64       // share of cache events that never show
-	LoadLag         time.Duration // how old load reports are
+	CacheEventDelay time.Duration // delay before a cache event becomes visible
+	CacheEventLoss  float64       // fraction of cache events that are lost
+	LoadLag         time.Duration // age of load reports
 	CheckFence      bool          // refuse orders with an old fencing number
-	StopAfter       int           // tokens after which an answer ends by itself; 0 means never
+	StopAfter       int           // tokens after which a generation finishes with FinishStop; 0 means never
 	PoisonAfter     int           // tokens that a poisoned request gets before it crashes the engine
-	OnCrash         func()        // called once a poisoned request has killed the engine; may Revive it
+	OnCrash         func()        // called after a poisoned request has killed the engine; may Revive it
 }
 
-// Counters is an engine's account of its work.
+// Counters counts an engine's work.
 type Counters struct {
 	Tokens    uint64 `json:"tokens"`            // generated
 	Prefilled uint64 `json:"prefilled_tokens"`  // prompt and emitted tokens computed
-	Requests  uint64 `json:"requests"`          // taken into a batch
-	Cancelled uint64 `json:"cancelled"`         // ended by their caller
-	Refused   uint64 `json:"refused"`           // full, killed, or no such model
-	Orders    uint64 `json:"orders"`            // obeyed
-	Stale     uint64 `json:"orders_stale"`      // refused for their fencing number
-	OldObeyed uint64 `json:"orders_old_obeyed"` // obeyed in spite of an old fencing number
+	Requests  uint64 `json:"requests"`          // admitted to a batch
+	Cancelled uint64 `json:"cancelled"`         // cancelled by their caller
+	Refused   uint64 `json:"refused"`           // the queue was full
+	Orders    uint64 `json:"orders"`            // applied
+	Stale     uint64 `json:"orders_stale"`      // refused because of an old fencing number
+	OldObeyed uint64 `json:"orders_old_obeyed"` // applied despite an old fencing number
 	Running   int    `json:"running"`
 	Queued    int    `json:"queued"`
 }
 
-// Engine is a stand-in model engine that batches continuously.
+// Engine is a stand-in model engine with continuous batching.
 type Engine struct {
-	opts    EngineOptions
-	mux     *http.ServeMux
-	connect *connections
-
-	mu       sync.Mutex // guards all below
-	stepping bool
-	held     chan struct{} // nil unless held; closed by Release
-	slow     float64       // factor on the time of a step
-	queue    []*job
-	running  []*job
-	cache    *prefixCache
-	load     history[engineapi.LoadReport]
-	counters Counters
-	loaded   []engine.Loaded
-	fence    uint64
+	opts  EngineOptions
+	mux   *http.ServeMux
+	conns *connections
+
+	mu         sync.Mutex // guards the fields below
+	scheduling bool
+	held       chan struct{} // nil unless held; closed by Release
+	slowdown   float64       // factor on the duration of a step
+	queue      []*job
+	running    []*job
+	cache      *prefixCache
+	load       history[engineapi.LoadReport]
+	counters   Counters
+	loaded     []engine.Loaded
+	fence      uint64
 }
 
 // NewEngine returns an idle engine.
@@ -74,12 +74,12 @@
 	opts.Capacity = orDefault(opts.Capacity, defaultCapacity)
 	opts.MaxQueue = orDefault(opts.MaxQueue, defaultMaxQueue)
 	opts.CacheBlocks = orDefault(opts.CacheBlocks, defaultCacheBlocks)
-	e := &Engine{opts: opts, connect: newConnections(), slow: 1}
+	e := &Engine{opts: opts, conns: newConnections(), slowdown: 1}
 	for _, model := range opts.Models {
 		e.loaded = append(e.loaded, engine.Loaded{Kind: engine.OrderLoadModel, Name: model})
 	}
-	e.load.keep = opts.LoadLag
-	e.clear()
+	e.load.retention = opts.LoadLag
+	e.reset()
 	e.mux = e.routes()
 	return e
 }
@@ -91,23 +91,24 @@
 	return value
 }
 
-// clear forgets what an engine holds in memory.
-func (e *Engine) clear() {
+// reset clears the engine's in-memory state.
+func (e *Engine) reset() {
 	e.cache = newPrefixCache(e.opts.CacheBlocks, e.opts.CacheEventDelay, e.opts.CacheEventLoss)
 	e.queue, e.running = nil, nil
 	e.load.entries = nil
-	e.report()
+	e.recordLoad()
 }
 
-// Kill drops every connection at once and takes no more until Revive.
+// Kill drops every connection and refuses new ones until Revive.
 func (e *Engine) Kill() {
-	e.connect.down()
+	e.conns.disable()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.clear()
+	e.reset()
 }
 
-// Crash is what a poisoned request does: Kill, then the OnCrash of the options.
+// Crash does what a poisoned request does: it kills the engine and then calls the
+// OnCrash option.
 func (e *Engine) Crash() {
 	e.Kill()
 	if e.opts.OnCrash != nil {
@@ -115,17 +116,17 @@
 	}
 }
 
-// Revive brings a killed engine back with an empty prefix cache.
-func (e *Engine) Revive() { e.connect.up() }
+// Revive restarts a killed engine with an empty prefix cache.
+func (e *Engine) Revive() { e.conns.enable() }
 
-// Freeze stops everything, health checks included, with connections left open.
-func (e *Engine) Freeze() { e.connect.freeze() }
+// Freeze stops everything, including health checks, and leaves connections open.
+func (e *Engine) Freeze() { e.conns.freeze() }
 
-// Thaw lets a frozen engine go on where it stopped.
-func (e *Engine) Thaw() { e.connect.thaw() }
+// Thaw lets a frozen engine continue where it stopped.
+func (e *Engine) Thaw() { e.conns.thaw() }
 
-// Hold keeps the engine from making a step, while it answers probes and takes
-// requests: a loop that is stuck, or requests set aside for want of memory.
+// Hold stops decoding while the engine still answers probes and accepts requests.
+// It simulates a stuck scheduler loop, or requests preempted for lack of memory.
 func (e *Engine) Hold() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -134,7 +135,7 @@
 	}
 }
 
-// Release lets a held engine go on where it stopped.
+// Release lets a held engine continue where it stopped.
 func (e *Engine) Release() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -153,17 +154,17 @@
 	}
 }
 
-// Cut drops every connection at once; the engine itself goes on.
-func (e *Engine) Cut() { e.connect.cut() }
+// Cut drops every open connection; the engine itself keeps running.
+func (e *Engine) Cut() { e.conns.cut() }
 
-// Slow multiplies the time of every step.
+// Slow multiplies the duration of every step by factor.
 func (e *Engine) Slow(factor float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.slow = factor
+	e.slowdown = factor
 }
 
-// Counters returns the account of work so far.
+// Counters returns a snapshot of the counters.
 func (e *Engine) Counters() Counters {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -181,8 +182,9 @@
 	return slices.ContainsFunc(e.loaded, func(l engine.Loaded) bool { return l.Name == model })
 }
 
-// order obeys an order unless its fencing number is old and this engine checks.
-func (e *Engine) order(order engine.Order) error {
+// applyOrder applies an order unless its fencing number is old and this engine
+// checks fencing numbers.
+func (e *Engine) applyOrder(order engine.Order) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if order.Fence < e.fence && e.opts.CheckFence {
@@ -208,8 +210,8 @@
 	return nil
 }
 
-// report adds the load of now to what lagging readers will see.
-func (e *Engine) report() {
+// recordLoad adds the current load to the history that load reports are read from.
+func (e *Engine) recordLoad() {
 	step := e.stepTime(0)
 	e.load.add(time.Now(), engineapi.LoadReport{
 		Running:      len(e.running),
@@ -224,11 +226,12 @@
 	step := e.opts.StepBase +
 		time.Duration(len(e.running))*e.opts.StepPerRequest +
 		time.Duration(prefilled)*e.opts.PrefillPerToken
-	return time.Duration(float64(step) * e.slow)
+	return time.Duration(float64(step) * e.slowdown)
 }
 
-// finish returns why a job's answer ends at its present length; empty if it goes on.
-func (e *Engine) finish(j *job) types.FinishReason {
+// finishReason returns why a job's answer ends at its current length; empty if it
+// doesn't end yet.
+func (e *Engine) finishReason(j *job) types.FinishReason {
 	switch {
 	case e.opts.StopAfter > 0 && len(j.request.Emitted)+j.produced >= e.opts.StopAfter:
 		return types.FinishStop
--- a/standin/engine_http.go
+++ b/standin/engine_http.go
@@ -13,7 +13,7 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// EngineFaults is the body of POST /faults on an engine; absent fields change
+// EngineFaults is the body of POST /faults on an engine. Absent fields change
 // nothing. Kill crashes the engine as a poisoned request does.
 type EngineFaults struct {
 	Freeze *bool    `json:"freeze,omitempty"`
@@ -31,7 +31,7 @@
 	if f.Hold != nil {
 		e.hold(*f.Hold)
 	}
-	e.connect.apply(f.Freeze, f.Cut)
+	e.conns.apply(f.Freeze, f.Cut)
 	if f.Kill {
 		e.Crash()
 	}
@@ -56,7 +56,7 @@
 	api.HandleFunc("POST "+engineapi.PathOrders, e.serveOrder)
 	api.HandleFunc("GET "+engineapi.PathLoaded, e.serveLoaded)
 	api.HandleFunc("GET "+engineapi.PathHealth, func(http.ResponseWriter, *http.Request) {})
-	return controlled(e.connect.guard(api), e.Apply, func() any { return e.Counters() })
+	return withControl(e.conns.withFaults(api), e.Apply, func() any { return e.Counters() })
 }
 
 func (e *Engine) serveGenerate(w http.ResponseWriter, r *http.Request) {
@@ -82,8 +82,8 @@
 	e.stream(w, j)
 }
 
-// stream writes tokens as they are produced. Headers go out at once, so that
-// the caller knows that the request was taken.
+// stream writes tokens as they are produced. It sends the headers at once, so
+// that the caller knows that the request was accepted.
 func (e *Engine) stream(w http.ResponseWriter, j *job) {
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	w.WriteHeader(http.StatusOK)
@@ -96,8 +96,8 @@
 		case <-j.ctx.Done():
 			return
 		}
-		e.connect.awaitThaw(j.ctx.Done())
-		tokens, ended := j.take()
+		e.conns.awaitThaw(j.ctx.Done())
+		tokens, ended := j.takePending()
 		if writeLines(lines, tokens) != nil {
 			return
 		}
@@ -142,7 +142,7 @@
 	if !readJSON(w, r, &order) {
 		return
 	}
-	if err := e.order(order); err != nil {
+	if err := e.applyOrder(order); err != nil {
 		http.Error(w, err.Error(), http.StatusConflict)
 	}
 }
--- a/standin/engine_test.go
+++ b/standin/engine_test.go
@@ -25,7 +25,7 @@
 	return e, engineapi.New(engineapi.Options{Address: server.Listener.Addr().String()})
 }
 
-// collector keeps emitted tokens; count may be read while they come.
+// collector collects emitted tokens; count may be called concurrently with emit.
 type collector struct {
 	mu     sync.Mutex
 	tokens []types.Token
@@ -52,10 +52,10 @@
 	return out
 }
 
-// endless is a length that no test waits for.
+// endless is a generation length that no test waits for.
 const endless = 1 << 20
 
-// begin starts a generation that runs on until something ends it.
+// begin starts a generation that runs until it is cancelled or interrupted.
 func begin(t *testing.T, c *engineapi.Client, got *collector, prompt string) (end context.CancelFunc, done chan error) {
 	return beginWith(t, c, got, engine.Request{Prompt: prompt, MaxTokens: endless})
 }
@@ -86,8 +86,8 @@
 }
 
 func TestResumeOfEndedAnswerGetsNoToken(t *testing.T) {
-	// The engine dies between its last token and the finish line. The caller
-	// has the whole answer; a resume that gave one token more would spoil it.
+	// An engine dies between its last token and the finish line. The caller has
+	// the whole answer already; a resume must not add another token.
 	g := NewWithT(t)
 	_, c := startEngine(t, standin.EngineOptions{StopAfter: 5})
 	var got collector
@@ -100,8 +100,9 @@
 }
 
 func TestPoisonKillsAllInBatch(t *testing.T) {
-	// One request crashes the engine under its neighbour. Both callers' streams
-	// break without a finish line; until Revive the engine takes nothing.
+	// A poisoned request crashes the engine while it also runs another request.
+	// Both streams break without a finish line, and the engine accepts nothing
+	// until Revive.
 	g := NewWithT(t)
 	e, c := startEngine(t, standin.EngineOptions{StepBase: time.Millisecond, PoisonAfter: 3})
 	var neighbour, poisoned collector
@@ -117,15 +118,15 @@
 }
 
 func TestFreezeHoldsAndCutBreaks(t *testing.T) {
-	// A paused engine keeps its connection open and sends nothing, then goes on
-	// where it stopped. A cut connection ends the stream for good.
+	// A frozen engine keeps its connections open, sends nothing and continues
+	// where it stopped after the thaw. A cut connection ends the stream.
 	g := NewWithT(t)
 	e, c := startEngine(t, standin.EngineOptions{StepBase: time.Millisecond})
 	var got collector
 	_, done := begin(t, c, &got, prompt)
 	g.Eventually(got.count).Should(BeNumerically(">", 2))
 	e.Freeze()
-	held := got.count() + 3 // one step may be under way, and its tokens on the wire
+	held := got.count() + 3 // one step may be in progress, and its tokens in transit
 	g.Consistently(got.count, "50ms").Should(BeNumerically("<=", held))
 	e.Thaw()
 	g.Eventually(got.count).Should(BeNumerically(">", held))
--- a/standin/history.go
+++ b/standin/history.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// history keeps the past values of something, so that it can be read as it was
-// some time ago. It drops values that no reader asks for any more.
+// history keeps past values, so that they can be read as of some time ago. It
+// drops values that are older than the retention time.
 type history[T any] struct {
-	keep    time.Duration
-	entries []moment[T]
+	retention time.Duration
+	entries   []sample[T]
 }
 
-type moment[T any] struct {
+type sample[T any] struct {
 	at    time.Time
 	value T
 }
 
 func (h *history[T]) add(now time.Time, value T) {
-	h.entries = append(h.entries, moment[T]{now, value})
+	h.entries = append(h.entries, sample[T]{now, value})
 	drop := 0
-	for drop+1 < len(h.entries) && !h.entries[drop+1].at.After(now.Add(-h.keep)) {
+	for drop+1 < len(h.entries) && !h.entries[drop+1].at.After(now.Add(-h.retention)) {
 		drop++
 	}
 	h.entries = h.entries[drop:]
 }
 
-// asOf returns the value at a time; the oldest kept one for a time before it.
+// asOf returns the value at a time, or the oldest retained value for an earlier time.
 func (h *history[T]) asOf(at time.Time) T {
 	for i := len(h.entries) - 1; i > 0; i-- {
 		if !h.entries[i].at.After(at) {
@@ -37,7 +37,7 @@
 	return h.entries[0].value
 }
 
-// settled reports whether the newest value was already there at a time.
-func (h *history[T]) settled(at time.Time) bool {
+// unchangedSince reports whether the value hasn't changed since a time.
+func (h *history[T]) unchangedSince(at time.Time) bool {
 	return len(h.entries) == 0 || !h.entries[len(h.entries)-1].at.After(at)
 }
--- a/standin/plain.go
+++ b/standin/plain.go
@@ -11,34 +11,34 @@
 const (
 	pathHealth = "/healthz"
 	pathCounts = "/counts"
-	// HeaderIdempotencyKey names the call that a plain service counts runs of.
+	// HeaderIdempotencyKey is the header whose value a plain service counts runs by.
 	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
-// PlainOptions describes a stand-in plain service.
+// PlainOptions configures a stand-in plain service.
 type PlainOptions struct {
 	Latency time.Duration // before a call takes effect
 }
 
-// PlainFaults is the body of POST /faults on a plain service; absent fields
+// PlainFaults is the body of POST /faults on a plain service. Absent fields
 // change nothing.
 type PlainFaults struct {
 	Down        *bool `json:"down,omitempty"`         // answer 503 without effect
 	LatencyMS   *int  `json:"latency_ms,omitempty"`   // before a call takes effect
-	LoseCalls   *int  `json:"lose_calls,omitempty"`   // how many calls are dropped before any effect
-	LoseAnswers *int  `json:"lose_answers,omitempty"` // how many answers are dropped after the effect
+	LoseCalls   *int  `json:"lose_calls,omitempty"`   // how many calls to drop before any effect
+	LoseAnswers *int  `json:"lose_answers,omitempty"` // how many answers to drop after the effect
 	Freeze      *bool `json:"freeze,omitempty"`
-	Cut         bool  `json:"cut,omitempty"` // drop every connection at once
+	Cut         bool  `json:"cut,omitempty"` // drop every open connection
 }
 
 // PlainCounts is the body of GET /counts.
 type PlainCounts struct {
 	Total int            `json:"total"`
-	ByKey map[string]int `json:"by_key"` // by Idempotency-Key; calls without one stand under ""
+	ByKey map[string]int `json:"by_key"` // by Idempotency-Key; calls without one count under ""
 }
 
-// PlainAnswer is the body of the service's answer; it mirrors the call, so that
-// answers given to the wrong caller show.
+// PlainAnswer is the body of the service's answer. It repeats the call, so that a
+// test detects an answer that went to the wrong caller.
 type PlainAnswer struct {
 	Run    int    `json:"run"` // how many calls have taken effect, this one included
 	Key    string `json:"key"`
@@ -47,12 +47,12 @@
 	Body   []byte `json:"body"`
 }
 
-// Plain is a stand-in plain service that counts what took effect.
+// Plain is a stand-in plain service that counts the calls that took effect.
 type Plain struct {
-	mux     *http.ServeMux
-	connect *connections
+	mux   *http.ServeMux
+	conns *connections
 
-	mu          sync.Mutex // guards all below
+	mu          sync.Mutex // guards the fields below
 	counts      PlainCounts
 	latency     time.Duration
 	down        bool
@@ -60,13 +60,13 @@
 	loseAnswers int
 }
 
-// NewPlain returns a service that has run nothing yet.
+// NewPlain returns a service with all counts at zero.
 func NewPlain(opts PlainOptions) *Plain {
-	p := &Plain{connect: newConnections(), latency: opts.Latency, counts: PlainCounts{ByKey: map[string]int{}}}
+	p := &Plain{conns: newConnections(), latency: opts.Latency, counts: PlainCounts{ByKey: map[string]int{}}}
 	api := http.NewServeMux()
 	api.HandleFunc("GET "+pathHealth, p.serveHealth)
 	api.HandleFunc("/", p.serveCall)
-	p.mux = controlled(p.connect.guard(api), p.Apply, func() any { return p.Counts() })
+	p.mux = withControl(p.conns.withFaults(api), p.Apply, func() any { return p.Counts() })
 	p.mux.HandleFunc("GET "+pathCounts, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, p.Counts()) })
 	return p
 }
@@ -74,13 +74,13 @@
 // ServeHTTP implements http.Handler.
 func (p *Plain) ServeHTTP(w http.ResponseWriter, r *http.Request) { p.mux.ServeHTTP(w, r) }
 
-// Kill drops every connection at once and takes no more until Revive.
-func (p *Plain) Kill() { p.connect.down() }
+// Kill drops every connection and refuses new ones until Revive.
+func (p *Plain) Kill() { p.conns.disable() }
 
-// Revive brings a killed service back; its counts are kept.
-func (p *Plain) Revive() { p.connect.up() }
+// Revive restarts a killed service; its counts are kept.
+func (p *Plain) Revive() { p.conns.enable() }
 
-// Counts returns what took effect so far.
+// Counts returns how many calls took effect so far.
 func (p *Plain) Counts() PlainCounts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -90,17 +90,17 @@
 // Apply sets the faults.
 func (p *Plain) Apply(f PlainFaults) {
 	p.mu.Lock()
-	set(&p.down, f.Down)
-	set(&p.loseCalls, f.LoseCalls)
-	set(&p.loseAnswers, f.LoseAnswers)
+	setIfPresent(&p.down, f.Down)
+	setIfPresent(&p.loseCalls, f.LoseCalls)
+	setIfPresent(&p.loseAnswers, f.LoseAnswers)
 	if f.LatencyMS != nil {
 		p.latency = time.Duration(*f.LatencyMS) * time.Millisecond
 	}
 	p.mu.Unlock()
-	p.connect.apply(f.Freeze, f.Cut)
+	p.conns.apply(f.Freeze, f.Cut)
 }
 
-func set[T any](field *T, value *T) {
+func setIfPresent[T any](field *T, value *T) {
 	if value != nil {
 		*field = *value
 	}
@@ -114,8 +114,8 @@
 	}
 }
 
-// serveCall counts the call even if its caller has left meanwhile: a service
-// that has read a call runs it.
+// serveCall runs the call even if its caller has disconnected meanwhile, as a
+// service does that has read the whole call.
 func (p *Plain) serveCall(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
@@ -123,7 +123,7 @@
 		return
 	}
 	p.mu.Lock()
-	down, latency, lost := p.down, p.latency, spend(&p.loseCalls)
+	down, latency, lost := p.down, p.latency, consumeFault(&p.loseCalls)
 	p.mu.Unlock()
 	if lost {
 		panic(http.ErrAbortHandler)
@@ -147,11 +147,12 @@
 	p.counts.Total++
 	p.counts.ByKey[key]++
 	answer = PlainAnswer{Run: p.counts.Total, Key: key, Method: r.Method, Path: r.URL.RequestURI(), Body: body}
-	return answer, spend(&p.loseAnswers)
+	return answer, consumeFault(&p.loseAnswers)
 }
 
-// spend takes one from a count of faults to come; false if none is left.
-func spend(left *int) bool {
+// consumeFault decrements a count of pending faults; it returns false if none is
+// left.
+func consumeFault(left *int) bool {
 	if *left <= 0 {
 		return false
 	}
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -17,16 +17,16 @@
 	defaultReads       = 2000
 	defaultWeightReads = 20
 	minBurst           = 100
-	burstsPerSecond    = 4 // a limiter's burst is this part of its rate
+	burstsPerSecond    = 4 // a limiter's burst is its rate divided by this
 )
 
-// PlatformOptions describes a stand-in platform.
+// PlatformOptions configures a stand-in platform.
 type PlatformOptions struct {
-	Writes      int           // rows and objects written a second; default 500
-	Reads       int           // reads of table and object store a second; default 2000
-	WeightReads int           // calls to the weight store a second; default 20
-	VMLag       time.Duration // how old the VM list is
-	Weights     []Artefact    // what the weight store has; none means anything
+	Writes      int           // rows and objects written per second; default 500
+	Reads       int           // reads of table and object store per second; default 2000
+	WeightReads int           // calls to the weight store per second; default 20
+	VMLag       time.Duration // age of the VM list
+	Weights     []Artefact    // content of the weight store; none means that it has every artefact
 }
 
 // Artefact is one model or adapter version in the weight store.
@@ -35,13 +35,13 @@
 	Version string `json:"version"`
 }
 
-// ServiceFaults are the faults of one service; absent fields change nothing.
+// ServiceFaults are the faults of one service. Absent fields change nothing.
 type ServiceFaults struct {
 	Down        *bool `json:"down,omitempty"`         // answer 503 without effect
-	SlowMS      *int  `json:"slow_ms,omitempty"`      // before a call takes effect, even if its caller has left
-	LoseCalls   *int  `json:"lose_calls,omitempty"`   // how many calls are dropped before any effect
-	LoseAnswers *int  `json:"lose_answers,omitempty"` // how many answers are dropped after the effect; of table and objects, answers to writes
-	StaleMS     *int  `json:"stale_ms,omitempty"`     // reads show the state of that long ago, 30 s at the most
+	SlowMS      *int  `json:"slow_ms,omitempty"`      // delay before a call takes effect, even if its caller has disconnected
+	LoseCalls   *int  `json:"lose_calls,omitempty"`   // how many calls to drop before any effect
+	LoseAnswers *int  `json:"lose_answers,omitempty"` // how many answers to drop after the effect; for table and objects only answers to writes
+	StaleMS     *int  `json:"stale_ms,omitempty"`     // reads return the state of that long ago, at most 30 s
 }
 
 // PlatformFaults is the body of POST /faults on a platform.
@@ -50,12 +50,12 @@
 	Objects ServiceFaults `json:"objects"`
 	VMs     ServiceFaults `json:"vms"`
 	Weights ServiceFaults `json:"weights"`
-	Lacking []Artefact    `json:"lacking,omitempty"` // what the weight store no longer has
+	Lacking []Artefact    `json:"lacking,omitempty"` // removed from the weight store
 	Freeze  *bool         `json:"freeze,omitempty"`  // all services
-	Cut     bool          `json:"cut,omitempty"`     // drop every connection at once
+	Cut     bool          `json:"cut,omitempty"`     // drop every open connection
 }
 
-// PlatformCounters is the body of GET /dump: calls that the platform carried out.
+// PlatformCounters is the body of GET /dump.
 type PlatformCounters struct {
 	Reads     int `json:"reads"`
 	Writes    int `json:"writes"` // rows and objects
@@ -64,23 +64,23 @@
 	Lost      int `json:"lost"` // answers dropped after the effect
 }
 
-// Platform stands in for the table service, object store, VM list and weight
-// store.
+// Platform is a stand-in for the platform's table service, object store, VM list
+// and weight store.
 type Platform struct {
-	opts     PlatformOptions
-	mux      *http.ServeMux
-	connect  *connections
-	table    *table
-	services [services]*service
-	writes   *rate.Limiter
-	reads    *rate.Limiter
-	fetches  *rate.Limiter
-
-	mu       sync.Mutex // guards all below
+	opts        PlatformOptions
+	mux         *http.ServeMux
+	conns       *connections
+	table       *table
+	services    [serviceCount]*service
+	writes      *rate.Limiter
+	reads       *rate.Limiter
+	weightReads *rate.Limiter
+
+	mu       sync.Mutex // guards the fields below
 	objects  map[string][]byte
 	vms      history[[]backing.VM]
 	counters PlatformCounters
-	lacking  []Artefact
+	missing  []Artefact
 }
 
 // NewPlatform returns an empty platform.
@@ -89,18 +89,18 @@
 	opts.Reads = orDefault(opts.Reads, defaultReads)
 	opts.WeightReads = orDefault(opts.WeightReads, defaultWeightReads)
 	p := &Platform{
-		opts:    opts,
-		connect: newConnections(),
-		table:   newTable(),
-		writes:  newLimiter(opts.Writes),
-		reads:   newLimiter(opts.Reads),
-		fetches: newLimiter(opts.WeightReads),
-		objects: map[string][]byte{},
+		opts:        opts,
+		conns:       newConnections(),
+		table:       newTable(),
+		writes:      newLimiter(opts.Writes),
+		reads:       newLimiter(opts.Reads),
+		weightReads: newLimiter(opts.WeightReads),
+		objects:     map[string][]byte{},
 	}
 	for i := range p.services {
 		p.services[i] = &service{}
 	}
-	p.vms.keep = opts.VMLag + maxStale
+	p.vms.retention = opts.VMLag + maxStale
 	p.vms.add(time.Time{}, []backing.VM{})
 	p.mux = p.routes()
 	return p
@@ -110,11 +110,11 @@
 	return rate.NewLimiter(rate.Limit(perSecond), max(perSecond/burstsPerSecond, minBurst))
 }
 
-// Kill drops every connection at once and takes no more until Revive.
-func (p *Platform) Kill() { p.connect.down() }
+// Kill drops every connection and refuses new ones until Revive.
+func (p *Platform) Kill() { p.conns.disable() }
 
-// Revive brings a killed platform back with all that was written.
-func (p *Platform) Revive() { p.connect.up() }
+// Revive restarts a killed platform; its data is kept.
+func (p *Platform) Revive() { p.conns.enable() }
 
 // Apply sets the faults.
 func (p *Platform) Apply(f PlatformFaults) {
@@ -122,18 +122,18 @@
 	p.services[objectService].apply(f.Objects)
 	p.services[vmService].apply(f.VMs)
 	p.services[weightService].apply(f.Weights)
-	p.lack(f.Lacking)
-	p.connect.apply(f.Freeze, f.Cut)
+	p.addMissing(f.Lacking)
+	p.conns.apply(f.Freeze, f.Cut)
 }
 
-// SetVMs replaces the VM list; readers see it after the lag.
+// SetVMs replaces the VM list; readers see the change after the lag.
 func (p *Platform) SetVMs(vms []backing.VM) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.vms.add(time.Now(), slices.Clone(vms))
 }
 
-// Leave marks a VM as leaving; readers see it after the lag.
+// Leave marks a VM as leaving; readers see the change after the lag.
 func (p *Platform) Leave(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -144,20 +144,20 @@
 	p.vms.add(time.Now(), vms)
 }
 
-// Counters returns the account of calls so far.
+// Counters returns a snapshot of the counters.
 func (p *Platform) Counters() PlatformCounters {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.counters
 }
 
-func (p *Platform) count(add func(*PlatformCounters)) {
+func (p *Platform) updateCounters(add func(*PlatformCounters)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	add(&p.counters)
 }
 
-// put writes an object; false if another value stands under its key.
+// put writes an object; it returns false if the key already has another value.
 func (p *Platform) put(key string, value []byte) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -169,16 +169,16 @@
 	return true
 }
 
-func (p *Platform) lack(artefacts []Artefact) {
+func (p *Platform) addMissing(artefacts []Artefact) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.lacking = append(p.lacking, artefacts...)
+	p.missing = append(p.missing, artefacts...)
 }
 
-func (p *Platform) has(artefact Artefact) bool {
+func (p *Platform) hasArtefact(artefact Artefact) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if slices.Contains(p.lacking, artefact) {
+	if slices.Contains(p.missing, artefact) {
 		return false
 	}
 	return len(p.opts.Weights) == 0 || slices.Contains(p.opts.Weights, artefact)
--- a/standin/platform_http.go
+++ b/standin/platform_http.go
@@ -23,12 +23,12 @@
 	objectService
 	vmService
 	weightService
-	services
+	serviceCount
 )
 
-// service carries the faults of one of the platform's services.
+// service holds the faults of one of the platform's services.
 type service struct {
-	mu          sync.Mutex // guards all below
+	mu          sync.Mutex // guards the fields below
 	down        bool
 	slow        time.Duration
 	stale       time.Duration
@@ -39,9 +39,9 @@
 func (s *service) apply(f ServiceFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	set(&s.down, f.Down)
-	set(&s.loseCalls, f.LoseCalls)
-	set(&s.loseAnswers, f.LoseAnswers)
+	setIfPresent(&s.down, f.Down)
+	setIfPresent(&s.loseCalls, f.LoseCalls)
+	setIfPresent(&s.loseAnswers, f.LoseAnswers)
 	if f.SlowMS != nil {
 		s.slow = time.Duration(*f.SlowMS) * time.Millisecond
 	}
@@ -50,10 +50,11 @@
 	}
 }
 
-// enter lets a call in after the faults that come before its effect.
-func (s *service) enter(w http.ResponseWriter) bool {
+// admit applies the faults that precede a call's effect; it returns false if the
+// call was refused.
+func (s *service) admit(w http.ResponseWriter) bool {
 	s.mu.Lock()
-	down, slow, lost := s.down, s.slow, spend(&s.loseCalls)
+	down, slow, lost := s.down, s.slow, consumeFault(&s.loseCalls)
 	s.mu.Unlock()
 	if lost {
 		panic(http.ErrAbortHandler)
@@ -66,16 +67,17 @@
 	return true
 }
 
-// losesAnswer spends a lost answer; in services that write, on writes alone, so
-// that a read at the same time doesn't use up a fault meant for a commit.
-func (s *service) losesAnswer(id serviceID, r *http.Request) bool {
+// consumeLostAnswer reports whether to drop the answer to r, and if so decrements
+// the count of answers to drop. In services with writes it drops answers to writes
+// only, so that a concurrent read doesn't consume a fault meant for a commit.
+func (s *service) consumeLostAnswer(id serviceID, r *http.Request) bool {
 	writes := id == tableService || id == objectService
 	if writes && r.Method == http.MethodGet {
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return spend(&s.loseAnswers)
+	return consumeFault(&s.loseAnswers)
 }
 
 func (s *service) staleness() time.Duration {
@@ -89,29 +91,30 @@
 
 func (p *Platform) routes() *http.ServeMux {
 	api := http.NewServeMux()
-	api.HandleFunc("GET "+platformapi.PathRow, p.within(tableService, p.serveRow))
-	api.HandleFunc("GET "+platformapi.PathRows, p.within(tableService, p.serveRows))
-	api.HandleFunc("POST "+platformapi.PathCommit, p.within(tableService, p.serveCommit))
-	api.HandleFunc("GET "+platformapi.PathObject, p.within(objectService, p.serveObject))
-	api.HandleFunc("PUT "+platformapi.PathObject, p.within(objectService, p.servePut))
-	api.HandleFunc("GET "+platformapi.PathVMs, p.within(vmService, p.serveVMs))
-	api.HandleFunc("GET "+platformapi.PathWeights, p.within(weightService, p.serveWeights))
-	mux := controlled(p.connect.guard(api), p.Apply, func() any { return p.Counters() })
+	api.HandleFunc("GET "+platformapi.PathRow, p.withServiceFaults(tableService, p.serveRow))
+	api.HandleFunc("GET "+platformapi.PathRows, p.withServiceFaults(tableService, p.serveRows))
+	api.HandleFunc("POST "+platformapi.PathCommit, p.withServiceFaults(tableService, p.serveCommit))
+	api.HandleFunc("GET "+platformapi.PathObject, p.withServiceFaults(objectService, p.serveObject))
+	api.HandleFunc("PUT "+platformapi.PathObject, p.withServiceFaults(objectService, p.servePut))
+	api.HandleFunc("GET "+platformapi.PathVMs, p.withServiceFaults(vmService, p.serveVMs))
+	api.HandleFunc("GET "+platformapi.PathWeights, p.withServiceFaults(weightService, p.serveWeights))
+	mux := withControl(p.conns.withFaults(api), p.Apply, func() any { return p.Counters() })
 	mux.HandleFunc("PUT "+pathSetVMs, p.serveSetVMs)
 	return mux
 }
 
-// within runs a handler under the faults of its service. Nothing is written to
-// the caller before the handler returns, so that an answer can be lost whole.
-func (p *Platform) within(id serviceID, handle func(*http.Request) (status int, body any)) http.HandlerFunc {
+// withServiceFaults runs a handler under the faults of its service. Nothing is
+// written to the caller before the handler returns, so that a whole answer can be
+// lost.
+func (p *Platform) withServiceFaults(id serviceID, handle func(*http.Request) (status int, body any)) http.HandlerFunc {
 	s := p.services[id]
 	return func(w http.ResponseWriter, r *http.Request) {
-		if !s.enter(w) {
+		if !s.admit(w) {
 			return
 		}
 		status, body := handle(r)
-		if s.losesAnswer(id, r) {
-			p.count(func(c *PlatformCounters) { c.Lost++ })
+		if s.consumeLostAnswer(id, r) {
+			p.updateCounters(func(c *PlatformCounters) { c.Lost++ })
 			panic(http.ErrAbortHandler)
 		}
 		if raw, ok := body.([]byte); ok {
@@ -126,25 +129,25 @@
 	}
 }
 
-// allowed takes n from a limiter and counts a refusal.
+// allowed takes n tokens from a rate limiter and counts a refusal.
 func (p *Platform) allowed(limiter *rate.Limiter, n int) bool {
 	if limiter.AllowN(time.Now(), n) {
 		return true
 	}
-	p.count(func(c *PlatformCounters) { c.Throttled++ })
+	p.updateCounters(func(c *PlatformCounters) { c.Throttled++ })
 	return false
 }
 
-func (p *Platform) read() bool {
+func (p *Platform) allowRead() bool {
 	if !p.allowed(p.reads, 1) {
 		return false
 	}
-	p.count(func(c *PlatformCounters) { c.Reads++ })
+	p.updateCounters(func(c *PlatformCounters) { c.Reads++ })
 	return true
 }
 
 func (p *Platform) serveRow(r *http.Request) (int, any) {
-	if !p.read() {
+	if !p.allowRead() {
 		return http.StatusTooManyRequests, nil
 	}
 	row := p.table.get(r.URL.Query().Get(platformapi.QueryKey), p.services[tableService].staleness())
@@ -155,7 +158,7 @@
 }
 
 func (p *Platform) serveRows(r *http.Request) (int, any) {
-	if !p.read() {
+	if !p.allowRead() {
 		return http.StatusTooManyRequests, nil
 	}
 	limit, _ := strconv.Atoi(r.URL.Query().Get(platformapi.QueryLimit))
@@ -171,15 +174,15 @@
 		return http.StatusTooManyRequests, nil
 	}
 	if failed := p.table.commit(txn); len(failed) > 0 {
-		p.count(func(c *PlatformCounters) { c.Conflicts++ })
+		p.updateCounters(func(c *PlatformCounters) { c.Conflicts++ })
 		return http.StatusConflict, platformapi.Conflict{Keys: failed}
 	}
-	p.count(func(c *PlatformCounters) { c.Writes += len(txn.Writes) })
+	p.updateCounters(func(c *PlatformCounters) { c.Writes += len(txn.Writes) })
 	return http.StatusOK, nil
 }
 
 func (p *Platform) serveObject(r *http.Request) (int, any) {
-	if !p.read() {
+	if !p.allowRead() {
 		return http.StatusTooManyRequests, nil
 	}
 	p.mu.Lock()
@@ -213,12 +216,12 @@
 }
 
 func (p *Platform) serveWeights(r *http.Request) (int, any) {
-	if !p.allowed(p.fetches, 1) {
+	if !p.allowed(p.weightReads, 1) {
 		return http.StatusTooManyRequests, nil
 	}
 	query := r.URL.Query()
 	artefact := Artefact{Name: query.Get(platformapi.QueryArtefact), Version: query.Get(platformapi.QueryVersion)}
-	return http.StatusOK, platformapi.Availability{Available: p.has(artefact)}
+	return http.StatusOK, platformapi.Availability{Available: p.hasArtefact(artefact)}
 }
 
 func (p *Platform) serveSetVMs(w http.ResponseWriter, r *http.Request) {
--- a/standin/prefix_cache.go
+++ b/standin/prefix_cache.go
@@ -10,35 +10,35 @@
 	"github.com/pearyard/pearyard/engine"
 )
 
-// maxCacheEvents bounds the events that an engine keeps for readers.
+// maxCacheEvents bounds the cache events that an engine retains for readers.
 const maxCacheEvents = 8192
 
-// prefixCache holds blocks of prompts, least recently used out first. The
-// engine's mutex guards it.
+// prefixCache is an LRU cache of prompt blocks. The engine's mutex guards it.
 type prefixCache struct {
 	blocks   *simplelru.LRU[uint64, struct{}]
 	delay    time.Duration
-	loss     float64
+	lossRate float64
 	sequence uint64
-	events   []moment[engine.CacheEvent]
+	events   []sample[engine.CacheEvent]
 }
 
 func newPrefixCache(size int, delay time.Duration, loss float64) *prefixCache {
-	c := &prefixCache{delay: delay, loss: loss}
+	c := &prefixCache{delay: delay, lossRate: loss}
 	c.blocks, _ = simplelru.NewLRU[uint64, struct{}](max(size, 1), func(block uint64, _ struct{}) {
 		c.publish(engine.CacheEvent{Block: block, Evicted: true})
 	})
 	return c
 }
 
-// prefill takes a prefix into the cache and returns how many of its tokens had
-// to be computed: all after the longest run of cached blocks from its start.
+// prefill adds a prefix to the cache and returns how many of its tokens had to be
+// computed: all after the longest run of cached blocks from its start.
 func (c *prefixCache) prefill(prefix engine.Prefix) int {
 	cached := 0
 	for cached < len(prefix.Blocks) && c.blocks.Contains(prefix.Blocks[cached]) {
 		cached++
 	}
-	// Last block first: the head of a prefix, shared the most, stays the longest.
+	// Adds the last block first, so that the head of a prefix, which is shared the
+	// most, is evicted last.
 	for i := len(prefix.Blocks) - 1; i >= 0; i-- {
 		known := c.blocks.Contains(prefix.Blocks[i])
 		c.blocks.Add(prefix.Blocks[i], struct{}{})
@@ -49,20 +49,21 @@
 	return prefix.Tokens - cached*engine.BlockTokens
 }
 
-// publish numbers every event and loses some, which readers see as gaps.
+// publish numbers and retains an event. It drops a fraction lossRate of the
+// events, which readers see as gaps in the numbers.
 func (c *prefixCache) publish(event engine.CacheEvent) {
 	c.sequence++
 	event.Sequence = c.sequence
-	if c.loss > 0 && rand.Float64() < c.loss {
+	if c.lossRate > 0 && rand.Float64() < c.lossRate {
 		return
 	}
 	if len(c.events) == maxCacheEvents {
 		c.events = append(c.events[:0], c.events[maxCacheEvents/2:]...)
 	}
-	c.events = append(c.events, moment[engine.CacheEvent]{time.Now(), event})
+	c.events = append(c.events, sample[engine.CacheEvent]{time.Now(), event})
 }
 
-// since returns the events after a sequence number that are old enough to show.
+// since returns the events after a sequence number that are older than the delay.
 func (c *prefixCache) since(sequence uint64, now time.Time) []engine.CacheEvent {
 	out := []engine.CacheEvent{}
 	start := sort.Search(len(c.events), func(i int) bool { return c.events[i].value.Sequence > sequence })
--- a/standin/scheduler.go
+++ b/standin/scheduler.go
@@ -11,19 +11,19 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// poisonMark is what a prompt contains that crashes whichever engine runs it.
-const poisonMark = "POISON"
+// poisonMarker is a text in a prompt that crashes any engine that runs the request.
+const poisonMarker = "POISON"
 
-// job is one request in the engine.
+// job is one request in an engine.
 type job struct {
-	ctx      context.Context
-	request  engine.Request
-	state    chain
-	fresh    bool // the next token is the first of a generation
-	poisoned bool
-	produced int
-	result   engine.Result // Finish is set once the job has ended
-	ready    chan struct{} // holds one signal: pending or result changed
+	ctx        context.Context
+	request    engine.Request
+	state      chain
+	firstToken bool // the next token is the first of its generation
+	poisoned   bool
+	produced   int
+	result     engine.Result // Finish is set once the job has ended
+	ready      chan struct{} // holds one signal: pending or result changed
 
 	mu      sync.Mutex // guards pending and ended
 	pending []types.Token
@@ -32,17 +32,18 @@
 
 func newJob(ctx context.Context, request engine.Request) *job {
 	return &job{
-		ctx:      ctx,
-		request:  request,
-		state:    chainOf(request.Prompt, request.Emitted),
-		fresh:    len(request.Emitted) == 0,
-		poisoned: strings.Contains(request.Prompt, poisonMark),
-		ready:    make(chan struct{}, 1),
+		ctx:        ctx,
+		request:    request,
+		state:      chainAfter(request.Prompt, request.Emitted),
+		firstToken: len(request.Emitted) == 0,
+		poisoned:   strings.Contains(request.Prompt, poisonMarker),
+		ready:      make(chan struct{}, 1),
 	}
 }
 
-// take returns the tokens produced since the last call and whether they were all.
-func (j *job) take() ([]types.Token, bool) {
+// takePending returns the tokens produced since the last call and whether the job
+// has ended.
+func (j *job) takePending() ([]types.Token, bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	tokens := j.pending
@@ -50,7 +51,7 @@
 	return tokens, j.ended
 }
 
-func (j *job) give(ended bool, tokens ...types.Token) {
+func (j *job) deliver(ended bool, tokens ...types.Token) {
 	j.mu.Lock()
 	j.pending = append(j.pending, tokens...)
 	j.ended = ended
@@ -63,15 +64,16 @@
 
 func (j *job) nextToken() types.Token {
 	id := j.state.next()
-	if j.fresh {
-		id, j.fresh = firstID(), false
+	if j.firstToken {
+		id, j.firstToken = randomTokenID(), false
 	}
 	j.state = j.state.add(id)
 	j.produced++
 	return types.Token{ID: id, Text: TokenText(id)}
 }
 
-// submit queues a job behind those of its priority and higher; false if full.
+// submit queues a job behind those of the same or higher priority; it returns
+// false if the queue is full.
 func (e *Engine) submit(j *job) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -84,14 +86,14 @@
 		at--
 	}
 	e.queue = slices.Insert(e.queue, at, j)
-	if !e.stepping {
-		e.stepping = true
+	if !e.scheduling {
+		e.scheduling = true
 		go e.schedule()
 	}
 	return true
 }
 
-// schedule steps the batch until there is no work; submit starts it again.
+// schedule runs steps until there is no work left; submit starts it again.
 func (e *Engine) schedule() {
 	for {
 		step, busy := e.admit()
@@ -101,7 +103,7 @@
 		if step > 0 {
 			time.Sleep(step)
 		}
-		e.connect.awaitThaw(nil)
+		e.conns.awaitThaw(nil)
 		e.awaitRelease()
 		if e.step() {
 			e.Crash()
@@ -109,7 +111,8 @@
 	}
 }
 
-// admit drops cancelled jobs, fills the batch and returns the time of the step.
+// admit drops cancelled jobs, fills the batch and returns the duration of the next
+// step and whether there is any work.
 func (e *Engine) admit() (time.Duration, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -125,9 +128,9 @@
 		e.counters.Requests++
 	}
 	e.counters.Prefilled += uint64(prefilled)
-	e.report()
-	e.stepping = len(e.running) > 0
-	return e.stepTime(prefilled), e.stepping
+	e.recordLoad()
+	e.scheduling = len(e.running) > 0
+	return e.stepTime(prefilled), e.scheduling
 }
 
 func (e *Engine) cancelled(j *job) bool {
@@ -138,8 +141,8 @@
 	return true
 }
 
-// step gives each running job one token and reports whether one of them
-// crashed the engine.
+// step gives each running job one token and reports whether a poisoned job crashed
+// the engine.
 func (e *Engine) step() (crashed bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -152,18 +155,18 @@
 	return false
 }
 
-// produce gives a job its next token and reports whether its answer has ended.
-// A resume can ask for what ended already: the engine before died between its
-// last token and the finish line. That answer gets no token more.
+// produce gives a job its next token and reports whether its answer has ended. A
+// resumed answer may already be complete, if the previous engine died between its
+// last token and the finish line; it gets no further token.
 func (e *Engine) produce(j *job) (ended bool) {
-	if j.result.Finish = e.finish(j); j.result.Finish != "" {
-		j.give(true)
+	if j.result.Finish = e.finishReason(j); j.result.Finish != "" {
+		j.deliver(true)
 		return true
 	}
 	token := j.nextToken()
 	e.counters.Tokens++
-	j.result.Finish = e.finish(j)
+	j.result.Finish = e.finishReason(j)
 	ended = j.result.Finish != ""
-	j.give(ended, token)
+	j.deliver(ended, token)
 	return ended
 }
--- a/standin/table.go
+++ b/standin/table.go
@@ -9,27 +9,27 @@
 	"github.com/pearyard/pearyard/backing"
 )
 
-// maxStale is how far back a read of an older revision can go.
+// maxStale is the greatest staleness of a read.
 const maxStale = 30 * time.Second
 
-// table is a transactional table. Its versions come from one counter, so that
-// a row deleted and written again never repeats a version.
+// table is a transactional table. All versions come from one counter, so that a
+// row that is deleted and written again never repeats a version.
 type table struct {
-	mu      sync.Mutex // guards all below
+	mu      sync.Mutex // guards the fields below
 	version uint64
-	rows    map[string]*history[*backing.Row] // nil value: absent at that time
+	rows    map[string]*history[*backing.Row] // a nil value means that the row was absent
 }
 
 func newTable() *table { return &table{rows: map[string]*history[*backing.Row]{}} }
 
-// get returns the row as it was stale ago, nil if it was absent.
+// get returns the row as it was at the given staleness ago, nil if it was absent.
 func (t *table) get(key string, stale time.Duration) *backing.Row {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.at(key, time.Now().Add(-stale))
+	return t.rowAt(key, time.Now().Add(-stale))
 }
 
-func (t *table) at(key string, at time.Time) *backing.Row {
+func (t *table) rowAt(key string, at time.Time) *backing.Row {
 	past, ok := t.rows[key]
 	if !ok {
 		return nil
@@ -37,22 +37,22 @@
 	return past.asOf(at)
 }
 
-// list returns up to limit rows under a prefix in order of their keys.
+// list returns up to limit rows under a prefix, ordered by key.
 func (t *table) list(prefix string, limit int, stale time.Duration) []backing.Row {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	at := time.Now().Add(-stale)
-	gone := time.Now().Add(-maxStale)
+	oldest := time.Now().Add(-maxStale)
 	out := []backing.Row{}
 	for key, past := range t.rows {
 		if !strings.HasPrefix(key, prefix) {
 			continue
 		}
-		if past.asOf(gone) == nil && past.settled(gone) {
-			delete(t.rows, key) // deleted too long ago for any stale read
+		if past.asOf(oldest) == nil && past.unchangedSince(oldest) {
+			delete(t.rows, key) // deleted before the oldest time that a read can ask for
 			continue
 		}
-		if row := t.at(key, at); row != nil {
+		if row := t.rowAt(key, at); row != nil {
 			out = append(out, *row)
 		}
 	}
@@ -63,14 +63,14 @@
 	return out
 }
 
-// commit writes all or nothing and returns the keys whose conditions failed.
+// commit writes all rows or none and returns the keys whose conditions failed.
 func (t *table) commit(txn backing.Txn) (failed []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
 	for _, condition := range txn.If {
 		version := uint64(0)
-		if row := t.at(condition.Key, now); row != nil {
+		if row := t.rowAt(condition.Key, now); row != nil {
 			version = row.Version
 		}
 		if version != condition.Version {
@@ -90,7 +90,7 @@
 	t.version++
 	past, ok := t.rows[write.Key]
 	if !ok {
-		past = &history[*backing.Row]{keep: maxStale}
+		past = &history[*backing.Row]{retention: maxStale}
 		past.add(time.Time{}, nil)
 		t.rows[write.Key] = past
 	}
