--- a/backing/backing.go
+++ b/backing/backing.go
@@ -9,18 +9,18 @@
 )
 
 var (
-	// ErrUnavailable: the service did not take the call; nothing took effect.
+	// ErrUnavailable: the service did not accept the call; nothing took effect.
 	ErrUnavailable = errors.New("backing: service unavailable")
 	// ErrAmbiguous: the answer was lost; the write may have taken effect.
 	// Resolve it by reading the rows back.
 	ErrAmbiguous = errors.New("backing: outcome of the write unknown")
 	// ErrNotFound: there is no such row, object or weight file.
 	ErrNotFound = errors.New("backing: not found")
-	// ErrThrottled: the service refused the call for its rate; nothing took effect.
+	// ErrThrottled: the call exceeded the service's rate limit; nothing took effect.
 	ErrThrottled = errors.New("backing: rate limit exceeded")
 )
 
-// ConflictError reports the rows whose conditions did not hold; nothing was written.
+// ConflictError reports the keys whose conditions did not hold; nothing was written.
 type ConflictError struct{ Keys []string }
 
 // Error implements error.
@@ -48,7 +48,8 @@
 	Delete bool
 }
 
-// Txn is written whole if all conditions hold, else not at all.
+// Txn is a transaction: all its writes take effect if all its conditions hold,
+// otherwise none does.
 type Txn struct {
 	If     []Condition
 	Writes []Write
@@ -63,21 +64,21 @@
 	Commit(ctx context.Context, txn Txn) error
 }
 
-// Objects is the object store; objects are never changed once written.
+// Objects is the object store. Objects are immutable.
 type Objects interface {
 	Get(ctx context.Context, key string) ([]byte, error)
 	Put(ctx context.Context, key string, value []byte) error
 }
 
-// VM is one entry of the platform's lagging list.
+// VM is one entry of the platform's VM list.
 type VM struct {
-	ID      string `json:"id"`      // differs for a VM replaced under the same address
-	Address string `json:"address"` // IP number, or IP:port in tests
+	ID      string `json:"id"`      // a VM that replaces another at the same address has a new ID
+	Address string `json:"address"` // IP address, or IP:port in tests
 	Zone    string `json:"zone"`
 	Leaving bool   `json:"leaving"`
 }
 
-// VMList is the platform's list of live and leaving VMs. It lags.
+// VMList is the platform's list of live and leaving VMs. The list may be stale.
 type VMList interface {
 	List(ctx context.Context) ([]VM, error)
 }
--- a/backing/doc.go
+++ b/backing/doc.go
@@ -1,6 +1,6 @@
-// Package backing names what the platform gives (table service, object store,
-// VM list, weight store) as small interfaces with typed errors. Each protocol
-// towards a real service is one file; another protocol is another file.
+// Package backing defines interfaces and typed errors for the platform's services:
+// table service, object store, VM list and weight store. Each protocol that
+// implements them has a package of its own.
 //
 // May import of pearyard: none.
 package backing
--- a/backing/httpapi/caller.go
+++ b/backing/httpapi/caller.go
@@ -19,8 +19,8 @@
 const (
 	defaultDialTimeout = 500 * time.Millisecond
 	defaultTimeout     = 2 * time.Second
-	maxAnswerBytes     = 64 << 20
-	maxErrorBytes      = 1 << 20 // a conflict names its keys
+	maxResponseBytes   = 64 << 20
+	maxErrorBytes      = 1 << 20 // large enough for the keys of a conflict
 	idleConnections    = 16
 )
 
@@ -31,7 +31,7 @@
 	Timeout     time.Duration // of a whole call; default 2 s
 }
 
-// caller makes calls and sorts their failures into the platform's errors.
+// caller makes calls and maps their failures to the errors of package backing.
 type caller struct {
 	base      string
 	timeout   time.Duration
@@ -57,22 +57,23 @@
 	}
 }
 
-// get reads; a failed read is ErrUnavailable, for it took effect nowhere.
+// get makes a read call. Every failure without a more specific error is
+// ErrUnavailable, since a read has no effect.
 func (c *caller) get(ctx context.Context, path string, query url.Values) ([]byte, error) {
 	return c.do(ctx, http.MethodGet, path+"?"+query.Encode(), nil, backing.ErrUnavailable)
 }
 
-// write writes. Once a connection is there, a lost answer is ErrAmbiguous: a
-// write that took effect looks the same to us as one that did not. Taken for
-// unavailable, it would be made again, or undone, over its own effect.
+// write makes a write call. Once a connection exists, a lost response is
+// ErrAmbiguous: the write may or may not have taken effect. Reporting it as
+// unavailable would let the caller repeat or undo a write that took effect.
 func (c *caller) write(ctx context.Context, method, path string, body []byte) error {
 	_, err := c.do(ctx, method, path, body, backing.ErrAmbiguous)
 	return err
 }
 
-// do makes one call; lost is the error for an answer lost after a connection
-// was there. Of the methods used, net/http by itself repeats GET alone, which
-// has no effect; POST and PUT it sends again only if no byte was written.
+// do makes one call; lost is the error for a response lost after the connection
+// was made. Of the methods used here, net/http retries only GET by itself, which
+// has no effect; it sends POST and PUT again only if no byte was written.
 func (c *caller) do(ctx context.Context, method, path string, body []byte, lost error) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -93,7 +94,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil, statusError(resp, lost)
 	}
-	answer, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
+	answer, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return nil, errors.WithMessage(lost, err.Error())
 	}
@@ -120,7 +121,7 @@
 	return errors.WithMessagef(lost, "%s: %s", resp.Status, bytes.TrimSpace(text))
 }
 
-// decode reads a JSON answer; one that can't be read is of no service.
+// decode decodes a JSON response; malformed JSON is ErrUnavailable.
 func decode(raw []byte, into any) error {
 	if err := json.Unmarshal(raw, into); err != nil {
 		return errors.WithMessage(backing.ErrUnavailable, err.Error())
--- a/backing/httpapi/clients.go
+++ b/backing/httpapi/clients.go
@@ -67,8 +67,8 @@
 	return o.caller.get(ctx, PathObject, url.Values{QueryKey: {key}})
 }
 
-// Put implements backing.Objects. Putting the same value again succeeds, so
-// ErrAmbiguous is resolved by a second Put.
+// Put implements backing.Objects. Putting the same value again succeeds, so a
+// caller resolves ErrAmbiguous by a second Put.
 func (o *Objects) Put(ctx context.Context, key string, value []byte) error {
 	return o.caller.write(ctx, http.MethodPut, PathObject+"?"+url.Values{QueryKey: {key}}.Encode(), value)
 }
--- a/backing/httpapi/clients_test.go
+++ b/backing/httpapi/clients_test.go
@@ -78,8 +78,9 @@
 }
 
 func TestLostAnswerIsAmbiguous(t *testing.T) {
-	// A claim is written and the answer is lost. Told "unavailable", the router
-	// would claim again, find its own claim and report a conflict to the caller.
+	// A claim is written and the response is lost. If this were reported as
+	// unavailable, the router would claim again, find its own claim and report a
+	// conflict to the caller.
 	g := NewWithT(t)
 	p, opts, server := start(t, standin.PlatformOptions{})
 	table := httpapi.NewTable(opts)
@@ -97,16 +98,17 @@
 
 	p.Apply(standin.PlatformFaults{Table: standin.ServiceFaults{Down: ptr(true)}})
 	g.Expect(table.Commit(t.Context(), put("k3", "v", 0))).To(MatchError(backing.ErrUnavailable))
-	// The old client may notice only by its call that its kept connection is
-	// gone, which proves nothing; one that has to dial knows that no byte left.
+	// The old client may notice only during its call that its kept connection is
+	// closed, so that the outcome is ambiguous. A client that has to dial knows that
+	// no byte was sent.
 	server.Close()
 	g.Expect(table.Commit(t.Context(), put("k3", "v", 0))).To(Or(MatchError(backing.ErrAmbiguous), MatchError(backing.ErrUnavailable)))
 	g.Expect(httpapi.NewTable(opts).Commit(t.Context(), put("k3", "v", 0))).To(MatchError(backing.ErrUnavailable))
 }
 
 func TestStaleReads(t *testing.T) {
-	// A reader is answered an older revision; its conditional commit still meets
-	// the row as it is.
+	// A stale read returns an older revision; a conditional commit is still checked
+	// against the current row.
 	g := NewWithT(t)
 	p, opts, _ := start(t, standin.PlatformOptions{})
 	table := httpapi.NewTable(opts)
--- a/backing/httpapi/doc.go
+++ b/backing/httpapi/doc.go
@@ -1,3 +1,3 @@
-// Package httpapi speaks to the platform over HTTP and JSON: table service,
-// object store, VM list and weight store.
+// Package httpapi implements clients of the platform's table service, object
+// store, VM list and weight store over HTTP and JSON.
 package httpapi
--- a/backing/httpapi/wire.go
+++ b/backing/httpapi/wire.go
@@ -4,7 +4,7 @@
 const (
 	PathRow     = "/v1/table/row"    // GET, QueryKey
 	PathRows    = "/v1/table/rows"   // GET, QueryPrefix, QueryLimit
-	PathCommit  = "/v1/table/commit" // POST platform.Txn
+	PathCommit  = "/v1/table/commit" // POST, backing.Txn
 	PathObject  = "/v1/object"       // GET and PUT, QueryKey
 	PathVMs     = "/v1/vms"          // GET
 	PathWeights = "/v1/weights"      // GET, QueryArtefact, QueryVersion
--- a/engine/doc.go
+++ b/engine/doc.go
@@ -1,5 +1,5 @@
-// Package engine names what a model engine does for its sidecar: generate with
-// resume and cancel, report load, publish cache events, take orders.
+// Package engine defines the interface between a sidecar and its model engine:
+// generation with resume and cancel, load reports, cache events and orders.
 //
 // May import of pearyard: types.
 package engine
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -17,8 +17,8 @@
 	ErrStaleFence = errors.New("engine: fencing number is old")
 )
 
-// Request asks for the continuation of prompt + Emitted by at most MaxTokens
-// new tokens. With Emitted empty it is a fresh generation. Cancelling the
+// Request asks for the continuation of Prompt and Emitted by at most MaxTokens
+// new tokens. If Emitted is empty, it starts a new generation. Cancelling the
 // context cancels the request in the engine.
 type Request struct {
 	ID        string        `json:"id"`
@@ -29,24 +29,24 @@
 	Priority  int           `json:"priority"`
 }
 
-// Result closes a generation that ended by itself.
+// Result describes a generation that the engine finished.
 type Result struct {
 	Finish          types.FinishReason `json:"finish"`
 	PrefilledTokens int                `json:"prefilled_tokens"` // prompt and emitted tokens not found in the prefix cache
 }
 
-// CacheEvent tells that a prompt prefix entered or left the prefix cache.
-// Events come late and with gaps; Sequence shows the gaps.
+// CacheEvent reports that a block was added to the prefix cache or evicted from it.
+// Events may be delayed or lost; gaps in Sequence show the lost ones.
 type CacheEvent struct {
 	Sequence uint64 `json:"sequence"`
 	Block    uint64 `json:"block"` // hash of the prefix up to and including the block
 	Evicted  bool   `json:"evicted"`
 }
 
-// OrderKind says what an engine is ordered to do.
+// OrderKind is the kind of an Order.
 type OrderKind string
 
-// Orders an engine takes.
+// Kinds of orders.
 const (
 	OrderLoadModel   OrderKind = "load_model"
 	OrderLoadAdapter OrderKind = "load_adapter"
@@ -54,8 +54,8 @@
 	OrderRole        OrderKind = "role"
 )
 
-// Order changes what an engine serves. Engines that check refuse a Fence
-// smaller than the largest that they have seen; others ignore it.
+// Order changes what an engine serves. Engines that check fencing numbers refuse a
+// Fence smaller than the largest one that they have seen; others ignore it.
 type Order struct {
 	Kind    OrderKind `json:"kind"`
 	Name    string    `json:"name"`
@@ -68,10 +68,10 @@
 	Kind    OrderKind `json:"kind"`
 	Name    string    `json:"name"`
 	Version string    `json:"version"`
-	Fence   uint64    `json:"fence"` // of the order that loaded it; 0 if the engine keeps none
+	Fence   uint64    `json:"fence"` // of the order that loaded it; 0 if the engine doesn't record it
 }
 
-// Engine is one model engine. emit is called for each new token, in order; an
+// Engine is a model engine. Generate calls emit for each new token, in order; an
 // error from emit ends the generation and is returned.
 type Engine interface {
 	Generate(ctx context.Context, req Request, emit func(types.Token) error) (Result, error)
--- a/engine/httpapi/client.go
+++ b/engine/httpapi/client.go
@@ -53,17 +53,17 @@
 	return &Client{
 		base:    "http://" + opts.Address,
 		timeout: opts.ControlTimeout,
-		// A generation gets a connection of its own. On a kept one, an engine
-		// that restarted while it was idle would look as if it had died of this
-		// request, and the request would come under suspicion of a crash.
+		// Every generation gets a new connection. If an engine restarts while a
+		// kept connection is idle, the next request on that connection fails as if
+		// it had crashed the engine, and would become a suspect.
 		streams: &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true, DisableCompression: true},
 		control: &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: 4, IdleConnTimeout: time.Minute},
 	}
 }
 
-// Generate implements engine.Engine. A connection that could not be made and an
-// answer of 4xx or 503 are ErrRefused: the request did not start. Whatever else
-// ends the stream before its finish line is ErrDied.
+// Generate implements engine.Engine. It returns ErrRefused if no connection could
+// be made or the status is 4xx or 503, since the request did not start then, and
+// ErrDied if the stream ends before its finish line for any other reason.
 func (c *Client) Generate(ctx context.Context, req engine.Request, emit func(types.Token) error) (engine.Result, error) {
 	body, err := json.Marshal(req)
 	if err != nil {
@@ -122,7 +122,7 @@
 	return c.call(ctx, http.MethodGet, PathHealth, nil, nil)
 }
 
-// call makes one control call; in and out may be nil.
+// call makes one control call. in is sent and out is decoded as JSON; both may be nil.
 func (c *Client) call(ctx context.Context, method, path string, in, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
--- a/engine/httpapi/doc.go
+++ b/engine/httpapi/doc.go
@@ -1,3 +1,3 @@
-// Package httpapi speaks to a model engine over HTTP and JSON: generations as
-// newline-delimited JSON, and load, cache events and orders as plain calls.
+// Package httpapi is a client of model engines over HTTP and JSON. A generation is
+// a stream of newline-delimited JSON; load, cache events and orders are single calls.
 package httpapi
--- a/engine/httpapi/reader.go
+++ b/engine/httpapi/reader.go
@@ -11,10 +11,10 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// maxLineBytes bounds one line of a generation.
+// maxLineBytes bounds the length of one line of a generation.
 const maxLineBytes = 64 << 10
 
-// line is any line of a generation; ID is nil in a finish line.
+// line is a TokenLine or a FinishLine; ID is nil in a finish line.
 type line struct {
 	ID              *uint32            `json:"id"`
 	Text            string             `json:"text"`
@@ -22,10 +22,10 @@
 	PrefilledTokens int                `json:"prefilled_tokens"`
 }
 
-// readGeneration hands each token to emit until the finish line. A stream that
-// ends without one is a death of the engine, however cleanly it was closed: a
-// dying process closes its sockets just as a finished answer does, and taking
-// that for the end would give the caller a cut answer as a whole one.
+// readGeneration passes each token to emit until the finish line. A stream that
+// ends without one counts as a crash of the engine, even if it was closed cleanly:
+// the kernel closes the sockets of a crashed process in the same way, and the caller
+// would otherwise get a truncated answer as a complete one.
 func readGeneration(body io.Reader, emit func(types.Token) error) (engine.Result, error) {
 	scanner := bufio.NewScanner(body)
 	scanner.Buffer(nil, maxLineBytes)
--- a/engine/httpapi/reader_test.go
+++ b/engine/httpapi/reader_test.go
@@ -34,8 +34,8 @@
 }
 
 func TestCleanEndWithoutFinishIsDeath(t *testing.T) {
-	// An engine dies in the middle of an answer and its system closes the socket
-	// in good order. Taken for the end, the caller would get a cut answer as whole.
+	// An engine crashes in the middle of an answer and the kernel closes its socket
+	// cleanly. The caller must not get the truncated answer as a complete one.
 	g := NewWithT(t)
 	_, err := readGeneration(strings.NewReader(`{"id":1,"text":"a"}`+"\n"), func(types.Token) error { return nil })
 	g.Expect(err).To(MatchError(engine.ErrDied))
--- a/engine/httpapi/wire.go
+++ b/engine/httpapi/wire.go
@@ -16,7 +16,8 @@
 	PathHealth      = "/healthz"
 )
 
-// QuerySince is the parameter of PathCacheEvents: the last sequence number known.
+// QuerySince is the parameter of PathCacheEvents: the last sequence number that the
+// caller knows.
 const QuerySince = "since"
 
 // TokenLine is one line of a generation: a new token.
@@ -40,7 +41,7 @@
 	StepMicros   int `json:"step_micros"`
 }
 
-// Load converts the report to a load that was read at the given time.
+// Load converts the report, which was read at the given time, to a types.Load.
 func (r LoadReport) Load(at time.Time) types.Load {
 	return types.Load{
 		Running:      r.Running,
--- a/engine/prefix.go
+++ b/engine/prefix.go
@@ -10,21 +10,22 @@
 )
 
 const (
-	// BlockTokens is how many tokens one block of a prefix cache holds.
+	// BlockTokens is the number of tokens in one block of a prefix cache.
 	BlockTokens = 16
-	// charsPerToken is the longest piece of a word that counts as one token.
+	// charsPerToken is the length in bytes of the longest piece of a word that
+	// counts as one token.
 	charsPerToken = 4
 )
 
-// Prefix is what a prefix cache sees of a prompt and the tokens emitted so far.
+// Prefix identifies a prompt and the tokens emitted so far in a prefix cache.
 type Prefix struct {
-	Tokens int      // all tokens, those of an unfinished last block included
+	Tokens int      // number of tokens, including those of an incomplete last block
 	Blocks []uint64 // chained hash of each whole block, as in CacheEvent.Block
 }
 
-// PrefixOf cuts a prompt into tokens (each word into pieces of four bytes, each
-// emitted token as one) and hashes them block by block. Every hash covers all
-// that stands before it, so that equal hashes mean equal prefixes.
+// PrefixOf splits a prompt into tokens (each word into pieces of four bytes; each
+// emitted token counts as one) and hashes them block by block. Every hash also
+// covers all earlier blocks, so that equal hashes mean equal prefixes.
 func PrefixOf(prompt string, emitted []types.Token) Prefix {
 	var p prefixHash
 	for word := range strings.FieldsSeq(prompt) {
@@ -48,7 +49,7 @@
 
 func (p *prefixHash) add(token string) {
 	if p.prefix.Tokens%BlockTokens == 0 {
-		p.begin()
+		p.beginBlock()
 	}
 	_, _ = p.digest.WriteString(token)
 	_, _ = p.digest.Write([]byte{0})
@@ -59,7 +60,7 @@
 	}
 }
 
-func (p *prefixHash) begin() {
+func (p *prefixHash) beginBlock() {
 	p.digest.Reset()
 	var before [8]byte
 	binary.LittleEndian.PutUint64(before[:], p.chain)
--- a/plain/doc.go
+++ b/plain/doc.go
@@ -1,4 +1,5 @@
-// Package plain names what a plain service does for its sidecar: answer calls.
+// Package plain defines the interface between a sidecar and a plain service, which
+// answers calls.
 //
 // May import of pearyard: none.
 package plain
--- a/plain/httpapi/client.go
+++ b/plain/httpapi/client.go
@@ -16,26 +16,26 @@
 
 const (
 	defaultDialTimeout   = 500 * time.Millisecond
-	defaultMaxAnswer     = 8 << 20
+	defaultMaxResponse   = 8 << 20
 	defaultHealthTimeout = time.Second
 	healthPath           = "/healthz"
 )
 
-// hopByHop are the headers that speak of one connection only.
-var hopByHop = []string{"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect"}
+// hopByHopHeaders apply to a single connection and are not forwarded.
+var hopByHopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect"}
 
 // Options of a Client. Zero values take their defaults.
 type Options struct {
 	Address     string        // IP:port of the service
 	DialTimeout time.Duration // default 500 ms
-	MaxAnswer   int64         // bytes of the largest answer; default 8 MiB
+	MaxAnswer   int64         // maximum size of a response body in bytes; default 8 MiB
 }
 
 // Client is a plain.Service over HTTP.
 type Client struct {
-	address   string
-	maxAnswer int64
-	transport *http.Transport
+	address     string
+	maxResponse int64
+	transport   *http.Transport
 }
 
 var _ plain.Service = (*Client)(nil)
@@ -46,17 +46,17 @@
 		opts.DialTimeout = defaultDialTimeout
 	}
 	if opts.MaxAnswer == 0 {
-		opts.MaxAnswer = defaultMaxAnswer
+		opts.MaxAnswer = defaultMaxResponse
 	}
 	dialer := &net.Dialer{Timeout: opts.DialTimeout}
 	return &Client{
-		address:   opts.Address,
-		maxAnswer: opts.MaxAnswer,
-		// Guards against a call run twice. On a kept connection that breaks,
-		// http.Transport sends a request again by itself if its method is
-		// idempotent or if it carries an Idempotency-Key; the service would run
-		// the call a second time behind our back. It does so only on connections
-		// used before, and without keep-alives there is none.
+		address:     opts.Address,
+		maxResponse: opts.MaxAnswer,
+		// Prevents a call from running twice. When a reused connection breaks,
+		// http.Transport retries a request by itself if its method is idempotent
+		// or if it has an Idempotency-Key, and the service could run the call a
+		// second time unnoticed. It retries on reused connections only; without
+		// keep-alives there are none.
 		transport: &http.Transport{
 			DialContext:        dialer.DialContext,
 			DisableKeepAlives:  true,
@@ -65,10 +65,10 @@
 	}
 }
 
-// Do implements plain.Service. It uses the transport alone: an http.Client
-// would follow a redirect, and by that send the call a second time.
+// Do implements plain.Service. It uses the transport directly, because an
+// http.Client would follow a redirect and thereby send the call a second time.
 func (c *Client) Do(ctx context.Context, call plain.Call) (plain.Answer, error) {
-	// GotConn runs before the first byte is written; a call without it never left.
+	// GotConn runs before the first byte is written; if it didn't run, nothing was sent.
 	connected := false
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected = true }}
 	req, err := c.request(httptrace.WithClientTrace(ctx, trace), call)
@@ -111,7 +111,7 @@
 	if call.Header != nil {
 		req.Header = call.Header.Clone()
 	}
-	for _, name := range hopByHop {
+	for _, name := range hopByHopHeaders {
 		req.Header.Del(name)
 	}
 	return req, nil
@@ -119,19 +119,19 @@
 
 func (c *Client) answer(resp *http.Response) (plain.Answer, error) {
 	if resp.StatusCode < http.StatusOK {
-		// Failure it stops: a faulty service sends 099. net/http panics when asked to
-		// write that, and the caller's connection was closed without an answer.
+		// A faulty service may send a status such as 099. net/http panics when asked
+		// to write it, which closed the caller's connection without a response.
 		return plain.Answer{}, errors.WithMessagef(plain.ErrLost, "%03d is no final status", resp.StatusCode)
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, c.maxAnswer+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, c.maxResponse+1))
 	if err != nil {
 		return plain.Answer{}, errors.WithMessage(plain.ErrLost, err.Error())
 	}
-	if int64(len(body)) > c.maxAnswer {
-		return plain.Answer{}, errors.WithMessagef(plain.ErrLost, "answer is larger than %d bytes", c.maxAnswer)
+	if int64(len(body)) > c.maxResponse {
+		return plain.Answer{}, errors.WithMessagef(plain.ErrLost, "answer is larger than %d bytes", c.maxResponse)
 	}
 	header := resp.Header.Clone()
-	for _, name := range hopByHop {
+	for _, name := range hopByHopHeaders {
 		header.Del(name)
 	}
 	return plain.Answer{Status: resp.StatusCode, Header: header, Body: body}, nil
--- a/plain/httpapi/client_test.go
+++ b/plain/httpapi/client_test.go
@@ -48,8 +48,8 @@
 }
 
 func TestLostAndNotSent(t *testing.T) {
-	// A label is printed and the answer is lost: the call may not be reported as
-	// "not run". Only a service that nothing could be sent to allows that.
+	// A service prints a label and the response is lost. The call must not be
+	// reported as not sent; only a failure to connect permits that.
 	g := NewWithT(t)
 	p, c, server := start(t)
 	p.Apply(standin.PlainFaults{LoseAnswers: ptr(1)})
@@ -57,7 +57,7 @@
 	g.Expect(err).To(MatchError(plain.ErrLost))
 	g.Expect(p.Counts().ByKey).To(HaveKeyWithValue("k1", 1))
 
-	// Long enough for a busy machine to make the connection and send the call.
+	// Long enough to connect and send the call on a busy machine.
 	p.Apply(standin.PlainFaults{LatencyMS: ptr(2000)})
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
@@ -71,8 +71,8 @@
 	g.Expect(c.Healthy(t.Context())).To(MatchError(plain.ErrNotSent))
 }
 
-// closeAfterSecond answers the first call on each connection and, on a second
-// one, reads it and closes without an answer, as a server does that dies.
+// closeAfterSecond answers the first call on each connection. It reads a second
+// call and closes the connection without a response, as a crashing server does.
 func closeAfterSecond(t *testing.T, ran *atomic.Int32) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
@@ -101,9 +101,9 @@
 }
 
 func TestNeverSendsTwice(t *testing.T) {
-	// A label with an Idempotency-Key goes out on a kept connection; the service
-	// prints it and dies. net/http takes the key for a leave to send again on a
-	// new connection, and the label is printed twice.
+	// Guards against a retry by net/http: a call with an Idempotency-Key is sent on
+	// a reused connection, and the service runs it and crashes. net/http takes the
+	// key as permission to retry on a new connection, and the call runs twice.
 	g := NewWithT(t)
 	var ran atomic.Int32
 	address := closeAfterSecond(t, &ran)
@@ -116,7 +116,7 @@
 }
 
 func TestFollowsNoRedirect(t *testing.T) {
-	// A service that runs a call and answers 307 would get it again.
+	// A service that runs a call and answers 307 must not get the call again.
 	g := NewWithT(t)
 	var ran atomic.Int32
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -132,8 +132,8 @@
 }
 
 func TestFrozenServiceRunsLate(t *testing.T) {
-	// A paused service has the call in its socket. The caller gives up; the
-	// service wakes and runs the call all the same.
+	// A call waits in the socket buffer of a paused service. The caller gives up;
+	// the service resumes and still runs the call.
 	g := NewWithT(t)
 	p, c, _ := start(t)
 	p.Apply(standin.PlainFaults{Freeze: ptr(true)})
@@ -146,10 +146,10 @@
 	g.Eventually(func() int { return p.Counts().Total }).Should(Equal(1))
 }
 
-// A faulty service answers with a status that HTTP doesn't have as a final one.
-// The router that hands it on can't write such a status: it gave up in the middle,
-// the caller's connection was closed without a word, and the line said
-// "delivered". The call may have run, and its answer is lost.
+// A faulty service answers with a status that isn't a final HTTP status. The router
+// can't forward such a status: it panicked, the caller's connection was closed without
+// a response, and the request was logged as "delivered". The call may have run, so the
+// result must be ErrLost.
 func TestStatusThatIsNoFinalOneIsALostAnswer(t *testing.T) {
 	for _, status := range []string{"000", "099", "101"} {
 		t.Run(status, func(t *testing.T) {
--- a/plain/httpapi/doc.go
+++ b/plain/httpapi/doc.go
@@ -1,3 +1,3 @@
-// Package httpapi calls a plain service over HTTP, at most once per call, and
-// proves which calls never left.
+// Package httpapi calls a plain service over HTTP. It sends each call at most once
+// and distinguishes calls that were certainly not sent.
 package httpapi
--- a/plain/plain.go
+++ b/plain/plain.go
@@ -8,29 +8,30 @@
 )
 
 var (
-	// ErrNotSent: no byte of the call left; it provably did not run.
+	// ErrNotSent: no byte of the call was sent, so it certainly did not run.
 	ErrNotSent = errors.New("plain: call not sent")
-	// ErrLost: the connection broke after a byte may have left; it may have run.
+	// ErrLost: the response was lost after a byte may have been sent; the call may
+	// have run.
 	ErrLost = errors.New("plain: answer lost")
 )
 
 // Call is one call to a plain service.
 type Call struct {
 	Method string
-	Path   string // with query, beginning with "/"
+	Path   string // begins with "/"; includes the query
 	Header http.Header
 	Body   []byte
 }
 
-// Answer is the service's whole answer.
+// Answer is the service's complete response.
 type Answer struct {
 	Status int         `json:"status"`
 	Header http.Header `json:"header"`
 	Body   []byte      `json:"body"`
 }
 
-// Service is one plain service beside a sidecar. Do returns ErrNotSent or
-// ErrLost when there is no answer.
+// Service is the plain service of a sidecar. Do returns ErrNotSent or ErrLost if
+// there is no response.
 type Service interface {
 	Do(ctx context.Context, call Call) (Answer, error)
 	Healthy(ctx context.Context) error
