--- a/cmd/pearyard-sidecar/main.go
+++ b/cmd/pearyard-sidecar/main.go
@@ -1,4 +1,4 @@
-// Command pearyard-sidecar guards the backend server beside it.
+// Command pearyard-sidecar runs the sidecar of a backend server, on the same VM.
 package main
 
 import (
--- a/cmd/pearyard-standin/main_test.go
+++ b/cmd/pearyard-standin/main_test.go
@@ -20,7 +20,7 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// daemon starts the program and returns it with the address that it prints.
+// daemon starts the program and returns its process and the address that it prints.
 func daemon(t *testing.T, bin string, args ...string) (*exec.Cmd, string) {
 	g := NewWithT(t)
 	cmd := exec.CommandContext(t.Context(), bin, args...)
--- a/cmd/pearyard/main.go
+++ b/cmd/pearyard/main.go
@@ -1,4 +1,5 @@
-// Command pearyard is the operators' command line, and the developers' benches.
+// Command pearyard is the operators' command line. It also runs the developers'
+// benchmarks.
 package main
 
 import (
@@ -9,20 +10,20 @@
 	"github.com/oklog/run"
 
 	"github.com/pearyard/pearyard/bench"
-	_ "github.com/pearyard/pearyard/catalogue" // every event, for `pearyard events`
+	_ "github.com/pearyard/pearyard/catalogue" // registers every event for `pearyard events`
 	"github.com/pearyard/pearyard/cli"
 	"github.com/pearyard/pearyard/demo"
 	"github.com/pearyard/pearyard/measure"
 )
 
 func main() {
-	if code, was := measure.AsProgram(os.Args); was {
+	if code, handled := measure.AsProgram(os.Args); handled {
 		os.Exit(code)
 	}
 	os.Exit(runCommand(os.Args, cli.Options{Demo: demo.Run, Bench: bench.Command()}))
 }
 
-// runCommand runs one command line until it ends or a signal comes.
+// runCommand runs one command line until it ends or the process gets a signal.
 func runCommand(args []string, opts cli.Options) int {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -33,6 +34,6 @@
 		return nil
 	}, func(error) { cancel() })
 	group.Add(run.SignalHandler(ctx, os.Interrupt, syscall.SIGTERM))
-	_ = group.Run() // the exit code says what came of the command
+	_ = group.Run() // the exit code tells the outcome of the command
 	return code
 }
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -15,101 +15,102 @@
 )
 
 const (
-	timeout       = 15 * time.Second
-	answerTokens  = 360
-	engineDiesAt  = 120
-	routerDiesAt  = 240
-	prompt        = "Draft a lifting plan for forty thousand bare-root pears, depot by depot."
-	tokensPerLine = 12
-	stepTime      = 6 * time.Millisecond
-	stepShare     = 200 * time.Microsecond
-	prefillTime   = 50 * time.Microsecond
+	timeout         = 15 * time.Second
+	answerTokens    = 360
+	engineKillToken = 120
+	routerKillToken = 240
+	prompt          = "Draft a lifting plan for forty thousand bare-root pears, depot by depot."
+	tokensPerLine   = 12
+	stepTime        = 6 * time.Millisecond
+	stepPerRequest  = 200 * time.Microsecond
+	prefillPerToken = 50 * time.Microsecond
 )
 
-// ErrNotWhole: the caller's answer has a token missing, repeated or mixed in.
+// ErrNotWhole: the answer is incomplete, or has a token that is missing, repeated
+// or from another generation, or not all kills took place.
 var ErrNotWhole = errors.New("demo: the answer is not whole")
 
-// Run plays the demonstration; it fails unless the answer is whole and both
-// deaths happened.
+// Run runs the demonstration. It fails unless the answer is complete and both the
+// engine and the router were killed.
 func Run(ctx context.Context, out io.Writer) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	fmt.Fprintln(out, "starting two routers, three engines with their sidecars, and stand-ins of the platform")
 	site, err := embedded.Start(ctx, embedded.Options{Engine: standin.EngineOptions{
-		StepBase: stepTime, StepPerRequest: stepShare, PrefillPerToken: prefillTime,
+		StepBase: stepTime, StepPerRequest: stepPerRequest, PrefillPerToken: prefillPerToken,
 	}})
 	if err != nil {
 		return err
 	}
 	defer site.Stop()
-	p := &play{site: site, out: out}
-	answer, err := site.Client().Generate(ctx, client.Request{Model: embedded.Model, Prompt: prompt, MaxTokens: answerTokens, IdempotencyKey: "demo-1"}, p.token)
+	p := &demonstration{site: site, out: out}
+	answer, err := site.Client().Generate(ctx, client.Request{Model: embedded.Model, Prompt: prompt, MaxTokens: answerTokens, IdempotencyKey: "demo-1"}, p.onToken)
 	if err != nil {
 		return err
 	}
-	p.deaths.Wait()
+	p.pendingKills.Wait()
 	return p.report(answer)
 }
 
-// play is one run of the demonstration.
-type play struct {
-	site   *embedded.Site
-	out    io.Writer
-	deaths sync.WaitGroup
+// demonstration is the state of one run.
+type demonstration struct {
+	site         *embedded.Site
+	out          io.Writer
+	pendingKills sync.WaitGroup
 
-	died      int
-	diedAt    time.Time // of the death whose gap is being measured
-	last      time.Time
+	kills     int
+	killedAt  time.Time // time of the kill whose resume latency is being measured
+	lastToken time.Time
 	latencies []time.Duration
 }
 
-// token prints a token as it comes and plays the deaths.
-func (p *play) token(index int, text string) {
-	p.measure()
+// onToken prints a token and kills the engine and the router at their tokens.
+func (p *demonstration) onToken(index int, text string) {
+	p.measureResume()
 	fmt.Fprint(p.out, text)
 	if index%tokensPerLine == tokensPerLine-1 {
 		fmt.Fprintln(p.out)
 	}
 	switch index {
-	case engineDiesAt:
+	case engineKillToken:
 		p.killEngine()
-	case routerDiesAt:
+	case routerKillToken:
 		p.killRouter()
 	}
 }
 
-// measure takes the time from a death until the first token that can only have
-// come after it. Tokens already under way come without a noticeable pause.
-func (p *play) measure() {
+// measureResume measures the time from a kill to the first token sent after it.
+// That token follows a noticeable pause; tokens already in transit don't.
+func (p *demonstration) measureResume() {
 	now := time.Now()
-	if !p.diedAt.IsZero() && now.Sub(p.last) > 2*stepTime {
-		p.latencies = append(p.latencies, now.Sub(p.diedAt))
-		p.diedAt = time.Time{}
+	if !p.killedAt.IsZero() && now.Sub(p.lastToken) > 2*stepTime {
+		p.latencies = append(p.latencies, now.Sub(p.killedAt))
+		p.killedAt = time.Time{}
 	}
-	p.last = now
+	p.lastToken = now
 }
 
-func (p *play) killEngine() {
+func (p *demonstration) killEngine() {
 	for _, e := range p.site.Engines {
 		if e.Counters().Running > 0 {
 			fmt.Fprintf(p.out, "\n--- %s dies ---\n", e.Name)
 			e.Crash()
-			p.died++
-			p.diedAt = time.Now()
+			p.kills++
+			p.killedAt = time.Now()
 			return
 		}
 	}
 }
 
-func (p *play) killRouter() {
+func (p *demonstration) killRouter() {
 	r := p.site.Routers[0]
 	fmt.Fprintf(p.out, "\n--- router-1 dies; the caller comes back through router-2 with Last-Event-ID ---\n")
-	p.died++
-	p.diedAt = time.Now()
-	p.deaths.Go(r.Kill)
+	p.kills++
+	p.killedAt = time.Now()
+	p.pendingKills.Go(r.Kill)
 }
 
-func (p *play) report(answer client.Answer) error {
+func (p *demonstration) report(answer client.Answer) error {
 	var generated, prefilled uint64
 	for _, e := range p.site.Engines {
 		counters := e.Counters()
@@ -117,15 +118,15 @@
 		prefilled += counters.Prefilled
 	}
 	undisturbed := uint64(len(prompt)+3) / 4
-	fmt.Fprintf(p.out, "\n\ntokens received: %d, returns of the caller: %d, deaths survived: %d\n", len(answer.Texts), answer.Returns, p.died)
+	fmt.Fprintf(p.out, "\n\ntokens received: %d, returns of the caller: %d, deaths survived: %d\n", len(answer.Texts), answer.Returns, p.kills)
 	for _, latency := range p.latencies {
 		fmt.Fprintf(p.out, "resume latency: %s\n", latency.Round(100*time.Microsecond))
 	}
 	fmt.Fprintf(p.out, "extra resource use: %d tokens generated and thrown away, about %d tokens prefilled again\n",
 		generated-uint64(len(answer.Texts)), prefilled-min(prefilled, undisturbed))
-	if err := standin.CheckAnswer(prompt, answer.Texts); err != nil || len(answer.Texts) != answerTokens || p.died != 2 {
+	if err := standin.CheckAnswer(prompt, answer.Texts); err != nil || len(answer.Texts) != answerTokens || p.kills != 2 {
 		fmt.Fprintln(p.out, "whole: no")
-		return errors.Wrapf(ErrNotWhole, "%d tokens, %d deaths, %v", len(answer.Texts), p.died, err)
+		return errors.Wrapf(ErrNotWhole, "%d tokens, %d deaths, %v", len(answer.Texts), p.kills, err)
 	}
 	fmt.Fprintln(p.out, "whole: yes")
 	return nil
--- a/demo/demo_test.go
+++ b/demo/demo_test.go
@@ -9,7 +9,7 @@
 	"github.com/pearyard/pearyard/demo"
 )
 
-// What a newcomer runs first must work: two deaths survived, the answer whole.
+// The demo must survive both kills and deliver the complete answer.
 func TestDemoIsWhole(t *testing.T) {
 	g := NewWithT(t)
 	var out bytes.Buffer
--- a/demo/doc.go
+++ b/demo/doc.go
@@ -1,6 +1,6 @@
-// Package demo shows, in one process and in a few seconds, what pearyard is
-// for: a long generation reaches its caller whole although the engine that
-// produces it and then the router that serves it die.
+// Package demo demonstrates the purpose of pearyard in one process within a few
+// seconds: a caller gets a long generation completely, although first the engine
+// that produces it and then the router that serves it are killed.
 //
 // May import of pearyard: client, embedded, standin.
 package demo
--- a/embedded/journal_batch_test.go
+++ b/embedded/journal_batch_test.go
@@ -13,11 +13,10 @@
 	"github.com/pearyard/pearyard/text"
 )
 
-// An operator sets journalBatchMillis to 0, so that tokens reach the journal at
-// once. A VM and the router that reads from it are then lost together, and the
-// caller is told that its generation is gone: the 0 had been taken for none
-// given, and tokens waited half a second for their batch. The answer has to go
-// on from the journal.
+// Guards against reading a journalBatchMillis of 0 as "not set", which delayed
+// journal writes by half a second. With 0, every token is journalled at once, so a
+// generation must continue from the journal even if the VM that runs it and the
+// router that reads from it are lost together.
 func TestJournalBatchOfZeroMeansAtOnce(t *testing.T) {
 	g := NewWithT(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
@@ -34,7 +33,7 @@
 			if index != 40 {
 				return
 			}
-			time.Sleep(20 * time.Millisecond) // less than a step: the caller has seen all that the engine made
+			time.Sleep(20 * time.Millisecond) // less than a step, so that the caller has received every token so far
 			for _, e := range site.Engines {
 				if e.Counters().Running > 0 {
 					go e.Sidecar.Kill()
--- a/embedded/process.go
+++ b/embedded/process.go
@@ -8,16 +8,16 @@
 	"github.com/pkg/errors"
 )
 
-// Process is a router or sidecar that runs in this process.
+// Process is a router or sidecar that runs within the current OS process.
 type Process struct {
-	listeners []*killable
+	listeners []*killableListener
 	cancel    context.CancelFunc
 	done      chan struct{}
 	err       error // set before done is closed
 }
 
-// startProcess runs f; its context ends when Term is called.
-func startProcess(listeners []*killable, f func(context.Context) error) *Process {
+// startProcess runs f; its context is cancelled by Term and Kill.
+func startProcess(listeners []*killableListener, f func(context.Context) error) *Process {
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &Process{listeners: listeners, cancel: cancel, done: make(chan struct{})}
 	go func() {
@@ -27,20 +27,20 @@
 	return p
 }
 
-// Term begins a planned stop, as a signal does.
+// Term begins a planned stop, as SIGTERM does.
 func (p *Process) Term() { p.cancel() }
 
-// Wait returns when the process has ended.
+// Wait waits until the process has ended and returns its error.
 func (p *Process) Wait(ctx context.Context) error {
 	select {
 	case <-p.done:
 		return p.err
 	case <-ctx.Done():
-		return errors.Wrap(ctx.Err(), "embedded: process still runs")
+		return errors.Wrap(ctx.Err(), "embedded: process is still running")
 	}
 }
 
-// Running reports whether the process hasn't ended.
+// Running reports whether the process is still running.
 func (p *Process) Running() bool {
 	select {
 	case <-p.done:
@@ -50,7 +50,7 @@
 	}
 }
 
-// Kill cuts all the process's connections at once and ends it.
+// Kill closes all the process's listeners and connections and ends it.
 func (p *Process) Kill() {
 	for _, l := range p.listeners {
 		l.kill()
@@ -59,8 +59,8 @@
 	<-p.done
 }
 
-// killable is a listener that can cut all the connections it has accepted.
-type killable struct {
+// killableListener can close all the connections that it has accepted.
+type killableListener struct {
 	net.Listener
 
 	mu     sync.Mutex // guards conns and killed
@@ -68,16 +68,16 @@
 	killed bool
 }
 
-func listen() (*killable, error) {
+func listen() (*killableListener, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, errors.Wrap(err, "embedded: listen")
 	}
-	return &killable{Listener: listener, conns: map[net.Conn]struct{}{}}, nil
+	return &killableListener{Listener: listener, conns: map[net.Conn]struct{}{}}, nil
 }
 
 // Accept implements net.Listener.
-func (k *killable) Accept() (net.Conn, error) {
+func (k *killableListener) Accept() (net.Conn, error) {
 	conn, err := k.Listener.Accept()
 	if err != nil {
 		return nil, err
@@ -93,7 +93,7 @@
 	return tracked, nil
 }
 
-func (k *killable) kill() {
+func (k *killableListener) kill() {
 	k.mu.Lock()
 	k.killed = true
 	conns := make([]net.Conn, 0, len(k.conns))
@@ -109,7 +109,7 @@
 
 type trackedConn struct {
 	net.Conn
-	owner *killable
+	owner *killableListener
 }
 
 // Close implements net.Conn.
--- a/embedded/site.go
+++ b/embedded/site.go
@@ -22,7 +22,7 @@
 	"github.com/pearyard/pearyard/text"
 )
 
-// Names that a site is built with.
+// Names, keys and versions that a site is configured with.
 const (
 	ModelService  = "models"
 	PlainService  = "labels"
@@ -35,17 +35,17 @@
 	readyTimeout  = 15 * time.Second
 )
 
-// Options describe a site; zero values take small defaults.
+// Options configure a site; zero values take small defaults.
 type Options struct {
 	Routers  int // default 2
-	Engines  int // engines, each with a sidecar; default 3
-	Plains   int // plain services, each with a sidecar; default 1
-	Zones    int // availability zones that all are spread over; default 3
+	Engines  int // number of engines, each with a sidecar; default 3
+	Plains   int // number of plain services, each with a sidecar; default 1
+	Zones    int // number of availability zones that the processes are spread over; default 3
 	Engine   standin.EngineOptions
 	Plain    standin.PlainOptions
 	Platform standin.PlatformOptions
 	Policy   string
-	Edit     func(*text.Text) // changes the text before it is applied; may be nil
+	Edit     func(*text.Text) // changes the initial configuration before it is applied; may be nil
 	Logger   log.Logger       // default: none
 }
 
@@ -96,15 +96,15 @@
 	Engines  []*Engine
 	Plains   []*Plain
 	Routers  []*Router
-	Text     []byte // the first text
+	Text     []byte // the initial configuration as JSON
 
-	opts     Options
-	platform node.Platform
-	stop     []func()
-	seeds    []string
+	opts      Options
+	platform  node.Platform
+	stopFuncs []func()
+	seeds     []string
 }
 
-// Start runs a site and returns when all its routers are ready.
+// Start starts a site and returns when all its routers are ready.
 func Start(ctx context.Context, opts Options) (*Site, error) {
 	opts = opts.withDefaults()
 	s := &Site{opts: opts, Platform: standin.NewPlatform(opts.Platform)}
@@ -116,7 +116,7 @@
 }
 
 func (s *Site) start(ctx context.Context) error {
-	address, err := s.standin(s.Platform)
+	address, err := s.serveStandin(s.Platform)
 	if err != nil {
 		return err
 	}
@@ -135,7 +135,7 @@
 			return err
 		}
 	}
-	if err := s.applyFirst(ctx); err != nil {
+	if err := s.applyInitialConfiguration(ctx); err != nil {
 		return err
 	}
 	for range s.opts.Routers {
@@ -146,36 +146,36 @@
 	return s.Ready(ctx)
 }
 
-// standin serves a stand-in until the site stops.
-func (s *Site) standin(handler http.Handler) (address string, err error) {
+// serveStandin serves a stand-in until the site stops.
+func (s *Site) serveStandin(handler http.Handler) (address string, err error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return "", errors.Wrap(err, "embedded: stand-in")
+		return "", errors.Wrap(err, "embedded: listen for a stand-in")
 	}
 	server := &http.Server{Handler: handler}
 	go func() { _ = server.Serve(listener) }()
-	s.stop = append(s.stop, func() { _ = server.Close() })
+	s.stopFuncs = append(s.stopFuncs, func() { _ = server.Close() })
 	return listener.Addr().String(), nil
 }
 
 func (s *Site) zone(i int) string { return fmt.Sprintf("zone-%d", i%s.opts.Zones+1) }
 
-func (s *Site) applyFirst(ctx context.Context) error {
-	in := s.text()
+func (s *Site) applyInitialConfiguration(ctx context.Context) error {
+	initial := s.initialConfiguration()
 	if s.opts.Edit != nil {
-		s.opts.Edit(in)
+		s.opts.Edit(initial)
 	}
-	raw, err := json.MarshalIndent(in, "", "  ")
+	raw, err := json.MarshalIndent(initial, "", "  ")
 	if err != nil {
-		return errors.Wrap(err, "embedded: text")
+		return errors.Wrap(err, "embedded: encode initial configuration")
 	}
 	s.Text = raw
 	store := config.NewStore(config.StoreOptions{Table: s.platform.Table, Objects: s.platform.Objects})
 	_, _, err = store.Accept(ctx, 0, raw, "embedded", "first text")
-	return errors.Wrap(err, "embedded: apply")
+	return errors.Wrap(err, "embedded: apply initial configuration")
 }
 
-func (s *Site) text() *text.Text {
+func (s *Site) initialConfiguration() *text.Text {
 	hash := sha256.Sum256([]byte(Key))
 	models := text.Service{
 		Name: ModelService, Kind: text.KindModel, Calls: text.CallsRepeatable, RetryBudget: text.DefaultRetryBudget,
@@ -203,7 +203,7 @@
 	}
 }
 
-// Ready waits until every router that runs is ready for callers.
+// Ready waits until every running router is ready for callers.
 func (s *Site) Ready(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -228,7 +228,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// Client returns a caller that knows all routers of the site.
+// Client returns a client that uses all routers of the site.
 func (s *Site) Client() *client.Client {
 	var addresses []string
 	for _, r := range s.Routers {
@@ -237,7 +237,7 @@
 	return client.New(client.Options{Routers: addresses, Key: Key})
 }
 
-// Stop ends everything at once.
+// Stop kills all processes and stand-ins.
 func (s *Site) Stop() {
 	var wait sync.WaitGroup
 	for _, r := range s.Routers {
@@ -253,7 +253,7 @@
 	}
 	wait.Wait()
 	s.Platform.Kill()
-	for _, stop := range s.stop {
+	for _, stop := range s.stopFuncs {
 		stop()
 	}
 }
--- a/embedded/start.go
+++ b/embedded/start.go
@@ -10,7 +10,7 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-func (s *Site) common(id string, i int, peers *killable) node.Common {
+func (s *Site) commonOptions(id string, i int, peers *killableListener) node.Common {
 	return node.Common{
 		ID: types.ProcessID(id), Zone: types.Zone(s.zone(i)), Peers: peers,
 		Seeds: append([]string(nil), s.seeds...), Platform: s.platform, Logger: s.opts.Logger,
@@ -19,7 +19,7 @@
 
 func (s *Site) startEngine(i int) error {
 	e := &Engine{Engine: standin.NewEngine(s.opts.Engine), Name: fmt.Sprintf("engine-%d", i+1)}
-	address, err := s.standin(e.Engine)
+	address, err := s.serveStandin(e.Engine)
 	if err != nil {
 		return err
 	}
@@ -32,7 +32,7 @@
 
 func (s *Site) startPlain(i int) error {
 	p := &Plain{Plain: standin.NewPlain(s.opts.Plain), Name: fmt.Sprintf("plain-%d", i+1)}
-	address, err := s.standin(p.Plain)
+	address, err := s.serveStandin(p.Plain)
 	if err != nil {
 		return err
 	}
@@ -48,20 +48,20 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	opts := node.SidecarOptions{Common: s.common(name+"-sidecar", i, peers), BackendServer: name}
+	opts := node.SidecarOptions{Common: s.commonOptions(name+"-sidecar", i, peers), BackendServer: name}
 	set(&opts)
 	sidecar, err := node.NewSidecar(opts)
 	if err != nil {
 		return nil, nil, err
 	}
 	s.seeds = append(s.seeds, sidecar.Address())
-	return sidecar, startProcess([]*killable{peers}, sidecar.Run), nil
+	return sidecar, startProcess([]*killableListener{peers}, sidecar.Run), nil
 }
 
-// StartRouter starts a router as number i: a new one, or a replacement of one
+// StartRouter starts the router with index i: a new one, or the replacement of one
 // that was killed.
 func (s *Site) StartRouter(i int) error {
-	var listeners []*killable
+	var listeners []*killableListener
 	for range 3 {
 		l, err := listen()
 		if err != nil {
@@ -70,7 +70,7 @@
 		listeners = append(listeners, l)
 	}
 	opts := node.RouterOptions{
-		Common:  s.common(fmt.Sprintf("router-%d", i+1), i, listeners[0]),
+		Common:  s.commonOptions(fmt.Sprintf("router-%d", i+1), i, listeners[0]),
 		Callers: listeners[1], Admin: listeners[2], AdminToken: AdminToken, Policy: s.opts.Policy,
 	}
 	router, err := node.NewRouter(opts)
