--- a/backing/httpapi/clients_test.go
+++ b/backing/httpapi/clients_test.go
@@ -155,7 +155,7 @@
 	vms, err := list.List(t.Context())
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(vms).To(BeEmpty())
-	p.Leave("vm1")
+	p.MarkLeaving("vm1")
 	g.Eventually(func() []backing.VM { vms, _ := list.List(t.Context()); return vms }).
 		Should(ConsistOf(backing.VM{ID: "vm1", Address: "127.0.0.1:1", Zone: "errol-shed", Leaving: true}))
 }
--- a/claim/fakes_test.go
+++ b/claim/fakes_test.go
@@ -146,7 +146,7 @@
 	select {
 	case <-time.After(f.delay):
 	case <-ctx.Done():
-		return plain.Answer{}, plain.ErrLost
+		return plain.Answer{}, plain.ErrResponseLost
 	}
 	if f.onRun != nil {
 		f.onRun()
--- a/cmd/pearyard-standin/main_test.go
+++ b/cmd/pearyard-standin/main_test.go
@@ -60,7 +60,7 @@
 	g.Expect(texts).To(HaveLen(5))
 	g.Expect(standin.CheckAnswer("p", texts)).To(Succeed())
 	_, err = c.Generate(context.Background(), engine.Request{Prompt: "POISON", MaxTokens: 5}, nil)
-	g.Expect(err).To(MatchError(engine.ErrDied))
+	g.Expect(err).To(MatchError(engine.ErrConnectionLost))
 	g.Expect(crashing.Wait()).To(HaveOccurred())
 	g.Expect(crashing.ProcessState.ExitCode()).To(Equal(command.CrashStatus))
 
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -26,9 +26,9 @@
 	prefillPerToken = 50 * time.Microsecond
 )
 
-// ErrNotWhole: the answer is incomplete, or has a token that is missing, repeated
+// ErrIncomplete: the answer is incomplete, or has a token that is missing, repeated
 // or from another generation, or not all kills took place.
-var ErrNotWhole = errors.New("demo: the answer is not whole")
+var ErrIncomplete = errors.New("demo: the answer is not whole")
 
 // Run runs the demonstration. It fails unless the answer is complete and both the
 // engine and the router were killed.
@@ -126,7 +126,7 @@
 		generated-uint64(len(answer.Texts)), prefilled-min(prefilled, undisturbed))
 	if err := standin.CheckAnswer(prompt, answer.Texts); err != nil || len(answer.Texts) != answerTokens || p.kills != 2 {
 		fmt.Fprintln(p.out, "whole: no")
-		return errors.Wrapf(ErrNotWhole, "%d tokens, %d deaths, %v", len(answer.Texts), p.kills, err)
+		return errors.Wrapf(ErrIncomplete, "%d tokens, %d deaths, %v", len(answer.Texts), p.kills, err)
 	}
 	fmt.Fprintln(p.out, "whole: yes")
 	return nil
--- a/embedded/site.go
+++ b/embedded/site.go
@@ -29,7 +29,7 @@
 	Model         = "pear-draft"
 	ModelVersion  = "1"
 	Organisation  = "demo"
-	Key           = "demo-key"
+	APIKey        = "demo-key"
 	AdminToken    = "embedded-admin"
 	readyInterval = 20 * time.Millisecond
 	readyTimeout  = 15 * time.Second
@@ -85,9 +85,9 @@
 // Router is a router with its addresses.
 type Router struct {
 	*Process
-	Node    *node.Router
-	Callers string
-	Admin   string
+	Node           *node.Router
+	CallersAddress string
+	AdminAddress   string
 }
 
 // Site is a running site.
@@ -176,7 +176,7 @@
 }
 
 func (s *Site) initialConfiguration() *text.Text {
-	hash := sha256.Sum256([]byte(Key))
+	hash := sha256.Sum256([]byte(APIKey))
 	models := text.Service{
 		Name: ModelService, Kind: text.KindModel, Calls: text.CallsRepeatable, RetryBudget: text.DefaultRetryBudget,
 		DependsOn: []text.Dependency{{Model: Model, Version: ModelVersion}},
@@ -208,7 +208,7 @@
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for _, r := range s.Routers {
-		for r.Running() && !ready(r.Callers) {
+		for r.Running() && !ready(r.CallersAddress) {
 			select {
 			case <-ctx.Done():
 				return errors.Wrap(ctx.Err(), "embedded: router not ready")
@@ -232,9 +232,9 @@
 func (s *Site) Client() *client.Client {
 	var addresses []string
 	for _, r := range s.Routers {
-		addresses = append(addresses, r.Callers)
+		addresses = append(addresses, r.CallersAddress)
 	}
-	return client.New(client.Options{Routers: addresses, Key: Key})
+	return client.New(client.Options{Routers: addresses, Key: APIKey})
 }
 
 // Stop kills all processes and stand-ins.
--- a/embedded/start.go
+++ b/embedded/start.go
@@ -77,7 +77,7 @@
 	if err != nil {
 		return err
 	}
-	r := &Router{Process: startProcess(listeners, router.Run), Node: router, Callers: router.CallersAddress(), Admin: listeners[2].Addr().String()}
+	r := &Router{Process: startProcess(listeners, router.Run), Node: router, CallersAddress: router.CallersAddress(), AdminAddress: listeners[2].Addr().String()}
 	if i < len(s.Routers) {
 		s.Routers[i] = r
 	} else {
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -11,8 +11,8 @@
 var (
 	// ErrRefused: the engine did not start the request (full, or no such model).
 	ErrRefused = errors.New("engine: request refused")
-	// ErrDied: the connection broke after the request was handed over.
-	ErrDied = errors.New("engine: connection lost")
+	// ErrConnectionLost: the connection broke after the request was handed over.
+	ErrConnectionLost = errors.New("engine: connection lost")
 	// ErrStaleFence: the engine refused an order with an old fencing number.
 	ErrStaleFence = errors.New("engine: fencing number is old")
 )
--- a/engine/httpapi/client.go
+++ b/engine/httpapi/client.go
@@ -63,7 +63,7 @@
 
 // Generate implements engine.Engine. It returns ErrRefused if no connection could
 // be made or the status is 4xx or 503, since the request did not start then, and
-// ErrDied if the stream ends before its finish line for any other reason.
+// ErrConnectionLost if the stream ends before its finish line for any other reason.
 func (c *Client) Generate(ctx context.Context, req engine.Request, emit func(types.Token) error) (engine.Result, error) {
 	body, err := json.Marshal(req)
 	if err != nil {
@@ -85,7 +85,7 @@
 		return engine.Result{}, statusError(resp)
 	}
 	result, err := readGeneration(resp.Body, emit)
-	if errors.Is(err, engine.ErrDied) && ctx.Err() != nil {
+	if errors.Is(err, engine.ErrConnectionLost) && ctx.Err() != nil {
 		return result, ctx.Err()
 	}
 	return result, err
@@ -140,7 +140,7 @@
 	}
 	resp, err := c.control.RoundTrip(req)
 	if err != nil {
-		return errors.WithMessage(engine.ErrDied, err.Error())
+		return errors.WithMessage(engine.ErrConnectionLost, err.Error())
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
@@ -151,7 +151,7 @@
 		return nil
 	}
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxControlBytes)).Decode(out); err != nil {
-		return errors.WithMessage(engine.ErrDied, err.Error())
+		return errors.WithMessage(engine.ErrConnectionLost, err.Error())
 	}
 	return nil
 }
@@ -163,12 +163,12 @@
 	if !connected {
 		return errors.WithMessage(engine.ErrRefused, err.Error())
 	}
-	return errors.WithMessage(engine.ErrDied, err.Error())
+	return errors.WithMessage(engine.ErrConnectionLost, err.Error())
 }
 
 func statusError(resp *http.Response) error {
 	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBytes))
-	kind := engine.ErrDied
+	kind := engine.ErrConnectionLost
 	switch {
 	case resp.StatusCode == http.StatusConflict:
 		kind = engine.ErrStaleFence
--- a/engine/httpapi/reader.go
+++ b/engine/httpapi/reader.go
@@ -32,20 +32,20 @@
 	for scanner.Scan() {
 		var l line
 		if err := json.Unmarshal(scanner.Bytes(), &l); err != nil {
-			return engine.Result{}, errors.WithMessagef(engine.ErrDied, "malformed line: %v", err)
+			return engine.Result{}, errors.WithMessagef(engine.ErrConnectionLost, "malformed line: %v", err)
 		}
 		if l.Finish != "" {
 			return engine.Result{Finish: l.Finish, PrefilledTokens: l.PrefilledTokens}, nil
 		}
 		if l.ID == nil {
-			return engine.Result{}, errors.WithMessage(engine.ErrDied, "line is neither a token nor a finish")
+			return engine.Result{}, errors.WithMessage(engine.ErrConnectionLost, "line is neither a token nor a finish")
 		}
 		if err := emit(types.Token{ID: *l.ID, Text: l.Text}); err != nil {
 			return engine.Result{}, err
 		}
 	}
 	if err := scanner.Err(); err != nil {
-		return engine.Result{}, errors.WithMessage(engine.ErrDied, err.Error())
+		return engine.Result{}, errors.WithMessage(engine.ErrConnectionLost, err.Error())
 	}
-	return engine.Result{}, errors.WithMessage(engine.ErrDied, "stream ended without a finish line")
+	return engine.Result{}, errors.WithMessage(engine.ErrConnectionLost, "stream ended without a finish line")
 }
--- a/engine/httpapi/reader_test.go
+++ b/engine/httpapi/reader_test.go
@@ -21,7 +21,7 @@
 	f.Fuzz(func(t *testing.T, stream string) {
 		tokens := 0
 		result, err := readGeneration(strings.NewReader(stream), func(types.Token) error { tokens++; return nil })
-		if err != nil && !errors.Is(err, engine.ErrDied) {
+		if err != nil && !errors.Is(err, engine.ErrConnectionLost) {
 			t.Fatalf("untyped error: %v", err)
 		}
 		if (err == nil) != (result.Finish != "") {
@@ -38,7 +38,7 @@
 	// cleanly. The caller must not get the truncated answer as a complete one.
 	g := NewWithT(t)
 	_, err := readGeneration(strings.NewReader(`{"id":1,"text":"a"}`+"\n"), func(types.Token) error { return nil })
-	g.Expect(err).To(MatchError(engine.ErrDied))
+	g.Expect(err).To(MatchError(engine.ErrConnectionLost))
 }
 
 func TestErrorsOfGenerate(t *testing.T) {
@@ -50,7 +50,7 @@
 		_, err := c.Generate(context.Background(), engine.Request{}, nil)
 		return err
 	}
-	for code, want := range map[int]error{200: engine.ErrDied, 404: engine.ErrRefused, 429: engine.ErrRefused, 500: engine.ErrDied, 503: engine.ErrRefused} {
+	for code, want := range map[int]error{200: engine.ErrConnectionLost, 404: engine.ErrRefused, 429: engine.ErrRefused, 500: engine.ErrConnectionLost, 503: engine.ErrRefused} {
 		status = code
 		g.Expect(generate()).To(MatchError(want), "status %d", code)
 	}
--- a/entry/endedby_test.go
+++ b/entry/endedby_test.go
@@ -35,9 +35,9 @@
 
 // expectServerEnds waits until the backend servers have recorded these ends of a request's
 // attempts.
-func (w *testEnv) expectServerEnds(id string, ends ...nursery.How) {
+func (w *testEnv) expectServerEnds(id string, ends ...nursery.RunEnd) {
 	w.t.Helper()
-	gomega.NewWithT(w.t).Eventually(func() []nursery.How { return w.cloud.Ledger.Ends(id) }, "3s", "5ms").Should(gomega.Equal(ends))
+	gomega.NewWithT(w.t).Eventually(func() []nursery.RunEnd { return w.cloud.Ledger.Ends(id) }, "3s", "5ms").Should(gomega.Equal(ends))
 }
 
 // A stream is received completely.
@@ -46,7 +46,7 @@
 	w.servers[0].EventGap.Store(int64(fastGap))
 	c := w.send(testRequest{id: "r1", path: "/stream/1"}).readRest()
 	g.Expect(c.Err).NotTo(gomega.HaveOccurred())
-	w.expectServerEnds("r1", nursery.Whole)
+	w.expectServerEnds("r1", nursery.Completed)
 	w.expectEnd("r1", requestEnd{"answer", "PY2720", "It was served after"})
 }
 
@@ -78,7 +78,7 @@
 	w.servers[0].LostAnswers.Store(1000)
 	c := w.send(testRequest{id: "r1", path: "/once/1"}).readHead()
 	g.Expect(c.Status).To(gomega.Equal(502))
-	w.expectServerEnds("r1", nursery.BrokeOff)
+	w.expectServerEnds("r1", nursery.Interrupted)
 	w.expectEnd("r1", requestEnd{"server", "PY2722", "Its backend server " + startName(w.servers[0]) + " broke it off after"})
 }
 
@@ -90,7 +90,7 @@
 	c := w.send(testRequest{id: "r1", path: "/stream/1"}).readHead().readLines(9)
 	w.serverProxies[0].Set(soak.Silence)
 	g.Expect(c.readRest().Err).To(gomega.HaveOccurred())
-	w.expectServerEnds("r1", nursery.Whole)
+	w.expectServerEnds("r1", nursery.Completed)
 	w.expectEnd("r1", requestEnd{"server_link", "PY2722", "The connection to its backend server " + startName(w.servers[0]) + " went silent"})
 }
 
@@ -112,7 +112,7 @@
 	c := w.send(testRequest{id: "r1", path: "/large/1"}).readRest()
 	g.Expect(c.Err).NotTo(gomega.HaveOccurred())
 	g.Expect(c.Bytes).To(gomega.BeEquivalentTo(nursery.LargeAnswer))
-	w.expectServerEnds("r1", nursery.Whole)
+	w.expectServerEnds("r1", nursery.Completed)
 	w.expectEnd("r1", requestEnd{"answer", "PY2720", "It was served after"})
 }
 
@@ -189,7 +189,7 @@
 		}
 	}
 	g.Expect(c.readRest().Err).To(gomega.HaveOccurred())
-	w.expectServerEnds("r1", nursery.BrokeOff)
+	w.expectServerEnds("r1", nursery.Interrupted)
 	w.expectEnd("r1", requestEnd{"limit", "PY2722", "A limit ended it after"})
 }
 
@@ -208,7 +208,7 @@
 			late := w.send(testRequest{id: "r1", path: c.path, key: c.key}).readHead()
 			g.Expect(late.Status).To(gomega.Equal(c.status))
 			g.Expect(running.readRest().Err).NotTo(gomega.HaveOccurred())
-			w.expectServerEnds("r0", nursery.Whole)
+			w.expectServerEnds("r0", nursery.Completed)
 			w.expectServerEnds("r1")
 			w.expectEnd("r1", requestEnd{"configuration", "PY2750", fmt.Sprintf("It was answered %d by version 4 of the configuration", c.status)})
 			w.expectEnd("r0", requestEnd{"answer", "PY2720", "It was served after"})
--- a/entry/env_test.go
+++ b/entry/env_test.go
@@ -332,5 +332,5 @@
 
 // startName returns the name that log lines give to the running process of a server.
 func startName(s *nursery.Server) string {
-	return directory.Start{ID: s.ID(), Born: s.Born()}.String()
+	return directory.Start{ID: s.ID(), Born: s.StartMillis()}.String()
 }
--- a/entry/peers_test.go
+++ b/entry/peers_test.go
@@ -101,7 +101,7 @@
 			}
 			if c.whole {
 				g.Expect(answer.readRest().Err).NotTo(gomega.HaveOccurred())
-				w.expectServerEnds("r1", nursery.BrokeOff, nursery.Whole)
+				w.expectServerEnds("r1", nursery.Interrupted, nursery.Completed)
 				return
 			}
 			g.Expect(answer.readRest().Err).To(gomega.HaveOccurred())
--- a/gate/calls_test.go
+++ b/gate/calls_test.go
@@ -34,7 +34,7 @@
 	case <-time.After(s.delay):
 		return plain.Answer{Status: 200, Body: make([]byte, s.size)}, s.err
 	case <-ctx.Done():
-		return plain.Answer{}, plain.ErrLost
+		return plain.Answer{}, plain.ErrResponseLost
 	}
 }
 
@@ -120,7 +120,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		deadline := time.Now().Add(10 * time.Second)
 		refusing := gate.NewCalls(gate.Options{Service: &fakeService{err: errors.Wrap(plain.ErrNotSent, "refused")}, Incarnation: ownIncarnation})
-		breaking := gate.NewCalls(gate.Options{Service: &fakeService{err: plain.ErrLost}, Incarnation: ownIncarnation})
+		breaking := gate.NewCalls(gate.Options{Service: &fakeService{err: plain.ErrResponseLost}, Incarnation: ownIncarnation})
 		for range 2 {
 			expectResponse(t, refusing.Call(t.Context(), call("claim/a", 1, deadline)), notRun, types.CodeNoBackend)
 			expectResponse(t, refusing.Void(t.Context(), void("claim/a", 1, deadline)), notRun, types.CodeTombstone)
--- a/measure/entries_test.go
+++ b/measure/entries_test.go
@@ -65,7 +65,7 @@
 		return nil, err
 	}
 	s := &entrySite{store: store, cloud: nursery.NewCloud(store), writes: map[string]*writes{}}
-	s.cloud.Length, s.cloud.Wrote = opts.length, s.wrote
+	s.cloud.Length, s.cloud.OnEvent = opts.length, s.wrote
 	store.Put("op", "config", []byte(fmt.Sprintf(`{"version":1,"routes":[{"name":"stream","host":%q,"pathPrefix":"/stream/","routeType":"streaming","service":"llm",`+
 		`"streamResume":true,"maxAttempts":5,"timeoutMs":60000,"targetLatencyMs":1000,"targetGapMs":700}],`+
 		`"services":[{"name":"llm","healthPath":"/healthz","inferenceEngine":{"backups":%t,"moves":%t}}],`+
--- a/measure/faces_test.go
+++ b/measure/faces_test.go
@@ -174,7 +174,7 @@
 	again := map[string]int{} // event after which a lost stream went on
 	for _, run := range s.cloud.Ledger.Runs() {
 		if run.Server != lost && onLost[run.Request] && run.At.After(struck) {
-			again[run.Request] = run.After
+			again[run.Request] = run.ResumedAfter
 		}
 	}
 	for _, c := range calls {
--- a/plain/httpapi/client.go
+++ b/plain/httpapi/client.go
@@ -80,7 +80,7 @@
 		return plain.Answer{}, errors.WithMessage(plain.ErrNotSent, err.Error())
 	}
 	if err != nil {
-		return plain.Answer{}, errors.WithMessage(plain.ErrLost, err.Error())
+		return plain.Answer{}, errors.WithMessage(plain.ErrResponseLost, err.Error())
 	}
 	defer func() { _ = resp.Body.Close() }()
 	return c.answer(resp)
@@ -121,14 +121,14 @@
 	if resp.StatusCode < http.StatusOK {
 		// A faulty service may send a status such as 099. net/http panics when asked
 		// to write it, which closed the caller's connection without a response.
-		return plain.Answer{}, errors.WithMessagef(plain.ErrLost, "%03d is no final status", resp.StatusCode)
+		return plain.Answer{}, errors.WithMessagef(plain.ErrResponseLost, "%03d is no final status", resp.StatusCode)
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, c.maxResponse+1))
 	if err != nil {
-		return plain.Answer{}, errors.WithMessage(plain.ErrLost, err.Error())
+		return plain.Answer{}, errors.WithMessage(plain.ErrResponseLost, err.Error())
 	}
 	if int64(len(body)) > c.maxResponse {
-		return plain.Answer{}, errors.WithMessagef(plain.ErrLost, "answer is larger than %d bytes", c.maxResponse)
+		return plain.Answer{}, errors.WithMessagef(plain.ErrResponseLost, "answer is larger than %d bytes", c.maxResponse)
 	}
 	header := resp.Header.Clone()
 	for _, name := range hopByHopHeaders {
--- a/plain/httpapi/client_test.go
+++ b/plain/httpapi/client_test.go
@@ -54,7 +54,7 @@
 	p, c, server := start(t)
 	p.Apply(standin.PlainFaults{LoseAnswers: ptr(1)})
 	_, err := c.Do(t.Context(), label("k1"))
-	g.Expect(err).To(MatchError(plain.ErrLost))
+	g.Expect(err).To(MatchError(plain.ErrResponseLost))
 	g.Expect(p.Counts().ByKey).To(HaveKeyWithValue("k1", 1))
 
 	// Long enough to connect and send the call on a busy machine.
@@ -62,7 +62,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
 	_, err = c.Do(ctx, label("k2"))
-	g.Expect(err).To(MatchError(plain.ErrLost))
+	g.Expect(err).To(MatchError(plain.ErrResponseLost))
 	g.Eventually(func() int { return p.Counts().ByKey["k2"] }, "10s").Should(Equal(1))
 
 	server.Close()
@@ -140,7 +140,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
 	_, err := c.Do(ctx, label("k"))
-	g.Expect(err).To(MatchError(plain.ErrLost))
+	g.Expect(err).To(MatchError(plain.ErrResponseLost))
 	g.Expect(p.Counts().Total).To(BeZero())
 	p.Apply(standin.PlainFaults{Freeze: ptr(false)})
 	g.Eventually(func() int { return p.Counts().Total }).Should(Equal(1))
@@ -149,7 +149,7 @@
 // A faulty service answers with a status that isn't a final HTTP status. The router
 // can't forward such a status: it panicked, the caller's connection was closed without
 // a response, and the request was logged as "delivered". The call may have run, so the
-// result must be ErrLost.
+// result must be ErrResponseLost.
 func TestStatusThatIsNoFinalOneIsALostAnswer(t *testing.T) {
 	for _, status := range []string{"000", "099", "101"} {
 		t.Run(status, func(t *testing.T) {
@@ -167,7 +167,7 @@
 				_, _ = io.WriteString(conn, "HTTP/1.1 "+status+" Odd\r\nContent-Length: 2\r\n\r\nab")
 			}()
 			_, err = httpapi.New(httpapi.Options{Address: listener.Addr().String()}).Do(t.Context(), label("k1"))
-			g.Expect(err).To(MatchError(plain.ErrLost))
+			g.Expect(err).To(MatchError(plain.ErrResponseLost))
 		})
 	}
 }
--- a/plain/plain.go
+++ b/plain/plain.go
@@ -10,9 +10,9 @@
 var (
 	// ErrNotSent: no byte of the call was sent, so it certainly did not run.
 	ErrNotSent = errors.New("plain: call not sent")
-	// ErrLost: the response was lost after a byte may have been sent; the call may
+	// ErrResponseLost: the response was lost after a byte may have been sent; the call may
 	// have run.
-	ErrLost = errors.New("plain: answer lost")
+	ErrResponseLost = errors.New("plain: answer lost")
 )
 
 // Call is one call to a plain service.
@@ -30,7 +30,7 @@
 	Body   []byte      `json:"body"`
 }
 
-// Service is the plain service of a sidecar. Do returns ErrNotSent or ErrLost if
+// Service is the plain service of a sidecar. Do returns ErrNotSent or ErrResponseLost if
 // there is no response.
 type Service interface {
 	Do(ctx context.Context, call Call) (Answer, error)
--- a/router/handover_test.go
+++ b/router/handover_test.go
@@ -218,7 +218,7 @@
 	g := NewWithT(t)
 	const streams = 16 // fit into one engine
 	cl := newCluster(t)
-	cl.backends[1].engine.Slow(30) // an offer stays open for a step of 60 ms
+	cl.backends[1].engine.SetSlowdown(30) // an offer stays open for a step of 60 ms
 	got := make(chan generateResult, streams)
 	for range streams {
 		go func() { got <- generate(t, cl.url, 300, func(int) {}) }()
@@ -231,7 +231,7 @@
 		cl.backends[0].engine.Release()
 		time.Sleep(50 * time.Millisecond)
 	}
-	cl.backends[1].engine.Slow(1)
+	cl.backends[1].engine.SetSlowdown(1)
 	for range streams {
 		(<-got).expectComplete(g, 300)
 	}
--- a/scenario/caller.go
+++ b/scenario/caller.go
@@ -63,7 +63,7 @@
 			c.answer, c.err = whole(ctx, httpClient, addresses[ask.first-1], ask)
 			return
 		}
-		opts := client.Options{Routers: addresses, Key: embedded.Key, HTTP: httpClient, Silence: ask.patience}
+		opts := client.Options{Routers: addresses, Key: embedded.APIKey, HTTP: httpClient, Silence: ask.patience}
 		req := client.Request{Model: embedded.Model, Prompt: ask.prompt, MaxTokens: ask.tokens, IdempotencyKey: ask.key, First: ask.first - 1}
 		c.answer, c.err = client.New(opts).Generate(ctx, req, func(index int, _ string) {
 			c.mu.Lock()
@@ -113,7 +113,7 @@
 	if err != nil {
 		return nil, err
 	}
-	req.Header.Set("Authorization", "Bearer "+embedded.Key)
+	req.Header.Set("Authorization", "Bearer "+embedded.APIKey)
 	if key != "" {
 		req.Header.Set("Idempotency-Key", key)
 	}
--- a/scenario/calls.go
+++ b/scenario/calls.go
@@ -51,7 +51,7 @@
 	}
 	base := "http://" + b.site.at(fromCallers, routerName(number))
 	ask := single{url: base + "/services/" + args[1] + "/" + o.or("path", "print"), key: o["key"], timeout: o["timeout"]}
-	ask.apiKey, ask.body = o.or("api-key", embedded.Key), []byte(o.or("body", o["key"]))
+	ask.apiKey, ask.body = o.or("api-key", embedded.APIKey), []byte(o.or("body", o["key"]))
 	if args[1] == "completions" {
 		ask.url = base + "/v1/completions"
 		if ask.body, err = json.Marshal(client.Request{Model: embedded.Model, Prompt: o.or("body", args[0]), MaxTokens: 10}); err != nil {
--- a/scenario/text.go
+++ b/scenario/text.go
@@ -15,7 +15,7 @@
 
 // firstText is the text of a new site.
 func (s *site) firstText() *text.Text {
-	key := sha256.Sum256([]byte(embedded.Key))
+	key := sha256.Sum256([]byte(embedded.APIKey))
 	models := text.Service{
 		Name: embedded.ModelService, Kind: text.KindModel, Calls: text.CallsRepeatable, RetryBudget: text.DefaultRetryBudget,
 		DependsOn: []text.Dependency{{Model: embedded.Model, Version: embedded.ModelVersion}}, BackendServers: []text.BackendServer{},
--- a/sidecar/attempt.go
+++ b/sidecar/attempt.go
@@ -152,7 +152,7 @@
 		r.setPrefilled(result.PrefilledTokens)
 		r.log.Finish(result.Finish)
 		handle.finish(result.Finish)
-	case errors.Is(err, engine.ErrDied):
+	case errors.Is(err, engine.ErrConnectionLost):
 		s.lose(r, s.watch.died(s.runs.running()))
 	default:
 		// Cancelled, refused by the engine, or already lost by the watch.
--- a/sidecar/lookup_test.go
+++ b/sidecar/lookup_test.go
@@ -54,7 +54,7 @@
 			}
 			g.Expect(holder()).To(Equal(address))
 			if lostBeforeFirstToken {
-				g.Expect(r.log.Lose(engine.ErrDied)).To(BeTrue())
+				g.Expect(r.log.Lose(engine.ErrConnectionLost)).To(BeTrue())
 				close(e.release)
 				g.Eventually(e.ended).Should(BeClosed())
 				// The attempt's end is handled after the engine returns.
@@ -63,7 +63,7 @@
 			}
 			close(e.release)
 			g.Eventually(func() int { return r.log.Snapshot(0).Count }).Should(Equal(1))
-			g.Expect(r.log.Lose(engine.ErrDied)).To(BeTrue())
+			g.Expect(r.log.Lose(engine.ErrConnectionLost)).To(BeTrue())
 			g.Expect(holder()).To(Equal(address))
 		})
 	}
--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -174,7 +174,7 @@
 	if s.opts.Suspects != nil {
 		s.opts.Suspects.RecordWeightedDeath(d.id, r.fingerprint, r.proven())
 	}
-	lost := r.log.Lose(engine.ErrDied)
+	lost := r.log.Lose(engine.ErrConnectionLost)
 	r.cancel()
 	return lost
 }
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -114,12 +114,12 @@
 		for range flaps {
 			server.Crash()
 			time.Sleep(hold / (2 * flaps))
-			_ = server.RestartUnderItsID()
+			_ = server.RestartWithSameID()
 			time.Sleep(hold / (2 * flaps))
 		}
 	}},
 	{Name: "zone of servers crash and are back under their ids", do: func(s *Site, rng *rand.Rand, hold time.Duration) {
-		s.zoneCrashes(rng, hold, (*nursery.Server).RestartUnderItsID)
+		s.zoneCrashes(rng, hold, (*nursery.Server).RestartWithSameID)
 	}},
 }
 
@@ -151,5 +151,5 @@
 func (s *Site) stored(f nursery.StoreFault, hold time.Duration) {
 	s.Store.SetFault(f)
 	time.Sleep(hold)
-	s.Store.SetFault(nursery.StoreWell)
+	s.Store.SetFault(nursery.StoreHealthy)
 }
--- a/soak/planned.go
+++ b/soak/planned.go
@@ -116,7 +116,7 @@
 
 // busyEngine has memory for three streams or copies, and pauses its streams for a
 // prompt as long as an engine does that reads 700 to 5,000 tokens a second.
-var busyEngine = nursery.Engine{ReadLeast: 200 * time.Millisecond, ReadMost: 1500 * time.Millisecond, Memory: 3700}
+var busyEngine = nursery.EngineLimits{MinPrefill: 200 * time.Millisecond, MaxPrefill: 1500 * time.Millisecond, Memory: 3700}
 
 // idleTimes are the idle limits that operators set.
 var idleTimes = []time.Duration{time.Second, 1500 * time.Millisecond, 2500 * time.Millisecond, 5 * time.Second}
@@ -138,7 +138,7 @@
 			time.Sleep(leaveLook)
 		}
 		if server.Busy() > 0 {
-			server.Stay()
+			server.CancelDrain()
 			continue
 		}
 		server.Crash()
--- a/soak/run.go
+++ b/soak/run.go
@@ -84,7 +84,7 @@
 	calling.Go(func() { callers.Run(ctx) })
 	site.bound(plan.Size.Engine)
 	result.Story = trouble(site, plan)
-	site.bound(nursery.Engine{})
+	site.bound(nursery.EngineLimits{})
 	time.Sleep(calmAtTheEnd)
 	after := time.Now()
 	time.Sleep(time.Second)
--- a/soak/site.go
+++ b/soak/site.go
@@ -22,7 +22,7 @@
 	Apps    int // servers of the plain service
 	Holders int // callers of a VM that leave their connection idle between requests
 	// Engine bounds the servers of the model service while troubles go on.
-	Engine nursery.Engine
+	Engine nursery.EngineLimits
 	Grace  time.Duration // of a planned stop; 0: the shortest
 }
 
@@ -134,7 +134,7 @@
 }
 
 // bound sets what bounds the engines of the model service.
-func (s *Site) bound(engine nursery.Engine) {
+func (s *Site) bound(engine nursery.EngineLimits) {
 	for _, server := range s.Servers[:s.size.Models] {
 		server.SetEngine(engine)
 	}
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -348,7 +348,7 @@
 		sendTo(site, site.VMs[0], "/any/"+call, "k0")
 		time.Sleep(500 * time.Millisecond)
 		for _, server := range site.Servers {
-			g.Expect(server.RestartUnderItsID()).To(gomega.Succeed())
+			g.Expect(server.RestartWithSameID()).To(gomega.Succeed())
 		}
 	}
 	calls := 0
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -38,16 +38,16 @@
 
 // Counters counts an engine's work.
 type Counters struct {
-	Tokens    uint64 `json:"tokens"`            // generated
-	Prefilled uint64 `json:"prefilled_tokens"`  // prompt and emitted tokens computed
-	Requests  uint64 `json:"requests"`          // admitted to a batch
-	Cancelled uint64 `json:"cancelled"`         // cancelled by their caller
-	Refused   uint64 `json:"refused"`           // the queue was full
-	Orders    uint64 `json:"orders"`            // applied
-	Stale     uint64 `json:"orders_stale"`      // refused because of an old fencing number
-	OldObeyed uint64 `json:"orders_old_obeyed"` // applied despite an old fencing number
-	Running   int    `json:"running"`
-	Queued    int    `json:"queued"`
+	Tokens       uint64 `json:"tokens"`            // generated
+	Prefilled    uint64 `json:"prefilled_tokens"`  // prompt and emitted tokens computed
+	Requests     uint64 `json:"requests"`          // admitted to a batch
+	Cancelled    uint64 `json:"cancelled"`         // cancelled by their caller
+	Refused      uint64 `json:"refused"`           // the queue was full
+	Orders       uint64 `json:"orders"`            // applied
+	StaleRefused uint64 `json:"orders_stale"`      // refused because of an old fencing number
+	StaleApplied uint64 `json:"orders_old_obeyed"` // applied despite an old fencing number
+	Running      int    `json:"running"`
+	Queued       int    `json:"queued"`
 }
 
 // Engine is a stand-in model engine with continuous batching.
@@ -157,8 +157,8 @@
 // Cut drops every open connection; the engine itself keeps running.
 func (e *Engine) Cut() { e.conns.cut() }
 
-// Slow multiplies the duration of every step by factor.
-func (e *Engine) Slow(factor float64) {
+// SetSlowdown multiplies the duration of every step by factor.
+func (e *Engine) SetSlowdown(factor float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.slowdown = factor
@@ -188,11 +188,11 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if order.Fence < e.fence && e.opts.CheckFence {
-		e.counters.Stale++
+		e.counters.StaleRefused++
 		return engine.ErrStaleFence
 	}
 	if order.Fence < e.fence {
-		e.counters.OldObeyed++
+		e.counters.StaleApplied++
 	}
 	e.fence = max(e.fence, order.Fence)
 	e.counters.Orders++
--- a/standin/engine_http.go
+++ b/standin/engine_http.go
@@ -26,7 +26,7 @@
 // Apply sets the faults.
 func (e *Engine) Apply(f EngineFaults) {
 	if f.Slow != nil {
-		e.Slow(*f.Slow)
+		e.SetSlowdown(*f.Slow)
 	}
 	if f.Hold != nil {
 		e.hold(*f.Hold)
--- a/standin/engine_test.go
+++ b/standin/engine_test.go
@@ -109,10 +109,10 @@
 	_, done := begin(t, c, &neighbour, prompt)
 	g.Eventually(neighbour.count).Should(BeNumerically(">", 0))
 	_, crashed := begin(t, c, &poisoned, "POISON "+prompt)
-	g.Eventually(crashed, "5s").Should(Receive(MatchError(engine.ErrDied)))
-	g.Eventually(done, "5s").Should(Receive(MatchError(engine.ErrDied)))
+	g.Eventually(crashed, "5s").Should(Receive(MatchError(engine.ErrConnectionLost)))
+	g.Eventually(done, "5s").Should(Receive(MatchError(engine.ErrConnectionLost)))
 	g.Expect(poisoned.count()).To(BeNumerically("<=", 3))
-	g.Expect(c.Healthy(t.Context())).To(MatchError(engine.ErrDied))
+	g.Expect(c.Healthy(t.Context())).To(MatchError(engine.ErrConnectionLost))
 	e.Revive()
 	g.Expect(c.Healthy(t.Context())).To(Succeed())
 }
@@ -131,7 +131,7 @@
 	e.Thaw()
 	g.Eventually(got.count).Should(BeNumerically(">", held))
 	e.Cut()
-	g.Eventually(done, "5s").Should(Receive(MatchError(engine.ErrDied)))
+	g.Eventually(done, "5s").Should(Receive(MatchError(engine.ErrConnectionLost)))
 	g.Expect(c.Healthy(t.Context())).To(Succeed())
 	g.Expect(standin.CheckAnswer(prompt, got.texts())).To(Succeed())
 }
@@ -203,7 +203,7 @@
 			g.Expect(c.Order(t.Context(), order)).To(MatchError(engine.ErrStaleFence))
 		} else {
 			g.Expect(c.Order(t.Context(), order)).To(Succeed())
-			g.Expect(e.Counters().OldObeyed).To(BeEquivalentTo(1))
+			g.Expect(e.Counters().StaleApplied).To(BeEquivalentTo(1))
 		}
 		loaded, err := c.Loaded(t.Context())
 		g.Expect(err).NotTo(HaveOccurred())
--- a/standin/nursery/engine.go
+++ b/standin/nursery/engine.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// Engine holds the limits of a simulated model engine. The zero value prefills
+// EngineLimits holds the limits of a simulated model engine. The zero value prefills
 // each prompt in the same short time without pausing other streams, and has
 // unlimited memory.
-type Engine struct {
-	// ReadLeast and ReadMost bound the prefill time of a prompt. Prompts are
+type EngineLimits struct {
+	// MinPrefill and MaxPrefill bound the prefill time of a prompt. Prompts are
 	// prefilled one at a time, and no stream of the engine produces events
 	// meanwhile.
-	ReadLeast, ReadMost time.Duration
+	MinPrefill, MaxPrefill time.Duration
 	// Memory is the space for prompts, events and KV copies, in tokens; 0 means
 	// unlimited. A request that doesn't fit is refused. When running streams
 	// outgrow the memory, the newest is preempted.
@@ -37,7 +37,7 @@
 
 	mu            sync.Mutex
 	cachedPrompts map[string]bool // by the prompt's block list
-	limits        Engine
+	limits        EngineLimits
 	used          int           // memory in use, in tokens
 	running       []*allocation // streams that hold memory, the newest last
 	waiting       int           // preempted streams
@@ -51,11 +51,11 @@
 	preempted bool
 }
 
-func newEngine(limits Engine) *engine {
+func newEngine(limits EngineLimits) *engine {
 	return &engine{limits: limits, cachedPrompts: map[string]bool{}, prefillSlot: make(chan struct{}, 1), changed: make(chan struct{})}
 }
 
-func (e *engine) setLimits(limits Engine) {
+func (e *engine) setLimits(limits EngineLimits) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.limits = limits
@@ -194,7 +194,7 @@
 	e.mu.Lock()
 	limits := e.limits
 	e.mu.Unlock()
-	if limits.ReadMost <= 0 {
+	if limits.MaxPrefill <= 0 {
 		time.Sleep(defaultPrefill)
 		return true
 	}
@@ -222,11 +222,11 @@
 
 // prefillTime derives the prefill time from the request, so that each prefill of
 // the same request takes the same time.
-func (limits Engine) prefillTime(request string) time.Duration {
+func (limits EngineLimits) prefillTime(request string) time.Duration {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(request))
-	span := max(1, limits.ReadMost-limits.ReadLeast)
-	return limits.ReadLeast + time.Duration(hash.Sum64()%uint64(span))
+	span := max(1, limits.MaxPrefill-limits.MinPrefill)
+	return limits.MinPrefill + time.Duration(hash.Sum64()%uint64(span))
 }
 
 // sleep waits for d; it returns false if ctx ended first.
--- a/standin/nursery/engine_test.go
+++ b/standin/nursery/engine_test.go
@@ -13,7 +13,7 @@
 )
 
 // startLimited starts a server whose engine has the given limits.
-func startLimited(t *testing.T, cloud *Cloud, limits Engine) *Server {
+func startLimited(t *testing.T, cloud *Cloud, limits EngineLimits) *Server {
 	t.Helper()
 	server, err := cloud.NewServer("llm", "a", func(own string) string { return own })
 	gomega.NewWithT(t).Expect(err).NotTo(gomega.HaveOccurred())
@@ -84,7 +84,7 @@
 	t.Parallel()
 	g := gomega.NewWithT(t)
 	cloud := newCloud(t)
-	s := startLimited(t, cloud, Engine{ReadLeast: 500 * time.Millisecond, ReadMost: 500 * time.Millisecond})
+	s := startLimited(t, cloud, EngineLimits{MinPrefill: 500 * time.Millisecond, MaxPrefill: 500 * time.Millisecond})
 	s.EventGap.Store(int64(slowGap))
 	first := make(chan outcome, 1)
 	go func() { first <- stream(t, s, "first") }()
@@ -102,7 +102,7 @@
 	t.Parallel()
 	g := gomega.NewWithT(t)
 	cloud := newCloud(t)
-	full, source := startLimited(t, cloud, Engine{Memory: 1300}), startLimited(t, cloud, Engine{})
+	full, source := startLimited(t, cloud, EngineLimits{Memory: 1300}), startLimited(t, cloud, EngineLimits{})
 	full.EventGap.Store(int64(slowGap))
 	source.EventGap.Store(int64(slowGap))
 	running := make(chan outcome, 1)
@@ -136,7 +136,7 @@
 	t.Parallel()
 	g := gomega.NewWithT(t)
 	cloud := newCloud(t)
-	s := startLimited(t, cloud, Engine{Memory: 2200})
+	s := startLimited(t, cloud, EngineLimits{Memory: 2200})
 	ends := make(chan outcome, 2)
 	for i := range 2 {
 		go func() { ends <- stream(t, s, fmt.Sprintf("r%d", i)) }()
@@ -152,7 +152,7 @@
 func TestLeavingGivesMemoryBack(t *testing.T) {
 	t.Parallel()
 	g := gomega.NewWithT(t)
-	e := newEngine(Engine{Memory: 2010})
+	e := newEngine(EngineLimits{Memory: 2010})
 	a, _ := e.admit(1000, false)
 	b, _ := e.admit(1000, false)
 	for range 3 {
--- a/standin/nursery/restart_test.go
+++ b/standin/nursery/restart_test.go
@@ -22,7 +22,7 @@
 	defer store.Close()
 	server, call := crashedServerWithCallFromItsPort(g, store)
 	defer call.Close()
-	g.Expect(server.RestartUnderItsID()).To(gomega.Succeed())
+	g.Expect(server.RestartWithSameID()).To(gomega.Succeed())
 	server.Crash()
 }
 
--- a/standin/nursery/server.go
+++ b/standin/nursery/server.go
@@ -27,7 +27,7 @@
 type Run struct {
 	Request, Server, Target, Organisation string
 	At                                    time.Time
-	After                                 int // event after which it resumed; 0 for a fresh run
+	ResumedAfter                          int // event after which it resumed; 0 for a fresh run
 }
 
 // Ledger records what the servers ran, for the checks of the tests.
@@ -35,27 +35,27 @@
 	mu       sync.Mutex
 	runs     []Run
 	arrivals []Run // including refused requests
-	ends     map[string][]How
+	ends     map[string][]RunEnd
 }
 
-// How tells how a run ended, as its server saw it.
-type How string
+// RunEnd tells how a run ended, as its server saw it.
+type RunEnd string
 
 // Ends of runs.
 const (
-	Whole     How = "whole"     // the response was written completely
-	BrokeOff  How = "broke off" // the server closed the connection or crashed
-	Abandoned How = "abandoned" // the caller closed the connection
+	Completed   RunEnd = "whole"     // the response was written completely
+	Interrupted RunEnd = "broke off" // the server closed the connection or crashed
+	Abandoned   RunEnd = "abandoned" // the caller closed the connection
 )
 
 // Ends returns how the runs of a request ended, as their servers saw it.
-func (l *Ledger) Ends(request string) []How {
+func (l *Ledger) Ends(request string) []RunEnd {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]How(nil), l.ends[request]...)
+	return append([]RunEnd(nil), l.ends[request]...)
 }
 
-func (l *Ledger) recordEnd(request string, how How) {
+func (l *Ledger) recordEnd(request string, how RunEnd) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.ends[request] = append(l.ends[request], how)
@@ -98,7 +98,7 @@
 	EventGap   atomic.Int64
 	ownAddress string
 	crashed    atomic.Bool
-	limits     Engine
+	limits     EngineLimits
 	engine     *engine // of this incarnation
 	draining   bool
 	drainAt    time.Time
@@ -107,7 +107,7 @@
 // Cloud consists of all servers, the store that lists them and the KV copies that
 // they hold.
 type Cloud struct {
-	Watch
+	StreamOptions
 
 	Store  *Store
 	Ledger *Ledger
@@ -122,7 +122,7 @@
 // NewCloud returns a cloud without servers that uses the given store.
 func NewCloud(store *Store) *Cloud {
 	return &Cloud{
-		Store: store, Ledger: &Ledger{ends: map[string][]How{}},
+		Store: store, Ledger: &Ledger{ends: map[string][]RunEnd{}},
 		copies: map[string]int{}, reservedCopies: map[string][]reservedCopy{}, servers: map[string]*Server{},
 	}
 }
@@ -181,7 +181,7 @@
 }
 
 // SetEngine sets the limits of the engine; they also apply after a restart.
-func (s *Server) SetEngine(limits Engine) {
+func (s *Server) SetEngine(limits EngineLimits) {
 	s.mu.Lock()
 	s.limits = limits
 	s.mu.Unlock()
@@ -197,8 +197,8 @@
 // Busy returns how many requests the server is serving.
 func (s *Server) Busy() int64 { return s.active.Load() }
 
-// Born returns when this incarnation started, in Unix milliseconds.
-func (s *Server) Born() int64 {
+// StartMillis returns when this incarnation started, in Unix milliseconds.
+func (s *Server) StartMillis() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.startMillis
@@ -248,8 +248,8 @@
 	return nil
 }
 
-// RestartUnderItsID starts a new incarnation at the same address under the same id.
-func (s *Server) RestartUnderItsID() error {
+// RestartWithSameID starts a new incarnation at the same address under the same id.
+func (s *Server) RestartWithSameID() error {
 	if err := s.startAgain(s.ID()); err != nil {
 		return err
 	}
@@ -272,16 +272,16 @@
 	s.register()
 }
 
-// Stay cancels Drain.
-func (s *Server) Stay() {
+// CancelDrain cancels Drain.
+func (s *Server) CancelDrain() {
 	s.mu.Lock()
 	s.draining = false
 	s.mu.Unlock()
 	s.register()
 }
 
-// DrainedFor returns how long the server has been draining; 0 if it isn't.
-func (s *Server) DrainedFor() time.Duration {
+// DrainingFor returns how long the server has been draining; 0 if it isn't.
+func (s *Server) DrainingFor() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.draining {
@@ -327,7 +327,7 @@
 func (s *Server) serve(e *engine, id string, w http.ResponseWriter, r *http.Request) {
 	request := r.Header.Get("Attempt-Id")
 	after, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
-	run := Run{Request: request, Server: id, Target: r.RequestURI, Organisation: r.Header.Get("Tenant"), At: time.Now(), After: after}
+	run := Run{Request: request, Server: id, Target: r.RequestURI, Organisation: r.Header.Get("Tenant"), At: time.Now(), ResumedAfter: after}
 	s.cloud.Ledger.record(&s.cloud.Ledger.arrivals, run)
 	w.Header().Set("Attempt-Id", request)
 	if want := r.Header.Get("Target-Instance"); want != "" && want != id {
@@ -380,7 +380,7 @@
 	body, _ := io.ReadAll(r.Body)
 	time.Sleep(plainDuration)
 	if share := s.LostAnswers.Load(); share > 0 && s.answers.Add(1)*share%1000 < share {
-		s.cloud.Ledger.recordEnd(r.Header.Get("Attempt-Id"), BrokeOff)
+		s.cloud.Ledger.recordEnd(r.Header.Get("Attempt-Id"), Interrupted)
 		panic(http.ErrAbortHandler)
 	}
 	answer := PlainAnswer(r.RequestURI, body)
@@ -389,7 +389,7 @@
 		s.recordDisconnect(r)
 		return
 	}
-	s.cloud.Ledger.recordEnd(r.Header.Get("Attempt-Id"), Whole)
+	s.cloud.Ledger.recordEnd(r.Header.Get("Attempt-Id"), Completed)
 }
 
 // PlainAnswer returns the body of the response to a plain request.
@@ -404,7 +404,7 @@
 func (s *Server) recordDisconnect(r *http.Request) {
 	how := Abandoned
 	if s.crashed.Load() {
-		how = BrokeOff
+		how = Interrupted
 	}
 	s.cloud.Ledger.recordEnd(r.Header.Get("Attempt-Id"), how)
 }
--- a/standin/nursery/store.go
+++ b/standin/nursery/store.go
@@ -17,10 +17,10 @@
 
 // Faults of the store.
 const (
-	StoreWell   StoreFault = iota // no fault
-	StoreBusy                     // answers 503
-	StoreSilent                   // never answers
-	StoreSlow                     // answers after slowAnswer
+	StoreHealthy StoreFault = iota // no fault
+	StoreBusy                      // answers 503
+	StoreSilent                    // never answers
+	StoreSlow                      // answers after slowAnswer
 )
 
 const (
@@ -99,7 +99,7 @@
 			panic(http.ErrAbortHandler)
 		case StoreSlow:
 			time.Sleep(slowAnswer)
-		case StoreWell:
+		case StoreHealthy:
 		}
 		next.ServeHTTP(w, r)
 	})
--- a/standin/nursery/stream.go
+++ b/standin/nursery/stream.go
@@ -25,7 +25,7 @@
 		time.AfterFunc(abortedCopyRetention, func() { s.cloud.freeCopies(request) })
 		return
 	}
-	s.cloud.Ledger.recordEnd(request, Whole)
+	s.cloud.Ledger.recordEnd(request, Completed)
 	s.cloud.freeCopies(request)
 }
 
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -133,8 +133,8 @@
 	p.vms.add(time.Now(), slices.Clone(vms))
 }
 
-// Leave marks a VM as leaving; readers see the change after the lag.
-func (p *Platform) Leave(id string) {
+// MarkLeaving marks a VM as leaving; readers see the change after the lag.
+func (p *Platform) MarkLeaving(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	vms := slices.Clone(p.vms.asOf(time.Now()))
