--- a/standin/engine.go
+++ b/standin/engine.go
@@ -157,7 +157,7 @@
 // Cut drops every open connection; the engine itself keeps running.
 func (e *Engine) Cut() { e.conns.cut() }
 
-// SetSlowdown multiplies the duration of every step by factor.
+// SetSlowdown sets the factor by which the duration of every step is multiplied.
 func (e *Engine) SetSlowdown(factor float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/history.go
+++ b/standin/history.go
@@ -3,7 +3,7 @@
 import "time"
 
 // history keeps past values, so that they can be read as of some time ago. It
-// drops values that are older than the retention time.
+// drops values that were replaced longer ago than the retention time.
 type history[T any] struct {
 	retention time.Duration
 	entries   []sample[T]
--- a/standin/nursery/store.go
+++ b/standin/nursery/store.go
@@ -76,8 +76,8 @@
 	s.fault = f
 }
 
-// DropHistory discards all changes so far: reading on from an earlier revision
-// answers 410.
+// DropHistory discards the history of changes: a read of the changes since an
+// earlier revision is answered with 410.
 func (s *Store) DropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/plain.go
+++ b/standin/plain.go
@@ -11,7 +11,8 @@
 const (
 	pathHealth = "/healthz"
 	pathCounts = "/counts"
-	// HeaderIdempotencyKey is the header whose value a plain service counts runs by.
+	// HeaderIdempotencyKey is the header that identifies a call; a plain service
+	// counts the runs of each.
 	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
