--- a/sidecar/attempt.go
+++ b/sidecar/attempt.go
@@ -154,7 +154,7 @@
 		r.setPrefilled(result.PrefilledTokens)
 		r.log.Finish(result.Finish)
 		handle.finish(result.Finish)
-	case errors.Is(err, engine.ErrDied):
+	case errors.Is(err, engine.ErrConnectionLost):
 		s.markLost(r, s.monitor.markDied(s.runs.activeCount()))
 	default:
 		// Cancelled, refused by the engine, or already marked as lost by the monitor.
--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -175,7 +175,7 @@
 	if s.opts.Suspects != nil {
 		s.opts.Suspects.RecordWeightedDeath(d.id, r.fingerprint, r.isProven())
 	}
-	lost := r.log.Lose(engine.ErrDied)
+	lost := r.log.Lose(engine.ErrConnectionLost)
 	r.cancel()
 	return lost
 }
