--- a/soak/callers.go
+++ b/soak/callers.go
@@ -17,23 +17,23 @@
 	"github.com/pearyard/pearyard/standin/nursery"
 )
 
-// Call is what became of one attempt of a caller.
+// Call records one request of a caller and its outcome.
 type Call struct {
 	ID, Path, VM string
 	Sent, Ended  time.Time
-	Written      time.Time     // when the whole request had been sent; zero: it wasn't
-	Idle         time.Duration // for how long its connection had been idle
-	Failed       error         // why it has no answer
-	Status       int           // 0: no answer
-	Whole        bool          // the answer came to its end
-	Wrong        string        // what was wrong with it; empty: nothing
+	Written      time.Time     // when the whole request had been sent; zero if it was not
+	Idle         time.Duration // how long its connection had been idle before
+	Err          error         // why there is no response; nil if there is one
+	Status       int           // HTTP status; 0 if there is no response
+	Complete     bool          // the response was read to its end
+	Mismatch     string        // how the response differs from the expected one; empty if it does not
 }
 
-// Callers send requests to random VMs until they are stopped.
+// Callers generates load: it sends requests to random VMs and records their outcomes.
 type Callers struct {
 	site   *Site
 	client *http.Client
-	next   atomic.Int64
+	nextID atomic.Int64
 	rng    func(n int) int
 
 	mu    sync.Mutex
@@ -42,33 +42,33 @@
 
 const callerPause = 8 * time.Millisecond
 
-// NewCallers returns callers of a site.
+// NewCallers returns the load generator of a site.
 func NewCallers(site *Site) *Callers {
 	return &Callers{site: site, rng: rand.IntN, client: &http.Client{Transport: &http.Transport{
 		DisableCompression: true, MaxIdleConnsPerHost: 32, IdleConnTimeout: 5 * time.Second,
 	}}}
 }
 
-// Run keeps the site's callers busy until ctx ends, and lets their last calls end.
+// Run sends requests to the site until ctx ends, and waits for the last ones to complete.
 func (c *Callers) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, vm := range c.site.VMs {
-		for range c.site.size.Holders {
-			wg.Go(func() { c.hold(ctx, vm) })
+		for range c.site.size.IdleCallers {
+			wg.Go(func() { c.runIdleCaller(ctx, vm) })
 		}
 	}
-	c.busy(ctx, callersOfAVM*c.site.size.VMs)
+	c.generateLoad(ctx, callersPerVM*c.site.size.VMs)
 	wg.Wait()
 	c.client.CloseIdleConnections()
 }
 
-// busy keeps n callers busy until ctx ends.
-func (c *Callers) busy(ctx context.Context, n int) {
+// generateLoad runs n callers that send one request after another until ctx ends.
+func (c *Callers) generateLoad(ctx context.Context, n int) {
 	var wg sync.WaitGroup
 	for range n {
 		wg.Go(func() {
 			for ctx.Err() == nil {
-				c.one()
+				c.sendOne()
 				time.Sleep(callerPause)
 			}
 		})
@@ -76,24 +76,24 @@
 	wg.Wait()
 }
 
-// Calls returns what became of all attempts so far.
+// Calls returns the calls completed so far.
 func (c *Callers) Calls() []Call {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]Call(nil), c.calls...)
 }
 
-var kinds = []string{"/stream/", "/once/", "/any/"}
+var pathPrefixes = []string{"/stream/", "/once/", "/any/"}
 
-func (c *Callers) one() {
+func (c *Callers) sendOne() {
 	vm := c.site.VMs[c.rng(len(c.site.VMs))]
-	call := Call{ID: fmt.Sprintf("r%06d", c.next.Add(1)), VM: vm.Name}
-	call.Path = kinds[c.rng(len(kinds))] + call.ID
+	call := Call{ID: fmt.Sprintf("r%06d", c.nextID.Add(1)), VM: vm.Name}
+	call.Path = pathPrefixes[c.rng(len(pathPrefixes))] + call.ID
 	c.send(c.client, vm, &call, "k0")
-	c.note(call)
+	c.record(call)
 }
 
-func (c *Callers) note(call Call) {
+func (c *Callers) record(call Call) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.calls = append(c.calls, call)
@@ -117,13 +117,13 @@
 			written.Store(time.Now().UnixNano())
 		}
 	}})
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+vm.Callers+call.Path, strings.NewReader("body of "+call.ID))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+vm.CallerAddress+call.Path, strings.NewReader("body of "+call.ID))
 	if err != nil {
-		call.Wrong = err.Error()
+		call.Mismatch = err.Error()
 		return
 	}
 	req.Host = host
-	// A body that can be had again would let the client send by itself once more.
+	// With GetBody set, the client could retry the request by itself.
 	req.GetBody = nil
 	req.Header.Set("Attempt-Id", call.ID)
 	req.Header.Set("Deadline-Ms", strconv.FormatInt(callTimeout.Milliseconds(), 10))
@@ -133,42 +133,42 @@
 	resp, err := client.Do(req)
 	call.Ended = time.Now()
 	if err != nil {
-		call.Failed = err
+		call.Err = err
 		return
 	}
 	defer resp.Body.Close()
 	call.Status = resp.StatusCode
 	if id := resp.Header.Get("Attempt-Id"); id != call.ID {
-		call.Wrong = "the answer is that to " + id
+		call.Mismatch = "the response has Attempt-Id " + id
 		return
 	}
 	if resp.StatusCode != http.StatusOK {
 		_, err := io.Copy(io.Discard, resp.Body)
-		call.Whole = err == nil
+		call.Complete = err == nil
 		return
 	}
-	c.read(call, resp)
+	c.checkResponse(call, resp)
 	call.Ended = time.Now()
 }
 
-func (c *Callers) read(call *Call, resp *http.Response) {
+func (c *Callers) checkResponse(call *Call, resp *http.Response) {
 	if resp.Header.Get("Response-Signature") == "" {
-		call.Wrong = "a success without a signature"
+		call.Mismatch = "status 200 without Response-Signature"
 		return
 	}
 	if !strings.HasPrefix(call.Path, "/stream/") {
 		body, err := io.ReadAll(resp.Body)
 		want := nursery.PlainAnswer(call.Path, []byte("body of "+call.ID))
-		call.Whole = err == nil
-		if call.Whole && string(body) != want {
-			call.Wrong = fmt.Sprintf("answer %q", body)
+		call.Complete = err == nil
+		if call.Complete && string(body) != want {
+			call.Mismatch = fmt.Sprintf("unexpected body %q", body)
 		}
 		return
 	}
-	c.readStream(call, resp.Body)
+	c.checkStream(call, resp.Body)
 }
 
-func (c *Callers) readStream(call *Call, body io.Reader) {
+func (c *Callers) checkStream(call *Call, body io.Reader) {
 	scanner := bufio.NewScanner(body)
 	last := 0
 	for scanner.Scan() {
@@ -178,12 +178,12 @@
 		}
 		last++
 		if want := nursery.EventText(call.Path, last); data != want {
-			call.Wrong = fmt.Sprintf("event %q where %q is due", data, want)
+			call.Mismatch = fmt.Sprintf("event %q, expected %q", data, want)
 			return
 		}
 	}
-	call.Whole = scanner.Err() == nil
-	if call.Whole && last != nursery.Events {
-		call.Wrong = fmt.Sprintf("a stream that looks whole has %d events", last)
+	call.Complete = scanner.Err() == nil
+	if call.Complete && last != nursery.Events {
+		call.Mismatch = fmt.Sprintf("complete stream has %d events, expected %d", last, nursery.Events)
 	}
 }
--- a/soak/calm_test.go
+++ b/soak/calm_test.go
@@ -5,54 +5,54 @@
 	"time"
 )
 
-// Nothing fails: VMs are stopped, started and told to read their settings again,
-// servers leave, configurations change, callers come in crowds, and engines stop
-// streams to read prompts and have no room for copies. Callers saw answers that
-// broke off, because a silent engine was taken for a lost one before another was
-// found to go on.
+// Runs planned work and load without faults: VMs stop, start and reload their
+// settings, servers drain, configurations change, load rises, and engines pause
+// their streams for prompts and have no memory for copies. Guards against streams
+// that broke off because a silent engine was treated as lost before another one
+// was found to resume them.
 func TestCalm(t *testing.T) {
-	playSeeds(t, func(seed uint64) Plan { return calmInSeries(usualSize(), seed, *length) })
+	runSeeds(t, func(seed uint64) Plan { return faultFreeInSeries(sizeFromFlags(), seed, *length) })
 }
 
-// The same with kinds of planned work that overlap.
+// The same as TestCalm with several kinds of planned work at a time.
 func TestCalmOverlapping(t *testing.T) {
-	playSeeds(t, func(seed uint64) Plan { return calmOverlapping(usualSize(), seed, *length) })
+	runSeeds(t, func(seed uint64) Plan { return faultFreeOverlapping(sizeFromFlags(), seed, *length) })
 }
 
-// A VM gets processor time for moments only. A caller uses a connection that it
-// has left idle for less than the limit; the VM closes it for idling, with the
-// request unread in it.
+// Guards against lost requests on idle connections: a VM that gets little CPU time
+// closed a connection as idle although the caller had sent a request on it within
+// the idle timeout, and the request was never read.
 func TestStarving(t *testing.T) {
-	playSeeds(t, func(seed uint64) Plan { return StarvingPlan(usualSize(), seed, *length) })
+	runSeeds(t, func(seed uint64) Plan { return CPUStarvationPlan(sizeFromFlags(), seed, *length) })
 }
 
-// lostSeeds have shown requests with neither an answer nor a refusal, as have 1
-// and 2 of each plan, which are the first that are played anyway.
-var lostSeeds = []struct {
+// lossSeeds are seeds with which requests got neither an answer nor a refusal. Seeds
+// 1 and 2 of each plan did so too; the tests above run them by default.
+var lossSeeds = []struct {
 	plan  func(Size, uint64, time.Duration) Plan
 	seeds []uint64
 	cause string
 }{
-	{calmInSeries, []uint64{3}, "an engine paused for a prompt, was taken for lost, and none had room to go on"},
-	{calmOverlapping, []uint64{4}, "the same, or the retry budget was spent on silent engines"},
-	{StarvingPlan, []uint64{6}, "an idle connection was closed with a request unread in it"},
+	{faultFreeInSeries, []uint64{3}, "an engine paused for a prompt was treated as lost, and no other had memory to resume its streams"},
+	{faultFreeOverlapping, []uint64{4}, "the same, or the retry budget was used up by silent engines"},
+	{CPUStarvationPlan, []uint64{6}, "an idle connection was closed with an unread request"},
 }
 
-// What has failed once is played again.
+// Repeats the seeds that lost requests before.
 func TestSeedsThatLostRequests(t *testing.T) {
 	var plans []Plan
-	for _, lost := range lostSeeds {
+	for _, lost := range lossSeeds {
 		for _, seed := range lost.seeds {
-			plans = append(plans, lost.plan(usualSize(), seed, *length))
+			plans = append(plans, lost.plan(sizeFromFlags(), seed, *length))
 		}
 	}
-	playBeside(t, plans)
+	runPlans(t, plans)
 }
 
-func calmInSeries(size Size, seed uint64, length time.Duration) Plan {
-	return CalmPlan(size, seed, length, false)
+func faultFreeInSeries(size Size, seed uint64, length time.Duration) Plan {
+	return FaultFreePlan(size, seed, length, false)
 }
 
-func calmOverlapping(size Size, seed uint64, length time.Duration) Plan {
-	return CalmPlan(size, seed, length, true)
+func faultFreeOverlapping(size Size, seed uint64, length time.Duration) Plan {
+	return FaultFreePlan(size, seed, length, true)
 }
--- a/soak/configuration.go
+++ b/soak/configuration.go
@@ -7,34 +7,34 @@
 	"time"
 )
 
-// Configuration is what the versions of a site's configuration differ in.
+// Configuration holds the values in which the versions of a site's configuration differ.
 type Configuration struct {
 	Keys  []string
-	Extra []string // paths of routes beyond the first ones
-	// StreamTimeout and PlainTimeout are what operators let callers wait at most.
+	Extra []string // path prefixes of additional routes
+	// StreamTimeout and PlainTimeout are the timeouts of the routes.
 	StreamTimeout, PlainTimeout time.Duration
-	// IdleTime bounds callers' idle connections; 0: nothing does.
-	IdleTime    time.Duration
-	Weights     [2]int // of the parts into which the idempotent route is split
+	// IdleTimeout limits how long callers' connections may be idle; 0 leaves it out.
+	IdleTimeout time.Duration
+	Weights     [2]int // of the two backends of the idempotent route
 	Priority    int    // of the organisation
-	BodyBytes   int    // that a request may have
-	Connections int    // that a server of the plain service takes
+	BodyBytes   int    // maximum size of a request body
+	Connections int    // maximum per server of the plain service
 }
 
-// Callers' requests are never ended before these, whatever the configuration.
+// No configuration has timeouts shorter than these.
 const (
-	leastStreamTimeout = 8 * time.Second
-	leastPlainTimeout  = 2 * time.Second
+	minStreamTimeout = 8 * time.Second
+	minPlainTimeout  = 2 * time.Second
 )
 
-func firstConfiguration() Configuration {
+func initialConfiguration() Configuration {
 	return Configuration{
-		Keys: []string{"k0", "k1"}, StreamTimeout: leastStreamTimeout, PlainTimeout: leastPlainTimeout,
+		Keys: []string{"k0", "k1"}, StreamTimeout: minStreamTimeout, PlainTimeout: minPlainTimeout,
 		Weights: [2]int{1, 0}, Priority: 1, BodyBytes: 1000000, Connections: 400,
 	}
 }
 
-// Configure writes the next version of the configuration, which change may alter first.
+// Configure applies change, if it is not nil, and writes the next version of the configuration to the store.
 func (s *Site) Configure(change func(*Configuration)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -42,17 +42,17 @@
 		change(&s.configuration)
 	}
 	s.version += 3
-	s.Store.Put("op", "config", []byte(s.configuration.text(s.version)))
+	s.Store.Put("op", "config", []byte(s.configuration.encode(s.version)))
 }
 
-// idleTime returns the limit that callers know.
-func (s *Site) idleTime() time.Duration {
+// idleTimeout returns the idle timeout of the newest configuration.
+func (s *Site) idleTimeout() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.configuration.IdleTime
+	return s.configuration.IdleTimeout
 }
 
-func (c *Configuration) text(version int) string {
+func (c *Configuration) encode(version int) string {
 	plain := fmt.Sprintf(`"timeoutMs":%d`, c.PlainTimeout.Milliseconds())
 	one := fmt.Sprintf(`"service":%q`, plainService)
 	split := fmt.Sprintf(`"backends":[{"service":%q,"weight":%d},{"service":%q,"weight":%d}]`, plainService, c.Weights[0], plainService, c.Weights[1])
@@ -66,8 +66,8 @@
 		routes = append(routes, route(fmt.Sprintf("extra-%d", i), path, "idempotent", one, `"maxAttempts":2,`+plain))
 	}
 	limits := fmt.Sprintf(`"maxBodyBytes":%d`, c.BodyBytes)
-	if c.IdleTime > 0 {
-		limits += fmt.Sprintf(`,"idleTimeoutMs":%d`, c.IdleTime.Milliseconds())
+	if c.IdleTimeout > 0 {
+		limits += fmt.Sprintf(`,"idleTimeoutMs":%d`, c.IdleTimeout.Milliseconds())
 	}
 	keys, _ := json.Marshal(c.Keys)
 	return fmt.Sprintf(`{"version":%d,"routes":[%s],"services":[{"name":%q,"healthPath":"/healthz","inferenceEngine":{"backups":true,"moves":true}},`+
--- a/soak/doc.go
+++ b/soak/doc.go
@@ -1,25 +1,26 @@
-// Package soak runs entry programs as processes on loopback and troubles them
-// from outside: connections through a proxy are delayed, reset, cut one way or
+// Package soak runs entry programs as processes on loopback and disrupts them from
+// outside: connections through a proxy are delayed, reset, cut in one direction or
 // silenced; processes are stopped, paused, killed and started by signals, or get
-// little processor time; backend servers crash and leave; the store is slow, away
-// or forgetful; configurations of each kind change; callers come in crowds. What
-// callers and backend servers see is held against the promises. A seed gives the
-// order of troubles.
+// little CPU time; backend servers crash and drain; the store is slow, unavailable
+// or loses its history; configurations of each kind change; load rises. The requests
+// that callers and backend servers recorded are then checked against pearyard's
+// guarantees. A seed determines the order of the disruptions.
 //
-// A run may be calm: planned work and load only, in series or overlapping. In any
-// span without a fault of a server, a link or a VM each request that was sent
-// whole is answered or refused, unless its time is up.
+// A plan may consist of planned work and load only, one disruption after another or
+// overlapping. While no server, link or VM has a fault, each request that was sent
+// completely is answered or refused before its deadline.
 //
-// Four things are played or checked so that a certain loss shows: an engine that
-// reads one stream's prompt makes no event for the others, its silence is taken
-// for its loss, the server that is to go on has no room, and an answer is given
-// up although nothing has failed.
-//   - Engines are bounded: with memory for all, and prompts read beside streams,
-//     none ever pauses or preempts, and none refuses a copy beside load.
-//   - A stream that breaks off counts as lost unless a fault may have touched it.
-//     Held only to what it has passed on, it may end anywhere though its engine lives.
-//   - Spans with planned work and load only are judged by themselves, and calm
-//     runs have nothing else: beside faults at all times each loss is excused.
-//   - Some callers leave their connections idle for most of the idle limit: those
-//     that use them all the time never meet it.
+// Four parts of the soak exist to expose one kind of loss: an engine that reads the
+// prompt of one stream makes no events for the others, its silence is taken for its
+// loss, the server that is to resume them has no memory, and the request is given up
+// although nothing has failed.
+//   - Engines have limits: with memory for all streams, and prompts read beside
+//     streams, none would pause or preempt, and none would refuse a copy under load.
+//   - A stream that breaks off counts as lost unless a fault may have affected it. A
+//     check of only the events that it passed on would let it end anywhere although
+//     its engine is alive.
+//   - Spans with planned work and load only are checked on their own, and fault-free
+//     plans have nothing else: with faults all the time, each loss would be excused.
+//   - Some callers leave their connections idle for most of the idle timeout: callers
+//     that use them all the time never reach it.
 package soak
--- /dev/null
+++ b/soak/planned_disruptions.go
@@ -0,0 +1,178 @@
+package soak
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"sync"
+	"syscall"
+	"time"
+
+	"github.com/pearyard/pearyard/standin/nursery"
+)
+
+// configurationChange is one kind of change of the configuration.
+type configurationChange struct {
+	name  string
+	apply func(*Configuration, *rand.Rand)
+}
+
+var configurationChanges = []configurationChange{
+	{"routes change", func(c *Configuration, rng *rand.Rand) {
+		c.Extra = append(c.Extra[:len(c.Extra)/2:len(c.Extra)/2], fmt.Sprintf("/extra%d/", rng.Uint32()))
+	}},
+	{"weights change", func(c *Configuration, rng *rand.Rand) { c.Weights = [2]int{1 + rng.IntN(9), rng.IntN(9)} }},
+	{"time-outs change", func(c *Configuration, rng *rand.Rand) {
+		c.StreamTimeout = minStreamTimeout + time.Duration(rng.IntN(3))*time.Second
+		c.PlainTimeout = minPlainTimeout + time.Duration(rng.IntN(3))*time.Second/2
+	}},
+	{"keys and priority change", func(c *Configuration, rng *rand.Rand) {
+		c.Keys, c.Priority = []string{"k0", fmt.Sprintf("k%d", 1+rng.IntN(9))}, rng.IntN(4)
+	}},
+	{"limits change", func(c *Configuration, rng *rand.Rand) {
+		c.BodyBytes, c.Connections = 10000+rng.IntN(1000000), 100+rng.IntN(300)
+	}},
+	{"idle limit changes", changeIdleTimeout},
+}
+
+// addedDisruptions were added after initialDisruptions: planned work of each kind,
+// load, and CPU starvation of VMs.
+var addedDisruptions = append(configurationDisruptions(), []Disruption{
+	{Name: "changes in quick succession", Kind: Planned, group: noGroup, run: func(s *Site, rng *rand.Rand, duration time.Duration) {
+		for end := time.Now().Add(duration); time.Now().Before(end); time.Sleep(quickChangeInterval) {
+			c := configurationChanges[rng.IntN(len(configurationChanges))]
+			s.Configure(func(to *Configuration) { c.apply(to, rng) })
+		}
+	}},
+	{Name: "load", Kind: Planned, group: noGroup, run: func(s *Site, _ *rand.Rand, duration time.Duration) {
+		ctx, cancel := context.WithTimeout(context.Background(), duration)
+		defer cancel()
+		s.callers.generateLoad(ctx, loadFactor*callersPerVM*s.size.VMs)
+	}},
+	{Name: "engines read long prompts in little memory", Kind: Planned, group: noGroup, run: func(s *Site, _ *rand.Rand, duration time.Duration) {
+		s.limitEngines(constrainedEngine)
+		time.Sleep(duration)
+		s.limitEngines(s.size.Engine)
+	}},
+	{Name: "server leaves and is replaced", Kind: Planned, run: func(s *Site, rng *rand.Rand, _ time.Duration) {
+		s.replaceServers(s.Servers[rng.IntN(len(s.Servers))])
+	}},
+	{Name: "half of the engines leave and are replaced", Kind: Planned, run: func(s *Site, _ *rand.Rand, _ time.Duration) {
+		s.replaceServers(s.Servers[:s.size.Models/2]...)
+	}},
+	{Name: "VMs all stopped in turn as planned", Kind: Planned, group: vmGroup, run: func(s *Site, _ *rand.Rand, _ time.Duration) {
+		var wg sync.WaitGroup
+		for _, vm := range s.VMs {
+			wg.Go(func() {
+				vm.terminate()
+				_ = vm.start()
+			})
+			time.Sleep(stopInterval)
+		}
+		wg.Wait()
+	}},
+	{Name: "VMs get little processor time while the idle limit changes", Kind: CPUStarvation, group: vmGroup, run: starveCPU},
+}...)
+
+func configurationDisruptions() []Disruption {
+	var disruptions []Disruption
+	for _, c := range configurationChanges {
+		disruptions = append(disruptions, Disruption{Name: c.name, Kind: Planned, group: noGroup, run: func(s *Site, rng *rand.Rand, _ time.Duration) {
+			s.Configure(func(to *Configuration) { c.apply(to, rng) })
+		}})
+	}
+	return disruptions
+}
+
+// PlannedDisruptions returns the disruptions that involve no fault.
+func PlannedDisruptions() []Disruption { return disruptionsOfKind(Planned) }
+
+// CPUStarvationDisruptions returns the disruptions that give VMs little CPU time.
+func CPUStarvationDisruptions() []Disruption { return disruptionsOfKind(CPUStarvation) }
+
+func disruptionsOfKind(kind Kind) []Disruption {
+	return slices.DeleteFunc(slices.Clone(Disruptions), func(t Disruption) bool { return t.Kind != kind })
+}
+
+const (
+	quickChangeInterval = 60 * time.Millisecond
+	loadFactor          = 2 // additional load, as a multiple of the usual callers
+	stopInterval        = 400 * time.Millisecond
+
+	// A draining server ends once it is idle, but not before minDrainTime. One that is
+	// still busy after maxDrainTime ends its drain and stays.
+	minDrainTime      = maxDrainDelay + 500*time.Millisecond
+	maxDrainTime      = 12 * time.Second
+	drainPollInterval = 20 * time.Millisecond
+
+	// Pauses of a VM that gets little CPU time. The VM would detect a pause of more
+	// than half a second as a freeze.
+	pauses     = 5
+	minVMPause = 200 * time.Millisecond
+	maxVMPause = 450 * time.Millisecond
+	maxVMRun   = 250 * time.Millisecond
+)
+
+// constrainedEngine has memory for three streams or copies, and pauses its streams for
+// a prompt as long as an engine that reads 700 to 5,000 tokens per second.
+var constrainedEngine = nursery.Engine{ReadLeast: 200 * time.Millisecond, ReadMost: 1500 * time.Millisecond, Memory: 3700}
+
+// idleTimeouts are the idle timeouts that configuration changes choose from.
+var idleTimeouts = []time.Duration{time.Second, 1500 * time.Millisecond, 2500 * time.Millisecond, 5 * time.Second}
+
+func changeIdleTimeout(c *Configuration, rng *rand.Rand) {
+	c.IdleTimeout = idleTimeouts[rng.IntN(len(idleTimeouts))]
+}
+
+// replaceServers drains servers, ends each once it is idle, and starts others at their
+// addresses.
+func (s *Site) replaceServers(servers ...*nursery.Server) {
+	left := time.Now()
+	for _, server := range servers {
+		server.Drain()
+	}
+	time.Sleep(minDrainTime)
+	for _, server := range servers {
+		for server.Busy() > 0 && time.Since(left) < maxDrainTime {
+			time.Sleep(drainPollInterval)
+		}
+		if server.Busy() > 0 {
+			server.Stay()
+			continue
+		}
+		server.Crash()
+		_ = server.Restart()
+	}
+}
+
+// starveCPU pauses all VMs repeatedly while the idle timeout is shortened and
+// lengthened.
+func starveCPU(s *Site, rng *rand.Rand, _ time.Duration) {
+	var wg sync.WaitGroup
+	for _, vm := range s.VMs {
+		own := rand.New(rand.NewPCG(rng.Uint64(), 0))
+		wg.Go(func() { vm.pauseRepeatedly(own) })
+	}
+	for n := range pauses {
+		s.Configure(func(c *Configuration) {
+			changeIdleTimeout(c, rng)
+			if n%2 == 1 {
+				c.IdleTimeout = idleTimeouts[0]
+			}
+		})
+		time.Sleep(maxVMPause)
+	}
+	wg.Wait()
+}
+
+// pauseRepeatedly pauses and resumes a VM several times.
+func (vm *VM) pauseRepeatedly(rng *rand.Rand) {
+	for range pauses {
+		vm.paused.Store(true)
+		vm.signal(syscall.SIGSTOP)
+		time.Sleep(minVMPause + time.Duration(rng.Int64N(int64(maxVMPause-minVMPause))))
+		vm.resume()
+		time.Sleep(time.Duration(rng.Int64N(int64(maxVMRun))))
+	}
+}
--- a/soak/ports.go
+++ b/soak/ports.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	// firstPort and portBlocks bound the ports that VMs listen on. They lie below those
-	// that the kernel gives to connections.
+	// firstPort and portBlocks determine the ports that VMs listen on. They lie below the
+	// kernel's range of ephemeral ports.
 	firstPort  = 20_000
 	portBlocks = 700
-	// peerPorts is how many ports a VM may use among VMs.
+	// peerPorts is the size of a VM's port range for traffic between VMs.
 	peerPorts = 10
-	// blockSize is that and one port each for callers and the platform's questions.
+	// blockSize adds one port for callers and one for readiness checks of the platform.
 	blockSize = peerPorts + 2
 )
 
-// portBlock is a range of ports that no other run on this machine uses. Each VM has an
-// address of its own, so all VMs of a site share one.
+// portBlock is a range of ports that no other run on this machine uses. All VMs of a
+// site share one block, since each has its own IP address.
 type portBlock struct {
 	first int
-	lock  *os.File // freed by the kernel when this process and all that inherit it have ended
+	lock  *os.File // the kernel releases it when this process and all that inherit it have ended
 }
 
-// takePorts takes a block that is free.
-func takePorts() (*portBlock, error) {
+// acquirePorts locks the first free block.
+func acquirePorts() (*portBlock, error) {
 	for i := range portBlocks {
 		block, err := lockBlock(i)
 		if err != nil {
@@ -38,15 +38,15 @@
 			return block, nil
 		}
 	}
-	return nil, errors.New("soak: all ports are taken by other runs")
+	return nil, errors.New("soak: all port blocks are in use by other runs")
 }
 
-// lockBlock returns nil if another run has the block.
+// lockBlock locks block i. It returns nil if another run holds it.
 func lockBlock(i int) (*portBlock, error) {
 	name := filepath.Join(os.TempDir(), fmt.Sprintf("pearyard-soak-ports-%d.lock", i))
 	file, err := os.OpenFile(name, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
-		return nil, errors.Wrap(err, "soak: ports")
+		return nil, errors.Wrap(err, "soak: lock port block")
 	}
 	err = syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
 	if err == nil {
@@ -56,15 +56,15 @@
 	if errors.Is(err, syscall.EWOULDBLOCK) {
 		return nil, nil
 	}
-	return nil, errors.Wrap(err, "soak: ports")
+	return nil, errors.Wrap(err, "soak: lock port block")
 }
 
-func (b *portBlock) peers() int   { return b.first }
-func (b *portBlock) callers() int { return b.first + peerPorts }
-func (b *portBlock) ready() int   { return b.first + peerPorts + 1 }
+func (b *portBlock) firstPeerPort() int { return b.first }
+func (b *portBlock) callerPort() int    { return b.first + peerPorts }
+func (b *portBlock) readyPort() int     { return b.first + peerPorts + 1 }
 
-// free lets another run have the block.
-func (b *portBlock) free() {
+// release makes the block available to other runs.
+func (b *portBlock) release() {
 	if b != nil {
 		_ = b.lock.Close()
 	}
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// Mode is what a proxy does with its connections.
+// Mode determines what a proxy does with its connections.
 type Mode int
 
 // Modes of a proxy.
 const (
 	Pass    Mode = iota
-	Delay        // everything comes late
-	Silence      // nothing passes, either way; connections stay open
-	OneWay       // nothing comes back
+	Delay        // data is delayed in both directions
+	Silence      // no data passes in either direction; connections stay open
+	OneWay       // no data passes from the target back to the client
 	Refuse       // connections are reset at once
 )
 
 const (
-	proxyDelay = 60 * time.Millisecond
-	proxyLook  = 5 * time.Millisecond
-	proxyBytes = 16 << 10
+	proxyDelay        = 60 * time.Millisecond
+	proxyPollInterval = 5 * time.Millisecond
+	proxyBufferSize   = 16 << 10
 )
 
-// Proxy stands before one address.
+// Proxy is a TCP proxy in front of one address that can disturb its connections.
 type Proxy struct {
 	Address  string
 	target   string
@@ -35,7 +35,7 @@
 	conns map[net.Conn]struct{}
 }
 
-// NewProxy starts a proxy to target.
+// NewProxy starts a proxy to target on a free port of loopback.
 func NewProxy(target string) (*Proxy, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -46,7 +46,7 @@
 	return p, nil
 }
 
-// Set changes the mode, for connections that exist too.
+// Set changes the mode, also for existing connections.
 func (p *Proxy) Set(m Mode) {
 	p.mu.Lock()
 	p.mode = m
@@ -56,7 +56,7 @@
 	}
 }
 
-// Reset breaks all connections.
+// Reset closes all connections with a TCP reset.
 func (p *Proxy) Reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -68,13 +68,13 @@
 	}
 }
 
-// Close ends the proxy.
+// Close stops listening and resets all connections.
 func (p *Proxy) Close() {
 	_ = p.listener.Close()
 	p.Reset()
 }
 
-func (p *Proxy) now() Mode {
+func (p *Proxy) currentMode() Mode {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.mode
@@ -91,9 +91,9 @@
 }
 
 func (p *Proxy) serve(in net.Conn) {
-	p.keep(in)
-	defer p.forget(in)
-	if p.now() == Refuse {
+	p.track(in)
+	defer p.untrack(in)
+	if p.currentMode() == Refuse {
 		_ = in.(*net.TCPConn).SetLinger(0)
 		return
 	}
@@ -102,8 +102,8 @@
 		_ = in.(*net.TCPConn).SetLinger(0)
 		return
 	}
-	p.keep(out)
-	defer p.forget(out)
+	p.track(out)
+	defer p.untrack(out)
 	done := make(chan struct{}, 2)
 	go p.copy(out, in, false, done)
 	go p.copy(in, out, true, done)
@@ -112,16 +112,16 @@
 
 func (p *Proxy) copy(to, from net.Conn, back bool, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
-	buf := make([]byte, proxyBytes)
+	buf := make([]byte, proxyBufferSize)
 	for {
 		n, err := from.Read(buf)
 		if err != nil {
 			return
 		}
-		for mode := p.now(); mode == Silence || (mode == OneWay && back); mode = p.now() {
-			time.Sleep(proxyLook)
+		for mode := p.currentMode(); mode == Silence || (mode == OneWay && back); mode = p.currentMode() {
+			time.Sleep(proxyPollInterval)
 		}
-		if p.now() == Delay {
+		if p.currentMode() == Delay {
 			time.Sleep(proxyDelay)
 		}
 		if _, err := to.Write(buf[:n]); err != nil {
@@ -130,13 +130,13 @@
 	}
 }
 
-func (p *Proxy) keep(c net.Conn) {
+func (p *Proxy) track(c net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.conns[c] = struct{}{}
 }
 
-func (p *Proxy) forget(c net.Conn) {
+func (p *Proxy) untrack(c net.Conn) {
 	p.mu.Lock()
 	delete(p.conns, c)
 	p.mu.Unlock()
--- a/soak/run.go
+++ b/soak/run.go
@@ -14,50 +14,50 @@
 )
 
 const (
-	callersOfAVM = 4
-	lanes        = 3 // troubles side by side
-	calmAtTheEnd = 3 * time.Second
-	shortestHold = 200 * time.Millisecond
-	longestHold  = 1500 * time.Millisecond
-	longestPause = 400 * time.Millisecond
+	callersPerVM = 4
+	defaultLanes = 3 // disruptions at a time, unless the plan says otherwise
+	settleTime   = 3 * time.Second
+	minDuration  = 200 * time.Millisecond
+	maxDuration  = 1500 * time.Millisecond
+	maxPause     = 400 * time.Millisecond
 )
 
-// Plan is what a run plays.
+// Plan describes a run.
 type Plan struct {
-	Size     Size
-	Seed     uint64
-	Troubles []Trouble
-	Length   time.Duration // for which troubles go on
-	Lanes    int           // troubles side by side; 0: the usual number
+	Size        Size
+	Seed        uint64
+	Disruptions []Disruption
+	Length      time.Duration // how long disruptions go on
+	Lanes       int           // disruptions at a time; 0 means defaultLanes
 }
 
-// Result is what a run has shown.
+// Result is the outcome of a run.
 type Result struct {
-	Seed   uint64
-	Calls  int
-	Served int
-	Judged int // calls for which nothing excused the lack of an answer
-	Broken []string
-	Story  []Span // troubles in their order
-	began  time.Time
+	Seed        uint64
+	Calls       int
+	Served      int
+	LossChecked int // calls that no fault excuses from being answered
+	Violations  []string
+	Timeline    []Span // disruptions by their start
+	start       time.Time
 }
 
-// String sums a run up.
+// String returns a one-line summary.
 func (r Result) String() string {
-	return fmt.Sprintf("seed %d: %d calls, %d served, %d judged beside planned work, %d troubles, %d promises broken",
-		r.Seed, r.Calls, r.Served, r.Judged, len(r.Story), len(r.Broken))
+	return fmt.Sprintf("seed %d: %d calls, %d served, %d checked for loss, %d disruptions, %d violations",
+		r.Seed, r.Calls, r.Served, r.LossChecked, len(r.Timeline), len(r.Violations))
 }
 
-// Told returns the troubles, a line each.
-func (r Result) Told() string {
+// FormatTimeline returns the disruptions, one per line.
+func (r Result) FormatTimeline() string {
 	var lines []string
-	for _, s := range r.Story {
-		lines = append(lines, s.since(r.began))
+	for _, s := range r.Timeline {
+		lines = append(lines, s.format(r.start))
 	}
 	return strings.Join(lines, "\n")
 }
 
-// Span is one trouble that was played.
+// Span is one disruption of a run.
 type Span struct {
 	Lane     int
 	Name     string
@@ -65,104 +65,106 @@
 	From, To time.Time
 }
 
-func (s Span) since(began time.Time) string {
+func (s Span) format(began time.Time) string {
 	return fmt.Sprintf("lane %d: %s from %.2f s to %.2f s", s.Lane, s.Name, s.From.Sub(began).Seconds(), s.To.Sub(began).Seconds())
 }
 
-// Run plays one seed of troubles, with settings and logs in dir.
+// Run starts a site with settings and logs in dir, runs the plan on it, and checks the outcome.
 func Run(dir string, plan Plan) (Result, error) {
 	site, err := NewSite(dir, plan.Size)
 	if err != nil {
 		return Result{}, err
 	}
 	defer site.Close()
-	result := Result{Seed: plan.Seed, began: time.Now()}
+	result := Result{Seed: plan.Seed, start: time.Now()}
 	callers := NewCallers(site)
 	site.callers = callers
 	ctx, stop := context.WithCancel(context.Background())
 	var calling sync.WaitGroup
 	calling.Go(func() { callers.Run(ctx) })
-	site.bound(plan.Size.Engine)
-	result.Story = trouble(site, plan)
-	site.bound(nursery.Engine{})
-	time.Sleep(calmAtTheEnd)
-	after := time.Now()
+	site.limitEngines(plan.Size.Engine)
+	result.Timeline = runDisruptions(site, plan)
+	site.limitEngines(nursery.Engine{})
+	time.Sleep(settleTime)
+	settled := time.Now()
 	time.Sleep(time.Second)
 	stop()
 	calling.Wait()
-	result.judge(site, callers.Calls(), after)
+	result.check(site, callers.Calls(), settled)
 	return result, nil
 }
 
-// judge holds what was seen against the promises.
-func (r *Result) judge(site *Site, calls []Call, after time.Time) {
+// check fills in the result. settled is when the site must have recovered.
+func (r *Result) check(site *Site, calls []Call, settled time.Time) {
 	runs := site.Cloud.Ledger.Runs()
 	r.Calls = len(calls)
-	r.Broken = Broken(calls, runs)
-	r.Broken = append(r.Broken, overBudget(calls, runs)...)
-	r.Broken = append(r.Broken, notRecovered(calls, after)...)
+	r.Violations = Violations(calls, runs)
+	r.Violations = append(r.Violations, retryBudgetViolations(calls, runs)...)
+	r.Violations = append(r.Violations, recoveryViolations(calls, settled)...)
 	for _, vm := range site.VMs {
-		if n := vm.ownEnds.Load(); n > 0 {
-			r.Broken = append(r.Broken, fmt.Sprintf("%s ended by itself %d times", vm.Name, n))
+		if n := vm.unexpectedExits.Load(); n > 0 {
+			r.Violations = append(r.Violations, fmt.Sprintf("%s exited unexpectedly %d times", vm.Name, n))
 		}
 	}
-	lost, judged := newLosses(site, r).among(calls)
-	r.Judged = judged
-	r.Broken = append(r.Broken, lost...)
+	lost, judged := newLossDetector(site, r).find(calls)
+	r.LossChecked = judged
+	r.Violations = append(r.Violations, lost...)
 	for _, c := range calls {
-		if c.Status == 200 && c.Whole {
+		if c.Status == 200 && c.Complete {
 			r.Served++
 		}
 	}
 }
 
-// notRecovered tells of calls that fail although everything is well again.
-func notRecovered(calls []Call, since time.Time) []string {
+// recoveryViolations checks that 90% of the calls sent after since are served: the site has
+// recovered from the disruptions.
+func recoveryViolations(calls []Call, since time.Time) []string {
 	sent, served := 0, 0
 	for _, c := range calls {
 		if c.Sent.Before(since) {
 			continue
 		}
 		sent++
-		if c.Status == 200 && c.Whole {
+		if c.Status == 200 && c.Complete {
 			served++
 		}
 	}
 	if sent == 0 || served*10 < sent*9 {
-		return []string{fmt.Sprintf("%d of %d calls served after the troubles", served, sent)}
+		return []string{fmt.Sprintf("%d of %d calls served after the disruptions", served, sent)}
 	}
 	return nil
 }
 
-// trouble plays troubles in some lanes side by side.
-func trouble(site *Site, plan Plan) []Span {
+// runDisruptions runs random disruptions of the plan, one at a time per lane, and returns
+// them by their start.
+func runDisruptions(site *Site, plan Plan) []Span {
 	var mu sync.Mutex
-	var story []Span
-	var turns [ofNone]sync.Mutex
+	var timeline []Span
+	var turns [noGroup]sync.Mutex
 	end := time.Now().Add(plan.Length)
 	var wg sync.WaitGroup
-	for lane := range cmp.Or(plan.Lanes, lanes) {
+	for lane := range cmp.Or(plan.Lanes, defaultLanes) {
 		rng := rand.New(rand.NewPCG(plan.Seed, uint64(lane)))
 		wg.Go(func() {
 			for time.Now().Before(end) {
-				t := plan.Troubles[rng.IntN(len(plan.Troubles))]
-				hold := shortestHold + time.Duration(rng.Int64N(int64(longestHold-shortestHold)))
-				if t.turn != ofNone {
-					turns[t.turn].Lock()
+				t := plan.Disruptions[rng.IntN(len(plan.Disruptions))]
+				duration := minDuration + time.Duration(rng.Int64N(int64(maxDuration-minDuration)))
+				if t.group != noGroup {
+					turns[t.group].Lock()
 				}
 				from := time.Now()
-				t.do(site, rng, hold)
+				t.run(site, rng, duration)
 				mu.Lock()
-				story = append(story, Span{Lane: lane, Name: t.Name, Kind: t.Kind, From: from, To: time.Now()})
+				timeline = append(timeline, Span{Lane: lane, Name: t.Name, Kind: t.Kind, From: from, To: time.Now()})
 				mu.Unlock()
-				if t.turn != ofNone {
-					turns[t.turn].Unlock()
+				if t.group != noGroup {
+					turns[t.group].Unlock()
 				}
-				time.Sleep(time.Duration(rng.Int64N(int64(longestPause))))
+				time.Sleep(time.Duration(rng.Int64N(int64(maxPause))))
 			}
 		})
 	}
 	wg.Wait()
-	slices.SortFunc(story, func(a, b Span) int { return a.From.Compare(b.From) })
-	return story
+	slices.SortFunc(timeline, func(a, b Span) int { return a.From.Compare(b.From) })
+	return timeline
 }
--- a/soak/site.go
+++ b/soak/site.go
@@ -8,38 +8,38 @@
 	"github.com/pearyard/pearyard/standin/nursery"
 )
 
-// Services and routes of the soak's site.
+// Host of the routes and names of the services of a site.
 const (
 	host         = "soak.example"
 	modelService = "llm"
 	plainService = "app"
 )
 
-// Size is how many of each there are in a site, and what they are like.
+// Size determines the numbers of processes, servers and callers of a site, and their limits.
 type Size struct {
-	VMs     int // processes of the entry program
-	Models  int // servers of the model service
-	Apps    int // servers of the plain service
-	Holders int // callers of a VM that leave their connection idle between requests
-	// Engine bounds the servers of the model service while troubles go on.
+	VMs         int // processes of the entry program
+	Models      int // servers of the model service
+	Apps        int // servers of the plain service
+	IdleCallers int // callers per VM that leave their connection idle between requests
+	// Engine limits the servers of the model service while disruptions go on.
 	Engine nursery.Engine
-	Grace  time.Duration // of a planned stop; 0: the shortest
+	Grace  time.Duration // grace period of a planned stop; 0 means minGrace
 }
 
-// DefaultSize is a site that fits beside other tests: each zone has an entry VM
-// and servers of both services.
+// DefaultSize is small enough to run beside other tests: each zone has an entry VM and
+// servers of both services.
 var DefaultSize = Size{VMs: 3, Models: 6, Apps: 3}
 
 func (s Size) grace() time.Duration {
 	if s.Grace > 0 {
 		return s.Grace
 	}
-	return shortestGrace
+	return minGrace
 }
 
 var zones = []string{"a", "b", "c"}
 
-// Site is entry VMs before stand-ins.
+// Site is a set of entry VMs with stand-ins for the store and the backend servers.
 type Site struct {
 	Store   *nursery.Store
 	Cloud   *nursery.Cloud
@@ -48,31 +48,30 @@
 	size    Size
 	callers *Callers
 	proxies map[*nursery.Server]*Proxy
-	ports   *portBlock // nil until VMs are laid out
+	ports   *portBlock // nil until the VMs are configured
 
 	mu            sync.Mutex
 	version       int
 	configuration Configuration
 }
 
-// NewSite starts a site; dir takes settings and logs.
+// NewSite starts a site and waits until its VMs are ready. Settings and logs are written to dir.
 func NewSite(dir string, size Size) (*Site, error) {
 	store, err := nursery.NewStore()
 	if err != nil {
 		return nil, err
 	}
-	s := &Site{Store: store, Cloud: nursery.NewCloud(store), size: size, proxies: map[*nursery.Server]*Proxy{}, configuration: firstConfiguration()}
+	s := &Site{Store: store, Cloud: nursery.NewCloud(store), size: size, proxies: map[*nursery.Server]*Proxy{}, configuration: initialConfiguration()}
 	s.Configure(nil)
-	if err := s.fill(dir); err != nil {
-		// What has been started is ended: left running, it would speak to the
-		// ports of later sites.
+	if err := s.startAll(dir); err != nil {
+		// Processes left running would send requests to the ports of later sites.
 		s.Close()
 		return nil, err
 	}
 	return s, nil
 }
 
-func (s *Site) fill(dir string) error {
+func (s *Site) startAll(dir string) error {
 	for i := range s.size.Models + s.size.Apps {
 		if err := s.addServer(i); err != nil {
 			return err
@@ -104,12 +103,12 @@
 
 func (s *Site) addVMs(dir string, n int) error {
 	var err error
-	if s.ports, err = takePorts(); err != nil {
+	if s.ports, err = acquirePorts(); err != nil {
 		return err
 	}
 	var seeds []string
 	for i := range min(n, 3) {
-		seeds = append(seeds, fmt.Sprintf("\"%s:%d\"", ipOf(i), s.ports.peers()+1))
+		seeds = append(seeds, fmt.Sprintf("\"%s:%d\"", ipOf(i), s.ports.firstPeerPort()+1))
 	}
 	for i := range n {
 		proxy, err := NewProxy(s.Store.Address)
@@ -133,21 +132,21 @@
 	return nil
 }
 
-// bound sets what bounds the engines of the model service.
-func (s *Site) bound(engine nursery.Engine) {
+// limitEngines sets the limits of the engines of the model service.
+func (s *Site) limitEngines(engine nursery.Engine) {
 	for _, server := range s.Servers[:s.size.Models] {
 		server.SetEngine(engine)
 	}
 }
 
-// Close ends every process that the site started, by its id.
+// Close ends every process that the site started, by its process id.
 func (s *Site) Close() {
 	for _, vm := range s.VMs {
 		if vm.paused.Load() {
 			vm.resume()
 		}
 		vm.kill()
-		vm.store.Close()
+		vm.storeProxy.Close()
 	}
 	for _, p := range s.proxies {
 		p.Close()
@@ -156,5 +155,5 @@
 		server.Crash()
 	}
 	s.Store.Close()
-	s.ports.free()
+	s.ports.release()
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -22,35 +22,35 @@
 )
 
 var (
-	seeds  = flag.Int("soak.seeds", 2, "how many seeds the soak plays")
-	first  = flag.Uint64("soak.first", 1, "the first seed; 0: by the time of day")
-	length = flag.Duration("soak.length", 4*time.Second, "how long troubles go on in a run")
-	beside = flag.Int("soak.beside", 2, "runs side by side")
-	vms    = flag.Int("soak.vms", DefaultSize.VMs, "entry programs of a run")
-	among  = flag.Int("soak.troubles", 0, "play only the first so many kinds of trouble, as a seed that failed had them; 0: all")
-	models = flag.Int("soak.models", DefaultSize.Models, "servers of the model service of a run")
+	seeds           = flag.Int("soak.seeds", 2, "number of seeds that each test runs")
+	firstSeed       = flag.Uint64("soak.first", 1, "first seed; 0: the current time")
+	length          = flag.Duration("soak.length", 4*time.Second, "how long disruptions go on in a run")
+	parallel        = flag.Int("soak.beside", 2, "number of runs at a time")
+	vms             = flag.Int("soak.vms", DefaultSize.VMs, "number of entry programs per run")
+	disruptionCount = flag.Int("soak.troubles", 0, "use only the first so many disruptions, to repeat a seed that failed before others were added; 0: all")
+	models          = flag.Int("soak.models", DefaultSize.Models, "number of servers of the model service per run")
 )
 
-// TestMain lets the test binary be the program that the soak starts.
+// TestMain runs the entry program instead of the tests if the soak started the binary.
 func TestMain(m *testing.M) {
-	if os.Getenv(Program) != "" {
+	if os.Getenv(ProgramVariable) != "" {
 		os.Exit(entry.Main(os.Args[:1], os.Stdout, os.Stderr))
 	}
 	os.Exit(m.Run())
 }
 
-// Whatever order of troubles a seed gives, no promise is broken, and when the
-// troubles are over callers are served again.
+// Whatever the order of the disruptions, no guarantee is violated, and callers are
+// served again when the disruptions are over.
 func TestSeeds(t *testing.T) {
-	playSeeds(t, func(seed uint64) Plan {
-		return Plan{Size: usualSize(), Seed: seed, Troubles: played(), Length: *length}
+	runSeeds(t, func(seed uint64) Plan {
+		return Plan{Size: sizeFromFlags(), Seed: seed, Disruptions: selectedDisruptions(), Length: *length}
 	})
 }
 
-// playSeeds plays the seeds that are asked for.
-func playSeeds(t *testing.T, plan func(seed uint64) Plan) {
+// runSeeds runs a plan for each seed that the flags select.
+func runSeeds(t *testing.T, plan func(seed uint64) Plan) {
 	t.Helper()
-	from := *first
+	from := *firstSeed
 	if from == 0 {
 		from = uint64(time.Now().UnixNano())
 	}
@@ -58,57 +58,58 @@
 	for i := range *seeds {
 		plans = append(plans, plan(from+uint64(i)))
 	}
-	playBeside(t, plans)
+	runPlans(t, plans)
 }
 
-// playBeside plays some plans at a time.
-func playBeside(t *testing.T, plans []Plan) {
+// runPlans runs plans, as many at a time as the flag says.
+func runPlans(t *testing.T, plans []Plan) {
 	t.Helper()
-	slots := make(chan struct{}, *beside)
+	slots := make(chan struct{}, *parallel)
 	var wg sync.WaitGroup
 	for _, plan := range plans {
 		slots <- struct{}{}
 		wg.Go(func() {
 			defer func() { <-slots }()
-			playPlan(t, plan)
+			runPlan(t, plan)
 		})
 	}
 	wg.Wait()
 }
 
-// played returns the kinds of trouble that are asked for.
-func played() []Trouble {
-	if *among > 0 {
-		return Troubles[:min(*among, len(Troubles))]
+// selectedDisruptions returns the disruptions that the flag selects.
+func selectedDisruptions() []Disruption {
+	if *disruptionCount > 0 {
+		return Disruptions[:min(*disruptionCount, len(Disruptions))]
 	}
-	return Troubles
+	return Disruptions
 }
 
-// failedSeeds have failed once, by the number of troubles that there were then.
-// 123: a process got SIGHUP within its first moments and died of it; the soak
-// did not start it again as the platform does.
+// failedSeeds are seeds that failed before, with the number of disruptions that existed
+// at the time.
+// 123: SIGHUP ended a process right after its start, and the soak did not restart it
+// as the platform does.
 // 1796264925035525842: the same, and its VM was started twice.
-// By hand, with 200 entry programs: 1796252378654122658 (-soak.troubles 18
-// -soak.beside 1 -soak.vms 200 -soak.models 90 -soak.length 12s): all VMs were
-// killed in a mass loss and used their fixed retries twice in ten seconds.
+// Only by hand, with 200 entry programs: 1796252378654122658 (-soak.troubles 18
+// -soak.beside 1 -soak.vms 200 -soak.models 90 -soak.length 12s): all VMs were killed
+// during the loss of many servers and used their fixed retries twice in ten seconds.
 var failedSeeds = map[uint64]int{123: 16, 1796264925035525842: 33}
 
-// What has failed once is played again.
+// Repeats the seeds that failed before.
 func TestSeedsThatFailedOnce(t *testing.T) {
 	var plans []Plan
 	for seed, kinds := range failedSeeds {
-		plans = append(plans, Plan{Size: usualSize(), Seed: seed, Troubles: Troubles[:kinds], Length: *length})
+		plans = append(plans, Plan{Size: sizeFromFlags(), Seed: seed, Disruptions: Disruptions[:kinds], Length: *length})
 	}
-	playBeside(t, plans)
+	runPlans(t, plans)
 }
 
-func usualSize() Size {
+func sizeFromFlags() Size {
 	size := DefaultSize
 	size.VMs, size.Models = *vms, *models
 	return size
 }
 
-func playPlan(t *testing.T, plan Plan) {
+func runPlan(t *testing.T, plan Plan) {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "soak")
 	if err != nil {
@@ -121,58 +122,58 @@
 		return
 	}
 	t.Log(result)
-	if len(result.Broken) == 0 {
+	if len(result.Violations) == 0 {
 		_ = os.RemoveAll(dir)
 		return
 	}
-	t.Errorf("%v; logs in %s\n%s\n%s", result, dir, strings.Join(result.Broken[:min(10, len(result.Broken))], "\n"), result.Told())
+	t.Errorf("%v; logs in %s\n%s\n%s", result, dir, strings.Join(result.Violations[:min(10, len(result.Violations))], "\n"), result.FormatTimeline())
 }
 
-// Guards against programs of one run, or of runs beside each other, that are told to
-// listen on the same port.
+// Guards against programs of one run, or of concurrent runs, that get the same port to
+// listen on.
 func TestPortsDiffer(t *testing.T) {
 	g := gomega.NewWithT(t)
 	seen := map[int]bool{}
 	var blocks []*portBlock
 	for range 20 {
-		block, err := takePorts()
+		block, err := acquirePorts()
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		blocks = append(blocks, block)
-		ports := []int{block.callers(), block.ready()}
+		ports := []int{block.callerPort(), block.readyPort()}
 		for i := range peerPorts {
-			ports = append(ports, block.peers()+i)
+			ports = append(ports, block.firstPeerPort()+i)
 		}
 		for _, port := range ports {
 			g.Expect(seen[port]).To(gomega.BeFalse(), "%d", port)
 			seen[port] = true
 			listener, err := net.Listen("tcp4", fmt.Sprintf("127.0.0.1:%d", port))
-			g.Expect(err).NotTo(gomega.HaveOccurred(), "no connection has it")
+			g.Expect(err).NotTo(gomega.HaveOccurred(), "the port is not in use by a connection")
 			_ = listener.Close()
 		}
 	}
-	blocks[3].free()
-	again, err := takePorts()
+	blocks[3].release()
+	again, err := acquirePorts()
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(again.first).To(gomega.BeNumerically("<=", blocks[3].first), "what is given back is taken again")
-	again.free()
+	g.Expect(again.first).To(gomega.BeNumerically("<=", blocks[3].first), "a released block is acquired again")
+	again.release()
 	for i, block := range blocks {
 		if i != 3 {
-			block.free()
+			block.release()
 		}
 	}
 }
 
-// Guards against ports that are given to the next run while a program of a run that was
-// killed still listens on them.
+// Guards against a run that gets the ports on which a program of an earlier run, which
+// was killed, still listens.
 func TestPortsAreTakenWhileAProgramHasThem(t *testing.T) {
 	g := gomega.NewWithT(t)
-	block, err := takePorts()
+	block, err := acquirePorts()
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	program := exec.Command("sleep", "60")
 	program.ExtraFiles = []*os.File{block.lock}
 	g.Expect(program.Start()).To(gomega.Succeed())
 	i := (block.first - firstPort) / blockSize
-	block.free()
+	block.release()
 	again, err := lockBlock(i)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(again).To(gomega.BeNil())
@@ -181,29 +182,29 @@
 	again, err = lockBlock(i)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(again).NotTo(gomega.BeNil())
-	again.free()
+	again.release()
 }
 
-// A site of 200 could not begin because one program did not get ready, and the
-// other 199 were left running: they spoke to the ports of the next run, whose
-// servers saw requests that nobody had sent.
+// Guards against processes left behind by a site that fails to start: one of 200
+// programs did not become ready, and the other 199 kept running and sent requests to
+// the ports of the next run, whose servers saw requests that no caller had sent.
 func TestSiteThatDoesNotBeginLeavesNothingBehind(t *testing.T) {
 	g := gomega.NewWithT(t)
 	site, err := NewSite(filepath.Join(t.TempDir(), "none"), DefaultSize)
 	g.Expect(err).To(gomega.HaveOccurred())
 	g.Expect(site).To(gomega.BeNil())
 
-	// The last VM's settings can't be written: a folder has their name.
+	// The settings of the last VM can't be written: a directory has the name of the file.
 	dir := t.TempDir()
 	last := fmt.Sprintf("edge-%d.yaml", DefaultSize.VMs-1)
 	g.Expect(os.Mkdir(filepath.Join(dir, last), 0o700)).To(gomega.Succeed())
 	_, err = NewSite(dir, DefaultSize)
 	g.Expect(err).To(gomega.HaveOccurred())
-	g.Expect(children(t)).To(gomega.BeEmpty())
+	g.Expect(childPIDs(t)).To(gomega.BeEmpty())
 }
 
-// children returns the ids of the processes that this one has started and that run.
-func children(t *testing.T) []string {
+// childPIDs returns the process ids of the running children of this process.
+func childPIDs(t *testing.T) []string {
 	t.Helper()
 	g := gomega.NewWithT(t)
 	lists, err := filepath.Glob("/proc/self/task/*/children")
@@ -218,8 +219,8 @@
 	return ids
 }
 
-// A process that the soak had ended counted as one that ended by itself: it was
-// judged only when its VM had been started again, and that is no longer meant.
+// Guards against counting a process that the soak ended as one that ended by itself:
+// the flag was read only after the VM had been started again, which resets it.
 func TestEndThatIsMeantIsNoOwnEnd(t *testing.T) {
 	g := gomega.NewWithT(t)
 	site := newSite(t, 1)
@@ -228,13 +229,13 @@
 		g.Expect(site.VMs[0].start()).To(gomega.Succeed())
 	}
 	time.Sleep(2 * restartDelay)
-	g.Expect(site.VMs[0].ownEnds.Load()).To(gomega.BeZero())
+	g.Expect(site.VMs[0].unexpectedExits.Load()).To(gomega.BeZero())
 }
 
-// A process ended by itself, in its first moments by a signal, and just then its
-// VM was stopped as planned and started. It was started twice: the second process
-// found its ports taken and ended, 106 times, and the first was left running when
-// the site had closed.
+// Guards against two processes of one VM. A signal ended a process right after its
+// start, and at the same time its VM was stopped as planned and started again. It was
+// started twice: the second process found its ports in use and ended, 106 times, and
+// the first kept running after the site had closed.
 func TestVMHasOneProcess(t *testing.T) {
 	g := gomega.NewWithT(t)
 	site := newSite(t, 1)
@@ -245,16 +246,16 @@
 	vm.terminate()
 	g.Expect(vm.start()).To(gomega.Succeed())
 	time.Sleep(2 * restartDelay)
-	g.Expect(children(t)).To(gomega.HaveLen(1))
-	g.Expect(vm.ownEnds.Load()).To(gomega.BeEquivalentTo(1))
+	g.Expect(childPIDs(t)).To(gomega.HaveLen(1))
+	g.Expect(vm.unexpectedExits.Load()).To(gomega.BeEquivalentTo(1))
 
-	// The same when the site closes before the process is started again.
+	// The same if the site closes before the process is restarted.
 	_, done = vm.process()
 	vm.signal(syscall.SIGKILL)
 	<-done
 	site.Close()
 	time.Sleep(2 * restartDelay)
-	g.Expect(children(t)).To(gomega.BeEmpty())
+	g.Expect(childPIDs(t)).To(gomega.BeEmpty())
 }
 
 func newSite(t *testing.T, vms int) *Site {
@@ -269,7 +270,7 @@
 	return site
 }
 
-// sendTo sends one request with a key and returns what became of it.
+// sendTo sends one request with an API key and returns the call.
 func sendTo(site *Site, vm *VM, path, key string) Call {
 	c := Call{ID: strings.TrimLeft(path[strings.LastIndexByte(path, '/'):], "/"), Path: path, VM: vm.Name}
 	callers := NewCallers(site)
@@ -278,8 +279,8 @@
 	return c
 }
 
-// The whole path as processes: a stream outlives its server, a planned stop
-// cuts nothing, and a change of the configuration is in force in time.
+// End to end with processes: a stream outlives its server, a planned stop cuts no
+// stream, and a configuration change takes effect within two seconds.
 func TestWholePath(t *testing.T) {
 	g := gomega.NewWithT(t)
 	site := newSite(t, 2)
@@ -296,26 +297,26 @@
 		}
 	}
 	call := <-running
-	g.Expect(call.Wrong).To(gomega.BeEmpty())
-	g.Expect(call.Whole).To(gomega.BeTrue())
+	g.Expect(call.Mismatch).To(gomega.BeEmpty())
+	g.Expect(call.Complete).To(gomega.BeTrue())
 	g.Expect(site.Cloud.Ledger.Runs()).To(gomega.HaveLen(2))
 
-	// A planned stop cuts nothing.
+	// A planned stop cuts no stream.
 	go func() { running <- sendTo(site, site.VMs[1], "/stream/s2", "k0") }()
 	g.Eventually(site.Cloud.Ledger.Runs, "5s", "5ms").Should(gomega.HaveLen(3))
 	site.VMs[1].terminate()
 	call = <-running
-	g.Expect(call.Whole && call.Wrong == "").To(gomega.BeTrue(), "%+v", call)
+	g.Expect(call.Complete && call.Mismatch == "").To(gomega.BeTrue(), "%+v", call)
 
-	// A new route and a revoked key are in force in time.
+	// A new route and a revoked key take effect within two seconds.
 	site.Configure(func(c *Configuration) { c.Keys, c.Extra = []string{"k1"}, []string{"/extra/"} })
 	time.Sleep(2 * time.Second)
 	g.Expect(sendTo(site, site.VMs[0], "/any/c1", "k0").Status).To(gomega.Equal(401))
 	g.Expect(sendTo(site, site.VMs[0], "/extra/c2", "k1").Status).To(gomega.Equal(200))
 	g.Expect(sendTo(site, site.VMs[0], "/none/c3", "k1").Status).To(gomega.Equal(404))
 
-	// The metrics tell of it.
-	resp, err := http.Get("http://" + site.VMs[0].peers + "/metrics")
+	// The metrics count it.
+	resp, err := http.Get("http://" + site.VMs[0].peerAddress + "/metrics")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	defer resp.Body.Close()
 	metrics, err := io.ReadAll(resp.Body)
@@ -328,14 +329,14 @@
 	}
 }
 
-// All servers of a service crash at once; their callers find that nobody listens.
-// Half a second later they run again under the ids that they had. Entry VMs held
-// those ids for ended for good, and callers were refused as long as the servers ran.
+// All servers crash at once, and connections to them are refused. Half a second later
+// they run again under the same ids. Guards against entry VMs that take those ids as
+// ended for good: callers were refused as long as the servers ran.
 func TestServersThatStartAgainUnderTheirIDs(t *testing.T) {
 	g := gomega.NewWithT(t)
 	site := newSite(t, 2)
 	for _, server := range site.Servers {
-		// A proxy in front would take connections for a server that has ended.
+		// A proxy in front would accept connections for a server that has ended.
 		server.Address = site.proxies[server].target
 		server.Crash()
 		g.Expect(server.Restart()).To(gomega.Succeed())
@@ -361,7 +362,7 @@
 	g.Eventually(served, "2s", "50ms").Should(gomega.Equal(200))
 	g.Expect(site.Servers[0].ID()).To(gomega.Equal(ids))
 
-	// The same while nobody can read the list.
+	// The same while the store is unavailable, so that the list of servers can't be read.
 	time.Sleep(time.Second)
 	site.Store.SetFault(nursery.StoreBusy)
 	time.Sleep(3 * time.Second)
@@ -370,8 +371,7 @@
 	g.Eventually(served, "1900ms", "50ms").Should(gomega.Equal(200))
 }
 
-// A server says that it leaves. Seconds later nothing new reaches it, however
-// busy the site is.
+// A draining server gets no new requests after maxDrainDelay, under continuous load.
 func TestLeavingServerGetsNothing(t *testing.T) {
 	g := gomega.NewWithT(t)
 	site := newSite(t, 2)
@@ -379,8 +379,8 @@
 	id := leaving.ID()
 	left := time.Now()
 	leaving.Drain()
-	for n := 0; time.Since(left) < leaveWithin+time.Second; n++ {
+	for n := 0; time.Since(left) < maxDrainDelay+time.Second; n++ {
 		sendTo(site, site.VMs[n%2], "/stream/l"+string(rune('a'+n%26))+time.Now().Format("150405.000000"), "k0")
 	}
-	g.Expect(Late(site.Cloud.Ledger.Arrivals(), id, left)).To(gomega.BeEmpty())
+	g.Expect(LateArrivals(site.Cloud.Ledger.Arrivals(), id, left)).To(gomega.BeEmpty())
 }
--- a/soak/stop_test.go
+++ b/soak/stop_test.go
@@ -7,25 +7,26 @@
 	"github.com/onsi/gomega"
 )
 
-// A VM is being stopped. Its streams have taken 0.4 s so far; now the engines are
-// slow, so that one that still runs keeps the process up, and it takes another
-// one, 4.4 s into its stop, by the time that streams took before. That one is cut
-// in its middle when the grace period ends; refused, it would have gone elsewhere.
-// By hand, where luck decides: -run TestCalmOverlapping -soak.seeds 1
+// Guards against streams cut by the end of a stop. A VM is being stopped. Its streams
+// have taken 0.4 s so far; now the engines are slow, so that a running stream keeps the
+// process up, and it accepts another one 4.4 s into the stop because it expects streams
+// to take as long as before. That one was cut when the grace period ended; after a
+// refusal it would have gone to another server.
+// By hand, where it depends on timing: -run TestCalmOverlapping -soak.seeds 1
 // -soak.first 1796267060955430510.
 func TestStreamTakenLateInAStopIsWhole(t *testing.T) {
 	g := gomega.NewWithT(t)
 	size := DefaultSize
-	size.VMs, size.Grace = 1, calmGrace
+	size.VMs, size.Grace = 1, faultFreeGrace
 	site, err := NewSite(t.TempDir(), size)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	t.Cleanup(site.Close)
 	vm := site.VMs[0]
 	for _, id := range []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j"} {
-		g.Expect(sendTo(site, vm, "/stream/"+id, "k0").Whole).To(gomega.BeTrue())
+		g.Expect(sendTo(site, vm, "/stream/"+id, "k0").Complete).To(gomega.BeTrue())
 	}
 	for _, server := range site.Servers[:size.Models] {
-		server.EventGap.Store(int64(slowEvents))
+		server.EventGap.Store(int64(slowEventGap))
 	}
 	stopped := make(chan struct{})
 	go func() {
@@ -36,9 +37,9 @@
 	go sendTo(site, vm, "/stream/running", "k0")
 	time.Sleep(2000 * time.Millisecond)
 	late := sendTo(site, vm, "/stream/late", "k0")
-	g.Expect(late.Whole).To(gomega.BeTrue(), "%+v", late)
+	g.Expect(late.Complete).To(gomega.BeTrue(), "%+v", late)
 	<-stopped
 }
 
-// slowEvents make a stream last six seconds.
-const slowEvents = 150 * time.Millisecond
+// slowEventGap makes a stream last six seconds.
+const slowEventGap = 150 * time.Millisecond
--- a/soak/vm.go
+++ b/soak/vm.go
@@ -16,71 +16,72 @@
 )
 
 const (
-	// Program is the variable that makes the test binary run as the entry program.
-	Program = "PEARYARD_SOAK_PROGRAM"
+	// ProgramVariable is the environment variable that makes the test binary run as the
+	// entry program.
+	ProgramVariable = "PEARYARD_SOAK_PROGRAM"
 
-	shortestGrace = 3 * time.Second
-	startTimeout  = 10 * time.Second
-	readyLook     = 20 * time.Millisecond
+	minGrace          = 3 * time.Second
+	startTimeout      = 10 * time.Second
+	readyPollInterval = 20 * time.Millisecond
 )
 
-// VM is an entry VM: one process and its addresses.
+// VM is an entry VM: one process of the entry program, its addresses and its lifecycle.
 type VM struct {
-	Name    string
-	IP      string
-	Callers string
-	ready   string
-	peers   string
-	dir     string
-	store   *Proxy // this VM's way to the store
-	ports   *portBlock
-	grace   time.Duration // of a planned stop
-
-	// life orders starts and ends: a VM has one process at a time, and none once its
-	// site has closed.
-	life    sync.Mutex
-	mu      sync.Mutex // guards cmd, done and stops
-	cmd     *exec.Cmd
-	done    chan struct{}
-	stops   []time.Time // when planned stops began
-	meant   atomic.Bool // the process that runs is being ended by the soak
-	paused  atomic.Bool
-	started atomic.Int64 // Unix nanoseconds
-	hup     atomic.Int64 // of the newest SIGHUP
-	ownEnds atomic.Int64 // processes that ended by themselves
+	Name          string
+	IP            string
+	CallerAddress string
+	readyAddress  string
+	peerAddress   string
+	dir           string
+	storeProxy    *Proxy // in front of the store, for this VM only
+	ports         *portBlock
+	grace         time.Duration // grace period of a planned stop
+
+	// lifecycle serializes starts and ends: a VM has one process at a time, and none once
+	// its site has closed.
+	lifecycle       sync.Mutex
+	mu              sync.Mutex // guards cmd, done and plannedStops
+	cmd             *exec.Cmd
+	done            chan struct{}
+	plannedStops    []time.Time // when they began
+	endRequested    atomic.Bool // the soak is ending the running process
+	paused          atomic.Bool
+	startedAt       atomic.Int64 // Unix nanoseconds
+	lastHUP         atomic.Int64 // time of the newest SIGHUP, in Unix nanoseconds
+	unexpectedExits atomic.Int64 // processes that ended without the soak ending them
 }
 
-// newVM lays out a VM; the ports are the same on all.
+// newVM writes the settings of a VM. All VMs use the same ports, each on its own IP address.
 func newVM(dir string, n int, zone string, ports *portBlock, seeds []string, store *Proxy, grace time.Duration) (*VM, error) {
-	vm := &VM{Name: fmt.Sprintf("edge-%d", n), IP: ipOf(n), dir: dir, store: store, ports: ports, grace: grace}
+	vm := &VM{Name: fmt.Sprintf("edge-%d", n), IP: ipOf(n), dir: dir, storeProxy: store, ports: ports, grace: grace}
 	at := func(port int) string { return fmt.Sprintf("%s:%d", vm.IP, port) }
-	vm.Callers, vm.ready, vm.peers = at(ports.callers()), at(ports.ready()), at(ports.peers())
+	vm.CallerAddress, vm.readyAddress, vm.peerAddress = at(ports.callerPort()), at(ports.readyPort()), at(ports.firstPeerPort())
 	settings := fmt.Sprintf(`{nodeName: %q, ip: %q, zone: %q, listen: {frontend: %q, ready: %q}, internalPortRange: [%d, %d], seedNodes: [%s],
 limits: {memoryMb: 134}, heartbeatMs: 1200, platform: {address: %q, readsPerS: 2000, writesPerS: 400},
 bounds: {drainTimeoutMs: 2000, gracePeriodS: %v, configApplyMs: 2000, addressReuseS: 2, retryBudgetRatio: %v, retryWindowS: %v, retryMinExtra: %d}}
-`, vm.Name, vm.IP, zone, vm.Callers, vm.ready, ports.peers(), ports.peers()+peerPorts-1, strings.Join(seeds, ", "), store.Address, grace.Seconds(),
+`, vm.Name, vm.IP, zone, vm.CallerAddress, vm.readyAddress, ports.firstPeerPort(), ports.firstPeerPort()+peerPorts-1, strings.Join(seeds, ", "), store.Address, grace.Seconds(),
 		retryRatio, retryWindow.Seconds(), retryExtra)
-	return vm, os.WriteFile(vm.settings(), []byte(settings), 0o600)
+	return vm, os.WriteFile(vm.settingsPath(), []byte(settings), 0o600)
 }
 
-// ipOf gives each VM an address of its own on loopback: peers share one port.
-func ipOf(n int) string { return fmt.Sprintf("127.0.%d.%d", n/ipsOfANet, 10+n%ipsOfANet) }
+// ipOf returns the loopback address of VM n. Each VM has its own since peers share one port.
+func ipOf(n int) string { return fmt.Sprintf("127.0.%d.%d", n/ipsPerSubnet, 10+n%ipsPerSubnet) }
 
-const ipsOfANet = 200
+const ipsPerSubnet = 200
 
-func (vm *VM) settings() string { return filepath.Join(vm.dir, vm.Name+".yaml") }
-func (vm *VM) log() string      { return filepath.Join(vm.dir, vm.Name+".log") }
+func (vm *VM) settingsPath() string { return filepath.Join(vm.dir, vm.Name+".yaml") }
+func (vm *VM) logPath() string      { return filepath.Join(vm.dir, vm.Name+".log") }
 
-// start runs the program, unless it runs. As the platform does, it starts a
-// process again that ends by itself.
+// start runs the program unless it is running. Like the platform, it restarts a process
+// that ends by itself.
 func (vm *VM) start() error {
-	vm.life.Lock()
-	defer vm.life.Unlock()
+	vm.lifecycle.Lock()
+	defer vm.lifecycle.Unlock()
 	return vm.startLocked()
 }
 
 func (vm *VM) startLocked() error {
-	vm.meant.Store(false)
+	vm.endRequested.Store(false)
 	if _, done := vm.process(); done != nil && !isClosed(done) {
 		return nil
 	}
@@ -88,50 +89,53 @@
 	if err != nil {
 		return err
 	}
-	log, err := os.OpenFile(vm.log(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	log, err := os.OpenFile(vm.logPath(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
 	defer log.Close()
 	cmd := exec.Command(binary)
-	cmd.Env = append(os.Environ(), Program+"=1", "PEARYARD_SETTINGS="+vm.settings())
+	cmd.Env = append(os.Environ(), ProgramVariable+"=1", "PEARYARD_SETTINGS="+vm.settingsPath())
 	cmd.Stdout, cmd.Stderr = log, log
-	cmd.ExtraFiles = []*os.File{vm.ports.lock} // also if this process is killed, the block is taken until the program ends
+	cmd.ExtraFiles = []*os.File{vm.ports.lock} // keeps the block locked until the program ends, even if this process is killed
 	if err := cmd.Start(); err != nil {
-		return errors.Wrap(err, "soak: start")
+		return errors.Wrap(err, "soak: start entry program")
 	}
 	done := make(chan struct{})
 	vm.mu.Lock()
 	vm.cmd, vm.done = cmd, done
 	vm.mu.Unlock()
-	vm.started.Store(time.Now().UnixNano())
+	vm.startedAt.Store(time.Now().UnixNano())
 	go vm.reap(cmd, done)
 	return nil
 }
 
 const (
-	// restartDelay is that of the platform for a process that ended by itself.
+	// restartDelay is the delay after which a process that ended by itself is restarted,
+	// the same as on the platform.
 	restartDelay = 200 * time.Millisecond
-	// hupGrace: a signal in a process's first moments ends it before any of its
-	// own code runs. That is the system's doing, not the program's.
+	// hupGrace is how long after its start SIGHUP may end a process: before any of its
+	// own code runs, the default action of the signal applies. That is no fault of the
+	// program.
 	hupGrace = 300 * time.Millisecond
 )
 
 func (vm *VM) reap(cmd *exec.Cmd, done chan struct{}) {
 	_ = cmd.Wait()
-	// Whoever waits for done may start the VM anew, and then nothing is meant.
-	meant := vm.meant.Load()
+	// Read before done is closed: whoever waits for done may start the VM again, which
+	// resets the flag.
+	requested := vm.endRequested.Load()
 	close(done)
-	if meant {
+	if requested {
 		return
 	}
-	if early := vm.hup.Load() - vm.started.Load(); early < 0 || early > int64(hupGrace) {
-		vm.ownEnds.Add(1)
+	if early := vm.lastHUP.Load() - vm.startedAt.Load(); early < 0 || early > int64(hupGrace) {
+		vm.unexpectedExits.Add(1)
 	}
 	time.Sleep(restartDelay)
-	vm.life.Lock()
-	defer vm.life.Unlock()
-	if !vm.meant.Load() {
+	vm.lifecycle.Lock()
+	defer vm.lifecycle.Unlock()
+	if !vm.endRequested.Load() {
 		_ = vm.startLocked()
 	}
 }
@@ -145,25 +149,25 @@
 	}
 }
 
-// mean notes that the soak ends the process that runs, if any does. No other is
-// started until start is called.
-func (vm *VM) mean() {
-	vm.life.Lock()
-	defer vm.life.Unlock()
-	vm.meant.Store(true)
+// requestEnd records that the soak ends the running process, if there is one. No other
+// is started until start is called.
+func (vm *VM) requestEnd() {
+	vm.lifecycle.Lock()
+	defer vm.lifecycle.Unlock()
+	vm.endRequested.Store(true)
 }
 
-// process returns what runs and the channel that its end closes.
+// process returns the newest process and the channel that is closed when it ends.
 func (vm *VM) process() (*exec.Cmd, chan struct{}) {
 	vm.mu.Lock()
 	defer vm.mu.Unlock()
 	return vm.cmd, vm.done
 }
 
-// isReady asks as the platform does.
+// isReady sends the readiness check of the platform.
 func (vm *VM) isReady() bool {
 	client := http.Client{Timeout: 500 * time.Millisecond}
-	resp, err := client.Get("http://" + vm.ready + "/pearyard/readyz")
+	resp, err := client.Get("http://" + vm.readyAddress + "/pearyard/readyz")
 	if err != nil {
 		return false
 	}
@@ -172,39 +176,40 @@
 }
 
 func (vm *VM) awaitReady() error {
-	for end := time.Now().Add(startTimeout); time.Now().Before(end); time.Sleep(readyLook) {
+	for end := time.Now().Add(startTimeout); time.Now().Before(end); time.Sleep(readyPollInterval) {
 		if vm.isReady() {
 			return nil
 		}
 	}
-	return errors.Errorf("soak: %s does not get ready", vm.Name)
+	return errors.Errorf("soak: %s is not ready after %v", vm.Name, startTimeout)
 }
 
 func (vm *VM) signal(s syscall.Signal) {
 	cmd, _ := vm.process()
 	if cmd == nil {
-		return // it was never started
+		return // never started
 	}
 	if s == syscall.SIGHUP {
-		vm.hup.Store(time.Now().UnixNano())
+		vm.lastHUP.Store(time.Now().UnixNano())
 	}
 	_ = cmd.Process.Signal(s)
 }
 
-// kill ends the process at once.
+// kill ends the process with SIGKILL and waits for its end.
 func (vm *VM) kill() {
-	vm.mean()
+	vm.requestEnd()
 	vm.signal(syscall.SIGKILL)
 	if _, done := vm.process(); done != nil {
 		<-done
 	}
 }
 
-// terminate stops the process as planned and waits for its end.
+// terminate stops the process as planned and waits for its end. It kills the process
+// after the grace period.
 func (vm *VM) terminate() {
-	vm.mean()
+	vm.requestEnd()
 	vm.mu.Lock()
-	vm.stops = append(vm.stops, time.Now())
+	vm.plannedStops = append(vm.plannedStops, time.Now())
 	vm.mu.Unlock()
 	vm.signal(syscall.SIGTERM)
 	_, done := vm.process()
@@ -215,9 +220,9 @@
 	}
 }
 
-// stopped returns when its planned stops began.
-func (vm *VM) stopped() []time.Time {
+// plannedStopTimes returns when the planned stops of the VM began.
+func (vm *VM) plannedStopTimes() []time.Time {
 	vm.mu.Lock()
 	defer vm.mu.Unlock()
-	return append([]time.Time(nil), vm.stops...)
+	return append([]time.Time(nil), vm.plannedStops...)
 }
