--- a/bench/bench.go
+++ b/bench/bench.go
@@ -9,11 +9,11 @@
 	"github.com/pearyard/pearyard/route/routebench"
 )
 
-// Command returns `bench` with a subcommand a bench.
+// Command returns the command `bench` with a subcommand per benchmark.
 func Command() *cli.Command {
 	return &cli.Command{
 		Name:  "bench",
-		Usage: "measure pearyard itself: policies and limits in virtual time, members and whole sites on loopback",
+		Usage: "benchmark pearyard: policies and limits in virtual time, membership and whole sites on loopback",
 		Subcommands: []*cli.Command{
 			routebench.Command(),
 			limitbench.Command(),
--- a/bench/bench_test.go
+++ b/bench/bench_test.go
@@ -11,7 +11,7 @@
 	"github.com/pearyard/pearyard/route"
 )
 
-// run runs one command line of the benches and returns what it printed.
+// run runs `pearyard bench` with args and returns its output.
 func run(t *testing.T, args ...string) string {
 	t.Helper()
 	var out bytes.Buffer
@@ -38,8 +38,8 @@
 	g.Expect(out).To(ContainSubstring(route.LeastLoad))
 }
 
-// Runs of these two take minutes with the race detector; their packages have
-// tests of their own.
+// Checks only the flags in the help: runs of these two take minutes with the race
+// detector, and their packages have tests for them.
 func TestLongBenchesKeepTheirFlags(t *testing.T) {
 	g := NewWithT(t)
 	for bench, flags := range map[string][]string{
--- a/bench/doc.go
+++ b/bench/doc.go
@@ -1,5 +1,5 @@
-// Package bench is the command `pearyard bench`: which measurements there are.
-// It imports the benches and adds nothing to them.
+// Package bench provides the command `pearyard bench`, which combines the benchmark
+// commands of other packages.
 //
 // May import of pearyard: limit/limitbench, measure, membership/memberbench,
 // route/routebench.
--- a/measure/admin.go
+++ b/measure/admin.go
@@ -6,7 +6,7 @@
 	adminpb "github.com/pearyard/pearyard/rpc/admin"
 )
 
-// bearer adds the administration token to calls.
+// bearer is an http.RoundTripper that adds the administration token to requests.
 type bearer struct{}
 
 // RoundTrip implements http.RoundTripper.
@@ -16,12 +16,12 @@
 	return http.DefaultTransport.RoundTrip(r)
 }
 
-// commands returns the administration API's commands at a router.
+// commands returns a client for the commands of a router's administration API.
 func (s *site) commands(router int) adminpb.Commands {
 	return adminpb.NewCommandsProtobufClient(s.adminURL(router), &http.Client{Transport: bearer{}})
 }
 
-// queries returns the administration API's queries at a router.
+// queries returns a client for the queries of a router's administration API.
 func (s *site) queries(router int) adminpb.Queries {
 	return adminpb.NewQueriesProtobufClient(s.adminURL(router), &http.Client{Transport: bearer{}})
 }
--- a/measure/caller.go
+++ b/measure/caller.go
@@ -18,81 +18,82 @@
 )
 
 const (
-	returnPause   = 20 * time.Millisecond
-	maxReturns    = 400
-	idLine        = "id: "
-	dataLine      = "data: "
-	doneData      = "[DONE]"
-	maxEventBytes = 1 << 20
+	reconnectDelay = 20 * time.Millisecond
+	maxConnections = 400
+	idLine         = "id: "
+	dataLine       = "data: "
+	doneData       = "[DONE]"
+	maxEventBytes  = 1 << 20
 )
 
-// errGone: the system says that the generation can't go on.
-var errGone = errors.New("measure: the generation is gone")
+// errGone is returned when a router answers that the generation can't be resumed.
+var errGone = errors.New("measure: the generation can't be resumed (410 Gone)")
 
-// strategy is what a caller does when its answer breaks.
+// strategy determines what a caller does when its answer breaks off.
 type strategy int
 
 const (
-	comeBack  strategy = iota // with Last-Event-ID, through the next router
-	startOver                 // throw away what came and send the request anew
+	reconnect strategy = iota // resume with Last-Event-ID through the next router
+	startOver                 // discard the tokens received and send the request again
 )
 
-// arrival is one token as its caller got it.
+// arrival records when a caller received a token, and from which attempt.
 type arrival struct {
 	at      time.Time
 	attempt types.AttemptTag
 }
 
-// interruption is one loss of the caller's connection or answer.
+// interruption is one loss of the connection or the answer of a caller.
 type interruption struct {
-	at   time.Time // when the caller came back
-	have int       // tokens that it had
+	at       time.Time // when the caller reconnected
+	received int       // number of tokens received before
 }
 
-// call is one generation as its caller saw it.
+// call is one generation as observed by its caller.
 type call struct {
 	prompt    string
 	maxTokens int
 	strategy  strategy
 	routers   []string
-	first     int // router that is tried first
+	first     int // index of the router that is tried first
 
-	began         time.Time
+	start         time.Time
 	texts         []string
 	arrivals      []arrival
 	interruptions []interruption
-	thrownAway    int
-	restarts      int    // times that the answer began anew
-	gone          string // what the system last said of a generation that is gone
+	discarded     int
+	restarts      int    // times that the answer started again from its first token
+	gone          string // body of the last 410 response
 	lastID        string
 	requestID     string // of the newest connection
 	finished      bool
 	err           error
 }
 
-// run drives the call to its end.
+// run sends the request and reconnects until the answer is complete, ctx ends, or
+// maxConnections is reached.
 func (c *call) run(ctx context.Context, client *http.Client) {
-	c.began = time.Now()
-	for try := 0; try < maxReturns; try++ {
-		c.err = c.connection(ctx, client, c.routers[(c.first+try)%len(c.routers)])
+	c.start = time.Now()
+	for try := 0; try < maxConnections; try++ {
+		c.err = c.connect(ctx, client, c.routers[(c.first+try)%len(c.routers)])
 		if c.finished || ctx.Err() != nil {
 			return
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(returnPause):
+		case <-time.After(reconnectDelay):
 		}
-		c.interruptions = append(c.interruptions, interruption{at: time.Now(), have: len(c.texts)})
+		c.interruptions = append(c.interruptions, interruption{at: time.Now(), received: len(c.texts)})
 		if c.strategy == startOver || errors.Is(c.err, errGone) {
-			c.thrownAway += len(c.texts)
+			c.discarded += len(c.texts)
 			c.texts, c.lastID = nil, ""
 			c.restarts++
 		}
 	}
 }
 
-func (c *call) connection(ctx context.Context, client *http.Client, routerAddress string) error {
+func (c *call) connect(ctx context.Context, client *http.Client, routerAddress string) error {
 	body, err := json.Marshal(map[string]any{"model": model, "prompt": c.prompt, "max_tokens": c.maxTokens, "stream": true})
 	if err != nil {
 		return err
@@ -119,10 +120,10 @@
 		}
 		return errors.Errorf("%d %s", resp.StatusCode, message)
 	}
-	return c.events(resp.Body)
+	return c.readEvents(resp.Body)
 }
 
-func (c *call) events(body io.Reader) error {
+func (c *call) readEvents(body io.Reader) error {
 	scanner := bufio.NewScanner(body)
 	scanner.Buffer(nil, maxEventBytes)
 	id := ""
@@ -136,7 +137,7 @@
 		if !ok || data == doneData {
 			continue
 		}
-		if err := c.event(id, data); err != nil {
+		if err := c.handleToken(id, data); err != nil {
 			return err
 		}
 		id = ""
@@ -144,9 +145,9 @@
 	return scanner.Err()
 }
 
-func (c *call) event(id, data string) error {
+func (c *call) handleToken(id, data string) error {
 	if id == "" {
-		return c.last(data)
+		return c.handleEnd(data)
 	}
 	at := time.Now()
 	parsed, err := types.ParseEventID(id)
@@ -155,7 +156,7 @@
 	}
 	var e struct{ Choices []struct{ Text string } }
 	if err := json.Unmarshal([]byte(data), &e); err != nil || len(e.Choices) == 0 {
-		return errors.Errorf("measure: event %q", data)
+		return errors.Errorf("measure: invalid event %q", data)
 	}
 	c.lastID = id
 	c.texts = append(c.texts, e.Choices[0].Text)
@@ -163,7 +164,7 @@
 	return nil
 }
 
-func (c *call) last(data string) error {
+func (c *call) handleEnd(data string) error {
 	if strings.Contains(data, `"error"`) {
 		return errors.New(data)
 	}
@@ -171,48 +172,49 @@
 	return nil
 }
 
-// whole says what is wrong with the answer, nil if nothing is.
-func (c *call) whole() error {
+// verify returns an error unless the answer is complete and correct.
+func (c *call) verify() error {
 	if !c.finished {
-		return errors.Errorf("measure: no end: %v", c.err)
+		return errors.Errorf("measure: incomplete answer: %v", c.err)
 	}
 	if len(c.texts) != c.maxTokens {
-		return errors.Errorf("measure: %d tokens of %d", len(c.texts), c.maxTokens)
+		return errors.Errorf("measure: answer has %d tokens, expected %d", len(c.texts), c.maxTokens)
 	}
 	return standin.CheckAnswer(c.prompt, c.texts)
 }
 
-// goneOn is how a call went on after a loss.
-type goneOn struct {
-	afterLoss   time.Duration // from the loss to the next token
-	afterReturn time.Duration // from the caller's return to the next token; 0: it didn't have to
-	pause       time.Duration // between the two tokens around the loss
-	at          int           // index of the token with which the answer went on
-	moved       bool          // another attempt went on
-	regained    time.Duration // from the loss until the caller had more than before
+// resumption describes how a call continued after a loss.
+type resumption struct {
+	afterLoss      time.Duration // from the loss to the next token
+	afterReconnect time.Duration // from the caller's reconnection to the next token; 0 if it kept its connection
+	pause          time.Duration // between the last token before the loss and the first after it
+	index          int           // index of the first token after the loss
+	newAttempt     bool          // another attempt continued the answer
+	regained       time.Duration // from the loss until the caller had more tokens than before it
 }
 
-// after tells how the call went on after a loss at t; false if it wasn't hit.
-func (c *call) after(t time.Time) (goneOn, bool) {
+// resumptionAfter returns how the call continued after a loss at t, and false if the loss
+// did not affect it.
+func (c *call) resumptionAfter(t time.Time) (resumption, bool) {
 	for i := 1; i < len(c.arrivals); i++ {
 		a, before := c.arrivals[i], c.arrivals[i-1]
-		returned, back := c.returnedBetween(before.at, a.at)
+		returned, back := c.lastReconnect(before.at, a.at)
 		if a.at.Before(t) || (a.attempt == before.attempt && !back) {
 			continue
 		}
-		g := goneOn{afterLoss: a.at.Sub(t), pause: a.at.Sub(before.at), at: i, moved: a.attempt != before.attempt, regained: a.at.Sub(t)}
+		r := resumption{afterLoss: a.at.Sub(t), pause: a.at.Sub(before.at), index: i, newAttempt: a.attempt != before.attempt, regained: a.at.Sub(t)}
 		if back {
-			g.afterReturn = a.at.Sub(returned.at)
+			r.afterReconnect = a.at.Sub(returned.at)
 		}
 		if c.strategy == startOver && i+i < len(c.arrivals) {
-			g.regained = c.arrivals[i+i].at.Sub(t)
+			r.regained = c.arrivals[i+i].at.Sub(t)
 		}
-		return g, true
+		return r, true
 	}
-	return goneOn{}, false
+	return resumption{}, false
 }
 
-func (c *call) returnedBetween(from, to time.Time) (interruption, bool) {
+func (c *call) lastReconnect(from, to time.Time) (interruption, bool) {
 	found, ok := interruption{}, false
 	for _, in := range c.interruptions {
 		if in.at.After(from) && in.at.Before(to) {
--- a/measure/cause.go
+++ b/measure/cause.go
@@ -4,7 +4,7 @@
 	"syscall"
 )
 
-// Cause names a loss.
+// Cause identifies the kind of loss that a measurement brings about.
 type Cause string
 
 // Causes of a loss that can be measured.
@@ -19,22 +19,22 @@
 	CauseRouterKilled  Cause = "router-killed"
 	CausePlannedStop   Cause = "planned-stop"
 	CauseTenthKilled   Cause = "tenth-killed"
-	CauseVMAndRouter   Cause = "vm-and-router-killed" // only a journal peer has the tokens then
+	CauseVMAndRouter   Cause = "vm-and-router-killed" // leaves the tokens with the journal peers only
 )
 
-// Causes lists them all.
+// Causes lists all causes.
 var Causes = []Cause{CauseEngineKilled, CauseEngineFrozen, CauseVMFrozen, CauseVMKilled, CauseCut,
 	CauseSidecarKilled, CauseRouterKilled, CausePlannedStop, CauseTenthKilled, CauseVMAndRouter, CauseNone}
 
-// bars are the longest resume latencies wanted at p99, in milliseconds. That of
-// a killed engine comes on top of the stand-in's own prefill.
-var bars = map[Cause]float64{
+// latencyTargets are the upper limits for the resume latency at p99, in milliseconds.
+// That of a killed engine excludes the prefill time of the stand-in.
+var latencyTargets = map[Cause]float64{
 	CauseEngineKilled: 50, CauseEngineFrozen: 1500, CauseVMFrozen: 1500, CauseCut: 1500,
 	CauseRouterKilled: 150, CauseTenthKilled: 5000,
 }
 
-// strike brings the loss about.
-func (s *site) strike(c Cause) error {
+// causeLoss brings about the loss.
+func (s *site) causeLoss(c Cause) error {
 	victim := s.backends[0]
 	switch c {
 	case CauseEngineKilled:
@@ -82,8 +82,8 @@
 	return b.sidecar.signal(sig)
 }
 
-// heal lets go on what a loss has frozen or cut.
-func (s *site) heal() {
+// undoLoss continues the processes and reopens the relays that a loss has frozen or cut.
+func (s *site) undoLoss() {
 	for _, b := range s.backends {
 		for _, p := range []*process{b.engine, b.sidecar} {
 			if p.running() {
@@ -96,7 +96,7 @@
 	}
 }
 
-// kills says whether the cause ends engines, whose counters are then gone.
-func (c Cause) kills() bool {
+// killsEngines reports whether the cause kills engines, so that their counters are lost.
+func (c Cause) killsEngines() bool {
 	return c == CauseEngineKilled || c == CauseVMKilled || c == CauseTenthKilled || c == CauseVMAndRouter
 }
--- a/measure/command.go
+++ b/measure/command.go
@@ -17,20 +17,20 @@
 	flagJSON = "json"
 )
 
-// Command returns the measurements as a command of a command line.
+// Command returns the command `measure` with a subcommand per measurement.
 func Command() *cli.Command {
 	return &cli.Command{
 		Name: "measure", Usage: "measure a site of real processes on loopback ports",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: flagBin, Usage: "directory of the programs under test; empty: this binary in their place"},
-			&cli.IntFlag{Name: flagRuns, Value: 5, Usage: "runs of each case"},
-			&cli.StringFlag{Name: flagJSON, Usage: "file for the result"},
+			&cli.StringFlag{Name: flagBin, Usage: "directory of the programs under test; empty: run this binary as each of them"},
+			&cli.IntFlag{Name: flagRuns, Value: 5, Usage: "number of runs per case"},
+			&cli.StringFlag{Name: flagJSON, Usage: "file to which the result is written as JSON"},
 		},
 		Subcommands: []*cli.Command{resumeCommand(), dialCommand(), streamCommand(), configCommand(), leaveCommand(), idleCommand()},
 	}
 }
 
-// report writes the result to the file that was asked for.
+// report writes the result to the file that --json names, if any.
 func report(c *cli.Context, result any) error {
 	if c.String(flagJSON) == "" {
 		return nil
@@ -45,7 +45,7 @@
 func resumeCommand() *cli.Command {
 	def := DefaultResume()
 	return &cli.Command{
-		Name: "resume", Usage: "time until a caller's answer goes on after a loss, and what the loss costs",
+		Name: "resume", Usage: "time until a caller's answer continues after a loss, and the cost of the loss",
 		Flags: append(recoveryFlags(),
 			&cli.StringSliceFlag{Name: "cause", Usage: "cause of the loss; none means all"},
 			&cli.StringSliceFlag{Name: "mode", Usage: "system, start-over or plain; none means all"},
@@ -58,14 +58,14 @@
 			opts.Load.Calls, opts.Engines = c.Int("calls"), c.Int("engines")
 			opts.Recovery = recoveryOf(c)
 			if names := c.StringSlice("cause"); len(names) > 0 {
-				opts.Causes = named[Cause](names)
+				opts.Causes = convertNames[Cause](names)
 			}
 			if names := c.StringSlice("mode"); len(names) > 0 {
-				opts.Modes = named[Mode](names)
+				opts.Modes = convertNames[Mode](names)
 			}
 			for _, cause := range opts.Causes {
 				if !slices.Contains(Causes, cause) {
-					return errors.Errorf("no cause %q", cause)
+					return errors.Errorf("unknown cause %q", cause)
 				}
 			}
 			result, err := Resume(c.Context, opts)
@@ -77,12 +77,12 @@
 func streamCommand() *cli.Command {
 	def := DefaultStream()
 	return &cli.Command{
-		Name: "stream", Usage: "what one router adds to a token, and what a token costs",
+		Name: "stream", Usage: "latency that a router adds per token, and CPU time per token",
 		Flags: []cli.Flag{
 			&cli.IntSliceFlag{Name: "streams", Value: cli.NewIntSlice(def.Streams...), Usage: "concurrent streams"},
 			&cli.DurationFlag{Name: "step", Value: def.Step, Usage: "time between two tokens of a stream"},
-			&cli.DurationFlag{Name: "duration", Value: def.Duration, Usage: "of a round"},
-			&cli.BoolFlag{Name: "direct", Value: def.Direct, Usage: "as many streams from the engines direct beside them"},
+			&cli.DurationFlag{Name: "duration", Value: def.Duration, Usage: "duration of a round"},
+			&cli.BoolFlag{Name: "direct", Value: def.Direct, Usage: "also run the same number of streams from the engines directly, for comparison"},
 		},
 		Action: func(c *cli.Context) error {
 			opts := def
@@ -96,8 +96,8 @@
 
 func configCommand() *cli.Command {
 	return &cli.Command{
-		Name: "config", Usage: "time until a text is in force everywhere while operators race",
-		Flags: []cli.Flag{&cli.IntFlag{Name: "texts", Value: 5, Usage: "texts that each operator tries to apply in a run"}},
+		Name: "config", Usage: "time until a configuration is in force everywhere while operators apply changes concurrently",
+		Flags: []cli.Flag{&cli.IntFlag{Name: "texts", Value: 5, Usage: "configurations that each operator tries to apply per run"}},
 		Action: func(c *cli.Context) error {
 			var results []ConfigResult
 			for range c.Int(flagRuns) {
@@ -114,7 +114,7 @@
 
 func leaveCommand() *cli.Command {
 	return &cli.Command{
-		Name: "leave", Usage: "time until a backend server that leaves gets no new work",
+		Name: "leave", Usage: "time until a leaving backend server gets no new work",
 		Action: func(c *cli.Context) error {
 			result, err := Leave(c.Context, c.String(flagBin), c.Int(flagRuns), c.App.Writer)
 			return errors.Wrap(firstError(report(c, result), err), "leave")
@@ -124,7 +124,7 @@
 
 func idleCommand() *cli.Command {
 	return &cli.Command{
-		Name: "idle", Usage: "what control costs a site without requests",
+		Name: "idle", Usage: "traffic, CPU time and memory of a site without requests",
 		Flags: []cli.Flag{&cli.IntFlag{Name: "engines", Value: 12, Usage: "engines, each with a sidecar"}},
 		Action: func(c *cli.Context) error {
 			result, err := Idle(c.Context, c.String(flagBin), c.Int("engines"), c.App.Writer)
@@ -135,7 +135,7 @@
 
 func dialCommand() *cli.Command {
 	return &cli.Command{
-		Name: "dial", Usage: "resume latency and extra resource use over settings of the recovery dial",
+		Name: "dial", Usage: "resume latency and additional resource use for a range of recovery settings",
 		Action: func(c *cli.Context) error {
 			opts := DefaultResume()
 			opts.Bin, opts.Runs, opts.Progress = c.String(flagBin), c.Int(flagRuns), c.App.Writer
@@ -145,7 +145,7 @@
 	}
 }
 
-func named[T ~string](names []string) []T {
+func convertNames[T ~string](names []string) []T {
 	var out []T
 	for _, name := range names {
 		out = append(out, T(name))
@@ -162,7 +162,7 @@
 	return nil
 }
 
-// recoveryFlags set the recovery dial of the sites.
+// recoveryFlags returns the flags for the recovery settings of the sites.
 func recoveryFlags() []cli.Flag {
 	def := text.DefaultRecovery()
 	return []cli.Flag{
--- a/measure/configure.go
+++ b/measure/configure.go
@@ -15,70 +15,72 @@
 )
 
 const (
-	// inForceBar is how long a text may take until it is in force everywhere.
-	inForceBar    = 4 * time.Second
+	// inForceTarget is the limit for the time until a configuration is in force everywhere.
+	inForceTarget = 4 * time.Second
 	configRouters = 2
 	configEngines = 40
 	operators     = 3
-	watchInterval = 50 * time.Millisecond // of each process's revision
+	watchInterval = 50 * time.Millisecond // between two queries of a process's revision
 	configTail    = 6 * time.Second
 )
 
-// ConfigResult is how texts came in force while operators raced.
+// ConfigResult summarizes how configurations came into force while operators applied them
+// concurrently.
 type ConfigResult struct {
 	Accepted  int       `json:"accepted"`
 	Races     int       `json:"races"`
-	InForce   Quantiles `json:"in_force_everywhere"` // from the answer that accepted it
+	InForce   Quantiles `json:"in_force_everywhere"` // from the response that accepted the configuration
 	Unseen    int       `json:"not_in_force_everywhere"`
 	WentBack  int       `json:"processes_that_went_back"`
 	Processes int       `json:"processes"`
 	Machine   Machine   `json:"machine"`
 }
 
-// String returns the result as one line of the report.
+// String returns the result as one line.
 func (r ConfigResult) String() string {
 	return fmt.Sprintf("%d texts accepted, %d races lost, in force at all %d processes: p50 %.0f ms p99 %.0f max %.0f (bar %d met %t), not everywhere %d, went back %d, load %s",
-		r.Accepted, r.Races, r.Processes, r.InForce.P50, r.InForce.P99, r.InForce.Max, inForceBar.Milliseconds(),
-		r.Unseen == 0 && r.InForce.Max < float64(inForceBar.Milliseconds()), r.Unseen, r.WentBack, r.Machine.Load)
+		r.Accepted, r.Races, r.Processes, r.InForce.P50, r.InForce.P99, r.InForce.Max, inForceTarget.Milliseconds(),
+		r.Unseen == 0 && r.InForce.Max < float64(inForceTarget.Milliseconds()), r.Unseen, r.WentBack, r.Machine.Load)
 }
 
-// sighting is a revision that a process had at a time.
-type sighting struct {
+// revisionSample is the revision that a process had at a time.
+type revisionSample struct {
 	process  int
 	revision uint64
 	at       time.Time
 }
 
-// Configure lets operators race for a while at two routers and watches the
-// revision of every process.
+// Configure lets operators apply configurations concurrently at two routers and polls
+// the revision of every process.
 func Configure(ctx context.Context, bin string, texts int, progress io.Writer) (ConfigResult, error) {
-	var own []*ownEngine
+	var inProcess []*inProcessEngine
 	for range configEngines {
-		e, err := startOwnEngine(standin.EngineOptions{StepBase: 10 * time.Millisecond, Capacity: ownCapacity})
+		e, err := startInProcessEngine(standin.EngineOptions{StepBase: 10 * time.Millisecond, Capacity: inProcessCapacity})
 		if err != nil {
 			return ConfigResult{}, err
 		}
 		defer func() { _ = e.server.Close() }()
-		own = append(own, e)
+		inProcess = append(inProcess, e)
 	}
-	s, err := startSite(ctx, siteOptions{bin: bin, engines: configEngines, routers: configRouters, own: own, recovery: text.DefaultRecovery()})
+	s, err := startSite(ctx, siteOptions{bin: bin, engines: configEngines, routers: configRouters, inProcess: inProcess, recovery: text.DefaultRecovery()})
 	if err != nil {
 		return ConfigResult{}, err
 	}
 	defer s.stop()
 	watching, stop := context.WithCancel(ctx)
-	seen := make(chan []sighting, 1)
-	go func() { seen <- s.watchRevisions(watching) }()
+	samples := make(chan []revisionSample, 1)
+	go func() { samples <- s.watchRevisions(watching) }()
 	accepted, races := s.race(ctx, texts)
 	time.Sleep(configTail)
 	stop()
-	result := configFigures(accepted, <-seen, configEngines+configRouters)
+	result := summarizeConfig(accepted, <-samples, configEngines+configRouters)
 	result.Races, result.Machine = races, machine()
 	fmt.Fprintln(progress, result)
 	return result, nil
 }
 
-// race lets operators apply texts at once and returns when which was accepted.
+// race lets operators apply configurations concurrently. It returns the time at which each
+// accepted revision was accepted, and the number of failed attempts.
 func (s *site) race(ctx context.Context, texts int) (accepted map[uint64]time.Time, races int) {
 	accepted = map[uint64]time.Time{}
 	var mu sync.Mutex
@@ -91,7 +93,7 @@
 				if err != nil {
 					continue
 				}
-				raw := bytes.Replace(s.raw, []byte(`"retainMillis": 60000`), fmt.Appendf(nil, `"retainMillis": %d`, 60_000+operator*1000+i), 1)
+				raw := bytes.Replace(s.configuration, []byte(`"retainMillis": 60000`), fmt.Appendf(nil, `"retainMillis": %d`, 60_000+operator*1000+i), 1)
 				resp, err := commands.Apply(ctx, &adminpb.ApplyRequest{Base: current.GetRevision().GetRevision(), Text: raw, Who: fmt.Sprint(operator), Note: "race"})
 				mu.Lock()
 				if err == nil && resp.GetRevision() > 0 {
@@ -108,13 +110,13 @@
 	return accepted, races
 }
 
-func (s *site) watchRevisions(ctx context.Context) []sighting {
+func (s *site) watchRevisions(ctx context.Context) []revisionSample {
 	processes := append([]*process(nil), s.routers...)
 	for _, b := range s.backends {
 		processes = append(processes, b.sidecar)
 	}
 	var mu sync.Mutex
-	var out []sighting
+	var out []revisionSample
 	var wait sync.WaitGroup
 	for i, p := range processes {
 		wait.Go(func() {
@@ -122,7 +124,7 @@
 				var version inspect.Version
 				if readJSON("http://"+p.address["peers"]+inspect.PathVersion, &version) == nil {
 					mu.Lock()
-					out = append(out, sighting{process: i, revision: uint64(version.Revision), at: time.Now()})
+					out = append(out, revisionSample{process: i, revision: uint64(version.Revision), at: time.Now()})
 					mu.Unlock()
 				}
 				time.Sleep(watchInterval)
@@ -133,21 +135,21 @@
 	return out
 }
 
-// configFigures tells from sightings, each process's in order of time, when
-// every process had each accepted revision or a later one.
-func configFigures(accepted map[uint64]time.Time, seen []sighting, processes int) ConfigResult {
+// summarizeConfig determines when every process had each accepted revision or a later
+// one. The samples of each process must be in order of time.
+func summarizeConfig(accepted map[uint64]time.Time, samples []revisionSample, processes int) ConfigResult {
 	out := ConfigResult{Accepted: len(accepted), Processes: processes}
 	last := make([]uint64, processes)
-	for _, s := range seen {
+	for _, s := range samples {
 		if s.revision < last[s.process] {
 			out.WentBack++
 		}
 		last[s.process] = max(last[s.process], s.revision)
 	}
-	var took []time.Duration
+	var durations []time.Duration
 	for revision, at := range accepted {
 		first := make([]time.Time, processes)
-		for _, s := range seen {
+		for _, s := range samples {
 			if s.revision >= revision && first[s.process].IsZero() {
 				first[s.process] = s.at
 			}
@@ -164,8 +166,8 @@
 			out.Unseen++
 			continue
 		}
-		took = append(took, everywhere.Sub(at))
+		durations = append(durations, everywhere.Sub(at))
 	}
-	out.InForce = quantilesOf(took)
+	out.InForce = quantilesOf(durations)
 	return out
 }
--- a/measure/dial.go
+++ b/measure/dial.go
@@ -8,36 +8,36 @@
 	"github.com/pearyard/pearyard/text"
 )
 
-// DialPoint is what was measured of one setting of the recovery dial.
+// DialPoint is the result for one set of recovery settings.
 type DialPoint struct {
-	After        int          `json:"journal_after_ms"`
-	Peers        int          `json:"journal_peers"`
-	Batch        int          `json:"journal_batch_ms"`
-	Silence      int          `json:"silence_ms"`
-	Loss         ResumeResult `json:"loss"`
-	Restarts     int          `json:"answers_begun_anew"`
-	ThrownAway   Spread       `json:"tokens_thrown_away"` // engines' tokens that no caller kept
-	Prefilled    Spread       `json:"tokens_prefilled_for_resume"`
-	JournalBytes Spread       `json:"journal_bytes_per_token"`
-	FalseLosses  float64      `json:"false_losses"` // resumes in all undisturbed runs
+	After              int          `json:"journal_after_ms"`
+	Peers              int          `json:"journal_peers"`
+	Batch              int          `json:"journal_batch_ms"`
+	Silence            int          `json:"silence_ms"`
+	Loss               ResumeResult `json:"loss"`
+	Restarts           int          `json:"answers_begun_anew"`
+	Discarded          Spread       `json:"tokens_thrown_away"` // generated tokens that no caller kept
+	PrefilledForResume Spread       `json:"tokens_prefilled_for_resume"`
+	JournalBytes       Spread       `json:"journal_bytes_per_token"`
+	FalseLosses        float64      `json:"false_losses"` // resumes in all runs without a loss
 }
 
-// String returns the point as one line of the report.
+// String returns the point as one line.
 func (p DialPoint) String() string {
 	return fmt.Sprintf("after %5d peers %d batch %3d silence %4d  %-20s p50 %5.0f p99 %5.0f ms  begun anew %2d  thrown away %5.0f  prefilled again %5.0f  journal %4.1f B/token  not whole %d  false losses %.0f  load %s",
-		p.After, p.Peers, p.Batch, p.Silence, p.Loss.Cause, p.Loss.Latency.P50, p.Loss.Latency.P99, p.Restarts, p.ThrownAway.Median,
-		p.Prefilled.Median, p.JournalBytes.Median, p.Loss.Broken, p.FalseLosses, p.Loss.Machine.Load)
+		p.After, p.Peers, p.Batch, p.Silence, p.Loss.Cause, p.Loss.Latency.P50, p.Loss.Latency.P99, p.Restarts, p.Discarded.Median,
+		p.PrefilledForResume.Median, p.JournalBytes.Median, p.Loss.Incomplete, p.FalseLosses, p.Loss.Machine.Load)
 }
 
-// journalBase is the setting around which the journal's are varied, one at a time.
+// journalBase holds the journal settings of which one at a time is varied.
 var journalBase = text.Recovery{JournalAfterMillis: 500, JournalPeers: 1, JournalBatchMillis: 100}
 
-// Dial measures the settings of the dial: those of the journal under the loss
-// of a VM together with the router, where only journal peers have the tokens;
-// silence under a frozen VM and undisturbed.
+// Dial measures recovery settings: those of the journal with the loss of a VM together
+// with the router, where only journal peers have the tokens; the silence limit with a
+// frozen VM and without a loss.
 func Dial(ctx context.Context, opts ResumeOptions) ([]DialPoint, error) {
 	var out []DialPoint
-	opts.StrikeAt = 3 * time.Second
+	opts.LossAt = 3 * time.Second
 	opts.Load.Tokens = 600
 	for _, setting := range journalSettings() {
 		point, err := dialPoint(ctx, opts, setting, CauseVMAndRouter)
@@ -81,22 +81,22 @@
 
 func dialPoint(ctx context.Context, opts ResumeOptions, setting text.Recovery, cause Cause) (DialPoint, error) {
 	opts.Recovery = setting
-	loss, err := resumeOne(ctx, opts, cause, ModeSystem)
+	loss, err := resumeCase(ctx, opts, cause, ModeSystem)
 	if err != nil {
 		return DialPoint{}, err
 	}
 	point := DialPoint{After: setting.JournalAfterMillis, Peers: setting.JournalPeers, Batch: setting.JournalBatchMillis,
 		Silence: setting.SilenceMillis, Loss: loss}
-	var thrown, prefilled, bytes []float64
+	var discarded, prefilled, bytes []float64
 	for _, r := range loss.Runs {
-		point.Restarts += r.BegunAnew
-		thrown = append(thrown, float64(r.ThrownAway))
-		prefilled = append(prefilled, r.PrefilledAgain)
+		point.Restarts += r.Restarted
+		discarded = append(discarded, float64(r.Discarded))
+		prefilled = append(prefilled, r.PrefilledForResume)
 		bytes = append(bytes, r.JournalBytes/float64(max(r.Delivered, 1)))
 	}
-	point.ThrownAway, point.Prefilled, point.JournalBytes = spreadOf(thrown), spreadOf(prefilled), spreadOf(bytes)
+	point.Discarded, point.PrefilledForResume, point.JournalBytes = spreadOf(discarded), spreadOf(prefilled), spreadOf(bytes)
 	if cause == CauseVMFrozen {
-		quiet, err := resumeOne(ctx, opts, CauseNone, ModeSystem)
+		quiet, err := resumeCase(ctx, opts, CauseNone, ModeSystem)
 		if err != nil {
 			return point, err
 		}
--- a/measure/engines.go
+++ b/measure/engines.go
@@ -14,33 +14,33 @@
 	"github.com/pearyard/pearyard/standin"
 )
 
-// ownEngine is a stand-in engine in this process that notes when it wrote each
-// token, so that the time on the way to a caller can be told to the microsecond.
-type ownEngine struct {
+// inProcessEngine is a stand-in engine in this process that records when it wrote each
+// token, so that the time until a caller receives it can be measured in microseconds.
+type inProcessEngine struct {
 	address string
 	server  *http.Server
 
 	mu      sync.Mutex // guards all below
-	writes  map[string]*writes
-	arrived []time.Time // of requests
+	writes  map[string]*writeTimes
+	arrived []time.Time // arrival times of requests, in order
 }
 
-// writes are the times at which the tokens of one request left the engine.
-type writes struct {
+// writeTimes holds the times at which the engine wrote the tokens of one request.
+type writeTimes struct {
 	mu sync.Mutex // guards at
 	at []time.Time
 }
 
-func startOwnEngine(opts standin.EngineOptions) (*ownEngine, error) {
+func startInProcessEngine(opts standin.EngineOptions) (*inProcessEngine, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	e := &ownEngine{address: listener.Addr().String(), writes: map[string]*writes{}}
+	e := &inProcessEngine{address: listener.Addr().String(), writes: map[string]*writeTimes{}}
 	engine := standin.NewEngine(opts)
 	e.server = &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == engineapi.PathGenerate {
-			w = e.noting(w, r)
+			w = e.recordWrites(w, r)
 		}
 		engine.ServeHTTP(w, r)
 	})}
@@ -48,8 +48,8 @@
 	return e, nil
 }
 
-// noting returns a writer that notes the writes of the request's tokens.
-func (e *ownEngine) noting(w http.ResponseWriter, r *http.Request) http.ResponseWriter {
+// recordWrites returns a writer that records when the tokens of the request are written.
+func (e *inProcessEngine) recordWrites(w http.ResponseWriter, r *http.Request) http.ResponseWriter {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return w
@@ -57,46 +57,46 @@
 	r.Body = io.NopCloser(bytes.NewReader(body))
 	var request struct{ ID string }
 	_ = json.Unmarshal(body, &request)
-	noted := &writes{}
+	times := &writeTimes{}
 	e.mu.Lock()
-	e.writes[request.ID] = noted
+	e.writes[request.ID] = times
 	e.arrived = append(e.arrived, time.Now())
 	e.mu.Unlock()
-	return &notingWriter{ResponseWriter: w, noted: noted}
+	return &recordingWriter{ResponseWriter: w, times: times}
 }
 
-// begun returns when requests reached the engine, in their order.
-func (e *ownEngine) begun() []time.Time {
+// requestTimes returns when requests reached the engine, in order.
+func (e *inProcessEngine) requestTimes() []time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.arrived)
 }
 
-// of returns the times of a request's tokens, nil if it didn't run here.
-func (e *ownEngine) of(request string) []time.Time {
+// tokenTimes returns when the tokens of a request were written, nil if it didn't run here.
+func (e *inProcessEngine) tokenTimes(request string) []time.Time {
 	e.mu.Lock()
-	noted := e.writes[request]
+	times := e.writes[request]
 	e.mu.Unlock()
-	if noted == nil {
+	if times == nil {
 		return nil
 	}
-	noted.mu.Lock()
-	defer noted.mu.Unlock()
-	return noted.at
+	times.mu.Lock()
+	defer times.mu.Unlock()
+	return times.at
 }
 
-type notingWriter struct {
+type recordingWriter struct {
 	http.ResponseWriter
-	noted *writes
+	times *writeTimes
 }
 
-// Write implements http.ResponseWriter; the stand-in writes one line a call.
-func (n *notingWriter) Write(line []byte) (int, error) {
-	n.noted.mu.Lock()
-	n.noted.at = append(n.noted.at, time.Now())
-	n.noted.mu.Unlock()
+// Write implements http.ResponseWriter; the stand-in writes one line per call.
+func (n *recordingWriter) Write(line []byte) (int, error) {
+	n.times.mu.Lock()
+	n.times.at = append(n.times.at, time.Now())
+	n.times.mu.Unlock()
 	return n.ResponseWriter.Write(line)
 }
 
 // Unwrap lets http.ResponseController reach the flusher.
-func (n *notingWriter) Unwrap() http.ResponseWriter { return n.ResponseWriter }
+func (n *recordingWriter) Unwrap() http.ResponseWriter { return n.ResponseWriter }
--- a/measure/entries_test.go
+++ b/measure/entries_test.go
@@ -28,7 +28,7 @@
 	entryNet     = "127.0.78."
 )
 
-// TestMain lets the test binary stand in for the programs that it measures.
+// TestMain runs one of the measured programs if the binary was started under its name.
 func TestMain(m *testing.M) {
 	if code, was := AsProgram(os.Args); was {
 		os.Exit(code)
@@ -39,7 +39,7 @@
 	os.Exit(m.Run())
 }
 
-// entrySite is entry VMs as processes before the platform's stand-in.
+// entrySite is a site of entry VMs as processes, with a stand-in for the platform.
 type entrySite struct {
 	store   *nursery.Store
 	cloud   *nursery.Cloud
@@ -49,14 +49,14 @@
 	peers   []string
 
 	mu     sync.Mutex // guards writes
-	writes map[string]*writes
+	writes map[string]*writeTimes
 }
 
-// entryOptions describe such a site.
+// entryOptions configure an entrySite.
 type entryOptions struct {
 	servers, entries, length int
 	gap                      time.Duration
-	copies                   bool // backend servers keep copies of streams for each other
+	copies                   bool // backend servers hold copies of streams on other servers
 }
 
 func startEntries(dir string, opts entryOptions) (*entrySite, error) {
@@ -64,14 +64,14 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &entrySite{store: store, cloud: nursery.NewCloud(store), writes: map[string]*writes{}}
-	s.cloud.Length, s.cloud.Wrote = opts.length, s.wrote
+	s := &entrySite{store: store, cloud: nursery.NewCloud(store), writes: map[string]*writeTimes{}}
+	s.cloud.Length, s.cloud.Wrote = opts.length, s.recordWrite
 	store.Put("op", "config", []byte(fmt.Sprintf(`{"version":1,"routes":[{"name":"stream","host":%q,"pathPrefix":"/stream/","routeType":"streaming","service":"llm",`+
 		`"streamResume":true,"maxAttempts":5,"timeoutMs":60000,"targetLatencyMs":1000,"targetGapMs":700}],`+
 		`"services":[{"name":"llm","healthPath":"/healthz","inferenceEngine":{"backups":%t,"moves":%t}}],`+
 		`"limits":{"maxBodyBytes":1000000},"tenants":[{"name":"org","apiKeys":[%q]}]}`, entryHost, opts.copies, opts.copies, entryKey)))
 	for i := range opts.servers {
-		server, err := s.cloud.NewServer("llm", fmt.Sprintf("zone-%d", i%zones+1), func(own string) string { return own })
+		server, err := s.cloud.NewServer("llm", fmt.Sprintf("zone-%d", i%zoneCount+1), func(own string) string { return own })
 		if err != nil {
 			s.stop()
 			return nil, err
@@ -114,7 +114,7 @@
 	settings := fmt.Sprintf(`{nodeName: %q, ip: %q, zone: %q, listen: {frontend: %q, ready: %q}, internalPortRange: [%d, %d], seedNodes: ["%s1:%d"],
 limits: {memoryMb: 512}, heartbeatMs: 1200, platform: {address: %q, readsPerS: 2000, writesPerS: 400},
 bounds: {drainTimeoutMs: 2000, gracePeriodS: 3, configApplyMs: 2000, addressReuseS: 2, retryBudgetRatio: 0.2, retryWindowS: 10, retryMinExtra: 200}}
-`, name, ip, fmt.Sprintf("zone-%d", i%zones+1), callers, ready, port, port+9, entryNet, port+1, s.store.Address)
+`, name, ip, fmt.Sprintf("zone-%d", i%zoneCount+1), callers, ready, port, port+9, entryNet, port+1, s.store.Address)
 	path := filepath.Join(dir, name+".yaml")
 	if err := os.WriteFile(path, []byte(settings), 0o600); err != nil {
 		return err
@@ -177,40 +177,40 @@
 	s.store.Close()
 }
 
-// wrote notes when a server wrote an event.
-func (s *entrySite) wrote(request string, _ int) {
+// recordWrite records when a server wrote an event.
+func (s *entrySite) recordWrite(request string, _ int) {
 	s.mu.Lock()
-	noted := s.writes[request]
-	if noted == nil {
-		noted = &writes{}
-		s.writes[request] = noted
+	written := s.writes[request]
+	if written == nil {
+		written = &writeTimes{}
+		s.writes[request] = written
 	}
 	s.mu.Unlock()
-	noted.mu.Lock()
-	noted.at = append(noted.at, time.Now())
-	noted.mu.Unlock()
+	written.mu.Lock()
+	written.at = append(written.at, time.Now())
+	written.mu.Unlock()
 }
 
-// delays are the times that a request's events took from the server's write on.
+// delays returns how long each event of a request took from the server's write to the caller.
 func (s *entrySite) delays(c *entryCall) []time.Duration {
 	s.mu.Lock()
-	noted := s.writes[c.id]
+	written := s.writes[c.id]
 	s.mu.Unlock()
 	var out []time.Duration
-	for i := warmup; noted != nil && i < min(len(noted.at), len(c.arrivals)); i++ {
-		out = append(out, c.arrivals[i].Sub(noted.at[i]))
+	for i := warmup; written != nil && i < min(len(written.at), len(c.arrivals)); i++ {
+		out = append(out, c.arrivals[i].Sub(written.at[i]))
 	}
 	return out
 }
 
-// entryCall is one stream as its caller saw it.
+// entryCall is one stream as observed by its caller.
 type entryCall struct {
 	id, address string
 	arrivals    []time.Time
-	fault       string // empty: the answer came whole
+	failure     string // empty if the answer is complete and correct
 }
 
-// startCalls begins n streams, spread over ramp and over the addresses.
+// startCalls starts n streams, spread over ramp and over the addresses.
 func startCalls(ctx context.Context, wait *sync.WaitGroup, name string, addresses []string, n, length int, ramp time.Duration) []*entryCall {
 	client := &http.Client{Transport: newTransport()}
 	var out []*entryCall
@@ -220,7 +220,7 @@
 		wait.Go(func() {
 			time.Sleep(ramp * time.Duration(i) / time.Duration(n))
 			if err := c.run(ctx, client, length); err != nil {
-				c.fault = err.Error()
+				c.failure = err.Error()
 			}
 		})
 	}
@@ -254,11 +254,11 @@
 		}
 		c.arrivals = append(c.arrivals, time.Now())
 		if want := nursery.EventText(target, len(c.arrivals)); data != want {
-			return errors.Errorf("event %q where %q is due", data, want)
+			return errors.Errorf("event %q, expected %q", data, want)
 		}
 	}
 	if scanner.Err() == nil && len(c.arrivals) != length {
-		return errors.Errorf("%d events of %d", len(c.arrivals), length)
+		return errors.Errorf("%d events, expected %d", len(c.arrivals), length)
 	}
 	return scanner.Err()
 }
--- a/measure/faces_test.go
+++ b/measure/faces_test.go
@@ -21,14 +21,15 @@
 	"github.com/pearyard/pearyard/text"
 )
 
-// What both faces of pearyard are given to do: router and sidecar, and the entry
-// program on the platform, each over the stand-ins of its own outside.
+// Benchmarks that give the same load to both deployments of pearyard: router and
+// sidecar, and the entry program on the platform, each with stand-ins for its
+// environment.
 //
 //	go test ./measure -run '^$' -bench Faces -benchtime 1x
 const (
-	facesServers = 6
-	facesFronts  = 2 // routers or entry VMs
-	facesRuns    = 5
+	benchServers   = 6
+	benchFrontends = 2 // routers or entry VMs
+	benchRuns      = 5
 
 	lossCalls  = 36
 	lossTokens = 250
@@ -41,10 +42,11 @@
 	passStep   = 40 * time.Millisecond
 )
 
-// ioUse is what a process has read and written so far, sockets and log; datagrams are not in it.
-type ioUse struct{ bytes, calls float64 }
+// ioUsage is what a process has read and written so far through sockets and its log,
+// without datagrams.
+type ioUsage struct{ bytes, calls float64 }
 
-func ioOf(processes ...*process) (out ioUse) {
+func ioUsageOf(processes ...*process) (out ioUsage) {
 	for _, p := range processes {
 		raw, _ := os.ReadFile(fmt.Sprintf("/proc/%d/io", p.cmd.Process.Pid))
 		for line := range strings.Lines(string(raw)) {
@@ -61,8 +63,8 @@
 	return out
 }
 
-func (u ioUse) since(before ioUse) ioUse {
-	return ioUse{u.bytes - before.bytes, u.calls - before.calls}
+func (u ioUsage) since(before ioUsage) ioUsage {
+	return ioUsage{u.bytes - before.bytes, u.calls - before.calls}
 }
 
 func cpuOf(processes ...*process) (out time.Duration) {
@@ -79,28 +81,28 @@
 	return out
 }
 
-func startSecond(t testing.TB, step time.Duration) (*site, []*ownEngine) {
+func startRouterSite(t testing.TB, step time.Duration) (*site, []*inProcessEngine) {
 	t.Helper()
-	var own []*ownEngine
-	for range facesServers {
-		e, err := startOwnEngine(standin.EngineOptions{StepBase: step, PrefillPerToken: DefaultResume().Times.Prefill, Capacity: ownCapacity})
+	var inProcess []*inProcessEngine
+	for range benchServers {
+		e, err := startInProcessEngine(standin.EngineOptions{StepBase: step, PrefillPerToken: DefaultResume().Times.Prefill, Capacity: inProcessCapacity})
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { _ = e.server.Close() })
-		own = append(own, e)
+		inProcess = append(inProcess, e)
 	}
-	s, err := startSite(t.Context(), siteOptions{engines: facesServers, routers: facesFronts, own: own, recovery: text.DefaultRecovery()})
+	s, err := startSite(t.Context(), siteOptions{engines: benchServers, routers: benchFrontends, inProcess: inProcess, recovery: text.DefaultRecovery()})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(s.stop)
-	return s, own
+	return s, inProcess
 }
 
-func startPlatform(t testing.TB, length int, gap time.Duration, copies bool) *entrySite {
+func startEntrySite(t testing.TB, length int, gap time.Duration, copies bool) *entrySite {
 	t.Helper()
-	s, err := startEntries(t.TempDir(), entryOptions{servers: facesServers, entries: facesFronts, length: length, gap: gap, copies: copies})
+	s, err := startEntries(t.TempDir(), entryOptions{servers: benchServers, entries: benchFrontends, length: length, gap: gap, copies: copies})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -108,141 +110,142 @@
 	return s
 }
 
-// A backend server dies under 36 streams; the time until each of its callers has
-// the next token.
+// Measures, for a backend server that is lost with 36 streams running, the time until
+// each of its callers receives the next token.
 func BenchmarkFacesResume(b *testing.B) {
 	b.Run("router and sidecar", func(b *testing.B) {
-		tellResume(b, func(run int) ([]time.Duration, int) { return loseSecond(b, run) })
+		logResume(b, func(run int) ([]time.Duration, int) { return loseRouterSiteServer(b, run) })
 	})
 	for _, copies := range []bool{true, false} {
 		b.Run(fmt.Sprintf("entry, copies %t", copies), func(b *testing.B) {
-			tellResume(b, func(run int) ([]time.Duration, int) {
-				s := startPlatform(b, lossTokens, lossStep, copies)
+			logResume(b, func(run int) ([]time.Duration, int) {
+				s := startEntrySite(b, lossTokens, lossStep, copies)
 				defer s.stop()
-				return s.lose(b.Context(), run)
+				return s.loseServer(b.Context(), run)
 			})
 		})
 	}
 }
 
-// tellResume logs the waits of all runs together.
-func tellResume(b *testing.B, lose func(run int) ([]time.Duration, int)) {
+// logResume logs the quantiles over all runs.
+func logResume(b *testing.B, lose func(run int) ([]time.Duration, int)) {
 	b.Helper()
 	var all []time.Duration
-	broken := 0
-	for run := range facesRuns {
-		hits, faults := lose(run)
+	incomplete := 0
+	for run := range benchRuns {
+		hits, failed := lose(run)
 		all = append(all, hits...)
-		broken += faults
+		incomplete += failed
 	}
-	b.Logf("hit %d, not whole %d, %+v, load %s", len(all), broken, quantilesOf(all), machine().Load)
+	b.Logf("hit %d, not whole %d, %+v, load %s", len(all), incomplete, quantilesOf(all), machine().Load)
 }
 
-func loseSecond(t testing.TB, run int) (hits []time.Duration, broken int) {
-	s, own := startSecond(t, lossStep)
+func loseRouterSiteServer(t testing.TB, run int) (hits []time.Duration, incomplete int) {
+	s, inProcess := startRouterSite(t, lossStep)
 	defer s.stop()
-	load := startLoad(t.Context(), s.callers(), loadOptions{Calls: lossCalls, Tokens: lossTokens, PromptWords: 200, Ramp: lossRamp, Seed: uint64(run + 1)})
+	load := startLoad(t.Context(), s.callerAddresses(), loadOptions{Calls: lossCalls, Tokens: lossTokens, PromptWords: 200, Ramp: lossRamp, Seed: uint64(run + 1)})
 	time.Sleep(lossAt)
-	struck := time.Now()
-	_ = own[run].server.Close()
+	lostAt := time.Now()
+	_ = inProcess[run].server.Close()
 	for _, c := range load.join() {
-		if c.whole() != nil {
-			broken++
+		if c.verify() != nil {
+			incomplete++
 		}
-		if g, hit := c.after(struck); hit {
+		if g, hit := c.resumptionAfter(lostAt); hit {
 			hits = append(hits, g.afterLoss)
 		}
 	}
-	return hits, broken
+	return hits, incomplete
 }
 
-// lose crashes a server under streams and returns how long each that it ran waited.
-func (s *entrySite) lose(ctx context.Context, which int) (hits []time.Duration, broken int) {
+// loseServer crashes a server while streams run and returns how long each stream of that
+// server waited for its next event.
+func (s *entrySite) loseServer(ctx context.Context, which int) (hits []time.Duration, incomplete int) {
 	var wait sync.WaitGroup
 	calls := startCalls(ctx, &wait, fmt.Sprintf("loss%d", which), s.callers, lossCalls, lossTokens, lossRamp)
 	time.Sleep(lossAt)
-	struck := time.Now()
+	lostAt := time.Now()
 	s.servers[which].Crash()
 	wait.Wait()
 	lost := s.servers[which].ID()
-	onLost := map[string]bool{}
+	affected := map[string]bool{}
 	for _, run := range s.cloud.Ledger.Runs() {
 		if run.Server == lost {
-			onLost[run.Request] = true
+			affected[run.Request] = true
 		}
 	}
-	again := map[string]int{} // event after which a lost stream went on
+	again := map[string]int{} // number of events after which a lost stream was resumed
 	for _, run := range s.cloud.Ledger.Runs() {
-		if run.Server != lost && onLost[run.Request] && run.At.After(struck) {
+		if run.Server != lost && affected[run.Request] && run.At.After(lostAt) {
 			again[run.Request] = run.After
 		}
 	}
 	for _, c := range calls {
-		if c.fault != "" {
-			broken++
-			fmt.Println("not whole:", c.id, c.fault)
+		if c.failure != "" {
+			incomplete++
+			fmt.Println("not whole:", c.id, c.failure)
 		}
 		if after, hit := again[c.id]; hit && after < len(c.arrivals) {
-			hits = append(hits, c.arrivals[after].Sub(struck))
+			hits = append(hits, c.arrivals[after].Sub(lostAt))
 		}
 	}
-	return hits, broken
+	return hits, incomplete
 }
 
-// facesPass is what one round of undisturbed streams cost.
-type facesPass struct {
-	routed, direct Quantiles
-	tokens         int
-	broken         int
-	front, beside  time.Duration // processor time of routers or entries, and of sidecars
-	use            ioUse
+// passResult is the cost of one round of streams without a loss.
+type passResult struct {
+	routed, direct     Quantiles
+	tokens             int
+	incomplete         int
+	frontend, sidecars time.Duration // CPU time of routers or entry VMs, and of sidecars
+	io                 ioUsage
 }
 
-func (p facesPass) String() string {
+func (p passResult) String() string {
 	perToken := func(d time.Duration) float64 { return float64(d.Microseconds()) / float64(max(p.tokens, 1)) }
-	front, all := perToken(p.front), perToken(p.front+p.beside)
+	front, all := perToken(p.frontend), perToken(p.frontend+p.sidecars)
 	return fmt.Sprintf("tokens %d, not whole %d, routed p50 %.3f p99 %.3f ms, direct p50 %.3f p99 %.3f, added p50 %.3f p99 %.3f; "+
 		"front %.1f us/token, all %.1f us/token, two cores of fronts carry %.0f tokens/s, two cores of all %.0f; %.0f B and %.2f reads and writes a token; load %s",
-		p.tokens, p.broken, p.routed.P50, p.routed.P99, p.direct.P50, p.direct.P99, p.routed.P50-p.direct.P50, p.routed.P99-p.direct.P99,
-		front, all, 2e6/front, 2e6/all, p.use.bytes/float64(p.tokens), p.use.calls/float64(p.tokens), machine().Load)
+		p.tokens, p.incomplete, p.routed.P50, p.routed.P99, p.direct.P50, p.direct.P99, p.routed.P50-p.direct.P50, p.routed.P99-p.direct.P99,
+		front, all, 2e6/front, 2e6/all, p.io.bytes/float64(p.tokens), p.io.calls/float64(p.tokens), machine().Load)
 }
 
-// 200 undisturbed streams; what the way through pearyard adds to a token over the
-// way from the backend server direct, and what a token costs.
+// Measures, with 200 streams and no loss, the latency that pearyard adds to a token
+// compared to the backend server directly, and the CPU time per token.
 func BenchmarkFacesPass(b *testing.B) {
 	for run := range 3 {
-		b.Run(fmt.Sprintf("router and sidecar %d", run), func(b *testing.B) { b.Log(passSecond(b)) })
-		b.Run(fmt.Sprintf("entry with copies %d", run), func(b *testing.B) { b.Log(passPlatform(b)) })
+		b.Run(fmt.Sprintf("router and sidecar %d", run), func(b *testing.B) { b.Log(passRouterSite(b)) })
+		b.Run(fmt.Sprintf("entry with copies %d", run), func(b *testing.B) { b.Log(passEntrySite(b)) })
 	}
 }
 
-func passSecond(t testing.TB) facesPass {
-	s, own := startSecond(t, passStep)
+func passRouterSite(t testing.TB) passResult {
+	s, inProcess := startRouterSite(t, passStep)
 	var wait sync.WaitGroup
-	direct := startDirect(t.Context(), &wait, own, passCalls, passTokens)
+	direct := startDirect(t.Context(), &wait, inProcess, passCalls, passTokens)
 	wait.Wait()
-	use, front, beside := ioOf(append(s.sidecars(), s.routers...)...), cpuOf(s.routers...), cpuOf(s.sidecars()...)
-	load := startLoad(t.Context(), s.callers(), loadOptions{Calls: passCalls, Tokens: passTokens, PromptWords: 40, Ramp: 5 * passStep, Seed: 1})
+	ioBefore, frontendBefore, sidecarsBefore := ioUsageOf(append(s.sidecars(), s.routers...)...), cpuOf(s.routers...), cpuOf(s.sidecars()...)
+	load := startLoad(t.Context(), s.callerAddresses(), loadOptions{Calls: passCalls, Tokens: passTokens, PromptWords: 40, Ramp: 5 * passStep, Seed: 1})
 	calls := load.join()
-	out := facesPass{front: cpuOf(s.routers...) - front, beside: cpuOf(s.sidecars()...) - beside, use: ioOf(append(s.sidecars(), s.routers...)...).since(use)}
-	var routed, straight []time.Duration
+	out := passResult{frontend: cpuOf(s.routers...) - frontendBefore, sidecars: cpuOf(s.sidecars()...) - sidecarsBefore, io: ioUsageOf(append(s.sidecars(), s.routers...)...).since(ioBefore)}
+	var routed, directDelays []time.Duration
 	for _, c := range calls {
-		if c.whole() != nil {
-			out.broken++
+		if c.verify() != nil {
+			out.incomplete++
 			continue
 		}
 		out.tokens += len(c.arrivals)
-		routed = append(routed, delays(own, c.requestID, c.times())...)
+		routed = append(routed, delays(inProcess, c.requestID, c.arrivalTimes())...)
 	}
 	for _, c := range direct {
-		straight = append(straight, delays(own, c.id, c.arrivals)...)
+		directDelays = append(directDelays, delays(inProcess, c.id, c.arrivals)...)
 	}
-	out.routed, out.direct = quantilesOf(routed), quantilesOf(straight)
+	out.routed, out.direct = quantilesOf(routed), quantilesOf(directDelays)
 	return out
 }
 
-func passPlatform(t testing.TB) facesPass {
-	s := startPlatform(t, passTokens, passStep, true)
+func passEntrySite(t testing.TB) passResult {
+	s := startEntrySite(t, passTokens, passStep, true)
 	var wait sync.WaitGroup
 	var servers []string
 	for _, server := range s.servers {
@@ -250,60 +253,60 @@
 	}
 	direct := startCalls(t.Context(), &wait, "direct", servers, passCalls, passTokens, 5*passStep)
 	wait.Wait()
-	use, front := ioOf(s.entries...), cpuOf(s.entries...)
+	ioBefore, frontendBefore := ioUsageOf(s.entries...), cpuOf(s.entries...)
 	calls := startCalls(t.Context(), &wait, "routed", s.callers, passCalls, passTokens, 5*passStep)
 	wait.Wait()
-	out := facesPass{front: cpuOf(s.entries...) - front, use: ioOf(s.entries...).since(use)}
-	var routed, straight []time.Duration
+	out := passResult{frontend: cpuOf(s.entries...) - frontendBefore, io: ioUsageOf(s.entries...).since(ioBefore)}
+	var routed, directDelays []time.Duration
 	for _, c := range calls {
-		if c.fault != "" {
-			out.broken++
-			fmt.Println("not whole:", c.id, c.fault)
+		if c.failure != "" {
+			out.incomplete++
+			fmt.Println("not whole:", c.id, c.failure)
 			continue
 		}
 		out.tokens += len(c.arrivals)
 		routed = append(routed, s.delays(c)...)
 	}
 	for _, c := range direct {
-		straight = append(straight, s.delays(c)...)
+		directDelays = append(directDelays, s.delays(c)...)
 	}
-	out.routed, out.direct = quantilesOf(routed), quantilesOf(straight)
+	out.routed, out.direct = quantilesOf(routed), quantilesOf(directDelays)
 	return out
 }
 
-// Sites without requests: what the processes of each face tell each other.
+// Measures the traffic between the processes of each deployment without requests.
 func BenchmarkFacesIdle(b *testing.B) {
 	b.Run("router and sidecar", func(b *testing.B) {
-		s, _ := startSecond(b, lossStep)
+		s, _ := startRouterSite(b, lossStep)
 		all := append(s.sidecars(), s.routers...)
 		time.Sleep(idleSettle)
-		before, cpu := ioOf(all...), cpuOf(all...)
-		time.Sleep(idleTime)
-		tellIdle(b, all, ioOf(all...).since(before), cpuOf(all...)-cpu)
+		before, cpu := ioUsageOf(all...), cpuOf(all...)
+		time.Sleep(idleDuration)
+		logIdle(b, all, ioUsageOf(all...).since(before), cpuOf(all...)-cpu)
 	})
 	b.Run("entry", func(b *testing.B) {
-		s := startPlatform(b, lossTokens, lossStep, true)
-		heard := s.listen(b)
+		s := startEntrySite(b, lossTokens, lossStep, true)
+		datagrams := s.listen(b)
 		time.Sleep(idleSettle)
-		before, cpu, sent, got := ioOf(s.entries...), cpuOf(s.entries...), s.metric("pearyard_fleet_datagrams_sent_total"), heard.take()
+		before, cpu, sent, got := ioUsageOf(s.entries...), cpuOf(s.entries...), s.metric("pearyard_fleet_datagrams_sent_total"), datagrams.counts()
 		calls := s.metric("pearyard_store_calls_total")
-		time.Sleep(idleTime)
-		tellIdle(b, s.entries, ioOf(s.entries...).since(before), cpuOf(s.entries...)-cpu)
-		now := heard.take()
+		time.Sleep(idleDuration)
+		logIdle(b, s.entries, ioUsageOf(s.entries...).since(before), cpuOf(s.entries...)-cpu)
+		now := datagrams.counts()
 		b.Logf("a process sends %.1f datagrams/s; a peer hears %.1f/s of %.0f B each; %.2f calls/s of the store",
-			(s.metric("pearyard_fleet_datagrams_sent_total")-sent)/idleTime.Seconds()/facesFronts,
-			(now.count-got.count)/idleTime.Seconds(), (now.bytes-got.bytes)/max(1, now.count-got.count),
-			(s.metric("pearyard_store_calls_total")-calls)/idleTime.Seconds()/facesFronts)
+			(s.metric("pearyard_fleet_datagrams_sent_total")-sent)/idleDuration.Seconds()/benchFrontends,
+			(now.count-got.count)/idleDuration.Seconds(), (now.bytes-got.bytes)/max(1, now.count-got.count),
+			(s.metric("pearyard_store_calls_total")-calls)/idleDuration.Seconds()/benchFrontends)
 	})
 }
 
-func tellIdle(t testing.TB, all []*process, use ioUse, cpu time.Duration) {
-	n := float64(len(all)) * idleTime.Seconds()
+func logIdle(t testing.TB, all []*process, use ioUsage, cpu time.Duration) {
+	n := float64(len(all)) * idleDuration.Seconds()
 	t.Logf("idle, %d processes: each %.0f B/s and %.1f reads and writes/s, %.2f%% of a core, all %.0f B/s; load %s",
-		len(all), use.bytes/n, use.calls/n, 100*cpu.Seconds()/n, use.bytes/idleTime.Seconds(), machine().Load)
+		len(all), use.bytes/n, use.calls/n, 100*cpu.Seconds()/n, use.bytes/idleDuration.Seconds(), machine().Load)
 }
 
-// metric sums up a metric over all entries.
+// metric returns the sum of a metric over all entry VMs.
 func (s *entrySite) metric(name string) (sum float64) {
 	for _, peer := range s.peers {
 		resp, err := http.Get("http://" + peer + "/metrics")
@@ -324,17 +327,18 @@
 	return sum
 }
 
-// heardSoFar counts datagrams that came to a listener in the place of a further entry VM.
-type heardSoFar struct{ count, bytes float64 }
+// datagramCount counts the datagrams that a datagramListener has received.
+type datagramCount struct{ count, bytes float64 }
 
-type ear struct{ count, bytes atomic.Int64 }
+// datagramListener receives datagrams in the place of a further entry VM.
+type datagramListener struct{ count, bytes atomic.Int64 }
 
-func (e *ear) take() heardSoFar {
-	return heardSoFar{float64(e.count.Load()), float64(e.bytes.Load())}
+func (e *datagramListener) counts() datagramCount {
+	return datagramCount{float64(e.count.Load()), float64(e.bytes.Load())}
 }
 
-// listen registers a further entry VM that only listens.
-func (s *entrySite) listen(t testing.TB) *ear {
+// listen registers a further entry VM that only receives.
+func (s *entrySite) listen(t testing.TB) *datagramListener {
 	t.Helper()
 	conn, err := net.ListenPacket("udp4", entryNet+"99:0")
 	if err != nil {
@@ -342,7 +346,7 @@
 	}
 	t.Cleanup(func() { _ = conn.Close() })
 	s.store.Put("entry_vms", "edge-99", []byte(conn.LocalAddr().String()))
-	e := &ear{}
+	e := &datagramListener{}
 	go func() {
 		buf := make([]byte, 64<<10)
 		for {
--- a/measure/leave.go
+++ b/measure/leave.go
@@ -20,52 +20,52 @@
 	"github.com/pearyard/pearyard/text"
 )
 
-// leaveBar is how long a backend server that leaves may still get new work.
-const leaveBar = 3 * time.Second
+// leaveTarget is the limit for how long a leaving backend server may still get new work.
+const leaveTarget = 3 * time.Second
 
-// Way is how a backend server is told to leave.
-type Way string
+// LeaveMethod is the way in which a backend server is told to leave.
+type LeaveMethod string
 
-// Ways to leave.
+// Methods of leaving.
 const (
-	WayStop   Way = "pearyard-stop"
-	WaySignal Way = "sigterm"
-	WayVMList Way = "vm-list"
-	vmListLag     = time.Second
-	leaveTail     = 5 * time.Second // load that goes on after the order
-	leaveLead     = 2 * time.Second
-	// vmListSettle is how long VMs stand in the list before one of them leaves:
-	// members believe the list only of runs that have stood there for the lag
-	// that it may have, and poll it every few seconds.
-	vmListSettle = membership.DefaultVMListLag + 6*time.Second
-	shortTokens  = 4
-	arrivalGap   = 4 * time.Millisecond // between two new requests
+	LeaveByStop     LeaveMethod = "pearyard-stop"
+	LeaveBySignal   LeaveMethod = "sigterm"
+	LeaveByVMList   LeaveMethod = "vm-list"
+	vmListLag                   = time.Second
+	loadAfterOrder              = 5 * time.Second // duration of the load after the order to leave
+	loadBeforeOrder             = 2 * time.Second
+	// vmListSettle is how long VMs are in the list before one of them leaves: members
+	// trust the list only for runs that have been in it for the lag that it may have,
+	// and poll it every few seconds.
+	vmListSettle    = membership.DefaultVMListLag + 6*time.Second
+	shortTokens     = 4
+	requestInterval = 4 * time.Millisecond // between two requests
 )
 
-// LeaveResult is how long new work still came after the order to leave.
+// LeaveResult tells how long a server still got new work after the order to leave.
 type LeaveResult struct {
-	Way     Way     `json:"way"`
-	LastNew Spread  `json:"last_new_work_ms"` // after the order; 0: none came
-	NewWork Spread  `json:"new_work"`         // requests that came after it
-	Broken  int     `json:"answers_not_whole"`
-	Calls   int     `json:"calls"`
-	Machine Machine `json:"machine"`
+	Method     LeaveMethod `json:"way"`
+	LastNew    Spread      `json:"last_new_work_ms"` // time of the last new request after the order; 0 if there was none
+	NewWork    Spread      `json:"new_work"`         // number of new requests after the order
+	Incomplete int         `json:"answers_not_whole"`
+	Calls      int         `json:"calls"`
+	Machine    Machine     `json:"machine"`
 }
 
-// String returns the result as one line of the report.
+// String returns the result as one line.
 func (r LeaveResult) String() string {
-	return fmt.Sprintf("%-14s last new work %5.0f ms [%.0f..%.0f] after the order (bar %d met %t), new work %.0f [%.0f..%.0f], broken %d of %d, load %s", r.Way, r.LastNew.Median, r.LastNew.Least, r.LastNew.Most,
-		leaveBar.Milliseconds(), r.LastNew.Most < float64(leaveBar.Milliseconds()), r.NewWork.Median, r.NewWork.Least, r.NewWork.Most, r.Broken, r.Calls, r.Machine.Load)
+	return fmt.Sprintf("%-14s last new work %5.0f ms [%.0f..%.0f] after the order (bar %d met %t), new work %.0f [%.0f..%.0f], broken %d of %d, load %s", r.Method, r.LastNew.Median, r.LastNew.Min, r.LastNew.Max,
+		leaveTarget.Milliseconds(), r.LastNew.Max < float64(leaveTarget.Milliseconds()), r.NewWork.Median, r.NewWork.Min, r.NewWork.Max, r.Incomplete, r.Calls, r.Machine.Load)
 }
 
-// Leave measures each way to leave.
+// Leave measures each method of leaving.
 func Leave(ctx context.Context, bin string, runs int, progress io.Writer) ([]LeaveResult, error) {
 	var out []LeaveResult
-	for _, way := range []Way{WayStop, WaySignal, WayVMList} {
-		result := LeaveResult{Way: way}
+	for _, method := range []LeaveMethod{LeaveByStop, LeaveBySignal, LeaveByVMList} {
+		result := LeaveResult{Method: method}
 		var last, count []float64
 		for range runs {
-			after, calls, err := leaveRun(ctx, bin, way)
+			after, calls, err := leaveRun(ctx, bin, method)
 			if err != nil {
 				return out, err
 			}
@@ -76,8 +76,8 @@
 			last, count = append(last, float64(newest.Milliseconds())), append(count, float64(len(after)))
 			result.Calls += len(calls)
 			for _, c := range calls {
-				if c.whole() != nil {
-					result.Broken++
+				if c.verify() != nil {
+					result.Incomplete++
 				}
 			}
 		}
@@ -88,19 +88,19 @@
 	return out, nil
 }
 
-// leaveRun returns when, after the order, the engine that leaves got new work.
-func leaveRun(ctx context.Context, bin string, way Way) ([]time.Duration, []*call, error) {
+// leaveRun returns the times, from the order on, at which the leaving engine got new work.
+func leaveRun(ctx context.Context, bin string, method LeaveMethod) ([]time.Duration, []*call, error) {
 	const engines = 4
-	var own []*ownEngine
+	var inProcess []*inProcessEngine
 	for range engines {
-		e, err := startOwnEngine(standin.EngineOptions{StepBase: 5 * time.Millisecond, Capacity: ownCapacity})
+		e, err := startInProcessEngine(standin.EngineOptions{StepBase: 5 * time.Millisecond, Capacity: inProcessCapacity})
 		if err != nil {
 			return nil, nil, err
 		}
 		defer func() { _ = e.server.Close() }()
-		own = append(own, e)
+		inProcess = append(inProcess, e)
 	}
-	s, err := startSite(ctx, siteOptions{bin: bin, engines: engines, routers: 2, own: own, recovery: text.DefaultRecovery(), vmLag: vmListLag})
+	s, err := startSite(ctx, siteOptions{bin: bin, engines: engines, routers: 2, inProcess: inProcess, recovery: text.DefaultRecovery(), vmLag: vmListLag})
 	if err != nil {
 		return nil, nil, err
 	}
@@ -108,18 +108,18 @@
 	if err := s.setVMs(-1); err != nil {
 		return nil, nil, err
 	}
-	if way == WayVMList {
+	if method == LeaveByVMList {
 		time.Sleep(vmListSettle)
 	}
 	order := make(chan time.Time, 1)
-	time.AfterFunc(leaveLead, func() {
+	time.AfterFunc(loadBeforeOrder, func() {
 		order <- time.Now()
-		_ = s.orderLeave(ctx, way)
+		_ = s.orderLeave(ctx, method)
 	})
-	calls := arrivals(ctx, s.callers(), leaveLead+leaveTail)
+	calls := generateLoad(ctx, s.callerAddresses(), loadBeforeOrder+loadAfterOrder)
 	ordered := <-order
 	var after []time.Duration
-	for _, at := range own[0].begun() {
+	for _, at := range inProcess[0].requestTimes() {
 		if at.After(ordered) {
 			after = append(after, at.Sub(ordered))
 		}
@@ -127,12 +127,12 @@
 	return after, calls, nil
 }
 
-// arrivals begins short generations at a steady pace for a while.
-func arrivals(ctx context.Context, routers []string, length time.Duration) []*call {
+// generateLoad starts short generations at a constant rate for length and waits for them.
+func generateLoad(ctx context.Context, routers []string, length time.Duration) []*call {
 	client := &http.Client{Transport: newTransport()}
 	var wait sync.WaitGroup
 	var calls []*call
-	for deadline := time.Now().Add(length); time.Now().Before(deadline); time.Sleep(arrivalGap) {
+	for deadline := time.Now().Add(length); time.Now().Before(deadline); time.Sleep(requestInterval) {
 		c := &call{prompt: fmt.Sprintf("short request %d", len(calls)), maxTokens: shortTokens, routers: routers, first: len(calls)}
 		calls = append(calls, c)
 		wait.Go(func() { c.run(ctx, client) })
@@ -141,30 +141,30 @@
 	return calls
 }
 
-func (s *site) orderLeave(ctx context.Context, way Way) error {
-	switch way {
-	case WayStop:
+func (s *site) orderLeave(ctx context.Context, method LeaveMethod) error {
+	switch method {
+	case LeaveByStop:
 		_, err := s.commands(0).Stop(ctx, &adminpb.StopRequest{Kind: adminpb.Kind_KIND_BACKEND, Name: s.backends[0].name, Who: "measure"})
 		return err
-	case WaySignal:
+	case LeaveBySignal:
 		return s.backends[0].sidecar.signal(syscall.SIGTERM)
 	default:
 		return s.setVMs(0)
 	}
 }
 
-// setVMs tells the platform's list of the VMs; the one of backend leaving, if
-// there is one, is leaving.
+// setVMs replaces the VM list of the platform. The VM of the backend with index leaving
+// is marked as leaving; -1 marks none.
 func (s *site) setVMs(leaving int) error {
 	var vms []backing.VM
 	for i, b := range s.backends {
-		vms = append(vms, backing.VM{ID: "vm-" + b.name, Address: s.sidecarAddress(b), Zone: fmt.Sprintf("zone-%d", i%zones+1), Leaving: i == leaving})
+		vms = append(vms, backing.VM{ID: "vm-" + b.name, Address: s.sidecarAddress(b), Zone: fmt.Sprintf("zone-%d", i%zoneCount+1), Leaving: i == leaving})
 	}
 	raw, err := json.Marshal(vms)
 	if err != nil {
 		return err
 	}
-	req, err := http.NewRequest(http.MethodPut, "http://"+s.platform.address[soleAddress]+"/vms", bytes.NewReader(raw))
+	req, err := http.NewRequest(http.MethodPut, "http://"+s.platform.address[singleAddress]+"/vms", bytes.NewReader(raw))
 	if err != nil {
 		return err
 	}
@@ -174,7 +174,7 @@
 	}
 	_ = resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return errors.Errorf("measure: VM list: %s", resp.Status)
+		return errors.Errorf("measure: set VM list: status %s", resp.Status)
 	}
 	return nil
 }
--- a/measure/load.go
+++ b/measure/load.go
@@ -10,38 +10,38 @@
 	"time"
 )
 
-// callsTimeout bounds one round of calls.
+// callsTimeout limits the duration of one round of calls.
 const callsTimeout = 90 * time.Second
 
-// loadOptions describe a round of concurrent generations.
+// loadOptions configure a round of concurrent generations.
 type loadOptions struct {
 	Calls       int           `json:"calls"`
 	Tokens      int           `json:"tokens"`
 	PromptWords int           `json:"prompt_words"`
-	Ramp        time.Duration `json:"ramp"` // the calls begin at random within it
+	Ramp        time.Duration `json:"ramp"` // calls start at random times within it
 	Seed        uint64        `json:"seed"`
 	strategy    strategy
 }
 
 // load is a round of calls in progress.
 type load struct {
-	calls []*call
-	wait  sync.WaitGroup
-	end   context.CancelFunc
+	calls  []*call
+	wait   sync.WaitGroup
+	cancel context.CancelFunc
 }
 
 func newTransport() *http.Transport {
 	return &http.Transport{MaxIdleConnsPerHost: 2048, DisableCompression: true}
 }
 
-// startLoad begins the calls at the given routers.
+// startLoad starts the calls at the given routers.
 func startLoad(ctx context.Context, routers []string, opts loadOptions) *load {
 	ctx, cancel := context.WithTimeout(ctx, callsTimeout)
 	random := rand.New(rand.NewPCG(opts.Seed, opts.Seed))
 	client := &http.Client{Transport: newTransport()}
-	l := &load{end: cancel}
+	l := &load{cancel: cancel}
 	for i := range opts.Calls {
-		c := &call{prompt: promptOf(random, opts.PromptWords), maxTokens: opts.Tokens, strategy: opts.strategy, routers: routers, first: i}
+		c := &call{prompt: randomPrompt(random, opts.PromptWords), maxTokens: opts.Tokens, strategy: opts.strategy, routers: routers, first: i}
 		delay := time.Duration(random.Int64N(int64(opts.Ramp) + 1))
 		l.calls = append(l.calls, c)
 		l.wait.Go(func() {
@@ -55,11 +55,11 @@
 // join waits for the calls to end.
 func (l *load) join() []*call {
 	l.wait.Wait()
-	l.end()
+	l.cancel()
 	return l.calls
 }
 
-func promptOf(random *rand.Rand, words int) string {
+func randomPrompt(random *rand.Rand, words int) string {
 	var b strings.Builder
 	for range words {
 		fmt.Fprintf(&b, "word%06d ", random.IntN(1_000_000))
--- a/measure/machine.go
+++ b/measure/machine.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Machine says what the figures were measured on.
+// Machine describes the machine on which a result was measured.
 type Machine struct {
 	Cores int       `json:"cores"`
 	Load  string    `json:"load_average"` // of 1, 5 and 15 minutes
--- a/measure/process.go
+++ b/measure/process.go
@@ -26,17 +26,17 @@
 const (
 	startTimeout  = 30 * time.Second
 	listeningWord = "listening"
-	soleAddress   = "address" // label of a stand-in's only address
+	singleAddress = "address" // label for the address of a stand-in, which has only one
 )
 
-// AsProgram runs this binary as one of the programs under test if it was
-// started under its name, and reports whether it was.
+// AsProgram runs this binary as one of the programs under test if it was started under
+// the name of one. It returns the exit code, and whether it ran one.
 func AsProgram(args []string) (code int, was bool) {
 	switch filepath.Base(args[0]) {
 	case programRouter:
-		return profiled(programRouter, func() int { return daemon.Router(args, os.Stdout, os.Stderr) }), true
+		return runProfiled(programRouter, func() int { return daemon.Router(args, os.Stdout, os.Stderr) }), true
 	case programSidecar:
-		return profiled(programSidecar, func() int { return daemon.Sidecar(args, os.Stdout, os.Stderr) }), true
+		return runProfiled(programSidecar, func() int { return daemon.Sidecar(args, os.Stdout, os.Stderr) }), true
 	case programStandin:
 		return command.Main(args), true
 	}
@@ -47,12 +47,12 @@
 type process struct {
 	name    string
 	cmd     *exec.Cmd
-	address map[string]string // by the label of its listening line
-	done    chan struct{}     // closed when it has ended
+	address map[string]string // by the labels of the listening line
+	done    chan struct{}     // closed when the process has ended
 }
 
-// startProcess runs a program from dir, or this binary in its place if dir is
-// "", and returns when it listens.
+// startProcess runs a program from dir, or this binary as that program if dir is empty,
+// and returns once it listens.
 func startProcess(dir, program, name string, args ...string) (*process, error) {
 	path := filepath.Join(dir, program)
 	if dir == "" {
@@ -81,7 +81,7 @@
 	}
 	if len(p.address) == 0 {
 		p.kill()
-		return nil, errors.Errorf("measure: %s does not listen", name)
+		return nil, errors.Errorf("measure: %s did not report its addresses within %v", name, startTimeout)
 	}
 	return p, nil
 }
@@ -95,7 +95,7 @@
 	close(p.done)
 }
 
-// addressesOf reads `listening [LABEL=]ADDRESS ...`.
+// addressesOf parses `listening [LABEL=]ADDRESS ...`.
 func addressesOf(line string) map[string]string {
 	words := strings.Fields(line)
 	if len(words) == 0 || words[0] != listeningWord {
@@ -105,7 +105,7 @@
 	for _, word := range words[1:] {
 		label, address, ok := strings.Cut(word, "=")
 		if !ok {
-			label, address = soleAddress, word
+			label, address = singleAddress, word
 		}
 		out[label] = address
 	}
@@ -116,7 +116,7 @@
 	return errors.Wrapf(p.cmd.Process.Signal(s), "measure: signal %s", p.name)
 }
 
-// kill ends the process at once, also when it is frozen.
+// kill ends the process with SIGKILL, which also ends a frozen one, and waits for its end.
 func (p *process) kill() {
 	_ = p.cmd.Process.Kill()
 	<-p.done
--- a/measure/profile.go
+++ b/measure/profile.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// envProfile names a directory into which programs under test that are this
-// binary write a processor profile when they are stopped.
+// envProfile is the environment variable with a directory into which programs under
+// test that are this binary write a CPU profile when they are stopped.
 const envProfile = "PEARYARD_MEASURE_PROFILE"
 
 // profileStop is how long a program may take to stop and write its profile.
-const profileStop = 5 * time.Second
+const profileTimeout = 5 * time.Second
 
-// profiled runs a program under a processor profile if one is asked for.
-func profiled(name string, run func() int) int {
+// runProfiled runs a program, with a CPU profile if envProfile is set.
+func runProfiled(name string, run func() int) int {
 	dir := os.Getenv(envProfile)
 	if dir == "" {
 		return run()
@@ -32,8 +32,9 @@
 	return run()
 }
 
-// stopProfiled lets the routers and one sidecar write their profiles.
-func (s *site) stopProfiled() {
+// writeProfiles stops the routers and one sidecar so that they write their profiles, if
+// envProfile is set.
+func (s *site) writeProfiles() {
 	if os.Getenv(envProfile) == "" {
 		return
 	}
@@ -41,7 +42,7 @@
 		_ = p.signal(syscall.SIGTERM)
 		select {
 		case <-p.done:
-		case <-time.After(profileStop):
+		case <-time.After(profileTimeout):
 		}
 	}
 }
--- a/measure/relay.go
+++ b/measure/relay.go
@@ -12,11 +12,11 @@
 	relayPoll   = 5 * time.Millisecond
 )
 
-// relay passes TCP connections on to target. When cut, it passes nothing and
-// leaves all connections open, as a network partition does.
+// relay forwards TCP connections to target. When cut, it forwards nothing and leaves all
+// connections open, like a network partition.
 type relay struct {
-	listener net.Listener
-	passed   atomic.Int64 // bytes, both ways
+	listener     net.Listener
+	relayedBytes atomic.Int64 // bytes in both directions
 
 	mu     sync.Mutex // guards all below
 	target string
@@ -42,8 +42,8 @@
 	change()
 }
 
-// await returns once bytes may pass; false if the relay has ended.
-func (r *relay) await() bool {
+// waitOpen waits until the relay is not cut. It returns false if the relay is closed.
+func (r *relay) waitOpen() bool {
 	for {
 		r.mu.Lock()
 		cut, closed := r.cut, r.closed
@@ -61,13 +61,13 @@
 		if err != nil {
 			return
 		}
-		go r.pass(conn)
+		go r.forward(conn)
 	}
 }
 
-func (r *relay) pass(caller net.Conn) {
+func (r *relay) forward(caller net.Conn) {
 	defer func() { _ = caller.Close() }()
-	if !r.await() {
+	if !r.waitOpen() {
 		return
 	}
 	r.mu.Lock()
@@ -79,8 +79,8 @@
 	}
 	defer func() { _ = process.Close() }()
 	ended := make(chan struct{}, 2)
-	for _, way := range [][2]net.Conn{{process, caller}, {caller, process}} {
-		go func() { r.copy(way[0], way[1]); ended <- struct{}{} }()
+	for _, direction := range [][2]net.Conn{{process, caller}, {caller, process}} {
+		go func() { r.copy(direction[0], direction[1]); ended <- struct{}{} }()
 	}
 	<-ended
 }
@@ -89,10 +89,10 @@
 	buf := make([]byte, relayBuffer)
 	for {
 		n, err := from.Read(buf)
-		if err != nil || !r.await() {
+		if err != nil || !r.waitOpen() {
 			return
 		}
-		r.passed.Add(int64(n))
+		r.relayedBytes.Add(int64(n))
 		if _, err := to.Write(buf[:n]); err != nil {
 			return
 		}
--- a/measure/resources.go
+++ b/measure/resources.go
@@ -6,52 +6,53 @@
 	"github.com/pearyard/pearyard/standin"
 )
 
-// settleTime lets cancels reach the engines after the answers have ended.
+// settleTime gives cancellations time to reach the engines after the answers have ended.
 const settleTime = 500 * time.Millisecond
 
-// Extra is what a run spent beyond the tokens of its answers.
-type Extra struct {
-	Delivered       int      `json:"tokens_delivered"`
-	ThrownAway      int      `json:"tokens_thrown_away"` // generated and not delivered
-	BegunAnew       int      `json:"answers_begun_anew"`
-	Gone            []string `json:"gone,omitempty"` // why answers began anew
-	Prefilled       float64  `json:"tokens_prefilled"`
-	PrefilledAgain  float64  `json:"tokens_prefilled_for_resume"`
-	JournalTokens   float64  `json:"journal_tokens_sent"`
-	JournalBytes    float64  `json:"journal_bytes_sent"`
-	JournalHeld     float64  `json:"journal_bytes_held"`
-	ResumesByRouter float64  `json:"router_resumes"`
-	RouterLatency   float64  `json:"router_resume_latency_mean_ms"`
+// RunCost is the work of one run, in particular beyond the tokens of its answers.
+type RunCost struct {
+	Delivered          int      `json:"tokens_delivered"`
+	Discarded          int      `json:"tokens_thrown_away"` // generated but not delivered
+	Restarted          int      `json:"answers_begun_anew"`
+	Gone               []string `json:"gone,omitempty"` // why answers started again
+	Prefilled          float64  `json:"tokens_prefilled"`
+	PrefilledForResume float64  `json:"tokens_prefilled_for_resume"`
+	JournalTokens      float64  `json:"journal_tokens_sent"`
+	JournalBytes       float64  `json:"journal_bytes_sent"`
+	JournalHeld        float64  `json:"journal_bytes_held"`
+	ResumesByRouter    float64  `json:"router_resumes"`
+	RouterLatency      float64  `json:"router_resume_latency_mean_ms"`
 }
 
-// extra adds up what the run spent. Tokens of a killed engine count as
-// delivered as far as a caller got them; the rest of its last step is unknown.
-func (s *site) extra(calls []*call, c Cause, hits []goneOn) Extra {
-	var out Extra
+// runCost adds up the work of a run. Tokens of a killed engine count as delivered
+// as far as a caller received them; how many more it generated in its last step is
+// unknown.
+func (s *site) runCost(calls []*call, c Cause, hits []resumption) RunCost {
+	var out RunCost
 	for _, c := range calls {
 		out.Delivered += len(c.texts)
-		out.BegunAnew += c.restarts
+		out.Restarted += c.restarts
 		if c.gone != "" {
 			out.Gone = append(out.Gone, c.gone)
 		}
 	}
-	engines := s.engines()
+	engines := s.sumEngineCounters()
 	fromDead := 0
-	if c.kills() {
+	if c.killsEngines() {
 		for _, h := range hits {
-			if h.moved {
-				fromDead += h.at
+			if h.newAttempt {
+				fromDead += h.index
 			}
 		}
 	}
-	out.ThrownAway = int(engines.Tokens) + fromDead - out.Delivered
+	out.Discarded = int(engines.Tokens) + fromDead - out.Delivered
 	out.Prefilled = float64(engines.Prefilled)
 	var sidecars []*process
 	for _, b := range s.backends {
 		sidecars = append(sidecars, b.sidecar)
 	}
-	side, routers := sum(sidecars), sum(s.routers)
-	out.PrefilledAgain = side["pearyard_sidecar_tokens_prefilled_for_resume_total"]
+	side, routers := sumMetrics(sidecars), sumMetrics(s.routers)
+	out.PrefilledForResume = side["pearyard_sidecar_tokens_prefilled_for_resume_total"]
 	out.JournalTokens = side["pearyard_journal_sent_tokens_total"]
 	out.JournalBytes = side["pearyard_journal_sent_bytes_total"]
 	out.JournalHeld = side["pearyard_journal_held_bytes"]
@@ -62,8 +63,8 @@
 	return out
 }
 
-// engines adds up the counters of the engines that still run.
-func (s *site) engines() standin.Counters {
+// sumEngineCounters adds up the counters of the engines that still run.
+func (s *site) sumEngineCounters() standin.Counters {
 	var out standin.Counters
 	for _, b := range s.backends {
 		got, err := engineCounters(b.engine)
--- a/measure/scrape.go
+++ b/measure/scrape.go
@@ -26,7 +26,7 @@
 	return errors.Wrap(json.NewDecoder(resp.Body).Decode(into), url)
 }
 
-// readDump reads one section of a process's state.
+// readDump decodes one section of the state that a process reports.
 func readDump(p *process, section string, into any) error {
 	var state struct {
 		Sections map[string]inspect.Section `json:"sections"`
@@ -37,8 +37,8 @@
 	return json.Unmarshal(state.Sections[section].Value, into)
 }
 
-// samples are sums of a process's metrics over their labels; of a histogram
-// the sum and the count under NAME_sum and NAME_count.
+// samples holds the metrics of a process, each summed over its labels. A histogram has
+// its sum and count as NAME_sum and NAME_count.
 type samples map[string]float64
 
 // readMetrics reads the metrics of a router or sidecar.
@@ -66,8 +66,8 @@
 	return out, nil
 }
 
-// sum adds up the metrics of all processes that answer.
-func sum(processes []*process) samples {
+// sumMetrics adds up the metrics of all processes that respond.
+func sumMetrics(processes []*process) samples {
 	out := samples{}
 	for _, p := range processes {
 		got, err := readMetrics(p)
@@ -83,5 +83,5 @@
 
 func engineCounters(p *process) (standin.Counters, error) {
 	var counters standin.Counters
-	return counters, readJSON("http://"+p.address[soleAddress]+"/dump", &counters)
+	return counters, readJSON("http://"+p.address[singleAddress]+"/dump", &counters)
 }
--- a/measure/series.go
+++ b/measure/series.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	longestMicros = int64(10 * time.Minute / time.Microsecond)
-	precision     = 3 // decimal digits that a histogram keeps
+	maxMicros = int64(10 * time.Minute / time.Microsecond)
+	precision = 3 // significant decimal digits of a histogram
 )
 
-// Quantiles sum up durations in milliseconds.
+// Quantiles summarizes durations, in milliseconds.
 type Quantiles struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -21,21 +21,21 @@
 	Max   float64 `json:"max_ms"`
 }
 
-// quantilesOf sums up durations; one below zero counts as zero.
+// quantilesOf summarizes durations. Negative ones count as zero.
 func quantilesOf(durations []time.Duration) Quantiles {
-	h := hdrhistogram.New(1, longestMicros, precision)
+	h := hdrhistogram.New(1, maxMicros, precision)
 	for _, d := range durations {
-		_ = h.RecordValue(min(max(d.Microseconds(), 0), longestMicros))
+		_ = h.RecordValue(min(max(d.Microseconds(), 0), maxMicros))
 	}
 	at := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 	return Quantiles{Count: h.TotalCount(), P50: at(50), P95: at(95), P99: at(99), Max: float64(h.Max()) / 1000}
 }
 
-// Spread is the median of several runs with the least and the most.
+// Spread is the median, minimum and maximum of several runs.
 type Spread struct {
 	Median float64 `json:"median"`
-	Least  float64 `json:"least"`
-	Most   float64 `json:"most"`
+	Min    float64 `json:"least"`
+	Max    float64 `json:"most"`
 }
 
 func spreadOf(values []float64) Spread {
@@ -43,5 +43,5 @@
 		return Spread{}
 	}
 	sorted := slices.Sorted(slices.Values(values))
-	return Spread{Median: sorted[len(sorted)/2], Least: sorted[0], Most: sorted[len(sorted)-1]}
+	return Spread{Median: sorted[len(sorted)/2], Min: sorted[0], Max: sorted[len(sorted)-1]}
 }
--- a/measure/site.go
+++ b/measure/site.go
@@ -18,39 +18,39 @@
 )
 
 const (
-	service      = "models"
-	model        = "pear-draft"
-	modelVersion = "1"
-	apiKey       = "measure-key"
-	adminToken   = "measure-admin"
-	zones        = 3
-	readyTimeout = 60 * time.Second
-	readyPoll    = 20 * time.Millisecond
-	capacity     = 64   // requests in an engine's batch
-	ownCapacity  = 4096 // of an engine in this process
+	service           = "models"
+	model             = "pear-draft"
+	modelVersion      = "1"
+	apiKey            = "measure-key"
+	adminToken        = "measure-admin"
+	zoneCount         = 3
+	readyTimeout      = 60 * time.Second
+	readyPoll         = 20 * time.Millisecond
+	capacity          = 64   // batch size of an engine process
+	inProcessCapacity = 4096 // batch size of an engine in this process
 )
 
-// engineTimes are the stand-in engines' own times.
+// engineTimes configure the speed of the stand-in engines.
 type engineTimes struct {
 	Step       time.Duration `json:"step"`
 	PerRequest time.Duration `json:"per_request"`
 	Prefill    time.Duration `json:"prefill_per_token"`
 }
 
-// siteOptions describe a site of processes.
+// siteOptions configure a site of processes.
 type siteOptions struct {
-	bin      string
-	engines  int
-	routers  int
-	policy   string
-	relays   bool // lead the way to each sidecar through a relay
-	times    engineTimes
-	recovery text.Recovery
-	vmLag    time.Duration // of the platform's VM list
-	own      []*ownEngine  // engines of this process in place of stand-in processes
+	bin       string
+	engines   int
+	routers   int
+	policy    string
+	relays    bool // put a relay in front of each sidecar
+	times     engineTimes
+	recovery  text.Recovery
+	vmLag     time.Duration      // lag of the platform's VM list
+	inProcess []*inProcessEngine // engines in this process to use instead of stand-in processes
 }
 
-// backend is an engine with the sidecar beside it: one VM.
+// backend is an engine and its sidecar on one VM.
 type backend struct {
 	name    string
 	engine  *process // nil if it runs in this process
@@ -60,13 +60,13 @@
 
 // site is a running site of processes.
 type site struct {
-	opts     siteOptions
-	platform *process
-	backends []*backend
-	routers  []*process
-	store    *config.Store
-	raw      []byte
-	revision uint64
+	opts          siteOptions
+	platform      *process
+	backends      []*backend
+	routers       []*process
+	store         *config.Store
+	configuration []byte
+	revision      uint64
 }
 
 func startSite(ctx context.Context, opts siteOptions) (*site, error) {
@@ -82,29 +82,30 @@
 	if s.platform, err = startProcess(s.opts.bin, programStandin, "platform", "platform", "--vm-lag", s.opts.vmLag.String()); err != nil {
 		return err
 	}
-	at := httpapi.Options{Address: s.platform.address[soleAddress]}
+	at := httpapi.Options{Address: s.platform.address[singleAddress]}
 	s.store = config.NewStore(config.StoreOptions{Table: httpapi.NewTable(at), Objects: httpapi.NewObjects(at)})
-	if s.backends[0], err = s.backend(0); err != nil {
+	if s.backends[0], err = s.startBackend(0); err != nil {
 		return err
 	}
-	if err := each(s.opts.engines-1, func(i int) (err error) { s.backends[i+1], err = s.backend(i + 1); return err }); err != nil {
+	if err := forEachParallel(s.opts.engines-1, func(i int) (err error) { s.backends[i+1], err = s.startBackend(i + 1); return err }); err != nil {
 		return err
 	}
-	if s.raw, err = json.MarshalIndent(s.text(), "", " "); err != nil {
+	if s.configuration, err = json.MarshalIndent(s.configurationText(), "", " "); err != nil {
 		return err
 	}
 	if err := s.apply(ctx); err != nil {
 		return err
 	}
 	s.routers = make([]*process, s.opts.routers)
-	if err := each(s.opts.routers, func(i int) (err error) { s.routers[i], err = s.router(i); return err }); err != nil {
+	if err := forEachParallel(s.opts.routers, func(i int) (err error) { s.routers[i], err = s.startRouter(i); return err }); err != nil {
 		return err
 	}
-	return s.ready(ctx)
+	return s.waitReady(ctx)
 }
 
-// each runs f for 0 to n-1 at once and returns an error of one of them.
-func each(n int, f func(int) error) error {
+// forEachParallel runs f for 0 to n-1 concurrently, waits for all, and returns the first
+// error by index.
+func forEachParallel(n int, f func(int) error) error {
 	errs := make([]error, n)
 	var wait sync.WaitGroup
 	for i := range n {
@@ -119,16 +120,16 @@
 	return nil
 }
 
-// apply accepts s.raw as the next text.
+// apply stores s.configuration as the next revision.
 func (s *site) apply(ctx context.Context) error {
-	revision, _, err := s.store.Accept(ctx, 0, s.raw, "measure", "measurement")
+	revision, _, err := s.store.Accept(ctx, 0, s.configuration, "measure", "measurement")
 	s.revision = uint64(revision)
-	return errors.Wrap(err, "measure: apply")
+	return errors.Wrap(err, "measure: apply configuration")
 }
 
-func (s *site) common(id string, i int) []string {
-	at := s.platform.address[soleAddress]
-	args := []string{"--id", id, "--zone", fmt.Sprintf("zone-%d", i%zones+1), "--peer-listen", "127.0.0.1:0",
+func (s *site) commonArgs(id string, i int) []string {
+	at := s.platform.address[singleAddress]
+	args := []string{"--id", id, "--zone", fmt.Sprintf("zone-%d", i%zoneCount+1), "--peer-listen", "127.0.0.1:0",
 		"--table", at, "--objects", at, "--vm-list", at, "--weights", at, "--log-level", "error"}
 	if first := s.backends[0]; first != nil {
 		args = append(args, "--seeds", s.sidecarAddress(first))
@@ -136,13 +137,13 @@
 	return args
 }
 
-func (s *site) backend(i int) (*backend, error) {
+func (s *site) startBackend(i int) (*backend, error) {
 	times := s.opts.times
 	b := &backend{name: fmt.Sprintf("engine-%d", i+1)}
 	var err error
 	address := ""
-	if s.opts.own != nil {
-		address = s.opts.own[i].address
+	if s.opts.inProcess != nil {
+		address = s.opts.inProcess[i].address
 	} else {
 		b.engine, err = startProcess(s.opts.bin, programStandin, b.name, "engine", "--check-fence",
 			"--step-base", times.Step.String(), "--step-per-request", times.PerRequest.String(),
@@ -150,10 +151,10 @@
 		if err != nil {
 			return nil, err
 		}
-		address = b.engine.address[soleAddress]
+		address = b.engine.address[singleAddress]
 	}
 	name := fmt.Sprintf("sidecar-%d", i+1)
-	args := append(s.common(name, i), "--backend-server", b.name, "--service", service, "--kind", "model", "--backend", address)
+	args := append(s.commonArgs(name, i), "--backend-server", b.name, "--service", service, "--kind", "model", "--backend", address)
 	if s.opts.relays {
 		if b.relay, err = newRelay(); err != nil {
 			return b, err
@@ -176,8 +177,8 @@
 	return b.sidecar.address["peers"]
 }
 
-func (s *site) router(i int) (*process, error) {
-	args := append(s.common(fmt.Sprintf("router-%d", i+1), i), "--listen", "127.0.0.1:0",
+func (s *site) startRouter(i int) (*process, error) {
+	args := append(s.commonArgs(fmt.Sprintf("router-%d", i+1), i), "--listen", "127.0.0.1:0",
 		"--admin-listen", "127.0.0.1:0", "--admin-token", adminToken)
 	if s.opts.policy != "" {
 		args = append(args, "--policy", s.opts.policy)
@@ -185,13 +186,13 @@
 	return startProcess(s.opts.bin, programRouter, fmt.Sprintf("router-%d", i+1), args...)
 }
 
-func (s *site) text() *text.Text {
+func (s *site) configurationText() *text.Text {
 	hash := sha256.Sum256([]byte(apiKey))
 	models := text.Service{Name: service, Kind: text.KindModel, Calls: text.CallsRepeatable, RetryBudget: text.DefaultRetryBudget,
 		DependsOn: []text.Dependency{{Model: model, Version: modelVersion}}}
 	for i, b := range s.backends {
 		models.BackendServers = append(models.BackendServers, text.BackendServer{
-			Name: b.name, Zone: fmt.Sprintf("zone-%d", i%zones+1), Sidecar: s.sidecarAddress(b), ChecksFencing: true, Capacity: s.capacity()})
+			Name: b.name, Zone: fmt.Sprintf("zone-%d", i%zoneCount+1), Sidecar: s.sidecarAddress(b), ChecksFencing: true, Capacity: s.capacity()})
 	}
 	return &text.Text{
 		Services: []text.Service{models}, Models: []text.Model{{Name: model, Version: modelVersion}}, Adapters: []text.Adapter{},
@@ -201,18 +202,18 @@
 }
 
 func (s *site) capacity() int {
-	if s.opts.own != nil {
-		return ownCapacity
+	if s.opts.inProcess != nil {
+		return inProcessCapacity
 	}
 	return capacity
 }
 
-// ready waits until every router sees every backend server.
-func (s *site) ready(ctx context.Context) error {
+// waitReady waits until every router is ready and knows every backend server.
+func (s *site) waitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for _, r := range s.routers {
-		for !s.sees(r) {
+		for !s.knowsAllBackends(r) {
 			select {
 			case <-ctx.Done():
 				return errors.Wrapf(ctx.Err(), "measure: %s is not ready", r.name)
@@ -223,7 +224,7 @@
 	return nil
 }
 
-func (s *site) sees(router *process) bool {
+func (s *site) knowsAllBackends(router *process) bool {
 	resp, err := http.Get("http://" + router.address["callers"] + "/readyz")
 	if err != nil {
 		return false
@@ -234,7 +235,7 @@
 		len(dump.Services[service]) == s.opts.engines
 }
 
-func (s *site) callers() []string {
+func (s *site) callerAddresses() []string {
 	var out []string
 	for _, r := range s.routers {
 		out = append(out, r.address["callers"])
--- a/measure/stream.go
+++ b/measure/stream.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	// tokensBar is the rate that one router is to carry within coresBar cores.
-	tokensBar = 100_000
-	coresBar  = 2
-	// addedBar is the longest time that a token may take more than from the engine direct.
-	addedBar = 1.0 // milliseconds, at p99
-	// warmup is how many first tokens of a stream aren't counted: connections
-	// are made and prompts prefilled while they come.
+	// rateTarget is the token rate that one router should sustain within coresTarget cores.
+	rateTarget  = 100_000
+	coresTarget = 2
+	// addedTarget limits the latency of a token on top of that from the engine directly.
+	addedTarget = 1.0 // milliseconds, at p99
+	// warmup is how many first tokens of a stream aren't counted: connections are made and
+	// prompts prefilled at that time.
 	warmup = 5
 )
 
@@ -31,20 +31,20 @@
 	Engines  int
 	Streams  []int
 	Step     time.Duration
-	Duration time.Duration // of a round
+	Duration time.Duration // duration of a round
 	Runs     int
-	Direct   bool // as many streams beside them from the engines direct
+	Direct   bool // also run as many streams from the engines directly
 	Progress io.Writer
 }
 
-// DefaultStream returns the options that docs/MEASUREMENTS.md speaks of.
+// DefaultStream returns the options of the results in docs/MEASUREMENTS.md.
 func DefaultStream() StreamOptions {
 	return StreamOptions{Engines: 8, Streams: []int{1, 100, 1000}, Step: 40 * time.Millisecond, Duration: 6 * time.Second, Runs: 5, Direct: true, Progress: io.Discard}
 }
 
 // StreamRun is one round of streams.
 type StreamRun struct {
-	Routed        Quantiles `json:"routed"` // from the engine's write to the caller
+	Routed        Quantiles `json:"routed"` // latency from the engine's write to the caller
 	Direct        Quantiles `json:"direct"`
 	AddedP50      float64   `json:"added_p50_ms"`
 	AddedP99      float64   `json:"added_p99_ms"`
@@ -52,26 +52,26 @@
 	RouterMicros  float64   `json:"router_cpu_us_per_token"`
 	SidecarMicros float64   `json:"sidecar_cpu_us_per_token"`
 	RouterBytes   float64   `json:"router_bytes_per_stream"`
-	Broken        int       `json:"answers_not_whole"`
-	Fault         string    `json:"fault,omitempty"` // of one of them
+	Incomplete    int       `json:"answers_not_whole"`
+	Error         string    `json:"fault,omitempty"` // error of one of the incomplete answers
 }
 
-// StreamResult is what was measured at one number of streams.
+// StreamResult is the result for one number of streams.
 type StreamResult struct {
-	Streams  int         `json:"streams"`
-	Step     string      `json:"step"`
-	AddedP50 Spread      `json:"added_p50_ms"`
-	AddedP99 Spread      `json:"added_p99_ms"`
-	Rate     Spread      `json:"tokens_per_second"`
-	Router   Spread      `json:"router_cpu_us_per_token"`
-	Sidecar  Spread      `json:"sidecar_cpu_us_per_token"`
-	Memory   Spread      `json:"router_bytes_per_stream"`
-	Broken   int         `json:"answers_not_whole"`
-	Runs     []StreamRun `json:"runs"`
-	Machine  Machine     `json:"machine"`
+	Streams    int         `json:"streams"`
+	Step       string      `json:"step"`
+	AddedP50   Spread      `json:"added_p50_ms"`
+	AddedP99   Spread      `json:"added_p99_ms"`
+	Rate       Spread      `json:"tokens_per_second"`
+	Router     Spread      `json:"router_cpu_us_per_token"`
+	Sidecar    Spread      `json:"sidecar_cpu_us_per_token"`
+	Memory     Spread      `json:"router_bytes_per_stream"`
+	Incomplete int         `json:"answers_not_whole"`
+	Runs       []StreamRun `json:"runs"`
+	Machine    Machine     `json:"machine"`
 }
 
-// Stream measures one router at each number of streams.
+// Stream measures one router with each number of streams.
 func Stream(ctx context.Context, opts StreamOptions) ([]StreamResult, error) {
 	var out []StreamResult
 	for _, n := range opts.Streams {
@@ -83,14 +83,14 @@
 			}
 			result.Runs = append(result.Runs, run)
 		}
-		result.sumUp()
+		result.summarize()
 		fmt.Fprintln(opts.Progress, result)
 		out = append(out, result)
 	}
 	return out, nil
 }
 
-func (r *StreamResult) sumUp() {
+func (r *StreamResult) summarize() {
 	spread := func(of func(StreamRun) float64) Spread {
 		var values []float64
 		for _, run := range r.Runs {
@@ -105,56 +105,56 @@
 	r.Sidecar = spread(func(s StreamRun) float64 { return s.SidecarMicros })
 	r.Memory = spread(func(s StreamRun) float64 { return s.RouterBytes })
 	for _, run := range r.Runs {
-		r.Broken += run.Broken
+		r.Incomplete += run.Incomplete
 	}
 	r.Machine = machine()
 }
 
-// String returns the result as one line of the report.
+// String returns the result as one line.
 func (r StreamResult) String() string {
-	microsBar := coresBar * 1e6 / tokensBar
+	microsBar := coresTarget * 1e6 / rateTarget
 	return fmt.Sprintf("streams %4d  added p50 %.3f ms p99 %.3f [%.3f..%.3f] (bar %.0f met %t)  %.0f tokens/s  router %.1f us/token [%.1f..%.1f] (bar %.0f met %t) sidecar %.1f  %.0f KB/stream  broken %d  load %s",
-		r.Streams, r.AddedP50.Median, r.AddedP99.Median, r.AddedP99.Least, r.AddedP99.Most, addedBar, r.AddedP99.Median < addedBar,
-		r.Rate.Median, r.Router.Median, r.Router.Least, r.Router.Most, microsBar, r.Router.Median < microsBar, r.Sidecar.Median, r.Memory.Median/1024, r.Broken, r.Machine.Load)
+		r.Streams, r.AddedP50.Median, r.AddedP99.Median, r.AddedP99.Min, r.AddedP99.Max, addedTarget, r.AddedP99.Median < addedTarget,
+		r.Rate.Median, r.Router.Median, r.Router.Min, r.Router.Max, microsBar, r.Router.Median < microsBar, r.Sidecar.Median, r.Memory.Median/1024, r.Incomplete, r.Machine.Load)
 }
 
 func streamRun(ctx context.Context, opts StreamOptions, n int) (StreamRun, error) {
-	var own []*ownEngine
+	var inProcess []*inProcessEngine
 	for range opts.Engines {
-		e, err := startOwnEngine(standin.EngineOptions{StepBase: opts.Step, Capacity: ownCapacity})
+		e, err := startInProcessEngine(standin.EngineOptions{StepBase: opts.Step, Capacity: inProcessCapacity})
 		if err != nil {
 			return StreamRun{}, err
 		}
 		defer func() { _ = e.server.Close() }()
-		own = append(own, e)
+		inProcess = append(inProcess, e)
 	}
-	s, err := startSite(ctx, siteOptions{bin: opts.Bin, engines: opts.Engines, routers: 1, own: own, recovery: text.DefaultRecovery()})
+	s, err := startSite(ctx, siteOptions{bin: opts.Bin, engines: opts.Engines, routers: 1, inProcess: inProcess, recovery: text.DefaultRecovery()})
 	if err != nil {
 		return StreamRun{}, err
 	}
 	defer s.stop()
 	tokens := int(opts.Duration / opts.Step)
 	idle := usageOf(s.routers[0])
-	before := s.cpu()
+	before := s.cpuTime()
 	began := time.Now()
 	var direct []*directCall
 	var wait sync.WaitGroup
 	if opts.Direct {
-		direct = startDirect(ctx, &wait, own, n, tokens)
+		direct = startDirect(ctx, &wait, inProcess, n, tokens)
 	}
-	load := startLoad(ctx, s.callers(), loadOptions{Calls: n, Tokens: tokens, PromptWords: 40, Ramp: opts.Step * 5, Seed: 1})
+	load := startLoad(ctx, s.callerAddresses(), loadOptions{Calls: n, Tokens: tokens, PromptWords: 40, Ramp: opts.Step * 5, Seed: 1})
 	time.Sleep(opts.Duration / 2)
 	busy := usageOf(s.routers[0])
 	calls := load.join()
 	wait.Wait()
 	elapsed := time.Since(began)
-	after := s.cpu()
-	s.stopProfiled()
-	return streamFigures(calls, direct, own, before, after, elapsed, float64(busy.rss-idle.rss)/float64(n)), nil
+	after := s.cpuTime()
+	s.writeProfiles()
+	return summarizeStreams(calls, direct, inProcess, before, after, elapsed, float64(busy.rss-idle.rss)/float64(n)), nil
 }
 
-// cpu is the processor time of the router and of all sidecars so far.
-func (s *site) cpu() (out struct{ router, sidecars time.Duration }) {
+// cpuTime returns the CPU time of the router and of all sidecars so far.
+func (s *site) cpuTime() (out struct{ router, sidecars time.Duration }) {
 	out.router = usageOf(s.routers[0]).cpu
 	for _, b := range s.backends {
 		out.sidecars += usageOf(b.sidecar).cpu
@@ -162,18 +162,18 @@
 	return out
 }
 
-// directCall is one generation taken from an engine without pearyard.
+// directCall is one generation requested from an engine directly, without pearyard.
 type directCall struct {
 	id       string
 	arrivals []time.Time
 }
 
-func startDirect(ctx context.Context, wait *sync.WaitGroup, own []*ownEngine, n, tokens int) []*directCall {
+func startDirect(ctx context.Context, wait *sync.WaitGroup, inProcess []*inProcessEngine, n, tokens int) []*directCall {
 	var out []*directCall
 	for i := range n {
 		c := &directCall{id: fmt.Sprintf("direct-%d", i)}
 		out = append(out, c)
-		client := engineapi.New(engineapi.Options{Address: own[i%len(own)].address})
+		client := engineapi.New(engineapi.Options{Address: inProcess[i%len(inProcess)].address})
 		wait.Go(func() {
 			_, _ = client.Generate(ctx, engine.Request{ID: c.id, Prompt: c.id, MaxTokens: tokens}, func(types.Token) error {
 				c.arrivals = append(c.arrivals, time.Now())
@@ -184,23 +184,23 @@
 	return out
 }
 
-func streamFigures(calls []*call, direct []*directCall, own []*ownEngine, before, after struct{ router, sidecars time.Duration }, elapsed time.Duration, perStream float64) StreamRun {
+func summarizeStreams(calls []*call, direct []*directCall, inProcess []*inProcessEngine, before, after struct{ router, sidecars time.Duration }, elapsed time.Duration, perStream float64) StreamRun {
 	out := StreamRun{RouterBytes: perStream}
 	tokens := 0
-	var routed, straight []time.Duration
+	var routed, directDelays []time.Duration
 	for _, c := range calls {
-		if err := c.whole(); err != nil {
-			out.Broken++
-			out.Fault = err.Error()
+		if err := c.verify(); err != nil {
+			out.Incomplete++
+			out.Error = err.Error()
 			continue
 		}
 		tokens += len(c.arrivals)
-		routed = append(routed, delays(own, c.requestID, c.times())...)
+		routed = append(routed, delays(inProcess, c.requestID, c.arrivalTimes())...)
 	}
 	for _, c := range direct {
-		straight = append(straight, delays(own, c.id, c.arrivals)...)
+		directDelays = append(directDelays, delays(inProcess, c.id, c.arrivals)...)
 	}
-	out.Routed, out.Direct = quantilesOf(routed), quantilesOf(straight)
+	out.Routed, out.Direct = quantilesOf(routed), quantilesOf(directDelays)
 	out.AddedP50, out.AddedP99 = out.Routed.P50-out.Direct.P50, out.Routed.P99-out.Direct.P99
 	out.Rate = float64(tokens) / elapsed.Seconds()
 	perToken := func(d time.Duration) float64 { return float64(d.Microseconds()) / float64(max(tokens, 1)) }
@@ -208,11 +208,11 @@
 	return out
 }
 
-// delays are the times that a request's tokens took from the engine's write on.
-func delays(own []*ownEngine, request string, arrivals []time.Time) []time.Duration {
+// delays returns how long each token of a request took from the engine's write to the caller.
+func delays(inProcess []*inProcessEngine, request string, arrivals []time.Time) []time.Duration {
 	var out []time.Duration
-	for _, e := range own {
-		written := e.of(request)
+	for _, e := range inProcess {
+		written := e.tokenTimes(request)
 		for i := warmup; i < min(len(written), len(arrivals)); i++ {
 			out = append(out, arrivals[i].Sub(written[i]))
 		}
@@ -220,7 +220,7 @@
 	return out
 }
 
-func (c *call) times() []time.Time {
+func (c *call) arrivalTimes() []time.Time {
 	var out []time.Time
 	for _, a := range c.arrivals {
 		out = append(out, a.at)
--- a/measure/usage.go
+++ b/measure/usage.go
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// clockTick is the unit of processor time in /proc.
+// clockTick is the unit of CPU time in /proc.
 const clockTick = 10 * time.Millisecond
 
-// usage is what a process has used so far.
+// usage is the resource use of a process so far.
 type usage struct {
 	cpu time.Duration
 	rss int64 // bytes
 }
 
-// usageOf reads what the kernel says of a process; zero if it has ended.
+// usageOf reads the usage of a process from /proc. It is zero if the process has ended.
 func usageOf(p *process) usage {
 	dir := fmt.Sprintf("/proc/%d/", p.cmd.Process.Pid)
 	var out usage
 	stat, _ := os.ReadFile(dir + "stat")
-	// Fields count from behind the program's name, which may hold spaces.
+	// Fields are counted after the program's name, which may contain spaces.
 	_, rest, _ := strings.Cut(string(stat), ") ")
 	if fields := strings.Fields(rest); len(fields) > 12 {
 		user, _ := strconv.Atoi(fields[11])
