--- a/claim/ref.go
+++ b/claim/ref.go
@@ -14,7 +14,7 @@
 // Ref identifies a claim in messages between routers and sidecars (field `claim`
 // of CallRequest and VoidRequest): the row's key and the attempt's deadline. The
 // deadline is included because a sidecar forgets old attempts and can tell from
-// the deadline whether it may have forgotten this one (gate.Memory).
+// the deadline whether it may have forgotten this one (gate.AttemptState).
 type Ref struct {
 	Key      string
 	Deadline time.Time // with millisecond precision
--- a/claim/state.go
+++ b/claim/state.go
@@ -41,7 +41,7 @@
 	UnansweredVoids uint8            // consecutive unanswered void requests; fewer than MaxUnansweredVoids
 }
 
-// Seen is the result of an action.
+// Result is the result of an action.
 type Result uint8
 
 // Results of actions.
--- a/directory/start.go
+++ b/directory/start.go
@@ -21,7 +21,7 @@
 }
 
 // startSeparator separates id and start time in a start's name. It differs from
-// event.AtServer, which precedes a server's name.
+// event.ServerSeparator, which precedes a server's name.
 const startSeparator = "#"
 
 // String returns the start's name in log lines.
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -77,7 +77,7 @@
 	election        *fleet.Election
 	budgets         *fleet.Budgets
 	suspects        *suspect.Ledger
-	suspectSpreader *suspect.Gossiper
+	suspectGossiper *suspect.Gossiper
 	exchange        *exchange.Exchange
 	pool            *httpconn.Pool
 	inspect         *inspect.Registry
@@ -186,7 +186,7 @@
 		Self: types.ProcessID(e.settings.Name), Limit: crashLimit, Quarantine: quarantineTime, Window: crashWindow,
 		Recorder: e.recorder, Registerer: e.registry,
 	})
-	e.suspectSpreader = suspect.NewGossiper(e.suspects, suspect.GossiperOptions{
+	e.suspectGossiper = suspect.NewGossiper(e.suspects, suspect.GossiperOptions{
 		Self: e.settings.Peers, Peers: e.fleet.Peers,
 		Dial: func(peer string) suspectpb.Suspects {
 			return suspectpb.NewSuspectsProtobufClient("http://"+peer, client)
@@ -267,7 +267,7 @@
 	addBackground(&group, e.election.Run)
 	addBackground(&group, e.budgets.Run)
 	addBackground(&group, e.suspects.Run)
-	addBackground(&group, e.suspectSpreader.Run)
+	addBackground(&group, e.suspectGossiper.Run)
 	addBackground(&group, e.exchange.LogRunning)
 	addBackground(&group, e.prunePool)
 	if err := e.serveReady(&group); err != nil {
--- a/entry/guard.go
+++ b/entry/guard.go
@@ -63,7 +63,7 @@
 	return g.Backend.Probe(ctx, s)
 }
 
-// Kept implements exchange.Backend.
+// CachedPrompts implements exchange.Backend.
 func (g *guardedBackend) CachedPrompts(ctx context.Context, s *directory.Server) (contents promptcache.Contents, err error) {
 	defer g.recoverInto("", s, &err)
 	return g.Backend.CachedPrompts(ctx, s)
--- a/fleet/budgets.go
+++ b/fleet/budgets.go
@@ -154,14 +154,14 @@
 
 func toUint16(n float64) uint16 { return uint16(min(n, math.MaxUint16)) }
 
-// First implements exchange.Lender.
+// First implements exchange.SharedBudget.
 func (b *Budgets) First(service string, w *retry.Window) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.ownLocked(service, w)
 }
 
-// Allow implements exchange.Lender.
+// Allow implements exchange.SharedBudget.
 func (b *Budgets) Allow(service string, w *retry.Window) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/fleet/cluster_test.go
+++ b/fleet/cluster_test.go
@@ -64,7 +64,7 @@
 // of all VMs.
 func TestStoreCallsOfAMassStart(t *testing.T) {
 	forEachSize(t, func(g *gomega.WithT, c *cluster, size int) {
-		const span = 12 * time.Second // longer than relistEvery of package directory
+		const span = 12 * time.Second // longer than relistInterval of package directory
 		c.kill(func(*clusterVM) bool { return true })
 		time.Sleep(time.Second)
 		before := c.store.counts()
--- a/measure/profile.go
+++ b/measure/profile.go
@@ -12,7 +12,7 @@
 // test that are this binary write a CPU profile when they are stopped.
 const envProfile = "PEARYARD_MEASURE_PROFILE"
 
-// profileStop is how long a program may take to stop and write its profile.
+// profileTimeout is how long a program may take to stop and write its profile.
 const profileTimeout = 5 * time.Second
 
 // runProfiled runs a program, with a CPU profile if envProfile is set.
--- a/node/admin.go
+++ b/node/admin.go
@@ -28,7 +28,7 @@
 		return nil
 	}
 	server, err := admin.New(admin.Options{
-		Token: r.opts.AdminToken, Process: r.opts.ID, Store: textStore{r},
+		Token: r.opts.AdminToken, Process: r.opts.ID, Store: configStore{r},
 		InForce: r.inForce, Members: r.adminMembers, Quarantines: r.quarantines,
 		Backends: r.backends, Stopper: stopper{r}, Recorder: r.recorder, Registerer: r.registry, HTTP: r.peer.Client(),
 	})
@@ -36,11 +36,11 @@
 	return err
 }
 
-// textStore implements admin.Texts with this router's store.
-type textStore struct{ r *Router }
+// configStore implements admin.ConfigStore with this router's store.
+type configStore struct{ r *Router }
 
 // Accept commits a configuration, applies it here and pushes it to all members.
-func (t textStore) Accept(ctx context.Context, change admin.Change) (types.Revision, findings.List, error) {
+func (t configStore) Accept(ctx context.Context, change admin.Change) (types.Revision, findings.List, error) {
 	rev, found, err := t.r.store.Accept(ctx, change.Base, change.Raw, change.Who, change.Note)
 	if err != nil {
 		return 0, found, t.translateError(ctx, err)
@@ -58,7 +58,7 @@
 	r.pusher.Push(ctx, r.peerAddresses())
 }
 
-func (t textStore) translateError(ctx context.Context, err error) error {
+func (t configStore) translateError(ctx context.Context, err error) error {
 	var race *config.RaceError
 	if errors.As(err, &race) {
 		winner := admin.ConfigRevision{Revision: race.Winner, Who: race.By, Note: race.Note}
@@ -72,7 +72,7 @@
 }
 
 // Load returns one committed configuration.
-func (t textStore) Load(ctx context.Context, revision types.Revision) (admin.ConfigRevision, error) {
+func (t configStore) Load(ctx context.Context, revision types.Revision) (admin.ConfigRevision, error) {
 	raw, err := t.r.store.Load(ctx, revision)
 	if errors.Is(err, backing.ErrNotFound) {
 		return admin.ConfigRevision{}, admin.ErrNoRevision
@@ -88,7 +88,7 @@
 }
 
 // History returns the committed configurations without their contents, newest first.
-func (t textStore) History(ctx context.Context, limit int) ([]admin.ConfigRevision, error) {
+func (t configStore) History(ctx context.Context, limit int) ([]admin.ConfigRevision, error) {
 	entries, err := t.r.store.History(ctx, limit)
 	if err != nil {
 		return nil, err
@@ -108,7 +108,7 @@
 // It guards against a store that answers from an outdated copy: an operator would be shown
 // an older configuration, or none, as the newest. A caller who asked for the newest one
 // gets the one in force instead.
-func (t textStore) checkHistory(entries []config.Entry) error {
+func (t configStore) checkHistory(entries []config.Entry) error {
 	var newest types.Revision
 	if len(entries) > 0 {
 		newest = entries[0].Revision
--- a/node/common.go
+++ b/node/common.go
@@ -102,7 +102,7 @@
 	peer           *peer.Peer
 	holder         *config.Holder
 	store          *config.Store // nil without a table service
-	spreader       *config.Syncer
+	syncer         *config.Syncer
 	pusher         *config.Pusher
 	members        *membership.Membership
 	suspects       *suspect.Ledger
@@ -141,8 +141,8 @@
 		})
 		opts.Store = b.store
 	}
-	b.spreader = config.NewSyncer(opts)
-	b.pusher = config.NewPusher(b.spreader, client, b.opts.Advertise)
+	b.syncer = config.NewSyncer(opts)
+	b.pusher = config.NewPusher(b.syncer, client, b.opts.Advertise)
 }
 
 func (b *base) newMembers(backendServer string) error {
@@ -154,7 +154,7 @@
 		},
 		Seeds: b.opts.Seeds, VMList: b.opts.Platform.VMs, VMListLag: b.opts.VMListLag, HTTPClient: b.peer.Client(),
 		Recorder: b.recorder, Registerer: b.registry,
-		Revision: b.holder.Revision, OnRevision: b.spreader.RecordPeerRevision,
+		Revision: b.holder.Revision, OnRevision: b.syncer.RecordPeerRevision,
 	})
 	b.members = members
 	return errors.Wrap(err, "node: membership")
@@ -178,7 +178,7 @@
 // onStamp processes the stamp on a message. It is called for every message, so it must be
 // fast.
 func (b *base) onStamp(stamp peer.Stamp) {
-	b.spreader.RecordPeerRevision(stamp.Address, stamp.Revision)
+	b.syncer.RecordPeerRevision(stamp.Address, stamp.Revision)
 	b.holder.RecordConfirmation(stamp.Revision, stamp.AsOf)
 	m, ok := b.members.Snapshot().ByID(stamp.ID)
 	if !ok || m.State != membership.StateSuspect || m.Incarnation != stamp.Incarnation {
@@ -246,7 +246,7 @@
 // own.
 func (b *base) peerHandler(own http.Handler) http.Handler {
 	b.mux.Handle(b.members.PathPrefix(), b.members.Handler())
-	b.mux.Handle(configpb.ConfigPathPrefix, config.NewServer(b.holder, b.spreader).Handler())
+	b.mux.Handle(configpb.ConfigPathPrefix, config.NewServer(b.holder, b.syncer).Handler())
 	b.mux.Handle(suspectpb.SuspectsPathPrefix, b.suspects.Handler())
 	b.mux.Handle("/debug/", b.inspect.Handler())
 	b.mux.Handle("/metrics", b.inspect.Handler())
@@ -264,9 +264,9 @@
 	addActor(group, b.followText(b.applySuspicionLimits))
 	addActor(group, func(ctx context.Context) error {
 		askCtx, cancel := context.WithTimeout(ctx, initialTextTimeout)
-		b.spreader.FetchNewest(askCtx, b.opts.Seeds)
+		b.syncer.FetchNewest(askCtx, b.opts.Seeds)
 		cancel()
-		return b.spreader.Run(ctx)
+		return b.syncer.Run(ctx)
 	})
 }
 
