--- a/scenario/caller.go
+++ b/scenario/caller.go
@@ -18,67 +18,68 @@
 )
 
 const (
-	// callerSilence is how long a caller waits for the next token until it
-	// goes to another router.
-	callerSilence = 2500 * time.Millisecond
-	tokenLength   = len(" w00000000")
+	// callerIdleTimeout is how long a caller waits for the next token before it
+	// resumes through another router.
+	callerIdleTimeout = 2500 * time.Millisecond
+	tokenLength       = len(" w00000000")
 )
 
-// caller is one request of a script, running or ended.
+// caller is one request that a script sent, in progress or ended.
 type caller struct {
 	prompt string
-	tokens int // asked for
+	tokens int // requested
 
-	mu         sync.Mutex // guards all up to done
+	mu         sync.Mutex // guards the fields up to done
 	requests   []types.RequestID
-	generation string // id, once the first token is there
-	last       string // ip:port of the router that it spoke to last
-	seen       int    // tokens so far
-
-	done   chan struct{} // closed after the fields below are set
-	answer client.Answer
-	body   []byte // of a plain service's answer
-	took   time.Duration
-	err    error
+	generation string // generation ID, known from the first token on
+	lastRouter string // ip:port of the router that received the last request
+	tokensSeen int    // number of tokens received so far
+
+	done    chan struct{} // closed after the fields below are set
+	answer  client.Answer
+	body    []byte // response body of a plain service
+	elapsed time.Duration
+	err     error
 }
 
-// generation is what a script asks of a generation.
-type generation struct {
-	prompt string
-	tokens int
-	key    string
-	first  int // number of the router that is tried first
-	stream bool
-	// patience is how long the caller waits for the next token until it comes back.
-	patience time.Duration
+// generationParams holds the arguments of the command generate.
+type generationParams struct {
+	prompt      string
+	tokens      int
+	key         string
+	firstRouter int // number of the first router, from 1
+	stream      bool
+	// idleTimeout is how long the caller waits for the next token before it resumes.
+	idleTimeout time.Duration
 }
 
-// generate begins a generation through the routers at addresses.
-func generate(ctx context.Context, addresses []string, ask generation) *caller {
-	c := &caller{prompt: ask.prompt, tokens: ask.tokens, done: make(chan struct{})}
+// generate starts a generation through the routers at addresses.
+func generate(ctx context.Context, addresses []string, params generationParams) *caller {
+	c := &caller{prompt: params.prompt, tokens: params.tokens, done: make(chan struct{})}
 	httpClient := &http.Client{Transport: c}
 	go func() {
 		defer close(c.done)
-		if !ask.stream {
-			c.answer, c.err = whole(ctx, httpClient, addresses[ask.first-1], ask)
+		if !params.stream {
+			c.answer, c.err = generateUnary(ctx, httpClient, addresses[params.firstRouter-1], params)
 			return
 		}
-		opts := client.Options{Routers: addresses, Key: embedded.APIKey, HTTP: httpClient, IdleTimeout: ask.patience}
-		req := client.Request{Model: embedded.Model, Prompt: ask.prompt, MaxTokens: ask.tokens, IdempotencyKey: ask.key, First: ask.first - 1}
+		opts := client.Options{Routers: addresses, Key: embedded.APIKey, HTTP: httpClient, IdleTimeout: params.idleTimeout}
+		req := client.Request{Model: embedded.Model, Prompt: params.prompt, MaxTokens: params.tokens, IdempotencyKey: params.key, First: params.firstRouter - 1}
 		c.answer, c.err = client.New(opts).Generate(ctx, req, func(index int, _ string) {
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			c.seen = index + 1
+			c.tokensSeen = index + 1
 		})
 	}()
 	return c
 }
 
-// transport is shared by all callers; each call gets a connection of its own,
-// so that none depends on what another one broke.
+// transport is shared by all callers. Each request uses a new connection, so that a
+// connection broken by one request doesn't affect another.
 var transport = &http.Transport{DisableKeepAlives: true}
 
-// RoundTrip implements http.RoundTripper and notes who serves the caller.
+// RoundTrip implements http.RoundTripper and records which router and request serve
+// the caller.
 func (c *caller) RoundTrip(req *http.Request) (*http.Response, error) {
 	resp, err := transport.RoundTrip(req)
 	if err != nil {
@@ -86,16 +87,18 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.last = req.URL.Host
+	c.lastRouter = req.URL.Host
 	c.requests = append(c.requests, types.RequestID(resp.Header.Get("Pearyard-Request-Id")))
-	resp.Body = &eventBody{ReadCloser: resp.Body, caller: c}
+	resp.Body = &generationIDReader{ReadCloser: resp.Body, caller: c}
 	return resp, nil
 }
 
-func (c *caller) now() (router string, seen int) {
+// progress returns the address of the router that received the last request and the
+// number of tokens received so far.
+func (c *caller) progress() (router string, tokens int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.last, c.seen
+	return c.lastRouter, c.tokensSeen
 }
 
 func (c *caller) ended() bool {
@@ -107,7 +110,7 @@
 	}
 }
 
-// post sends one request and returns the body of a good answer.
+// post sends one POST request and returns the body of a successful response.
 func post(ctx context.Context, httpClient *http.Client, url, key string, body []byte) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
@@ -117,11 +120,11 @@
 	if key != "" {
 		req.Header.Set("Idempotency-Key", key)
 	}
-	return read(httpClient.Do(req))
+	return readBody(httpClient.Do(req))
 }
 
-// read returns the body of a good answer, or its refusal.
-func read(resp *http.Response, err error) ([]byte, error) {
+// readBody returns the body of a successful response, or the refusal as an error.
+func readBody(resp *http.Response, err error) ([]byte, error) {
 	if err != nil {
 		return nil, err
 	}
@@ -132,13 +135,14 @@
 	return io.ReadAll(resp.Body)
 }
 
-// whole asks for an answer in one piece and takes it apart into its tokens.
-func whole(ctx context.Context, httpClient *http.Client, router string, ask generation) (client.Answer, error) {
-	body, err := json.Marshal(client.Request{Model: embedded.Model, Prompt: ask.prompt, MaxTokens: ask.tokens})
+// generateUnary sends a non-streaming completion request and splits the text into
+// tokens.
+func generateUnary(ctx context.Context, httpClient *http.Client, router string, params generationParams) (client.Answer, error) {
+	body, err := json.Marshal(client.Request{Model: embedded.Model, Prompt: params.prompt, MaxTokens: params.tokens})
 	if err != nil {
 		return client.Answer{}, err
 	}
-	raw, err := post(ctx, httpClient, "http://"+router+"/v1/completions", ask.key, body)
+	raw, err := post(ctx, httpClient, "http://"+router+"/v1/completions", params.key, body)
 	if err != nil {
 		return client.Answer{}, err
 	}
@@ -149,7 +153,7 @@
 		}
 	}
 	if err := json.Unmarshal(raw, &completion); err != nil || len(completion.Choices) != 1 {
-		return client.Answer{}, errors.Errorf("not a completion: %s", raw)
+		return client.Answer{}, errors.Errorf("invalid completion response: %s", raw)
 	}
 	answer := client.Answer{Finish: completion.Choices[0].FinishReason}
 	for rest := completion.Choices[0].Text; rest != ""; {
@@ -160,7 +164,7 @@
 	return answer, nil
 }
 
-// call begins one call of a plain service.
+// call starts one call of a plain service.
 func call(ctx context.Context, router, service, path, key string) *caller {
 	c := &caller{done: make(chan struct{})}
 	httpClient := &http.Client{Transport: c}
--- a/scenario/calls.go
+++ b/scenario/calls.go
@@ -26,8 +26,8 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// single is one HTTP request to one router; it is never sent again.
-type single struct {
+// singleRequest is one HTTP request to one router; it is never retried.
+type singleRequest struct {
 	url     string
 	key     string // idempotency key
 	apiKey  string
@@ -35,49 +35,54 @@
 	body    []byte
 }
 
-// request: request NAME SERVICE [path=print] [key=K] [body=TEXT] [router=1] [timeout=SECONDS] [api-key=KEY];
-// begins one request. SERVICE `completions` asks for a generation, whose prompt is the body.
-func (b *bench) request(_ *testscript.TestScript, args []string) error {
-	if len(args) < 2 || b.callers[args[0]] != nil {
-		return errors.New("request NAME SERVICE, with a new NAME")
+// request implements the command
+//
+//	request NAME SERVICE [path=print] [key=K] [body=TEXT] [router=1] [timeout=SECONDS] [api-key=KEY]
+//
+// which starts one request. With the SERVICE `completions` it is a generation whose
+// prompt is the body.
+func (h *harness) request(_ *testscript.TestScript, args []string) error {
+	if len(args) < 2 || h.callers[args[0]] != nil {
+		return errors.New("usage: request NAME SERVICE [OPTION=VALUE...], with an unused NAME")
 	}
 	o, err := parseOptions(args[2:], "path", "key", "body", "router", "timeout", "api-key")
 	if err != nil {
 		return err
 	}
 	number := 1
-	if err := o.number("router", &number); err != nil {
+	if err := o.setInt("router", &number); err != nil {
 		return err
 	}
-	base := "http://" + b.site.at(fromCallers, routerName(number))
-	ask := single{url: base + "/services/" + args[1] + "/" + o.or("path", "print"), key: o["key"], timeout: o["timeout"]}
-	ask.apiKey, ask.body = o.or("api-key", embedded.APIKey), []byte(o.or("body", o["key"]))
+	base := "http://" + h.site.address(fromCallers, routerName(number))
+	req := singleRequest{url: base + "/services/" + args[1] + "/" + o.valueOr("path", "print"), key: o["key"], timeout: o["timeout"]}
+	req.apiKey, req.body = o.valueOr("api-key", embedded.APIKey), []byte(o.valueOr("body", o["key"]))
 	if args[1] == "completions" {
-		ask.url = base + "/v1/completions"
-		if ask.body, err = json.Marshal(client.Request{Model: embedded.Model, Prompt: o.or("body", args[0]), MaxTokens: 10}); err != nil {
+		req.url = base + "/v1/completions"
+		if req.body, err = json.Marshal(client.Request{Model: embedded.Model, Prompt: o.valueOr("body", args[0]), MaxTokens: 10}); err != nil {
 			return err
 		}
 	}
 	c := &caller{done: make(chan struct{})}
-	b.callers[args[0]] = c
-	begun := time.Now()
+	h.callers[args[0]] = c
+	start := time.Now()
 	go func() {
 		defer close(c.done)
-		c.body, c.err = ask.do(b, c)
-		c.took = time.Since(begun)
+		c.body, c.err = req.do(h, c)
+		c.elapsed = time.Since(start)
 	}()
 	return nil
 }
 
-func (o options) or(name, other string) string {
+// valueOr returns the value of the option, or other if it is absent.
+func (o options) valueOr(name, other string) string {
 	if value, ok := o[name]; ok {
 		return value
 	}
 	return other
 }
 
-func (s single) do(b *bench, c *caller) ([]byte, error) {
-	req, err := http.NewRequestWithContext(b.ctx, http.MethodPost, s.url, bytes.NewReader(s.body))
+func (s singleRequest) do(h *harness, c *caller) ([]byte, error) {
+	req, err := http.NewRequestWithContext(h.ctx, http.MethodPost, s.url, bytes.NewReader(s.body))
 	if err != nil {
 		return nil, err
 	}
@@ -88,28 +93,29 @@
 	if s.timeout != "" {
 		req.Header.Set(router.HeaderTimeout, s.timeout)
 	}
-	return read((&http.Client{Transport: c}).Do(req))
+	return readBody((&http.Client{Transport: c}).Do(req))
 }
 
-// answer: answer NAME CONDITION...; `within<2s` bounds the time until the answer
-// or refusal, `run=N` is the service's number of the run that was answered,
-// `same=OTHER` compares bodies.
-func (b *bench) answerOf(ts *testscript.TestScript, args []string) error {
+// checkAnswer implements `answer NAME CONDITION...`. The condition `within<2s` bounds
+// the time until the answer or refusal, `run=N` compares the number that the service
+// gave to the run whose answer this is, and `same=OTHER` compares the bodies of two
+// answers.
+func (h *harness) checkAnswer(ts *testscript.TestScript, args []string) error {
 	if len(args) < 2 {
-		return errors.New("answer NAME CONDITION...")
+		return errors.New("usage: answer NAME CONDITION...")
 	}
-	c, err := b.caller(args[0])
+	c, err := h.caller(args[0])
 	if err != nil {
 		return err
 	}
-	if err := b.wait(ts, args[:1]); err != nil {
+	if err := h.wait(ts, args[:1]); err != nil {
 		return err
 	}
 	for _, condition := range args[1:] {
 		if other, ok := strings.CutPrefix(condition, "same="); ok {
-			err = b.sameBody(ts, c, other)
+			err = h.expectSameBody(ts, c, other)
 		} else {
-			err = compare(condition, c.measured)
+			err = compare(condition, c.measurement)
 		}
 		if err != nil {
 			return errors.Wrap(err, args[0])
@@ -118,10 +124,11 @@
 	return nil
 }
 
-func (c *caller) measured(name string) (float64, bool) {
+// measurement returns the value that the conditions of the command answer compare.
+func (c *caller) measurement(name string) (float64, bool) {
 	switch name {
 	case "within":
-		return c.took.Seconds(), true
+		return c.elapsed.Seconds(), true
 	case "run":
 		var answer standin.PlainAnswer
 		err := json.Unmarshal(c.body, &answer)
@@ -130,33 +137,33 @@
 	return 0, false
 }
 
-func (b *bench) sameBody(ts *testscript.TestScript, c *caller, name string) error {
-	other, err := b.caller(name)
+func (h *harness) expectSameBody(ts *testscript.TestScript, c *caller, name string) error {
+	other, err := h.caller(name)
 	if err != nil {
 		return err
 	}
-	if err := b.wait(ts, []string{name}); err != nil {
+	if err := h.wait(ts, []string{name}); err != nil {
 		return err
 	}
 	if c.err != nil || other.err != nil || !bytes.Equal(c.body, other.body) {
-		return errors.Errorf("not the answer of %s: %q (%v) and %q (%v)", name, c.body, c.err, other.body, other.err)
+		return errors.Errorf("answer differs from that of %s: %q (error %v) and %q (error %v)", name, c.body, c.err, other.body, other.err)
 	}
 	return nil
 }
 
-// rows: rows PREFIX TEXT N; waits until the table has N rows under the prefix
-// whose values contain TEXT
-func (b *bench) rows(_ *testscript.TestScript, args []string) error {
+// rows implements `rows PREFIX TEXT N`, which waits until the table has exactly N rows
+// under the prefix whose values contain TEXT. It reads at most 100 rows.
+func (h *harness) rows(_ *testscript.TestScript, args []string) error {
 	if len(args) != 3 {
-		return errors.New("rows PREFIX TEXT N")
+		return errors.New("usage: rows PREFIX TEXT N")
 	}
 	want, err := strconv.Atoi(args[2])
 	if err != nil {
 		return err
 	}
 	query := url.Values{"prefix": {args[0]}, "limit": {"100"}}
-	address := "http://" + b.site.at(fromHarness, platformName) + "/v1/table/rows?" + query.Encode()
-	return await(conditionTimeout, "rows "+strings.Join(args, " "), func() bool {
+	address := "http://" + h.site.address(fromHarness, platformName) + "/v1/table/rows?" + query.Encode()
+	return waitFor(conditionTimeout, "rows "+strings.Join(args, " "), func() bool {
 		var rows []backing.Row
 		if getJSON(address, &rows) != nil {
 			return false
@@ -171,15 +178,16 @@
 	})
 }
 
-// ready: ready; waits until every router takes callers and has met all sidecars.
-// A router that hasn't met the sidecar of a plain service can't name it in a claim.
-func (b *bench) ready(_ *testscript.TestScript, _ []string) error {
-	if err := b.site.ready(); err != nil {
+// ready implements `ready`, which waits until each router accepts callers and knows all
+// sidecars as alive. A router that doesn't know the sidecar of a plain service can't name
+// it in a claim.
+func (h *harness) ready(_ *testscript.TestScript, _ []string) error {
+	if err := h.site.ready(); err != nil {
 		return err
 	}
-	return await(readyTimeout, "routers have met all sidecars", func() bool {
-		for i := range b.site.size.routers {
-			if b.site.met(routerName(i+1)) != b.site.sidecars() {
+	return waitFor(readyTimeout, "all routers know all sidecars as alive", func() bool {
+		for i := range h.site.size.routers {
+			if h.site.aliveSidecars(routerName(i+1)) != h.site.sidecarCount() {
 				return false
 			}
 		}
@@ -187,27 +195,29 @@
 	})
 }
 
-// met counts the sidecars that a router knows to be alive in their present run.
-func (s *site) met(router string) int {
+// aliveSidecars returns how many sidecars the router knows as alive in their current
+// incarnation.
+func (s *site) aliveSidecars(router string) int {
 	var here membership.Dump
-	if s.dump(router, "membership", &here) != nil {
+	if s.readSection(router, "membership", &here) != nil {
 		return 0
 	}
 	n := 0
 	for _, m := range here.Members {
 		var own membership.Dump
 		if m.Role == types.RoleSidecar && m.State == membership.StateAlive &&
-			s.dump(string(m.ID), "membership", &own) == nil && own.Self.Incarnation == m.Incarnation {
+			s.readSection(string(m.ID), "membership", &own) == nil && own.Self.Incarnation == m.Incarnation {
 			n++
 		}
 	}
 	return n
 }
 
-// elapse: elapse DURATION; time passes, for what is bounded by an age
-func (b *bench) elapse(_ *testscript.TestScript, args []string) error {
+// elapse implements `elapse DURATION`, which sleeps. It is for conditions that depend on
+// an age.
+func (h *harness) elapse(_ *testscript.TestScript, args []string) error {
 	if len(args) != 1 {
-		return errors.New("elapse DURATION")
+		return errors.New("usage: elapse DURATION")
 	}
 	d, err := time.ParseDuration(args[0])
 	if err != nil {
@@ -215,16 +225,17 @@
 	}
 	select {
 	case <-time.After(d):
-	case <-b.ctx.Done():
+	case <-h.ctx.Done():
 	}
 	return nil
 }
 
-// inForce: in-force REVISION within=4s NAME...; waits until the processes have
-// the revision or a later one in force, at most that long from now
-func (b *bench) inForce(_ *testscript.TestScript, args []string) error {
+// inForce implements `in-force REVISION within=4s NAME...`, which waits until each
+// process has the configuration revision or a later one in force, and fails if that
+// takes longer in total.
+func (h *harness) inForce(_ *testscript.TestScript, args []string) error {
 	if len(args) < 3 {
-		return errors.New("in-force REVISION within=DURATION NAME...")
+		return errors.New("usage: in-force REVISION within=DURATION NAME...")
 	}
 	revision, err := strconv.ParseUint(args[0], 10, 64)
 	if err != nil {
@@ -234,14 +245,14 @@
 	if err != nil {
 		return err
 	}
-	names, err := b.resolve(args[2:])
+	names, err := h.resolve(args[2:])
 	if err != nil {
 		return err
 	}
-	begun := time.Now()
+	start := time.Now()
 	for _, name := range names {
-		err := await(limit-time.Since(begun), name+" at revision "+args[0], func() bool {
-			have, err := b.site.revision(name)
+		err := waitFor(limit-time.Since(start), name+" at configuration revision "+args[0], func() bool {
+			have, err := h.site.revision(name)
 			return err == nil && have >= types.Revision(revision)
 		})
 		if err != nil {
@@ -253,14 +264,14 @@
 
 func (s *site) revision(name string) (types.Revision, error) {
 	var state inspect.State
-	err := getJSON("http://"+s.at(fromPeers, name)+inspect.PathState, &state)
+	err := getJSON("http://"+s.address(fromPeers, name)+inspect.PathState, &state)
 	return state.Revision, err
 }
 
-// organisation: organisation FIELD=VALUE...; sets limits of the callers'
-// organisation, such as requestsPerSecond=1, and applies the text
-func (b *bench) organisation(ts *testscript.TestScript, args []string) error {
-	limits := &b.site.text.Organisations[0].Limits
+// organisation implements `organisation FIELD=VALUE...`, which sets limits of the
+// callers' organisation, such as requestsPerSecond=1, and applies the configuration.
+func (h *harness) organisation(ts *testscript.TestScript, args []string) error {
+	limits := &h.site.config.Organisations[0].Limits
 	for _, arg := range args {
 		field, value, _ := strings.Cut(arg, "=")
 		decoder := json.NewDecoder(strings.NewReader(`{"` + field + `":` + value + `}`))
@@ -269,26 +280,28 @@
 			return errors.Wrap(err, arg)
 		}
 	}
-	return b.apply(ts, nil)
+	return h.apply(ts, nil)
 }
 
-// edited: edited FILE SECTION.FIELD=VALUE...; writes a changed text without
-// applying it, as an operator has it who hasn't heard of others' changes
-func (b *bench) edited(ts *testscript.TestScript, args []string) error {
+// edited implements `edited FILE SECTION.FIELD=VALUE...`, which writes a changed
+// configuration to FILE without applying it, like that of an operator who doesn't know
+// of others' changes.
+func (h *harness) edited(ts *testscript.TestScript, args []string) error {
 	if len(args) < 2 {
-		return errors.New("edited FILE SECTION.FIELD=VALUE...")
+		return errors.New("usage: edited FILE SECTION.FIELD=VALUE...")
 	}
-	own := *b.site.text
-	if err := edit(&own, args[1:]); err != nil {
+	own := *h.site.config
+	if err := setConfigFields(&own, args[1:]); err != nil {
 		return err
 	}
-	return b.site.write(ts.MkAbs(args[0]), &own)
+	return h.site.writeJSON(ts.MkAbs(args[0]), &own)
 }
 
-// exits: exits STATUS PROGRAM ARGS...; the program ends with this status
-func (b *bench) exits(ts *testscript.TestScript, args []string) error {
+// exits implements `exits STATUS PROGRAM ARGS...`, which runs the program and fails
+// unless it ends with this exit status.
+func (h *harness) exits(ts *testscript.TestScript, args []string) error {
 	if len(args) < 2 {
-		return errors.New("exits STATUS PROGRAM ARGS...")
+		return errors.New("usage: exits STATUS PROGRAM ARGS...")
 	}
 	want, err := strconv.Atoi(args[0])
 	if err != nil {
@@ -303,35 +316,37 @@
 		status = ended.ExitCode()
 	}
 	if status != want {
-		return errors.Errorf("%s: status %d, wanted %d", strings.Join(args[1:], " "), status, want)
+		return errors.Errorf("%s: exit status %d, want %d", strings.Join(args[1:], " "), status, want)
 	}
 	return nil
 }
 
-// raced: raced BASE FILE...; operators apply the files on one base at once: one
-// of them ends with status 0, all others with that of a lost race
-func (b *bench) raced(ts *testscript.TestScript, args []string) error {
+// raced implements `raced BASE FILE...`, which applies all files concurrently on the same
+// base revision, as several operators would. Exactly one must exit with cli.ExitOK and
+// all others with cli.ExitRace.
+func (h *harness) raced(ts *testscript.TestScript, args []string) error {
 	if len(args) < 3 {
-		return errors.New("raced BASE FILE...")
+		return errors.New("usage: raced BASE FILE...")
 	}
-	states := make([]int, len(args)-1)
+	statuses := make([]int, len(args)-1)
 	var wait sync.WaitGroup
 	for i, file := range args[1:] {
-		wait.Go(func() { states[i] = b.status(ts, "apply", "--base", args[0], file) })
+		wait.Go(func() { statuses[i] = h.exitStatus(ts, "apply", "--base", args[0], file) })
 	}
 	wait.Wait()
-	slices.Sort(states)
-	lost := slices.Repeat([]int{cli.ExitRace}, len(states)-1)
-	if !slices.Equal(states, append([]int{cli.ExitOK}, lost...)) {
-		return errors.Errorf("raced: statuses %v", states)
+	slices.Sort(statuses)
+	lost := slices.Repeat([]int{cli.ExitRace}, len(statuses)-1)
+	if !slices.Equal(statuses, append([]int{cli.ExitOK}, lost...)) {
+		return errors.Errorf("raced: exit statuses %v, want one %d and otherwise %d", statuses, cli.ExitOK, cli.ExitRace)
 	}
-	b.revision++
+	h.revision++
 	return nil
 }
 
-// status runs the operators' command line beside others and returns its exit status.
-func (b *bench) status(ts *testscript.TestScript, args ...string) int {
-	cmd, err := b.operator(ts, programCLI, args)
+// exitStatus runs pearyard, possibly concurrently with other commands, and returns its
+// exit status, or -1 if it can't be started.
+func (h *harness) exitStatus(ts *testscript.TestScript, args ...string) int {
+	cmd, err := h.operatorCommand(ts, programCLI, args)
 	if err != nil {
 		return -1
 	}
@@ -339,17 +354,18 @@
 	return cmd.ProcessState.ExitCode()
 }
 
-// vms: vms [N...]; sets the platform's list of VMs, of which those numbered N leave
-func (b *bench) vms(_ *testscript.TestScript, args []string) error {
+// vms implements `vms [N...]`, which sets the platform's list of VMs and marks those
+// numbered N as leaving.
+func (h *harness) vms(_ *testscript.TestScript, args []string) error {
 	var vms []backing.VM
-	for i := range b.site.sidecars() {
+	for i := range h.site.sidecarCount() {
 		name := sidecarName(i + 1)
-		vms = append(vms, backing.VM{ID: "vm-" + strconv.Itoa(i+1), Address: b.site.at(fromPeers, name), Zone: b.site.zone(i + 1)})
+		vms = append(vms, backing.VM{ID: "vm-" + strconv.Itoa(i+1), Address: h.site.address(fromPeers, name), Zone: h.site.zone(i + 1)})
 	}
 	for _, arg := range args {
 		n, err := strconv.Atoi(arg)
 		if err != nil || n < 1 || n > len(vms) {
-			return errors.Errorf("no VM %s", arg)
+			return errors.Errorf("unknown VM %q", arg)
 		}
 		vms[n-1].Leaving = true
 	}
@@ -357,24 +373,25 @@
 	if err != nil {
 		return err
 	}
-	req, err := http.NewRequest(http.MethodPut, "http://"+b.site.at(fromHarness, platformName)+"/vms", bytes.NewReader(raw))
+	req, err := http.NewRequest(http.MethodPut, "http://"+h.site.address(fromHarness, platformName)+"/vms", bytes.NewReader(raw))
 	if err != nil {
 		return err
 	}
-	_, err = read(lookClient.Do(req))
+	_, err = readBody(inspectClient.Do(req))
 	return err
 }
 
-// counter: counter STAND-IN FIELD=N; a number of one stand-in's dump, as it is now
-func (b *bench) counter(_ *testscript.TestScript, args []string) error {
-	names, err := b.resolve(args)
+// counter implements `counter STAND-IN FIELD=N`, which compares one number of a
+// stand-in's dump without waiting.
+func (h *harness) counter(_ *testscript.TestScript, args []string) error {
+	names, err := h.resolve(args)
 	if err != nil {
 		return err
 	}
-	if len(names) != 2 || b.site.processes[names[0]] == nil {
-		return errors.New("counter STAND-IN FIELD=N")
+	if len(names) != 2 || h.site.processes[names[0]] == nil {
+		return errors.New("usage: counter STAND-IN FIELD=N")
 	}
-	counters, err := b.site.counters(names[0])
+	counters, err := h.site.counters(names[0])
 	if err != nil {
 		return err
 	}
--- a/scenario/commands.go
+++ b/scenario/commands.go
@@ -14,9 +14,13 @@
 	"github.com/pearyard/pearyard/cli"
 )
 
-// startSite: site [engines=3] [routers=2] [plains=1] [zones=3] [step=4ms] [poison-after=0] [recovery.FIELD=VALUE]...
-func (b *bench) startSite(ts *testscript.TestScript, args []string) error {
-	of := size{engines: 3, routers: 2, plains: 1, zones: 3, step: 4 * time.Millisecond}
+// startSite implements the command
+//
+//	site [engines=3] [routers=2] [plains=1] [zones=3] [step=4ms] [poison-after=0] [recovery.FIELD=VALUE]...
+//
+// which starts a site, applies its first configuration and waits until it is ready.
+func (h *harness) startSite(ts *testscript.TestScript, args []string) error {
+	dims := size{engines: 3, routers: 2, plains: 1, zones: 3, step: 4 * time.Millisecond}
 	var fields, sizes []string
 	for _, arg := range args {
 		if name, _, _ := strings.Cut(arg, "="); strings.Contains(name, ".") {
@@ -29,179 +33,189 @@
 	if err != nil {
 		return err
 	}
-	for name, into := range map[string]*int{"engines": &of.engines, "routers": &of.routers, "plains": &of.plains, "zones": &of.zones, "poison-after": &of.poisonAfter} {
-		if err := o.number(name, into); err != nil {
+	for name, into := range map[string]*int{"engines": &dims.engines, "routers": &dims.routers, "plains": &dims.plains, "zones": &dims.zones, "poison-after": &dims.poisonAfter} {
+		if err := o.setInt(name, into); err != nil {
 			return err
 		}
 	}
 	if step, ok := o["step"]; ok {
-		if of.step, err = time.ParseDuration(step); err != nil {
+		if dims.step, err = time.ParseDuration(step); err != nil {
 			return err
 		}
 	}
-	b.site = newSite(ts.MkAbs("."), of)
-	if err := b.site.start(); err != nil {
+	h.site = newSite(ts.MkAbs("."), dims)
+	if err := h.site.start(); err != nil {
 		return err
 	}
-	b.site.text = b.site.firstText()
-	b.environment(ts)
-	if err := b.apply(ts, fields); err != nil {
+	h.site.config = h.site.initialConfig()
+	h.setEnvironment(ts)
+	if err := h.apply(ts, fields); err != nil {
 		return err
 	}
-	return b.site.ready()
+	return h.site.ready()
 }
 
-// apply: apply [recovery.FIELD=VALUE] [limits.FIELD=VALUE]...
-func (b *bench) apply(ts *testscript.TestScript, args []string) error {
-	if err := edit(b.site.text, args); err != nil {
+// apply implements `apply [recovery.FIELD=VALUE] [limits.FIELD=VALUE]...`, which changes
+// the configuration and applies it with the command line.
+func (h *harness) apply(ts *testscript.TestScript, args []string) error {
+	if err := setConfigFields(h.site.config, args); err != nil {
 		return err
 	}
-	file, err := b.site.textFile()
+	file, err := h.site.writeConfig()
 	if err != nil {
 		return err
 	}
-	if err := ts.Exec(programCLI, "apply", "--base", strconv.Itoa(b.revision), file); err != nil {
+	if err := ts.Exec(programCLI, "apply", "--base", strconv.Itoa(h.revision), file); err != nil {
 		return errors.Wrap(err, "pearyard apply")
 	}
-	b.revision++
+	h.revision++
 	return nil
 }
 
-// generate: generate NAME [tokens=400] [key=K] [router=1] [prompt=TEXT] [stream=true] [patience=2.5s]; begins a caller
-func (b *bench) generate(_ *testscript.TestScript, args []string) error {
-	if len(args) == 0 || b.callers[args[0]] != nil {
-		return errors.New("generate needs a new NAME")
+// generate implements the command
+//
+//	generate NAME [tokens=400] [key=K] [router=1] [prompt=TEXT] [stream=true] [patience=2.5s]
+//
+// which starts a generation.
+func (h *harness) generate(_ *testscript.TestScript, args []string) error {
+	if len(args) == 0 || h.callers[args[0]] != nil {
+		return errors.New("usage: generate NAME [OPTION=VALUE...], with an unused NAME")
 	}
 	o, err := parseOptions(args[1:], "tokens", "key", "router", "prompt", "stream", "patience")
 	if err != nil {
 		return err
 	}
-	ask := generation{prompt: "a lifting plan for " + args[0], tokens: 400, key: o["key"], first: 1, stream: o["stream"] != "false", patience: callerSilence}
+	params := generationParams{prompt: "a lifting plan for " + args[0], tokens: 400, key: o["key"], firstRouter: 1, stream: o["stream"] != "false", idleTimeout: callerIdleTimeout}
 	if prompt, ok := o["prompt"]; ok {
-		ask.prompt = prompt
+		params.prompt = prompt
 	}
-	if err := o.number("tokens", &ask.tokens); err != nil {
+	if err := o.setInt("tokens", &params.tokens); err != nil {
 		return err
 	}
-	if err := o.number("router", &ask.first); err != nil {
+	if err := o.setInt("router", &params.firstRouter); err != nil {
 		return err
 	}
-	if err := o.duration("patience", &ask.patience); err != nil {
+	if err := o.setDuration("patience", &params.idleTimeout); err != nil {
 		return err
 	}
-	b.callers[args[0]] = generate(b.ctx, b.site.callerAddresses(), ask)
+	h.callers[args[0]] = generate(h.ctx, h.site.callerAddresses(), params)
 	return nil
 }
 
+// callerAddresses returns the addresses of all routers for callers.
 func (s *site) callerAddresses() []string {
 	var out []string
 	for i := range s.size.routers {
-		out = append(out, s.at(fromCallers, routerName(i+1)))
+		out = append(out, s.address(fromCallers, routerName(i+1)))
 	}
 	return out
 }
 
-// call: call NAME SERVICE PATH [key=K] [router=1]; begins a call of a plain service
-func (b *bench) call(_ *testscript.TestScript, args []string) error {
-	if len(args) < 3 || b.callers[args[0]] != nil {
-		return errors.New("call NAME SERVICE PATH, with a new NAME")
+// call implements `call NAME SERVICE PATH [key=K] [router=1]`, which starts a call of a
+// plain service.
+func (h *harness) call(_ *testscript.TestScript, args []string) error {
+	if len(args) < 3 || h.callers[args[0]] != nil {
+		return errors.New("usage: call NAME SERVICE PATH [OPTION=VALUE...], with an unused NAME")
 	}
 	o, err := parseOptions(args[3:], "key", "router")
 	if err != nil {
 		return err
 	}
 	router := 1
-	if err := o.number("router", &router); err != nil {
+	if err := o.setInt("router", &router); err != nil {
 		return err
 	}
-	b.callers[args[0]] = call(b.ctx, b.site.at(fromCallers, routerName(router)), args[1], args[2], o["key"])
+	h.callers[args[0]] = call(h.ctx, h.site.address(fromCallers, routerName(router)), args[1], args[2], o["key"])
 	return nil
 }
 
-// when: when NAME token=100 COMMAND...; waits until the caller has that many tokens
-func (b *bench) when(ts *testscript.TestScript, args []string) error {
+// when implements `when NAME token=100 COMMAND...`, which waits until the caller has
+// received that many tokens and then runs the command.
+func (h *harness) when(ts *testscript.TestScript, args []string) error {
 	if len(args) < 3 {
-		return errors.New("when NAME token=N COMMAND")
+		return errors.New("usage: when NAME token=N COMMAND...")
 	}
-	c, err := b.caller(args[0])
+	c, err := h.caller(args[0])
 	if err != nil {
 		return err
 	}
 	o, err := parseOptions(args[1:2], "token")
 	token := 0
 	if err == nil {
-		err = o.number("token", &token)
+		err = o.setInt("token", &token)
 	}
 	if err != nil {
 		return err
 	}
-	err = await(conditionTimeout, strings.Join(args[:2], " "), func() bool {
-		_, seen := c.now()
+	err = waitFor(conditionTimeout, strings.Join(args[:2], " "), func() bool {
+		_, seen := c.progress()
 		return seen >= token || c.ended()
 	})
 	if err != nil {
 		return err
 	}
-	if _, seen := c.now(); seen < token {
+	if _, seen := c.progress(); seen < token {
 		return errors.Errorf("%s ended after %d tokens: %v", args[0], seen, c.err)
 	}
 	run := Commands()[args[2]]
 	if run == nil {
-		return errors.Errorf("when: no command %s", args[2])
+		return errors.Errorf("when: unknown command %q", args[2])
 	}
 	run(ts, false, args[3:])
 	return nil
 }
 
-// name: name NEW PROCESS; gives a process a second name, for when it no longer serves a caller
-func (b *bench) name(_ *testscript.TestScript, args []string) error {
-	names, err := b.resolve(args[min(1, len(args)):])
+// name implements `name NEW PROCESS`, which sets an alias of a process, so that a script
+// can refer to it after it has stopped serving a caller.
+func (h *harness) name(_ *testscript.TestScript, args []string) error {
+	names, err := h.resolve(args[min(1, len(args)):])
 	if err != nil {
 		return err
 	}
 	if len(names) != 1 {
-		return errors.New("name NEW PROCESS")
+		return errors.New("usage: name NEW PROCESS")
 	}
-	b.names[args[0]] = names[0]
+	h.aliases[args[0]] = names[0]
 	return nil
 }
 
-// wait: ended NAME...; waits until callers or processes have ended
-func (b *bench) wait(_ *testscript.TestScript, args []string) error {
-	args, err := b.resolve(args)
+// wait implements `ended NAME...`, which waits until the callers or processes have ended.
+func (h *harness) wait(_ *testscript.TestScript, args []string) error {
+	args, err := h.resolve(args)
 	if err != nil {
 		return err
 	}
 	for _, name := range args {
 		var done <-chan struct{}
-		if c := b.callers[name]; c != nil {
+		if c := h.callers[name]; c != nil {
 			done = c.done
-		} else if p := b.site.processes[name]; p != nil {
+		} else if p := h.site.processes[name]; p != nil {
 			done = p.done
 		} else {
-			return errors.Errorf("no caller or process %s", name)
+			return errors.Errorf("unknown caller or process %q", name)
 		}
 		select {
 		case <-done:
 		case <-time.After(conditionTimeout):
-			return errors.Errorf("%s hasn't ended within %s", name, conditionTimeout)
+			return errors.Errorf("%s did not end within %s", name, conditionTimeout)
 		}
 	}
 	return nil
 }
 
-// eventually: eventually PATTERN COMMAND...; runs a program until its output matches
-func (b *bench) eventually(ts *testscript.TestScript, args []string) error {
+// eventually implements `eventually PATTERN COMMAND...`, which runs a program repeatedly
+// until its output matches.
+func (h *harness) eventually(ts *testscript.TestScript, args []string) error {
 	if len(args) < 2 {
-		return errors.New("eventually PATTERN COMMAND")
+		return errors.New("usage: eventually PATTERN COMMAND...")
 	}
 	pattern, err := regexp.Compile(args[0])
 	if err != nil {
 		return err
 	}
 	var out string
-	err = await(conditionTimeout, strings.Join(args, " "), func() bool {
-		cmd, err := b.operator(ts, args[1], args[2:])
+	err = waitFor(conditionTimeout, strings.Join(args, " "), func() bool {
+		cmd, err := h.operatorCommand(ts, args[1], args[2:])
 		if err != nil {
 			return false
 		}
@@ -212,14 +226,14 @@
 	return errors.Wrap(err, out)
 }
 
-// operator returns a command of an operator that can run beside others; those
-// of testscript's exec can't.
-func (b *bench) operator(ts *testscript.TestScript, program string, args []string) (*exec.Cmd, error) {
+// operatorCommand returns an operator's command that can run concurrently with others,
+// unlike those run by TestScript.Exec.
+func (h *harness) operatorCommand(ts *testscript.TestScript, program string, args []string) (*exec.Cmd, error) {
 	binary, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
-	cmd := exec.CommandContext(b.ctx, binary, args...)
+	cmd := exec.CommandContext(h.ctx, binary, args...)
 	cmd.Args[0] = program
 	cmd.Env = append(cmd.Environ(), cli.EnvAdmin+"="+ts.Getenv(cli.EnvAdmin), cli.EnvToken+"="+ts.Getenv(cli.EnvToken))
 	cmd.Dir = ts.MkAbs(".")
--- a/scenario/text.go
+++ b/scenario/config.go
@@ -13,8 +13,8 @@
 	"github.com/pearyard/pearyard/text"
 )
 
-// firstText is the text of a new site.
-func (s *site) firstText() *text.Config {
+// initialConfig returns the configuration of a new site.
+func (s *site) initialConfig() *text.Config {
 	key := sha256.Sum256([]byte(embedded.APIKey))
 	models := text.Service{
 		Name: embedded.ModelService, Kind: text.KindModel, Calls: text.CallsRepeatable, RetryBudget: text.DefaultRetryBudget,
@@ -24,9 +24,9 @@
 		Name: embedded.PlainService, Kind: text.KindPlain, Calls: text.CallsAtMostOnce, RetryBudget: text.DefaultRetryBudget,
 		DependsOn: []text.Dependency{}, BackendServers: []text.BackendServer{},
 	}
-	for i := range s.sidecars() {
+	for i := range s.sidecarCount() {
 		name, kind := s.backendOf(i + 1)
-		server := text.BackendServer{Name: name, Zone: s.zone(i + 1), Sidecar: s.at(fromPeers, sidecarName(i+1))}
+		server := text.BackendServer{Name: name, Zone: s.zone(i + 1), Sidecar: s.address(fromPeers, sidecarName(i+1))}
 		if kind == text.KindModel {
 			server.ChecksFencing = true
 			models.BackendServers = append(models.BackendServers, server)
@@ -52,18 +52,19 @@
 	}
 }
 
-// edit sets fields of the text, each as `recovery.FIELD=VALUE` or `limits.FIELD=VALUE`.
-func edit(in *text.Config, fields []string) error {
+// setConfigFields sets fields of the configuration, each given as `recovery.FIELD=VALUE`
+// or `limits.FIELD=VALUE`.
+func setConfigFields(in *text.Config, fields []string) error {
 	for _, f := range fields {
 		path, value, ok := strings.Cut(f, "=")
 		section, field, dotted := strings.Cut(path, ".")
 		if !ok || !dotted {
-			return errors.Errorf("%q is not SECTION.FIELD=VALUE", f)
+			return errors.Errorf("%q is not of the form SECTION.FIELD=VALUE", f)
 		}
 		sections := map[string]any{"recovery": &in.Recovery, "limits": &in.Limits}
 		into := sections[section]
 		if into == nil {
-			return errors.Errorf("%q: no section %s", f, section)
+			return errors.Errorf("%q: unknown section %q", f, section)
 		}
 		decoder := json.NewDecoder(strings.NewReader(`{"` + field + `":` + value + `}`))
 		decoder.DisallowUnknownFields()
@@ -74,8 +75,8 @@
 	return nil
 }
 
-// textFile writes the text as it is to be applied and returns its file.
-func (s *site) textFile() (string, error) {
+// writeConfig writes the configuration to a file and returns its path.
+func (s *site) writeConfig() (string, error) {
 	file := filepath.Join(s.dir, "site.json")
-	return file, s.write(file, s.text)
+	return file, s.writeJSON(file, s.config)
 }
--- a/scenario/doc.go
+++ b/scenario/doc.go
@@ -1,7 +1,7 @@
-// Package scenario runs scripted scenarios over real processes: a site of
-// stand-ins, sidecars and routers on loopback ports, with signals and cut
-// connections as faults. The scripts are testdata/*.txtar, in the language of
-// testscript with the commands that docs/design/scenarios.md lists.
+// Package scenario runs scripted end-to-end tests against real processes: a site of
+// stand-ins, sidecars and routers on loopback ports. Scripts inject faults with signals
+// and by interrupting connections. The scripts are testdata/*.txtar files for testscript,
+// with the additional commands that docs/design/scenarios.md lists.
 //
 // May import of pearyard: backing, catalogue, cli, client, daemon, embedded,
 // engine, generation, inspect, lease, membership, order, router, rpc/order,
--- a/scenario/edits.go
+++ b/scenario/edits.go
@@ -14,12 +14,13 @@
 	"github.com/pearyard/pearyard/text"
 )
 
-// set: set POINTER JSON; changes the text, in force with the next apply
-func (b *bench) set(_ *testscript.TestScript, args []string) error {
+// set implements `set POINTER JSON`, which replaces the value at a JSON pointer in the
+// configuration. The change is in force from the next apply on.
+func (h *harness) set(_ *testscript.TestScript, args []string) error {
 	if len(args) != 2 {
-		return errors.New("set POINTER JSON")
+		return errors.New("usage: set POINTER JSON")
 	}
-	raw, err := json.Marshal(b.site.text)
+	raw, err := json.Marshal(h.site.config)
 	if err != nil {
 		return err
 	}
@@ -31,7 +32,7 @@
 	if err := json.Unmarshal([]byte(args[1]), &value); err != nil {
 		return errors.Wrap(err, args[1])
 	}
-	if err := setAt(tree, strings.Split(strings.TrimPrefix(args[0], "/"), "/"), value); err != nil {
+	if err := setJSONPath(tree, strings.Split(strings.TrimPrefix(args[0], "/"), "/"), value); err != nil {
 		return errors.Wrap(err, args[0])
 	}
 	if raw, err = json.Marshal(tree); err != nil {
@@ -43,12 +44,12 @@
 	if err := decoder.Decode(changed); err != nil {
 		return errors.Wrap(err, args[0])
 	}
-	b.site.text = changed
+	h.site.config = changed
 	return nil
 }
 
-// setAt sets the value that path names in a decoded JSON document.
-func setAt(tree any, path []string, value any) error {
+// setJSONPath sets the value at path in a decoded JSON document.
+func setJSONPath(tree any, path []string, value any) error {
 	last := len(path) == 1
 	switch node := tree.(type) {
 	case map[string]any:
@@ -56,30 +57,31 @@
 			node[path[0]] = value
 			return nil
 		}
-		return setAt(node[path[0]], path[1:], value)
+		return setJSONPath(node[path[0]], path[1:], value)
 	case []any:
 		i, err := strconv.Atoi(path[0])
 		if err != nil || i < 0 || i >= len(node) {
-			return errors.Errorf("no element %s", path[0])
+			return errors.Errorf("no array element %q", path[0])
 		}
 		if last {
 			node[i] = value
 			return nil
 		}
-		return setAt(node[i], path[1:], value)
+		return setJSONPath(node[i], path[1:], value)
 	}
-	return errors.Errorf("nothing to go into for %s", path[0])
+	return errors.Errorf("no object or array that contains %q", path[0])
 }
 
-// rerun: rerun NAME... -- [FLAG...] [no FLAG]; restarts engines with other flags
-// and waits until their sidecars have them back
-func (b *bench) rerun(ts *testscript.TestScript, args []string) error {
-	cut := slices.Index(args, "--")
-	if cut < 1 {
-		return errors.New("rerun NAME... -- FLAG")
-	}
-	names, flags := args[:cut], args[cut+1:]
-	processes, err := b.members(names)
+// rerun implements `rerun NAME... -- [FLAG...]` and `rerun NAME... -- no FLAG`, which
+// restart engines with flags added or one removed, and wait until their sidecars report
+// them as available again.
+func (h *harness) rerun(ts *testscript.TestScript, args []string) error {
+	separator := slices.Index(args, "--")
+	if separator < 1 {
+		return errors.New("usage: rerun NAME... -- [no] FLAG")
+	}
+	names, flags := args[:separator], args[separator+1:]
+	processes, err := h.processesOf(names)
 	if err != nil {
 		return err
 	}
@@ -90,14 +92,15 @@
 			p.args = append(slices.Clone(p.args), flags...)
 		}
 	}
-	if err := b.kill(ts, names); err != nil {
+	if err := h.kill(ts, names); err != nil {
 		return err
 	}
 	for _, p := range processes {
-		// Its sidecar must have seen it gone, or the look below shows the old run.
-		sidecar := b.site.processes[strings.Replace(p.name, "engine-", "sidecar-", 1)]
+		// The sidecar must have noticed the end of the old process first; otherwise
+		// it could still report on that one.
+		sidecar := h.site.processes[strings.Replace(p.name, "engine-", "sidecar-", 1)]
 		before := sidecar.log.count("engine_back")
-		if err := await(conditionTimeout, p.name+" gone", func() bool {
+		if err := waitFor(conditionTimeout, "sidecar reports "+p.name+" as ended", func() bool {
 			return sidecar.log.count("engine_died") > before
 		}); err != nil {
 			return err
@@ -105,7 +108,7 @@
 		if err := p.start(); err != nil {
 			return err
 		}
-		if err := await(conditionTimeout, p.name+" back", func() bool {
+		if err := waitFor(conditionTimeout, "sidecar reports "+p.name+" as available again", func() bool {
 			return sidecar.log.count("engine_back") > before
 		}); err != nil {
 			return err
@@ -114,10 +117,11 @@
 	return nil
 }
 
-// within: within DURATION COMMAND...; fails if the command takes longer
-func (b *bench) within(ts *testscript.TestScript, args []string) error {
+// within implements `within DURATION COMMAND...`, which runs the command and fails if
+// it takes longer.
+func (h *harness) within(ts *testscript.TestScript, args []string) error {
 	if len(args) < 2 {
-		return errors.New("within DURATION COMMAND")
+		return errors.New("usage: within DURATION COMMAND...")
 	}
 	limit, err := time.ParseDuration(args[0])
 	if err != nil {
@@ -125,28 +129,29 @@
 	}
 	run := Commands()[args[1]]
 	if run == nil {
-		return errors.Errorf("within: no command %s", args[1])
+		return errors.Errorf("within: unknown command %q", args[1])
 	}
-	begun := time.Now()
+	start := time.Now()
 	run(ts, false, args[2:])
-	if took := time.Since(begun); took > limit {
+	if took := time.Since(start); took > limit {
 		return errors.Errorf("%s took %s, longer than %s", strings.Join(args[1:], " "), took, limit)
 	}
 	return nil
 }
 
-// met: met; waits until all processes that run know each other
-func (b *bench) met(_ *testscript.TestScript, _ []string) error {
+// met implements `met`, which waits until the membership of each running router and
+// sidecar lists at least as many processes as there are of them.
+func (h *harness) met(_ *testscript.TestScript, _ []string) error {
 	var members []string
-	for _, name := range b.site.order {
-		if p := b.site.processes[name]; p.program != programStandin && p.running() {
+	for _, name := range h.site.startOrder {
+		if p := h.site.processes[name]; p.program != programStandin && p.running() {
 			members = append(members, name)
 		}
 	}
-	return await(conditionTimeout, "all have met", func() bool {
+	return waitFor(conditionTimeout, "all running processes know each other", func() bool {
 		for _, name := range members {
 			var known struct{ Members []json.RawMessage }
-			if b.site.dump(name, "membership", &known) != nil || len(known.Members) < len(members) {
+			if h.site.readSection(name, "membership", &known) != nil || len(known.Members) < len(members) {
 				return false
 			}
 		}
--- a/scenario/expect.go
+++ b/scenario/expect.go
@@ -14,52 +14,55 @@
 	"github.com/pearyard/pearyard/standin"
 )
 
-// engineCrash is the exit status of an engine that a request crashed.
-const engineCrash = 3
+// crashStatus is the exit status of an engine that crashed because of a request.
+const crashStatus = 3
 
-// expect checks what came of callers and processes; see docs/design/scenarios.md.
-func (b *bench) expect(ts *testscript.TestScript, args []string) error {
+// expect implements `expect`, which checks the results of callers and the state of
+// processes; see docs/design/scenarios.md.
+func (h *harness) expect(ts *testscript.TestScript, args []string) error {
 	if len(args) < 2 {
-		return errors.New("expect WHAT CONDITION...")
+		return errors.New("usage: expect WHAT CONDITION...")
 	}
-	if given := b.names[args[0]]; given != "" {
-		return b.expectProcess(given, args[1])
+	if process := h.aliases[args[0]]; process != "" {
+		return h.expectProcess(process, args[1])
 	}
-	if c := b.callers[args[0]]; c != nil {
-		if err := b.wait(ts, args[:1]); err != nil {
+	if c := h.callers[args[0]]; c != nil {
+		if err := h.wait(ts, args[:1]); err != nil {
 			return err
 		}
-		return errors.Wrap(b.expectCaller(c, args[1], args[2:]), args[0])
+		return errors.Wrap(h.expectCaller(c, args[1], args[2:]), args[0])
 	}
 	switch args[0] {
 	case "engines", "plains":
-		return b.expectSum(args[0], args[1])
+		return h.expectSum(args[0], args[1])
 	case "runs":
-		return b.expectRuns(args[1:])
+		return h.expectRuns(args[1:])
 	case "event":
-		return b.expectEvent(args[1:])
+		return h.expectEvent(args[1:])
 	case "no-event":
-		return b.expectNoEvent(args[1:])
+		return h.expectNoEvent(args[1:])
 	}
-	return b.expectProcess(args[0], args[1])
+	return h.expectProcess(args[0], args[1])
 }
 
-func (b *bench) expectCaller(c *caller, what string, more []string) error {
+func (h *harness) expectCaller(c *caller, what string, conditions []string) error {
 	switch what {
 	case "whole":
-		return expectWhole(c, more)
+		return expectWhole(c, conditions)
 	case "refused":
-		return expectRefused(c, more)
+		return expectRefused(c, conditions)
 	case "answered":
 		return c.err
 	case "same", "different":
-		return b.expectSame(c, what == "same", more)
+		return h.expectSame(c, what == "same", conditions)
 	}
-	return errors.Errorf("expect: no condition %s", what)
+	return errors.Errorf("expect: unknown condition %q", what)
 }
 
-// expectWhole: expect NAME whole [tokens=N] [longest-gap<1500ms] [returns=0]
-func expectWhole(c *caller, more []string) error {
+// expectWhole implements `expect NAME whole [tokens=N] [longest-gap<1500ms] [returns=0]`:
+// the answer is complete and correct, and the conditions hold. The condition returns
+// compares how often the caller resumed.
+func expectWhole(c *caller, conditions []string) error {
 	if c.err != nil {
 		return errors.Wrapf(c.err, "after %d tokens", len(c.answer.Texts))
 	}
@@ -67,9 +70,9 @@
 		return err
 	}
 	if len(c.answer.Texts) != c.tokens || c.answer.Finish == "" {
-		return errors.Errorf("%d tokens of %d, finish %q", len(c.answer.Texts), c.tokens, c.answer.Finish)
+		return errors.Errorf("got %d tokens, want %d, with finish reason %q", len(c.answer.Texts), c.tokens, c.answer.Finish)
 	}
-	for _, condition := range more {
+	for _, condition := range conditions {
 		err := compare(condition, func(name string) (float64, bool) {
 			switch name {
 			case "tokens":
@@ -88,16 +91,17 @@
 	return nil
 }
 
-// expectRefused: expect NAME refused [code=C] [outcome=O] [retry-after]
-func expectRefused(c *caller, more []string) error {
+// expectRefused implements `expect NAME refused [code=C] [outcome=O] [retry-after]`: the
+// request was refused, and all tokens before the refusal are correct.
+func expectRefused(c *caller, conditions []string) error {
 	var refused *client.RefusedError
 	if !errors.As(c.err, &refused) {
-		return errors.Errorf("not refused: %v, %d tokens", c.err, len(c.answer.Texts))
+		return errors.Errorf("not refused: error %v, %d tokens", c.err, len(c.answer.Texts))
 	}
 	if err := standin.CheckAnswer(c.prompt, c.answer.Texts); err != nil {
-		return errors.Wrap(err, "the part before the refusal")
+		return errors.Wrap(err, "tokens before the refusal")
 	}
-	for _, condition := range more {
+	for _, condition := range conditions {
 		good := false
 		switch name, value, _ := strings.Cut(condition, "="); name {
 		case "code":
@@ -108,45 +112,47 @@
 			good = refused.RetryAfter > 0
 		}
 		if !good {
-			return errors.Errorf("%s doesn't hold: %v", condition, refused)
+			return errors.Errorf("condition %s is not met by the refusal: %v", condition, refused)
 		}
 	}
 	return nil
 }
 
-// expectSame: expect NAME same|different OTHER
-func (b *bench) expectSame(c *caller, same bool, more []string) error {
-	for _, name := range more {
-		other, err := b.caller(name)
+// expectSame implements `expect NAME same|different OTHER...`, which compares the answers
+// of callers.
+func (h *harness) expectSame(c *caller, same bool, others []string) error {
+	for _, name := range others {
+		other, err := h.caller(name)
 		if err != nil {
 			return err
 		}
 		<-other.done
 		if slices.Equal(c.answer.Texts, other.answer.Texts) != same {
-			return errors.Errorf("answer and that of %s: same is %t, wanted %t", name, !same, same)
+			return errors.Errorf("same answer as %s: got %t, want %t", name, !same, same)
 		}
 	}
 	return nil
 }
 
-// expectSum: expect engines|plains FIELD=N; FIELD of the dumps of all that run,
-// or `crashed`: how many ended because a request crashed them
-func (b *bench) expectSum(kind, condition string) error {
+// expectSum implements `expect engines|plains FIELD=N`, which waits until the sum of FIELD
+// over the dumps of all running stand-ins of the kind meets the condition. The FIELD
+// `crashed` is the number of those that crashed because of a request.
+func (h *harness) expectSum(kind, condition string) error {
 	var last error
-	err := await(conditionTimeout, kind+" "+condition, func() bool {
+	err := waitFor(conditionTimeout, kind+" "+condition, func() bool {
 		sums := map[string]float64{"crashed": 0}
-		for _, name := range b.site.order {
-			p := b.site.processes[name]
+		for _, name := range h.site.startOrder {
+			p := h.site.processes[name]
 			if !strings.HasPrefix(name, strings.TrimSuffix(kind, "s")+"-") {
 				continue
 			}
 			if !p.running() {
-				if p.status == engineCrash {
+				if p.status == crashStatus {
 					sums["crashed"]++
 				}
 				continue
 			}
-			counters, err := b.site.counters(name)
+			counters, err := h.site.counters(name)
 			if err != nil {
 				last = err
 				return false
@@ -164,15 +170,16 @@
 	return nil
 }
 
-// expectRuns: expect runs key=K CONDITION, such as <=1; counted by the plain services
-func (b *bench) expectRuns(args []string) error {
+// expectRuns implements `expect runs key=K CONDITION`, with a condition such as <=1 on the
+// number of runs that the plain services counted for the key.
+func (h *harness) expectRuns(args []string) error {
 	if len(args) != 2 || !strings.HasPrefix(args[0], "key=") {
-		return errors.New("expect runs key=K CONDITION")
+		return errors.New("usage: expect runs key=K CONDITION")
 	}
 	runs := 0
-	for i := range b.site.size.plains {
+	for i := range h.site.size.plains {
 		var counts standin.PlainCounts
-		if err := getJSON("http://"+b.site.at(fromHarness, plainName(i+1))+"/counts", &counts); err != nil {
+		if err := getJSON("http://"+h.site.address(fromHarness, plainName(i+1))+"/counts", &counts); err != nil {
 			return err
 		}
 		runs += counts.ByKey[strings.TrimPrefix(args[0], "key=")]
@@ -180,39 +187,42 @@
 	return compare("runs"+args[1], func(string) (float64, bool) { return float64(runs), true })
 }
 
-// expectNoEvent: expect no-event NAME PY2101 [WORD...]; the process's log hasn't got it by now
-func (b *bench) expectNoEvent(args []string) error {
-	args, err := b.resolve(args)
+// expectNoEvent implements `expect no-event NAME PY2101 [WORD...]`: the process's log has
+// no such line at this time.
+func (h *harness) expectNoEvent(args []string) error {
+	args, err := h.resolve(args)
 	if err != nil {
 		return err
 	}
-	if len(args) < 2 || b.site.processes[args[0]] == nil {
-		return errors.New("expect no-event NAME EVENT")
+	if len(args) < 2 || h.site.processes[args[0]] == nil {
+		return errors.New("usage: expect no-event NAME EVENT [WORD...]")
 	}
-	if n := b.site.processes[args[0]].log.count(args[1:]...); n > 0 {
-		return errors.Errorf("%d lines with %s", n, strings.Join(args, " "))
+	if n := h.site.processes[args[0]].log.count(args[1:]...); n > 0 {
+		return errors.Errorf("%d log lines with %s, want none", n, strings.Join(args, " "))
 	}
 	return nil
 }
 
-// expectEvent: expect event NAME PY2101 [WORD...]; waits until the process's log has it
-func (b *bench) expectEvent(args []string) error {
-	args, err := b.resolve(args)
+// expectEvent implements `expect event NAME PY2101 [WORD...]`, which waits until the
+// process's log has a line with the event and all words.
+func (h *harness) expectEvent(args []string) error {
+	args, err := h.resolve(args)
 	if err != nil {
 		return err
 	}
-	if len(args) < 2 || b.site.processes[args[0]] == nil {
-		return errors.New("expect event NAME EVENT")
+	if len(args) < 2 || h.site.processes[args[0]] == nil {
+		return errors.New("usage: expect event NAME EVENT [WORD...]")
 	}
-	p := b.site.processes[args[0]]
-	return await(conditionTimeout, "event "+strings.Join(args, " "), func() bool { return p.log.count(args[1:]...) > 0 })
+	p := h.site.processes[args[0]]
+	return waitFor(conditionTimeout, "event "+strings.Join(args, " "), func() bool { return p.log.count(args[1:]...) > 0 })
 }
 
-// expectProcess: expect NAME running|status=N; status waits for its end
-func (b *bench) expectProcess(name, condition string) error {
-	p := b.site.processes[name]
+// expectProcess implements `expect NAME running|status=N`. The condition status waits
+// until the process has ended.
+func (h *harness) expectProcess(name, condition string) error {
+	p := h.site.processes[name]
 	if p == nil {
-		return errors.Errorf("no caller or process %s", name)
+		return errors.Errorf("unknown caller or process %q", name)
 	}
 	if condition == "running" {
 		if !p.running() {
@@ -220,34 +230,36 @@
 		}
 		return nil
 	}
-	if err := b.wait(nil, []string{name}); err != nil {
+	if err := h.wait(nil, []string{name}); err != nil {
 		return err
 	}
 	return errors.Wrap(compare(condition, func(string) (float64, bool) { return float64(p.status), true }), name)
 }
 
-// compare checks `NAME=N`, `NAME<=N`, `NAME>=N`, `NAME<N` or `NAME>N`; N may be a duration.
+// compare checks a condition `NAME=N`, `NAME<=N`, `NAME>=N`, `NAME<N` or `NAME>N`. N may be
+// a duration, which is compared in seconds.
 func compare(condition string, value func(name string) (float64, bool)) error {
 	for _, op := range []string{"<=", ">=", "<", ">", "="} {
 		name, limit, ok := strings.Cut(condition, op)
 		if !ok {
 			continue
 		}
-		have, known := value(name)
-		want, err := parseNumber(limit)
+		got, known := value(name)
+		want, err := parseValue(limit)
 		if err != nil || !known {
-			return errors.Errorf("%q isn't a condition here", condition)
+			return errors.Errorf("condition %q has an unknown name or an invalid number", condition)
 		}
-		holds := map[string]bool{"<=": have <= want, ">=": have >= want, "<": have < want, ">": have > want, "=": have == want}[op]
+		holds := map[string]bool{"<=": got <= want, ">=": got >= want, "<": got < want, ">": got > want, "=": got == want}[op]
 		if !holds {
-			return fmt.Errorf("%s doesn't hold: it is %g", condition, have)
+			return fmt.Errorf("condition %s is not met: got %g", condition, got)
 		}
 		return nil
 	}
-	return errors.Errorf("%q isn't a condition", condition)
+	return errors.Errorf("condition %q has no operator", condition)
 }
 
-func parseNumber(s string) (float64, error) {
+// parseValue parses a number or a duration, which it returns in seconds.
+func parseValue(s string) (float64, error) {
 	if d, err := time.ParseDuration(s); err == nil && s != "0" {
 		return d.Seconds(), nil
 	}
--- a/scenario/faults.go
+++ b/scenario/faults.go
@@ -9,14 +9,15 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// kill: sigkill NAME...
-func (b *bench) kill(_ *testscript.TestScript, args []string) error {
-	all, err := b.members(args)
+// kill implements `sigkill NAME...`, which kills processes and waits until they have
+// ended.
+func (h *harness) kill(_ *testscript.TestScript, args []string) error {
+	all, err := h.processesOf(args)
 	if err != nil {
 		return err
 	}
 	for _, p := range all {
-		_ = p.cmd.Process.Kill() // all at once; those that have ended are well
+		_ = p.cmd.Process.Kill() // at the same time; an error means that the process has ended
 	}
 	for _, p := range all {
 		<-p.done
@@ -24,35 +25,36 @@
 	return nil
 }
 
-// freeze: freeze NAME...; returns when they have stopped. A busy machine lets a
-// process run on for a while after the signal.
-func (b *bench) freeze(_ *testscript.TestScript, args []string) error {
-	if err := b.signal(args, syscall.SIGSTOP); err != nil {
+// freeze implements `freeze NAME...`, which stops processes with SIGSTOP and waits until
+// they have stopped: on a busy machine a process runs on for a while after the signal.
+func (h *harness) freeze(_ *testscript.TestScript, args []string) error {
+	if err := h.signal(args, syscall.SIGSTOP); err != nil {
 		return err
 	}
-	all, err := b.members(args)
+	all, err := h.processesOf(args)
 	if err != nil {
 		return err
 	}
-	return await(conditionTimeout, "frozen "+strings.Join(args, " "), func() bool {
+	return waitFor(conditionTimeout, "frozen "+strings.Join(args, " "), func() bool {
 		return !slices.ContainsFunc(all, func(p *process) bool { return p.running() && !p.stopped() })
 	})
 }
 
-// thaw: thaw NAME...
-func (b *bench) thaw(_ *testscript.TestScript, args []string) error {
-	return b.signal(args, syscall.SIGCONT)
+// thaw implements `thaw NAME...`, which continues frozen processes.
+func (h *harness) thaw(_ *testscript.TestScript, args []string) error {
+	return h.signal(args, syscall.SIGCONT)
 }
 
-// term: term NAME...; begins a planned stop
-func (b *bench) term(_ *testscript.TestScript, args []string) error {
-	return b.signal(args, syscall.SIGTERM)
+// term implements `term NAME...`, which begins a planned stop with SIGTERM.
+func (h *harness) term(_ *testscript.TestScript, args []string) error {
+	return h.signal(args, syscall.SIGTERM)
 }
 
-// stop: drain NAME...; the operators' command for a planned stop. (`stop` is
-// testscript's own: it ends a script as passed, whatever comes after.)
-func (b *bench) stop(ts *testscript.TestScript, args []string) error {
-	names, err := b.resolve(args)
+// stop implements `drain NAME...`, which begins a planned stop with the operators' command
+// line. The command isn't named `stop` because testscript has a command of that name,
+// which ends a script as passed without running the rest.
+func (h *harness) stop(ts *testscript.TestScript, args []string) error {
+	names, err := h.resolve(args)
 	if err != nil {
 		return err
 	}
@@ -64,8 +66,8 @@
 	return nil
 }
 
-func (b *bench) signal(args []string, s syscall.Signal) error {
-	all, err := b.members(args)
+func (h *harness) signal(args []string, s syscall.Signal) error {
+	all, err := h.processesOf(args)
 	if err != nil {
 		return err
 	}
@@ -77,9 +79,10 @@
 	return nil
 }
 
-// restart: restart NAME...; starts what has ended, as a new incarnation
-func (b *bench) restart(_ *testscript.TestScript, args []string) error {
-	all, err := b.members(args)
+// restart implements `restart NAME...`, which starts processes as new incarnations. One
+// that still runs is killed first.
+func (h *harness) restart(_ *testscript.TestScript, args []string) error {
+	all, err := h.processesOf(args)
 	if err != nil {
 		return err
 	}
@@ -92,22 +95,24 @@
 	return nil
 }
 
-// way finds the relay of `A B`. It resolves `sidecar-of NAME` on either side.
-func (b *bench) way(args []string) (*relay, error) {
-	names, err := b.resolve(args)
+// relayBetween returns the relay from A to B. Both names are resolved, so either may be
+// `sidecar-of NAME`.
+func (h *harness) relayBetween(args []string) (*relay, error) {
+	names, err := h.resolve(args)
 	if err != nil {
 		return nil, err
 	}
-	r := b.site.relays[strings.Join(names, " ")]
+	r := h.site.relays[strings.Join(names, " ")]
 	if r == nil || names[0] == fromHarness {
-		return nil, errors.Errorf("no way %s", strings.Join(names, " "))
+		return nil, errors.Errorf("no connection %q that can be interrupted", strings.Join(names, " "))
 	}
 	return r, nil
 }
 
-// cut: cut A B; nothing passes from A to B or back, and connections stay open
-func (b *bench) cut(_ *testscript.TestScript, args []string) error {
-	r, err := b.way(args)
+// cut implements `cut A B`, after which no data passes from A to B or back while
+// connections stay open.
+func (h *harness) cut(_ *testscript.TestScript, args []string) error {
+	r, err := h.relayBetween(args)
 	if err != nil {
 		return err
 	}
@@ -115,9 +120,10 @@
 	return nil
 }
 
-// mend: mend A B; ends a cut or a hold, and what was sent meanwhile arrives
-func (b *bench) mend(_ *testscript.TestScript, args []string) error {
-	r, err := b.way(args)
+// mend implements `mend A B`, which ends a cut or a hold and delivers the data sent in the
+// meantime.
+func (h *harness) mend(_ *testscript.TestScript, args []string) error {
+	r, err := h.relayBetween(args)
 	if err != nil {
 		return err
 	}
@@ -125,10 +131,10 @@
 	return nil
 }
 
-// hold: hold A B TEXT; answers from B to A stop before TEXT
-func (b *bench) hold(_ *testscript.TestScript, args []string) error {
+// hold implements `hold A B TEXT`, which stops each answer from B to A before TEXT.
+func (h *harness) hold(_ *testscript.TestScript, args []string) error {
 	last := len(args) - 1
-	r, err := b.way(args[:max(0, last)])
+	r, err := h.relayBetween(args[:max(0, last)])
 	if err != nil {
 		return err
 	}
@@ -136,20 +142,20 @@
 	return nil
 }
 
-// held: held A B; waits until an answer has stopped at a hold
-func (b *bench) held(_ *testscript.TestScript, args []string) error {
-	r, err := b.way(args)
+// held implements `held A B`, which waits until a hold has stopped an answer.
+func (h *harness) held(_ *testscript.TestScript, args []string) error {
+	r, err := h.relayBetween(args)
 	if err != nil {
 		return err
 	}
-	return await(conditionTimeout, "held "+strings.Join(args, " "), r.holds)
+	return waitFor(conditionTimeout, "held "+strings.Join(args, " "), r.isHolding)
 }
 
-// fault: fault NAME JSON; sets faults of a stand-in
-func (b *bench) fault(_ *testscript.TestScript, args []string) error {
-	names, err := b.resolve(args)
+// fault implements `fault NAME JSON`, which sets the faults that a stand-in simulates.
+func (h *harness) fault(_ *testscript.TestScript, args []string) error {
+	names, err := h.resolve(args)
 	if err != nil || len(names) != 2 {
-		return errors.Errorf("fault NAME JSON: %v", err)
+		return errors.Errorf("usage: fault NAME JSON (error %v)", err)
 	}
-	return b.site.fault(names[0], names[1])
+	return h.site.setFault(names[0], names[1])
 }
--- a/scenario/serving.go
+++ b/scenario/generation_id.go
@@ -8,30 +8,32 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// eventIDLine begins the line of a token's event id.
+// eventIDLine is the prefix of the line with a token's event ID.
 var eventIDLine = []byte("id: ")
 
-// eventBody reads the generation's id off the first event of an answer. The
-// request's own id won't do: a caller may have joined another one's generation.
-type eventBody struct {
+// generationIDReader is a response body that records the generation ID found in the first
+// event. The request ID isn't sufficient: a caller may have joined the generation of
+// another request.
+type generationIDReader struct {
 	io.ReadCloser
 	caller *caller
-	head   []byte // of the answer, until the id is found
+	prefix []byte // of the body, until its first line is complete
 	found  bool
 }
 
 // Read implements io.Reader.
-func (e *eventBody) Read(b []byte) (int, error) {
+func (e *generationIDReader) Read(b []byte) (int, error) {
 	n, err := e.ReadCloser.Read(b)
 	if !e.found {
-		e.head = append(e.head, b[:n]...)
-		e.find()
+		e.prefix = append(e.prefix, b[:n]...)
+		e.parseID()
 	}
 	return n, err
 }
 
-func (e *eventBody) find() {
-	line, _, whole := bytes.Cut(e.head, []byte("\n"))
+// parseID parses the generation ID from the first line once it is complete.
+func (e *generationIDReader) parseID() {
+	line, _, whole := bytes.Cut(e.prefix, []byte("\n"))
 	if !whole {
 		return
 	}
@@ -46,8 +48,8 @@
 	e.caller.generation = event.Generation.String()
 }
 
-// isServedBy reports whether a run of a sidecar is the one that answers the
-// caller. One that has got nothing yet takes whatever runs for its own.
+// isServedBy reports whether a run listed by a sidecar is the one that serves the caller.
+// While the caller has received no response, any run is taken for its own.
 func (c *caller) isServedBy(request types.RequestID, generation string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/scenario/look.go
+++ b/scenario/inspect.go
@@ -15,13 +15,14 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// lookTimeout bounds a look at one process; frozen ones don't answer.
-const lookTimeout = 500 * time.Millisecond
+// inspectTimeout bounds a request for the state of one process, since a frozen process
+// doesn't answer.
+const inspectTimeout = 500 * time.Millisecond
 
-var lookClient = &http.Client{Timeout: lookTimeout}
+var inspectClient = &http.Client{Timeout: inspectTimeout}
 
 func getJSON(url string, into any) error {
-	resp, err := lookClient.Get(url)
+	resp, err := inspectClient.Get(url)
 	if err != nil {
 		return err
 	}
@@ -32,21 +33,21 @@
 	return json.NewDecoder(resp.Body).Decode(into)
 }
 
-// dump reads one section of a process's state.
-func (s *site) dump(name, section string, into any) error {
+// readSection decodes one section of a process's state into *into.
+func (s *site) readSection(name, section string, into any) error {
 	var state struct {
 		Sections map[string]inspect.Section `json:"sections"`
 	}
-	if err := getJSON("http://"+s.at(fromPeers, name)+inspect.PathState, &state); err != nil {
+	if err := getJSON("http://"+s.address(fromPeers, name)+inspect.PathState, &state); err != nil {
 		return err
 	}
 	return json.Unmarshal(state.Sections[section].Value, into)
 }
 
-// counters reads the numbers of a stand-in's dump.
+// counters returns the numeric fields of a stand-in's dump.
 func (s *site) counters(name string) (map[string]float64, error) {
 	var raw map[string]any
-	if err := getJSON("http://"+s.at(fromHarness, name)+"/dump", &raw); err != nil {
+	if err := getJSON("http://"+s.address(fromHarness, name)+"/dump", &raw); err != nil {
 		return nil, err
 	}
 	out := map[string]float64{}
@@ -58,22 +59,23 @@
 	return out, nil
 }
 
-func (s *site) fault(name, body string) error {
-	resp, err := lookClient.Post("http://"+s.at(fromHarness, name)+"/faults", "application/json", strings.NewReader(body))
+// setFault sets the faults that a stand-in simulates.
+func (s *site) setFault(name, body string) error {
+	resp, err := inspectClient.Post("http://"+s.address(fromHarness, name)+"/faults", "application/json", strings.NewReader(body))
 	if err != nil {
 		return err
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
 		message, _ := io.ReadAll(resp.Body)
-		return errors.Errorf("fault of %s: %s %s", name, resp.Status, message)
+		return errors.Errorf("set faults of %s: %s %s", name, resp.Status, message)
 	}
 	return nil
 }
 
-// runner returns the number of the sidecar under which the caller's generation
-// runs now; 0 if none does.
-func (s *site) runner(c *caller) int {
+// servingSidecar returns the number of the sidecar beside which the caller's generation
+// currently runs, or 0 if there is none.
+func (s *site) servingSidecar(c *caller) int {
 	found, youngest := 0, math.Inf(1)
 	for i := range s.size.engines {
 		if !s.processes[sidecarName(i+1)].running() || !s.processes[engineName(i+1)].running() {
@@ -87,11 +89,12 @@
 				AgeSeconds float64
 			}
 		}
-		if s.dump(sidecarName(i+1), "sidecar", &state) != nil {
+		if s.readSection(sidecarName(i+1), "sidecar", &state) != nil {
 			continue
 		}
 		for _, run := range state.Runs {
-			// A run that moves is at two places until the former one has been ended.
+			// While a generation moves, it is listed by two sidecars until the old run
+			// has been ended; the younger run is the current one.
 			if run.AgeSeconds < youngest && run.Phase == genlog.Running.String() && c.isServedBy(run.Request, run.Generation) {
 				found, youngest = i+1, run.AgeSeconds
 			}
--- a/scenario/orders.go
+++ b/scenario/orders.go
@@ -13,20 +13,20 @@
 	orderpb "github.com/pearyard/pearyard/rpc/order"
 )
 
-// served: served MODEL VERSION; waits until each engine that runs serves that
-// version of the model and no other
-func (b *bench) served(_ *testscript.TestScript, args []string) error {
+// served implements `served MODEL VERSION`, which waits until each running engine serves
+// that version of the model and no other.
+func (h *harness) served(_ *testscript.TestScript, args []string) error {
 	if len(args) != 2 {
-		return errors.New("served MODEL VERSION")
+		return errors.New("usage: served MODEL VERSION")
 	}
 	want := []string{args[1]}
-	return await(conditionTimeout, "served "+args[0]+" "+args[1], func() bool {
-		for i := range b.site.size.engines {
-			if !b.site.processes[engineName(i+1)].running() {
+	return waitFor(conditionTimeout, "served "+args[0]+" "+args[1], func() bool {
+		for i := range h.site.size.engines {
+			if !h.site.processes[engineName(i+1)].running() {
 				continue
 			}
 			var loaded []engine.Loaded
-			if getJSON("http://"+b.site.at(fromHarness, engineName(i+1))+"/v1/loaded", &loaded) != nil {
+			if getJSON("http://"+h.site.address(fromHarness, engineName(i+1))+"/v1/loaded", &loaded) != nil {
 				return false
 			}
 			var versions []string
@@ -43,28 +43,28 @@
 	})
 }
 
-// holder: holder NAME; names the router that holds the lease under which orders
-// are given, other than those named so before
-func (b *bench) holder(_ *testscript.TestScript, args []string) error {
+// holder implements `holder NAME`, which waits until a router without an alias holds the
+// lease for sending orders, and sets NAME as its alias.
+func (h *harness) holder(_ *testscript.TestScript, args []string) error {
 	if len(args) != 1 {
-		return errors.New("holder NAME")
+		return errors.New("usage: holder NAME")
 	}
-	return await(conditionTimeout, "a holder of the lease", func() bool {
-		for i := range b.site.size.routers {
+	return waitFor(conditionTimeout, "a router that holds the lease", func() bool {
+		for i := range h.site.size.routers {
 			name := routerName(i + 1)
 			var now lease.Dump
-			if b.given(name) || b.site.dump(name, "lease", &now) != nil || !now.Held {
+			if h.hasAlias(name) || h.site.readSection(name, "lease", &now) != nil || !now.Held {
 				continue
 			}
-			b.names[args[0]] = name
+			h.aliases[args[0]] = name
 			return true
 		}
 		return false
 	})
 }
 
-func (b *bench) given(process string) bool {
-	for _, name := range b.names {
+func (h *harness) hasAlias(process string) bool {
+	for _, name := range h.aliases {
 		if name == process {
 			return true
 		}
@@ -72,24 +72,25 @@
 	return false
 }
 
-// order: order taken|stale SIDECAR VERSION FENCE; gives an order to load the
-// model, as a router would that believes to hold the lease under this number
-func (b *bench) order(ts *testscript.TestScript, args []string) error {
+// order implements `order taken|stale SIDECAR VERSION FENCE`, which sends an order to load
+// the model, as a router would that believes it holds the lease with this fencing number.
+// The sidecar must accept it (taken) or reject it as stale.
+func (h *harness) order(ts *testscript.TestScript, args []string) error {
 	if len(args) != 4 {
-		return errors.New("order taken|stale SIDECAR VERSION FENCE")
+		return errors.New("usage: order taken|stale SIDECAR VERSION FENCE")
 	}
-	fence, err := parseNumber(args[3])
+	fence, err := parseValue(args[3])
 	if err != nil {
 		return err
 	}
 	client := order.NewClient(func(addr string) orderpb.Orders {
 		return orderpb.NewOrdersProtobufClient("http://"+addr, &http.Client{Timeout: conditionTimeout})
 	})
-	err = client.Order(b.ctx, b.site.at(fromPeers, args[1]), engine.Order{
-		Kind: engine.OrderLoadModel, Name: b.site.text.Models[0].Name, Version: args[2], Fence: uint64(fence),
+	err = client.Order(h.ctx, h.site.address(fromPeers, args[1]), engine.Order{
+		Kind: engine.OrderLoadModel, Name: h.site.config.Models[0].Name, Version: args[2], Fence: uint64(fence),
 	})
 	if stale := errors.Is(err, engine.ErrStaleFence); stale == (args[0] == "stale") && (stale || err == nil) {
 		return nil
 	}
-	return errors.Errorf("not %s: %v", args[0], err)
+	return errors.Errorf("order: want %s, got error %v", args[0], err)
 }
--- a/scenario/process.go
+++ b/scenario/process.go
@@ -17,25 +17,25 @@
 
 const (
 	startTimeout = 20 * time.Second
-	logTail      = 40 // lines of each log that a failed script prints
+	logTail      = 40 // number of lines of each log that a failed script prints
 )
 
-// process is one program of the site. It is the test binary, started under the
-// program's name.
+// process is one process of the site. It runs the test binary under the name of the
+// program.
 type process struct {
 	name    string
 	program string
 	args    []string
 	log     logBuffer
-	relays  map[string][]*relay // by the label of the address that stands behind
+	relays  map[string][]*relay // keyed by the label of the address that they forward to
 
 	cmd    *exec.Cmd
-	alive  io.Closer     // its end tells the process that the test is gone
+	stdin  io.Closer     // the process exits when it is closed, as it is when the test ends
 	done   chan struct{} // closed when the process has ended
 	status int           // set before done is closed
 }
 
-// start runs the program and returns when it listens.
+// start starts the process and waits until it listens.
 func (p *process) start() error {
 	binary, err := os.Executable()
 	if err != nil {
@@ -44,9 +44,9 @@
 	listening := make(chan string, 1)
 	p.cmd = exec.Command(binary, p.args...)
 	p.cmd.Args[0] = p.program
-	p.cmd.Stdout = &firstLine{log: &p.log, listening: listening}
+	p.cmd.Stdout = &listeningWriter{log: &p.log, listening: listening}
 	p.cmd.Stderr = &p.log
-	if p.alive, err = p.cmd.StdinPipe(); err != nil {
+	if p.stdin, err = p.cmd.StdinPipe(); err != nil {
 		return err
 	}
 	if err := p.cmd.Start(); err != nil {
@@ -58,24 +58,26 @@
 	case line := <-listening:
 		return p.connect(line)
 	case <-p.done:
-		return errors.Errorf("%s ended with status %d before it listened", p.name, p.status)
+		return errors.Errorf("%s ended with exit status %d before it listened", p.name, p.status)
 	case <-time.After(startTimeout):
-		return errors.Errorf("%s does not listen", p.name)
+		return errors.Errorf("%s did not listen within %s", p.name, startTimeout)
 	}
 }
 
+// reap waits until the process has ended, makes its relays refuse connections and closes
+// done.
 func (p *process) reap(cmd *exec.Cmd, done chan struct{}) {
 	_ = cmd.Wait()
 	for _, relays := range p.relays {
 		for _, r := range relays {
-			r.down()
+			r.clearTarget()
 		}
 	}
 	p.status = cmd.ProcessState.ExitCode()
 	close(done)
 }
 
-// connect leads the relays to the addresses of the line `listening [LABEL=]ADDRESS ...`.
+// connect sets the targets of the relays from the line `listening [LABEL=]ADDRESS ...`.
 func (p *process) connect(line string) error {
 	for _, word := range strings.Fields(line)[1:] {
 		label, address, ok := strings.Cut(word, "=")
@@ -83,7 +85,7 @@
 			label, address = labelBackend, word
 		}
 		for _, r := range p.relays[label] {
-			if err := r.up(address); err != nil {
+			if err := r.setTarget(address); err != nil {
 				return err
 			}
 		}
@@ -123,7 +125,8 @@
 	return true
 }
 
-// kill ends the process at once, also when it is frozen.
+// kill kills the process, which works also while it is frozen, and waits until it has
+// ended.
 func (p *process) kill() {
 	if p.cmd == nil || p.done == nil || !p.running() {
 		return
@@ -132,7 +135,7 @@
 	<-p.done
 }
 
-// logBuffer is a log that can be read while it is written.
+// logBuffer is a log that can be read and written concurrently.
 type logBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -151,6 +154,7 @@
 	return strings.Split(strings.TrimSpace(l.buf.String()), "\n")
 }
 
+// tail returns the last logTail lines.
 func (l *logBuffer) tail() string {
 	lines := l.lines()
 	return strings.Join(lines[max(0, len(lines)-logTail):], "\n")
@@ -176,8 +180,9 @@
 	return true
 }
 
-// firstLine hands on the line that says where a program listens.
-type firstLine struct {
+// listeningWriter writes to the log and sends the first line to the channel if it begins
+// with `listening `.
+type listeningWriter struct {
 	log       *logBuffer
 	listening chan<- string
 	line      []byte
@@ -185,13 +190,13 @@
 }
 
 // Write implements io.Writer.
-func (f *firstLine) Write(b []byte) (int, error) {
-	if !f.found {
-		f.line = append(f.line, b...)
-		if head, _, ok := bytes.Cut(f.line, []byte("\n")); ok && bytes.HasPrefix(head, []byte("listening ")) {
-			f.found = true
-			f.listening <- string(head)
+func (w *listeningWriter) Write(b []byte) (int, error) {
+	if !w.found {
+		w.line = append(w.line, b...)
+		if head, _, ok := bytes.Cut(w.line, []byte("\n")); ok && bytes.HasPrefix(head, []byte("listening ")) {
+			w.found = true
+			w.listening <- string(head)
 		}
 	}
-	return f.log.Write(b)
+	return w.log.Write(b)
 }
--- a/scenario/relay.go
+++ b/scenario/relay.go
@@ -8,46 +8,47 @@
 )
 
 const (
-	relayBuffer   = 32 << 10
-	relistenPause = 10 * time.Millisecond
-	relistenFor   = 5 * time.Second
+	relayBuffer      = 32 << 10
+	relistenInterval = 10 * time.Millisecond
+	relistenTimeout  = 5 * time.Second
 )
 
-// relay passes TCP connections on to the process behind it, under an address
-// that outlives the process. It can cut them as a network partition does:
-// connections stay open and nothing passes; what was sent meanwhile comes late.
+// relay forwards TCP connections to a process, at an address that stays the same when
+// the process restarts. It can cut them like a network partition: connections stay open
+// and no data passes until the cut ends, when the data sent in the meantime is delivered.
 type relay struct {
-	address string
-	kept    reservation
+	address  string
+	reserved reservation
 
-	mu       sync.Mutex // guards all below
-	target   string     // "" while the process behind isn't there
+	mu       sync.Mutex // guards the fields below
+	target   string     // address of the process; "" while it doesn't run
 	listener net.Listener
 	cut      bool
-	hold     []byte        // answers stop before this text
-	held     bool          // an answer stopped there
-	changed  chan struct{} // closed at the next change of cut, hold or listener
+	holdText []byte        // answers stop before this text; nil: no hold
+	holding  bool          // an answer has stopped before holdText
+	changed  chan struct{} // closed and replaced by update
 	closed   bool
 }
 
 func newRelay() (*relay, error) {
-	// The port is reserved first: no other socket may be bound once one listens.
-	kept, err := reserve()
+	// The port must be reserved first: no other socket can be bound to it once one listens.
+	port, err := reservePort()
 	if err != nil {
 		return nil, err
 	}
-	listener, err := net.Listen("tcp", kept.address)
+	listener, err := net.Listen("tcp", port.address)
 	if err != nil {
-		kept.release()
+		port.release()
 		return nil, err
 	}
-	r := &relay{address: kept.address, kept: kept, listener: listener, changed: make(chan struct{})}
+	r := &relay{address: port.address, reserved: port, listener: listener, changed: make(chan struct{})}
 	go r.accept(listener)
 	return r, nil
 }
 
-// up leads connections to target from now on.
-func (r *relay) up(target string) error {
+// setTarget forwards new connections to target and listens again if clearTarget had
+// closed the listener.
+func (r *relay) setTarget(target string) error {
 	r.mu.Lock()
 	r.target = target
 	listening := r.listener != nil
@@ -55,11 +56,12 @@
 	if listening {
 		return nil
 	}
-	return r.listenAgain()
+	return r.relisten()
 }
 
-func (r *relay) listenAgain() error {
-	deadline := time.Now().Add(relistenFor)
+// relisten listens at the relay's address again, retrying for up to relistenTimeout.
+func (r *relay) relisten() error {
+	deadline := time.Now().Add(relistenTimeout)
 	for {
 		listener, err := net.Listen("tcp", r.address)
 		if err == nil {
@@ -72,14 +74,15 @@
 		if time.Now().After(deadline) {
 			return err
 		}
-		time.Sleep(relistenPause)
+		time.Sleep(relistenInterval)
 	}
 }
 
-// down refuses connections, as the kernel does for a port of a process that
-// has ended. A cut VM doesn't even refuse: then the listener stays.
-func (r *relay) down() {
-	r.change(func() {
+// clearTarget makes the relay refuse connections, as the kernel does for the port of a
+// process that has ended. A VM that is cut off can't even refuse, so while the relay is
+// cut the listener stays open.
+func (r *relay) clearTarget() {
+	r.update(func() {
 		r.target = ""
 		if r.listener == nil || r.cut {
 			return
@@ -90,44 +93,45 @@
 }
 
 func (r *relay) close() {
-	r.change(func() { r.closed, r.cut, r.hold = true, false, nil })
-	r.down()
-	r.kept.release()
+	r.update(func() { r.closed, r.cut, r.holdText = true, false, nil })
+	r.clearTarget()
+	r.reserved.release()
 }
 
-// setCut stops or lets through all bytes; a mended relay holds no answers either.
+// setCut starts or ends a cut. Ending it also ends a hold.
 func (r *relay) setCut(cut bool) {
-	r.change(func() {
+	r.update(func() {
 		r.cut = cut
 		if !cut {
-			r.hold = nil
+			r.holdText = nil
 		}
 	})
-	r.refuseIfGone()
+	r.closeIfNoTarget()
 }
 
-// refuseIfGone closes the listener of a process that ended while it was cut.
-func (r *relay) refuseIfGone() {
+// closeIfNoTarget closes the listener if the process ended during the cut.
+func (r *relay) closeIfNoTarget() {
 	r.mu.Lock()
 	gone := r.target == ""
 	r.mu.Unlock()
 	if gone {
-		r.down()
+		r.clearTarget()
 	}
 }
 
-// holdBefore stops each answer before text.
+// holdBefore makes each answer stop before text.
 func (r *relay) holdBefore(text string) {
-	r.change(func() { r.hold, r.held = []byte(text), false })
+	r.update(func() { r.holdText, r.holding = []byte(text), false })
 }
 
-func (r *relay) holds() bool {
+func (r *relay) isHolding() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.held
+	return r.holding
 }
 
-func (r *relay) change(set func()) {
+// update calls set with the lock held and wakes all goroutines that wait for a change.
+func (r *relay) update(set func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	set()
@@ -141,13 +145,14 @@
 		if err != nil {
 			return
 		}
-		go r.pass(conn)
+		go r.forward(conn)
 	}
 }
 
-func (r *relay) pass(caller net.Conn) {
+// forward copies data in both directions until one of them ends.
+func (r *relay) forward(caller net.Conn) {
 	defer func() { _ = caller.Close() }()
-	r.await()
+	r.waitUncut()
 	r.mu.Lock()
 	target := r.target
 	r.mu.Unlock()
@@ -157,13 +162,13 @@
 	}
 	defer func() { _ = process.Close() }()
 	ended := make(chan struct{}, 2)
-	go func() { r.copy(process, caller, false); ended <- struct{}{} }()
-	go func() { r.copy(caller, process, true); ended <- struct{}{} }()
+	go func() { r.forwardData(process, caller, false); ended <- struct{}{} }()
+	go func() { r.forwardData(caller, process, true); ended <- struct{}{} }()
 	<-ended
 }
 
-// await returns once the relay isn't cut.
-func (r *relay) await() {
+// waitUncut waits until the relay isn't cut.
+func (r *relay) waitUncut() {
 	for {
 		r.mu.Lock()
 		cut, changed := r.cut, r.changed
@@ -175,15 +180,16 @@
 	}
 }
 
-// copy returns when a side has closed; while cut, nobody learns of that.
-func (r *relay) copy(to, from net.Conn, answers bool) {
+// forwardData copies data until either side has closed. During a cut the other side
+// doesn't learn of that.
+func (r *relay) forwardData(to, from net.Conn, answers bool) {
 	buf := make([]byte, relayBuffer)
 	for {
 		n, err := from.Read(buf)
-		r.await()
+		r.waitUncut()
 		lost := false
 		if answers {
-			n, lost = r.passUntilHold(to, buf[:n])
+			n, lost = r.writeUntilHold(to, buf[:n])
 		}
 		if lost {
 			return
@@ -194,17 +200,17 @@
 	}
 }
 
-// passUntilHold writes the part of buf before the text that is held, waits
-// until the hold ends and returns what is left, moved to the front of buf. If
-// the process ends first, what was held is lost with it.
-func (r *relay) passUntilHold(to net.Conn, buf []byte) (left int, lost bool) {
+// writeUntilHold checks buf for the text of a hold. If it is there, writeUntilHold writes
+// the part before it, waits until the hold ends, moves the rest to the front of buf and
+// returns its length. If the process ends first, the rest is lost.
+func (r *relay) writeUntilHold(to net.Conn, buf []byte) (left int, lost bool) {
 	r.mu.Lock()
-	hold := r.hold
+	hold := r.holdText
 	at := -1
 	if hold != nil {
 		at = bytes.Index(buf, hold)
 	}
-	r.held = r.held || at >= 0
+	r.holding = r.holding || at >= 0
 	r.mu.Unlock()
 	if at < 0 {
 		return len(buf), false
@@ -212,7 +218,7 @@
 	_, _ = to.Write(buf[:at])
 	for {
 		r.mu.Lock()
-		again, gone, changed := r.hold != nil, r.target == "" && !r.cut, r.changed
+		again, gone, changed := r.holdText != nil, r.target == "" && !r.cut, r.changed
 		r.mu.Unlock()
 		if gone {
 			return 0, true
--- a/scenario/reserve.go
+++ b/scenario/reserve.go
@@ -7,31 +7,31 @@
 	"github.com/pkg/errors"
 )
 
-// reservation keeps a port for a relay whose process is gone.
+// reservation reserves a port for a relay while its process doesn't run.
 //
-// Failure it stops: while nobody listens, the kernel gives the port to another
-// process's outgoing connection, and the restart of the one behind the relay
-// fails with "address already in use". The kernel passes over ports that a
-// socket is bound to, and one that doesn't listen still refuses connections.
+// Without it, the kernel may assign the port to another process's outgoing connection
+// while nothing listens there, and the relay's next listen fails with "address already
+// in use". The kernel doesn't assign ports to which a socket is bound, and a bound socket
+// that doesn't listen still refuses connections.
 type reservation struct {
-	socket  int
+	fd      int
 	address string
 }
 
-// reserve picks a port of the loopback address that the kernel has free.
-func reserve() (reservation, error) {
-	socket, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
+// reservePort reserves a free port of the loopback address, chosen by the kernel.
+func reservePort() (reservation, error) {
+	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return reservation{}, errors.Wrap(err, "reserve a port")
 	}
-	r := reservation{socket: socket}
-	// With SO_REUSEADDR on both, the relay's listener may have the port as well.
-	err = syscall.SetsockoptInt(socket, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1)
+	r := reservation{fd: fd}
+	// With SO_REUSEADDR on both sockets, the relay's listener can use the port as well.
+	err = syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1)
 	if err == nil {
-		err = syscall.Bind(socket, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}})
+		err = syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}})
 	}
 	if err == nil {
-		r.address, err = boundTo(socket)
+		r.address, err = localAddress(fd)
 	}
 	if err != nil {
 		r.release()
@@ -40,8 +40,9 @@
 	return r, nil
 }
 
-func boundTo(socket int) (string, error) {
-	name, err := syscall.Getsockname(socket)
+// localAddress returns the ip:port to which the socket is bound.
+func localAddress(fd int) (string, error) {
+	name, err := syscall.Getsockname(fd)
 	if err != nil {
 		return "", err
 	}
@@ -52,4 +53,4 @@
 	return netip.AddrPortFrom(netip.AddrFrom4(at.Addr), uint16(at.Port)).String(), nil
 }
 
-func (r reservation) release() { _ = syscall.Close(r.socket) }
+func (r reservation) release() { _ = syscall.Close(r.fd) }
--- a/scenario/reserve_test.go
+++ b/scenario/reserve_test.go
@@ -8,19 +8,19 @@
 	"github.com/onsi/gomega"
 )
 
-// The process behind a relay ends and starts again. Until it does, dials are
-// refused, and then it listens there as before.
+// A relay closes its listener when its process ends and listens again when it restarts.
+// Between the two, connections to the reserved port must be refused.
 func TestReservedPortRefusesAndCanBeListenedOnAgain(t *testing.T) {
 	g := gomega.NewWithT(t)
-	kept, err := reserve()
+	reserved, err := reservePort()
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	defer kept.release()
+	defer reserved.release()
 	for range 3 {
-		_, err = net.Dial("tcp", kept.address)
+		_, err = net.Dial("tcp", reserved.address)
 		g.Expect(err).To(gomega.MatchError(syscall.ECONNREFUSED))
-		listener, err := net.Listen("tcp", kept.address)
+		listener, err := net.Listen("tcp", reserved.address)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
-		conn, err := net.Dial("tcp", kept.address)
+		conn, err := net.Dial("tcp", reserved.address)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(conn.Close()).To(gomega.Succeed())
 		g.Expect(listener.Close()).To(gomega.Succeed())
--- a/scenario/scripts_test.go
+++ b/scenario/scripts_test.go
@@ -11,9 +11,9 @@
 	"github.com/pearyard/pearyard/scenario"
 )
 
-// A script stopped a backend server by a command named `stop`. It passed, and
-// nothing after that line ever ran: testscript has a command of that name, which
-// ends a script as passed and goes before those of the harness.
+// Guards against scripts that end early: testscript's own commands `stop` and `skip` take
+// precedence over commands of the harness and end a script without running the rest. A
+// script that meant to stop a backend server with `stop` passed that way.
 func TestScriptsRunToTheirEnd(t *testing.T) {
 	g := gomega.NewWithT(t)
 	ends := regexp.MustCompile(`(?m)^(\[.*\] *|when \S+ \S+ )?(stop|skip)\b.*$`)
@@ -27,6 +27,8 @@
 	}
 }
 
+// testscript's own commands take precedence, so a command of the harness with the same
+// name would never run.
 func TestNoCommandHidesBehindTestscripts(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for _, theirs := range []string{
--- a/scenario/site.go
+++ b/scenario/site.go
@@ -18,7 +18,7 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// Labels of the addresses of a process, as its `listening` line has them.
+// Labels of the addresses of a process in its `listening` line.
 const (
 	labelPeers   = "peers"
 	labelCallers = "callers"
@@ -31,42 +31,43 @@
 	adminToken   = "token-of-a-scenario"
 	fromPeers    = "peers"
 	fromCallers  = "callers"
-	fromHarness  = "harness" // its own ways are never cut
+	fromHarness  = "harness" // its connections are never cut
 	readyTimeout = 30 * time.Second
 	pollInterval = 10 * time.Millisecond
 )
 
-// size is what a site is made of.
+// size holds the number of processes of each kind in a site, and the engines' settings.
 type size struct {
 	engines, routers, plains, zones int
-	step                            time.Duration // of the engines
-	poisonAfter                     int           // tokens that a poisoned request gets
+	step                            time.Duration // step duration of the engines
+	poisonAfter                     int           // number of tokens after which a poisoned request crashes its engine
 }
 
 // site is the running system of one script.
 type site struct {
-	dir       string
-	size      size
-	processes map[string]*process
-	order     []string          // names in the order of the start
-	relays    map[string]*relay // "A B": the way from A to B; A is "peers" or "callers" for many
-	text      *text.Config
+	dir        string
+	size       size
+	processes  map[string]*process
+	startOrder []string          // names of the processes, in the order in which they are started
+	relays     map[string]*relay // keyed by "A B", for connections from A to B; A is a process, "peers", "callers" or "harness"
+	config     *text.Config
 }
 
-func newSite(dir string, of size) *site {
-	return &site{dir: dir, size: of, processes: map[string]*process{}, relays: map[string]*relay{}}
+func newSite(dir string, dims size) *site {
+	return &site{dir: dir, size: dims, processes: map[string]*process{}, relays: map[string]*relay{}}
 }
 
 func engineName(i int) string { return fmt.Sprintf("engine-%d", i) }
 func plainName(i int) string  { return fmt.Sprintf("plain-%d", i) }
 func routerName(i int) string { return fmt.Sprintf("router-%d", i) }
 
-// sidecarName numbers the sidecars: first those of engines, then of plain services.
+// sidecarName returns the name of sidecar i. The sidecars of engines come first, then
+// those of plain services.
 func sidecarName(i int) string { return fmt.Sprintf("sidecar-%d", i) }
 
 func (s *site) zone(i int) string { return fmt.Sprintf("zone-%d", (i-1)%s.size.zones+1) }
 
-// backendOf returns the backend server beside sidecar i.
+// backendOf returns the name and kind of the backend server beside sidecar i.
 func (s *site) backendOf(i int) (name string, kind text.Kind) {
 	if i <= s.size.engines {
 		return engineName(i), text.KindModel
@@ -74,16 +75,16 @@
 	return plainName(i - s.size.engines), text.KindPlain
 }
 
-func (s *site) sidecars() int { return s.size.engines + s.size.plains }
+func (s *site) sidecarCount() int { return s.size.engines + s.size.plains }
 
-// start starts all processes and returns when all listen.
+// start starts all processes and waits until they listen.
 func (s *site) start() error {
-	if err := s.declare(); err != nil {
+	if err := s.configure(); err != nil {
 		return err
 	}
-	errs := make([]error, len(s.order))
+	errs := make([]error, len(s.startOrder))
 	var wait sync.WaitGroup
-	for i, name := range s.order {
+	for i, name := range s.startOrder {
 		wait.Go(func() { errs[i] = s.processes[name].start() })
 	}
 	wait.Wait()
@@ -95,44 +96,45 @@
 	return nil
 }
 
-// declare makes the relays and the settings of all processes.
-func (s *site) declare() error {
-	if err := s.standin(platformName, "platform"); err != nil {
+// configure creates the relays and writes the settings of all processes.
+func (s *site) configure() error {
+	if err := s.addStandin(platformName, "platform"); err != nil {
 		return err
 	}
 	for i := range s.size.engines {
-		if err := s.standin(engineName(i+1), "engine", "--step-base", s.size.step.String(), "--check-fence",
+		if err := s.addStandin(engineName(i+1), "engine", "--step-base", s.size.step.String(), "--check-fence",
 			"--poison-after", strconv.Itoa(s.size.poisonAfter)); err != nil {
 			return err
 		}
 	}
 	for i := range s.size.plains {
-		if err := s.standin(plainName(i+1), "plain"); err != nil {
+		if err := s.addStandin(plainName(i+1), "plain"); err != nil {
 			return err
 		}
 	}
-	for i := range s.sidecars() {
-		if err := s.sidecar(i + 1); err != nil {
+	for i := range s.sidecarCount() {
+		if err := s.addSidecar(i + 1); err != nil {
 			return err
 		}
 	}
 	for i := range s.size.routers {
-		if err := s.router(i + 1); err != nil {
+		if err := s.addRouter(i + 1); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (s *site) add(name, program string, args ...string) *process {
+func (s *site) addProcess(name, program string, args ...string) *process {
 	p := &process{name: name, program: program, args: args, relays: map[string][]*relay{}}
 	s.processes[name] = p
-	s.order = append(s.order, name)
+	s.startOrder = append(s.startOrder, name)
 	return p
 }
 
-// relay makes the way from one process, or from all of a kind, to another.
-func (s *site) relay(from, to, label string) error {
+// addRelay creates the relay for connections from a process, or a group of them, to
+// another process.
+func (s *site) addRelay(from, to, label string) error {
 	r, err := newRelay()
 	if err != nil {
 		return err
@@ -143,18 +145,19 @@
 	return nil
 }
 
-func (s *site) at(from, to string) string { return s.relays[from+" "+to].address }
+// address returns the address at which from reaches to.
+func (s *site) address(from, to string) string { return s.relays[from+" "+to].address }
 
-func (s *site) standin(name string, args ...string) error {
-	s.add(name, programStandin, args...)
-	return s.relay(fromHarness, name, labelBackend)
+func (s *site) addStandin(name string, args ...string) error {
+	s.addProcess(name, programStandin, args...)
+	return s.addRelay(fromHarness, name, labelBackend)
 }
 
-func (s *site) sidecar(i int) error {
+func (s *site) addSidecar(i int) error {
 	name := sidecarName(i)
 	backend, kind := s.backendOf(i)
-	s.add(name, programSidecar, "--settings", s.settingsFile(name))
-	common, err := s.common(name, i)
+	s.addProcess(name, programSidecar, "--settings", s.settingsFile(name))
+	common, err := s.commonSettings(name, i)
 	if err != nil {
 		return err
 	}
@@ -165,17 +168,17 @@
 	if kind == text.KindPlain {
 		own.Service = embedded.PlainService
 	}
-	if err := s.relay(name, backend, labelBackend); err != nil {
+	if err := s.addRelay(name, backend, labelBackend); err != nil {
 		return err
 	}
-	own.Backend = s.at(name, backend)
-	return s.write(s.settingsFile(name), own)
+	own.Backend = s.address(name, backend)
+	return s.writeJSON(s.settingsFile(name), own)
 }
 
-func (s *site) router(i int) error {
+func (s *site) addRouter(i int) error {
 	name := routerName(i)
-	s.add(name, programRouter, "--settings", s.settingsFile(name))
-	common, err := s.common(name, i)
+	s.addProcess(name, programRouter, "--settings", s.settingsFile(name))
+	common, err := s.commonSettings(name, i)
 	if err != nil {
 		return err
 	}
@@ -183,27 +186,27 @@
 	own.Common, own.Listen = common, "127.0.0.1:0"
 	own.AdminListen, own.AdminToken = "127.0.0.1:0", adminToken
 	for from, label := range map[string]string{fromCallers: labelCallers, fromHarness: labelAdmin} {
-		if err := s.relay(from, name, label); err != nil {
+		if err := s.addRelay(from, name, label); err != nil {
 			return err
 		}
 	}
-	return s.write(s.settingsFile(name), own)
+	return s.writeJSON(s.settingsFile(name), own)
 }
 
-// common are the settings of a sidecar or router; the first sidecars and
-// routers are the seeds.
-func (s *site) common(name string, i int) (settings.Common, error) {
-	if err := s.relay(fromPeers, name, labelPeers); err != nil {
+// commonSettings returns the settings that sidecars and routers share. The first two
+// sidecars are the seeds.
+func (s *site) commonSettings(name string, i int) (settings.Common, error) {
+	if err := s.addRelay(fromPeers, name, labelPeers); err != nil {
 		return settings.Common{}, err
 	}
-	if err := s.relay(name, platformName, labelBackend); err != nil {
+	if err := s.addRelay(name, platformName, labelBackend); err != nil {
 		return settings.Common{}, err
 	}
 	common := settings.DefaultRouter().Common
 	common.VMListLagSeconds = 1
 	common.ID, common.Zone = types.ProcessID(name), types.Zone(s.zone(i))
-	common.PeerListen, common.Advertise = "127.0.0.1:0", s.at(fromPeers, name)
-	platform := s.at(name, platformName)
+	common.PeerListen, common.Advertise = "127.0.0.1:0", s.address(fromPeers, name)
+	platform := s.address(name, platformName)
 	common.Table, common.Objects, common.VMList, common.Weights = platform, platform, platform, platform
 	for _, seed := range []string{sidecarName(1), sidecarName(2)} {
 		if r := s.relays[fromPeers+" "+seed]; r != nil && seed != name {
@@ -215,7 +218,7 @@
 
 func (s *site) settingsFile(name string) string { return filepath.Join(s.dir, name+".json") }
 
-func (s *site) write(file string, value any) error {
+func (s *site) writeJSON(file string, value any) error {
 	raw, err := json.MarshalIndent(value, "", "  ")
 	if err != nil {
 		return err
@@ -223,7 +226,7 @@
 	return os.WriteFile(file, raw, 0o600)
 }
 
-// stop ends every process that the script started.
+// stop kills all processes and closes all relays.
 func (s *site) stop() {
 	var wait sync.WaitGroup
 	for _, p := range s.processes {
@@ -235,11 +238,11 @@
 	}
 }
 
-// ready waits until each router takes callers and sees all backend servers.
+// ready waits until each router accepts callers and knows all backend servers.
 func (s *site) ready() error {
-	return await(readyTimeout, "routers ready", func() bool {
+	return waitFor(readyTimeout, "all routers are ready and know all backend servers", func() bool {
 		for i := range s.size.routers {
-			if !s.sees(routerName(i+1), s.sidecars()) {
+			if !s.knowsBackends(routerName(i+1), s.sidecarCount()) {
 				return false
 			}
 		}
@@ -247,14 +250,15 @@
 	})
 }
 
-func (s *site) sees(router string, backends int) bool {
-	resp, err := http.Get("http://" + s.at(fromCallers, router) + "/readyz")
+// knowsBackends reports whether the router is ready and lists this many backend servers.
+func (s *site) knowsBackends(router string, backends int) bool {
+	resp, err := http.Get("http://" + s.address(fromCallers, router) + "/readyz")
 	if err != nil {
 		return false
 	}
 	_ = resp.Body.Close()
 	var dump struct{ Services map[string][]json.RawMessage }
-	if resp.StatusCode != http.StatusOK || s.dump(router, "router", &dump) != nil {
+	if resp.StatusCode != http.StatusOK || s.readSection(router, "router", &dump) != nil {
 		return false
 	}
 	n := 0
@@ -264,11 +268,12 @@
 	return n == backends
 }
 
-// await polls until the condition holds; conditions read state of other processes.
-func await(limit time.Duration, what string, holds func() bool) error {
+// waitFor polls until the condition holds. Conditions depend on other processes, so
+// there is nothing to be notified by.
+func waitFor(limit time.Duration, what string, holds func() bool) error {
 	for deadline := time.Now().Add(limit); !holds(); time.Sleep(pollInterval) {
 		if time.Now().After(deadline) {
-			return errors.Errorf("not within %s: %s", limit, what)
+			return errors.Errorf("timed out after %s waiting for: %s", limit, what)
 		}
 	}
 	return nil
