--- a/promptcache/contents.go
+++ b/promptcache/contents.go
@@ -3,7 +3,7 @@
 // Part is a piece of a prompt. Requests that share it use the same id.
 type Part struct {
 	ID     string
-	Tokens int
+	Tokens int // its length
 }
 
 // Contents is what one server has cached: tokens by part id.
--- a/promptcache/doc.go
+++ b/promptcache/doc.go
@@ -2,8 +2,8 @@
 // request cached, so that it resumes where nothing has to be read again.
 //
 // A caller whose connection broke comes back through another entry VM, or after all of
-// them were restarted. No VM that it meets then knows where its stream ran, but that
-// server usually keeps the prompt cached for a while. Asking costs a few milliseconds
+// them were restarted. That VM does not know where the stream ran, but the server that
+// ran it usually keeps the prompt cached for a while. A query costs a few milliseconds
 // and a small response per server; reading a prompt of 8,000 tokens again takes a
 // second, more than the pause that callers allow.
 //
--- a/promptcache/locator.go
+++ b/promptcache/locator.go
@@ -12,16 +12,19 @@
 	// queryTimeout bounds a query to one server. A lost server never answers, and the
 	// caller waits meanwhile.
 	queryTimeout = 60 * time.Millisecond
-	// roundInterval is the least time between two rounds of queries about a service.
-	// The callers of a lost entry VM come back together, and one round serves them all;
-	// a prompt that has been read since is missed.
+	// roundInterval is the least time between the starts of two rounds of queries to the
+	// servers of a service. The callers of a lost entry VM come back together, and one
+	// round serves them all; a prompt that was cached after a server's answer is missed.
 	roundInterval = 200 * time.Millisecond
-	// validFor is how long an answer is used, since servers evict the oldest prompts. A
-	// wrong answer costs no more than none.
+	// validFor is how long the answers of a round are used. It is short, since servers
+	// evict the oldest prompts. An outdated answer costs no more than none: the prompt is
+	// read again.
 	validFor = 10 * time.Second
-	// maxQueried bounds the servers of one round, and so the bytes of its answers.
+	// maxQueried is how many servers are queried in one round. It bounds the bytes of the
+	// answers.
 	maxQueried = 128
-	// sufficientPrefix of a prompt is as good as all of it: servers cache whole blocks.
+	// sufficientPrefix is the share of a prompt that is as good as all of it. Servers cache
+	// whole blocks only, so the end of a prompt is hardly ever cached.
 	sufficientPrefix = 0.9
 )
 
@@ -48,13 +51,13 @@
 	mu        sync.Mutex
 	changed   chan struct{} // closed and replaced with each answer
 	answers   map[directory.Start]Contents
-	queried   int
+	queried   int // servers that were sent a query
 }
 
 // Found is what is known about a prompt.
 type Found struct {
 	CachedTokens map[directory.Start]int // cached tokens by server; servers with none are left out
-	Queried      int                     // servers that were queried for it
+	Queried      int                     // servers of the round that was awaited; 0: recent answers sufficed
 }
 
 // Known returns the servers that have a prompt cached according to recent answers. It
@@ -70,8 +73,9 @@
 }
 
 // Find returns the servers that have a prompt cached. Unless one is known to have
-// nearly all of it, Find queries the given servers and returns as soon as one reports
-// that it has.
+// nearly all of it, Find queries the given servers, or awaits a round that has just
+// started, and returns as soon as one reports that it has. If ctx ends first, it returns
+// nothing.
 func (l *Locator) Find(ctx context.Context, service string, servers []*directory.Server, prompt []Part) Found {
 	enough := int(sufficientPrefix * float64(Tokens(prompt)))
 	if known := l.Known(service, prompt); enough == 0 || known.Most() >= enough {
@@ -130,7 +134,7 @@
 		all.Go(func() {
 			contents, err := ask(ctx, s)
 			if err != nil {
-				return // its loss, if it is one, shows when a request is sent there
+				return // if the server is lost, that shows when a request is sent there
 			}
 			r.addAnswer(s.Start, contents)
 		})
@@ -138,6 +142,7 @@
 	all.Wait()
 }
 
+// addAnswer records a server's answer and wakes those who wait for one.
 func (r *round) addAnswer(s directory.Start, contents Contents) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -153,6 +158,8 @@
 	return r.changed
 }
 
+// cachedTokens returns how many tokens of a prompt the servers that have answered so far
+// have cached, without those that have none.
 func (r *round) cachedTokens(prompt []Part) map[directory.Start]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/promptcache/locator_test.go
+++ b/promptcache/locator_test.go
@@ -13,6 +13,7 @@
 	"github.com/pearyard/pearyard/directory"
 )
 
+// prompt is a prompt of 8,000 tokens.
 var prompt = []Part{{"shared", 200}, {"session", 300}, {"own", 7500}}
 
 func TestPrefixEndsAtTheFirstIncompletePart(t *testing.T) {
@@ -84,8 +85,8 @@
 	})
 }
 
-// No server has the prompt cached, and one is lost: the stream resumes elsewhere after
-// the timeout of one query.
+// No server has all of the prompt cached, and one is lost. The stream must wait no longer
+// than the timeout of one query.
 func TestUnknownPromptCostsOneTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
@@ -117,7 +118,8 @@
 	})
 }
 
-// What a server reported a while ago may have been evicted since.
+// What a server reported a while ago may have been evicted since: it must not be used
+// after validFor.
 func TestOldAnswersAreIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
