--- a/exchange/attempt.go
+++ b/exchange/attempt.go
@@ -24,17 +24,17 @@
 	watch     *silenceWatch
 	steps     chan step
 	gotEvent  bool         // an event has been received
-	copyState atomic.Int32 // state of its copy: one of the copy constants
+	copyState atomic.Int32 // copyPlaced, copyTaken or copyUsedUp
 
 	done     chan struct{} // closed when its steps are no longer received
 	doneOnce sync.Once
 }
 
-// States of an attempt's copy.
+// States of the copy of an attempt's KV cache.
 const (
-	copyPlaced  = iota // where it was placed
-	copyOffered        // taken for a takeover by its holder
-	copyUsedUp         // used up by a takeover that was abandoned: another one is needed
+	copyPlaced = iota // the attempt's copyTracker has it, if there is one
+	copyTaken         // a takeover attempt that is in progress resumed from it
+	copyUsedUp        // a takeover attempt that was ended resumed from it: another copy is needed
 )
 
 // step is one item that an attempt's server has sent.
@@ -55,9 +55,10 @@
 }
 
 // Error implements error.
-func (f *PanicError) Error() string { return fmt.Sprint(f.Value) }
+func (e *PanicError) Error() string { return fmt.Sprint(e.Value) }
 
-// launch starts an attempt at a server.
+// launch starts an attempt at a server, which resumes from a copy of the KV cache unless
+// from is nil.
 func (s *stream) launch(ctx context.Context, server *directory.Server, from *KVCopy) *streamAttempt {
 	prompt := s.unreadTokens(server)
 	if from != nil {
@@ -114,6 +115,8 @@
 	}
 }
 
+// endError returns the error of a response that ended with err: io.EOF if it is complete,
+// a *BrokenError otherwise.
 func (a *streamAttempt) endError(err error) error {
 	if err == io.EOF {
 		return err
--- a/exchange/copies.go
+++ b/exchange/copies.go
@@ -11,8 +11,9 @@
 )
 
 const (
-	// copyCheckInterval is how often a stream checks whether its copy's server is still
-	// usable. A reported loss ends the wait at once.
+	// copyCheckInterval is how often a stream checks whether the server that holds its
+	// copy is still usable, and refreshes a requested copy. A reported loss ends the wait
+	// at once.
 	copyCheckInterval = 400 * time.Millisecond
 	// copyTimeout bounds a request for a copy, which takes 40 ms for the KV cache of a
 	// long prompt between zones, and longer behind those of other streams.
@@ -21,7 +22,7 @@
 
 // copyTracker tracks where the KV cache of a stream's running attempt is copied to.
 type copyTracker struct {
-	// free releases a copy that will not be used; its server reserves memory for it
+	// free releases a copy that is no longer needed; its server reserves memory for it
 	// until then.
 	free func(*KVCopy)
 
@@ -33,15 +34,15 @@
 
 // set replaces the copy. A copy that arrives after close is released at once: it was
 // requested while its stream ran.
-func (t *copyTracker) set(m *KVCopy) {
+func (t *copyTracker) set(c *KVCopy) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.dropLocked()
 	if t.closed {
-		t.release(m)
+		t.release(c)
 		return
 	}
-	t.current, t.endLoad = m, m.Server.BeginCopy()
+	t.current, t.endLoad = c, c.Server.BeginCopy()
 }
 
 // close releases the copy, and all that arrive later.
@@ -53,20 +54,21 @@
 }
 
 // release frees a copy that was made by Backend.Copy.
-func (t *copyTracker) release(m *KVCopy) {
-	if m != nil && m.Handle != "" && t.free != nil {
-		t.free(m)
+func (t *copyTracker) release(c *KVCopy) {
+	if c != nil && c.Handle != "" && t.free != nil {
+		t.free(c)
 	}
 }
 
-// take returns the copy, if there is one, for use.
+// take returns the copy, if there is one, to be resumed from. The tracker no longer has
+// it and will not release it.
 func (t *copyTracker) take() *KVCopy {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	m := t.current
+	c := t.current
 	t.current = nil
 	t.dropLocked()
-	return m
+	return c
 }
 
 // drop releases the copy.
@@ -94,16 +96,17 @@
 	return t.current
 }
 
-// refreshed replaces a copy by its refreshed version. If the old one was taken or
-// replaced meanwhile, the new one is released, since nobody will use it.
-func (t *copyTracker) refreshed(old, renewed *KVCopy) {
+// setRefreshed replaces a copy by its refreshed version and releases the old one. If the
+// old one was taken or replaced meanwhile, the new one is released instead, since nobody
+// will use it. Versions with the same handle are one copy, of which nothing is released.
+func (t *copyTracker) setRefreshed(old, fresh *KVCopy) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	unused := renewed
+	unused := fresh
 	if t.current == old {
-		t.current, unused = renewed, old
+		t.current, unused = fresh, old
 	}
-	if old.Handle != renewed.Handle {
+	if old.Handle != fresh.Handle {
 		t.release(unused)
 	}
 }
@@ -120,18 +123,19 @@
 
 // freeCopy releases a copy in the background. If that fails, its server drops it some
 // seconds later.
-func (e *Exchange) freeCopy(m *KVCopy) {
+func (e *Exchange) freeCopy(c *KVCopy) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), copyTimeout)
 		defer cancel()
-		if err := e.opts.Backend.Free(ctx, m); err != nil {
+		if err := e.opts.Backend.Free(ctx, c); err != nil {
 			e.metrics.freesFailed.Inc()
 		}
 	}()
 }
 
 // pickCopyServer chooses the server for the copy of a run on server: one in another
-// zone, since zones fail as a whole. again is set for a copy that replaces a lost one.
+// zone if possible, since zones fail as a whole. again is set for a copy that replaces a
+// lost one.
 func (s *stream) pickCopyServer(server *directory.Server, avoid map[directory.Start]bool, again bool) *directory.Server {
 	return s.e.opts.Directory.Pick(directory.Query{
 		Service: s.req.Service, Zone: s.e.opts.Zone, Exclude: avoid, AvoidZone: server.Zone, Prompt: s.req.PromptTokens, Copy: true, AfterDisruption: again,
@@ -161,8 +165,11 @@
 // maintainCopy replaces the copy of a run when the server that holds it is lost or
 // leaves, and keeps it up to date. The loss of a zone takes the copies of streams that
 // run elsewhere with it, and the loss of the next zone would make each of them read its
-// prompt again, which takes longer than the pause that callers allow. It runs beside
-// the stream and reads nothing that the stream writes; avoid is its own.
+// prompt again, which takes longer than the pause that callers allow.
+//
+// It runs in its own goroutine until ctx ends. It must not read the fields of the stream
+// that the stream's goroutine writes, so avoid, the servers that can't hold the copy, is
+// a map of its own.
 func (s *stream) maintainCopy(ctx context.Context, a *streamAttempt, avoid map[directory.Start]bool) {
 	service, ok := s.e.opts.Services(s.req.Service)
 	if !ok || !service.CopiesOnDemand {
@@ -170,7 +177,7 @@
 	}
 	check := time.NewTicker(copyCheckInterval)
 	defer check.Stop()
-	var handled *directory.Server // whose loss has been handled; the next check is by time
+	var handled *directory.Server // its loss has been handled; further checks are by the ticker alone
 	for {
 		at := a.copies.holder()
 		if at == nil && a.copyState.Load() == copyPlaced {
@@ -186,7 +193,7 @@
 		case <-down:
 		case <-check.C:
 		}
-		if at == nil && a.copyState.Load() == copyOffered {
+		if at == nil && a.copyState.Load() == copyTaken {
 			continue
 		}
 		if at != nil && s.e.opts.Directory.Usable(at, time.Now()) {
@@ -203,7 +210,8 @@
 // refreshCopy brings a copy that was made by Backend.Copy up to date; one that the run
 // itself sends grows with it.
 //
-// What an old copy lacks would have to be read behind other prompts.
+// What an outdated copy lacks would have to be read by its holder, queued behind other
+// prompts.
 func (s *stream) refreshCopy(ctx context.Context, a *streamAttempt) {
 	old := a.copies.requested()
 	if old == nil {
@@ -211,21 +219,19 @@
 	}
 	copyCtx, cancel := context.WithTimeout(ctx, copyTimeout)
 	defer cancel()
-	renewed, err := s.e.opts.Backend.Copy(copyCtx, s.req, a.server, old.Server)
+	fresh, err := s.e.opts.Backend.Copy(copyCtx, s.req, a.server, old.Server)
 	if err != nil {
-		s.e.metrics.renewalsFailed.Inc() // the old copy stays valid
+		s.e.metrics.refreshesFailed.Inc() // the old copy stays valid
 		return
 	}
-	a.copies.refreshed(old, renewed)
+	a.copies.setRefreshed(old, fresh)
 }
 
 // replaceCopy requests a copy on another server. It returns false if none can be had
 // any more; while no server is usable, there may be one later.
 //
-// A server that refuses for lack of room does not leave the stream without a copy:
-// another one is asked next time.
-//
-// Servers that are themselves believed lost are not asked.
+// After a refusal, for example for lack of room, another server is asked at the next
+// check. Servers that are themselves believed lost are not asked.
 func (s *stream) replaceCopy(ctx context.Context, a *streamAttempt, lost *directory.Server, avoid map[directory.Start]bool) bool {
 	if !s.req.hasTime(time.Now()) {
 		return false
--- a/exchange/ended.go
+++ b/exchange/ended.go
@@ -18,8 +18,8 @@
 // is for requests that arrive after the change.
 type EndedBy string
 
-// Reasons. Those of a link are for what neither end did: a reset, or a silence that may
-// as well be that of a VM that lost power.
+// Reasons. EndedByCallerLink and EndedByServerLink are for ends that may be the fault of
+// neither side: a reset, or a silence, which may also mean that the VM lost power.
 const (
 	EndedByAnswer        EndedBy = "answer"        // the complete answer was sent to the caller
 	EndedByCaller        EndedBy = "caller"        // it closed its connection, or sent an invalid request
@@ -48,9 +48,10 @@
 // Unwrap returns the cause.
 func (e *End) Unwrap() error { return e.Err }
 
-// callerSlack is how long before its deadline passes here a caller may leave because of
-// it: its clock started some milliseconds before the request arrived, and the end of
-// its connection takes as long to arrive.
+// callerSlack is how long before a request's deadline the caller's departure still counts
+// as caused by it. The caller started to wait some milliseconds before its request arrived
+// here, and the end of its connection takes about as long to arrive, so it may be seen
+// before the deadline passes here.
 const callerSlack = 50 * time.Millisecond
 
 // withDeadline bounds ctx by the request's deadline.
@@ -111,8 +112,8 @@
 	return failedBy(err)
 }
 
-// failedBy returns the side responsible for an error of the last attempt, or for what
-// forbids another one.
+// failedBy returns the side responsible for an error of the last attempt, or for the
+// error that says why there was no other attempt.
 func failedBy(err error) EndedBy {
 	var notRun *NotRunError
 	var late *LateError
--- a/exchange/ended_test.go
+++ b/exchange/ended_test.go
@@ -18,8 +18,8 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// endOfRequest returns which side ended a request, and the event id of its last line.
-func endOfRequest(b *testbed, id string) (by, number string) {
+// endOfRequest returns which side ended a request, and the id of the event that says so.
+func endOfRequest(b *testbed, id string) (by, endEvent string) {
 	for _, entry := range b.recorder.Entries(id) {
 		if by := entry.Fields[event.FieldEndedBy]; by != "" {
 			return by, entry.ID
@@ -47,9 +47,9 @@
 			ctx, leave = context.WithCancel(t.Context())
 			_, _ = b.Call(ctx, req)
 			leave()
-			by, number := endOfRequest(b, req.ID)
+			by, endEvent := endOfRequest(b, req.ID)
 			g.Expect(by).To(gomega.Equal(string(EndedByCaller)))
-			g.Expect(number).To(gomega.Equal(EventCallerLeft.ID()))
+			g.Expect(endEvent).To(gomega.Equal(EventCallerLeft.ID()))
 		}
 	})
 }
@@ -78,9 +78,9 @@
 				time.AfterFunc(time.Until(req.Deadline)-c.early, leave)
 				_, err := b.Call(ctx, req)
 				g.Expect(err).To(gomega.MatchError(context.Canceled))
-				by, number := endOfRequest(b, req.ID)
+				by, endEvent := endOfRequest(b, req.ID)
 				g.Expect(by).To(gomega.Equal(string(c.by)))
-				g.Expect(number).To(gomega.Equal(EventCallerLeft.ID()))
+				g.Expect(endEvent).To(gomega.Equal(EventCallerLeft.ID()))
 			})
 		})
 	}
@@ -110,9 +110,9 @@
 		req := request(site.AtMostOnce)
 		_, err := b.Call(t.Context(), req)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
-		by, number := endOfRequest(b, req.ID)
+		by, endEvent := endOfRequest(b, req.ID)
 		g.Expect(by).To(gomega.Equal(string(EndedByServer)))
-		g.Expect(number).To(gomega.Equal(EventServed.ID()))
+		g.Expect(endEvent).To(gomega.Equal(EventServed.ID()))
 	})
 }
 
@@ -130,9 +130,9 @@
 		var failure *Failure
 		g.Expect(errors.As(err, &failure)).To(gomega.BeTrue())
 		g.Expect(failure.By).To(gomega.Equal(EndedByLimit))
-		by, number := endOfRequest(b, req.ID)
+		by, endEvent := endOfRequest(b, req.ID)
 		g.Expect(by).To(gomega.Equal(string(EndedByLimit)))
-		g.Expect(number).To(gomega.Equal(EventQuarantined.ID()))
+		g.Expect(endEvent).To(gomega.Equal(EventQuarantined.ID()))
 	})
 }
 
@@ -141,9 +141,9 @@
 // broken off.
 func TestFailedWriteIsEndedByTheCaller(t *testing.T) {
 	for name, c := range map[string]struct {
-		err    error
-		by     EndedBy
-		number string
+		err      error
+		by       EndedBy
+		endEvent string
 	}{
 		"closed":  {syscall.EPIPE, EndedByCaller, EventCallerLeft.ID()},
 		"reset":   {syscall.ECONNRESET, EndedByCallerLink, EventCallerLost.ID()},
@@ -156,9 +156,9 @@
 				req := streamRequest()
 				_, err := b.Stream(t.Context(), req, failingSink{c.err})
 				g.Expect(err).To(gomega.MatchError(c.err))
-				by, number := endOfRequest(b, req.ID)
+				by, endEvent := endOfRequest(b, req.ID)
 				g.Expect(by).To(gomega.Equal(string(c.by)))
-				g.Expect(number).To(gomega.Equal(c.number))
+				g.Expect(endEvent).To(gomega.Equal(c.endEvent))
 			})
 		})
 	}
--- a/exchange/enginemodel_test.go
+++ b/exchange/enginemodel_test.go
@@ -24,16 +24,17 @@
 // of the oldest unread prompt.
 const (
 	modelStep       = 6 * time.Millisecond
-	modelChunk      = 200 // prompt tokens per step
-	modelReadSpeed  = 8   // prompt tokens per millisecond
-	modelEvent      = 5   // tokens per event
-	modelCopyAfter  = 400 * time.Millisecond
-	modelCopyTime   = 50 * time.Millisecond
-	modelAnswerTime = 2 * time.Millisecond // of a probe or query
-	// modelSmall is how much is read with the next step; more is queued behind prompts.
-	// Of the streams that resumed from a requested copy, 0 of 31 paused for over 0.7 s
-	// where the copy was less than a second old, 88 of 543 where it was older.
-	modelSmall = 100 // tokens
+	modelChunk      = 200                    // prompt tokens per step
+	modelReadSpeed  = 8                      // prompt tokens per millisecond
+	modelEvent      = 5                      // tokens per event
+	modelCopyDelay  = 400 * time.Millisecond // from a run's first event until the copy that it sends is ready
+	modelCopyTime   = 50 * time.Millisecond  // of a requested copy
+	modelAnswerTime = 2 * time.Millisecond   // of a probe or query
+	// modelReadAtOnce is up to how many tokens that a copy lacks are read with the next
+	// step; more are queued behind prompts. This models a measurement: of the streams that
+	// resumed from a requested copy, 0 of 31 paused for over 0.7 s where the copy was less
+	// than a second old, 88 of 543 where it was older.
+	modelReadAtOnce = 100
 )
 
 // modelEngine is one backend server's engine.
@@ -42,7 +43,7 @@
 
 	mu      sync.Mutex
 	runs    []*modelRun
-	kept    promptcache.Contents
+	cached  promptcache.Contents
 	down    bool
 	born    int64 // of its newest start
 	read    int   // prompt tokens read in total
@@ -64,11 +65,11 @@
 	ctx    context.Context
 	prompt []promptcache.Part
 	unread int
-	tokens int // generated since the start of the run
-	last   int // event
-	events int // of the whole stream
-	out    chan []byte
-	ended  error // valid once out is closed
+	tokens int         // generated since the start of the run
+	last   int         // id of the newest event
+	events int         // of the whole stream
+	out    chan []byte // its events, and closed at its end
+	ended  error       // valid once out is closed
 }
 
 // modelBackend is a set of model engines in virtual time. The first letter of an id is
@@ -81,13 +82,14 @@
 func newModelBackend(ctx context.Context, ids []string, slowness func(i int) float64) *modelBackend {
 	b := &modelBackend{engines: map[string]*modelEngine{}, length: func(string) int { return 130 }}
 	for i, id := range ids {
-		e := &modelEngine{slowness: slowness(i), kept: promptcache.Contents{}, wake: make(chan struct{}, 1), copies: map[string]modelCopy{}}
+		e := &modelEngine{slowness: slowness(i), cached: promptcache.Contents{}, wake: make(chan struct{}, 1), copies: map[string]modelCopy{}}
 		b.engines[id] = e
 		go e.work(ctx)
 	}
 	return b
 }
 
+// evenSpeed is a slowness that is the same for all engines.
 func evenSpeed(int) float64 { return 1 }
 
 // work runs steps while there are runs.
@@ -115,6 +117,7 @@
 	}
 }
 
+// reading returns the run whose prompt is read next; nil: there is none.
 func (e *modelEngine) reading() *modelRun {
 	for _, r := range e.runs {
 		if r.unread > 0 {
@@ -124,6 +127,8 @@
 	return nil
 }
 
+// step reads a chunk of a run's prompt and gives each run that has read its prompt a
+// token.
 func (e *modelEngine) step(reading *modelRun, chunk int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -131,26 +136,27 @@
 		reading.unread -= chunk
 		e.read += chunk
 		if reading.unread == 0 {
-			e.keep(reading.prompt)
+			e.cachePrompt(reading.prompt)
 		}
 	}
 	var left []*modelRun
 	for _, r := range e.runs {
-		if e.stepOf(r) {
+		if e.generate(r) {
 			left = append(left, r)
 		}
 	}
 	e.runs = left
 }
 
-func (e *modelEngine) keep(prompt []promptcache.Part) {
+// cachePrompt adds the parts of a prompt to the cache.
+func (e *modelEngine) cachePrompt(prompt []promptcache.Part) {
 	for _, part := range prompt {
-		e.kept[part.ID] = part.Tokens
+		e.cached[part.ID] = part.Tokens
 	}
 }
 
-// stepOf generates a run's next token; it returns false if the run has ended.
-func (e *modelEngine) stepOf(r *modelRun) bool {
+// generate generates a run's next token; it returns false if the run has ended.
+func (e *modelEngine) generate(r *modelRun) bool {
 	if r.ctx.Err() != nil {
 		r.end(r.ctx.Err())
 		return false
@@ -184,7 +190,7 @@
 	for _, r := range e.runs {
 		r.end(io.ErrUnexpectedEOF)
 	}
-	e.runs, e.kept, e.copies = nil, promptcache.Contents{}, map[string]modelCopy{}
+	e.runs, e.cached, e.copies = nil, promptcache.Contents{}, map[string]modelCopy{}
 }
 
 func (e *modelEngine) revive() {
@@ -201,7 +207,7 @@
 		return nil, err
 	}
 	if a.CopyTo != nil {
-		b.engines[a.CopyTo.ID].expect(a.Request.ID)
+		b.engines[a.CopyTo.ID].expectCopy(a.Request.ID)
 	}
 	body := &modelBody{run: r}
 	select {
@@ -216,6 +222,7 @@
 	}
 }
 
+// admit starts a run.
 func (e *modelEngine) admit(ctx context.Context, a *Attempt, events int) (*modelRun, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -224,7 +231,7 @@
 	}
 	r := &modelRun{id: a.Request.ID, ctx: ctx, prompt: a.Request.Prompt, events: events, out: make(chan []byte, 4096)}
 	_, _ = fmt.Sscan(a.ResumeAfter, &r.last)
-	r.unread = max(0, a.Request.PromptTokens-e.kept.Prefix(r.prompt)) + modelEvent*r.last
+	r.unread = max(0, a.Request.PromptTokens-e.cached.Prefix(r.prompt)) + modelEvent*r.last
 	if a.ResumeFrom != nil {
 		found, known := e.copies[a.Request.ID]
 		if !known || time.Now().Before(found.ready) {
@@ -233,7 +240,7 @@
 		r.unread = 0
 		if !found.grows {
 			r.unread = modelEvent * max(0, r.last-found.events)
-			if r.unread <= modelSmall {
+			if r.unread <= modelReadAtOnce {
 				r.unread = 0
 			}
 		}
@@ -247,11 +254,12 @@
 	return r, nil
 }
 
-// expect records a copy that a run sends as it grows.
-func (e *modelEngine) expect(request string) {
+// expectCopy records a copy that a run sends as it grows.
+func (e *modelEngine) expectCopy(request string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.copies[request] = modelCopy{ready: time.Now().Add(time.Second + modelCopyAfter), grows: true}
+	// It takes about a second to read a long prompt, until the first event.
+	e.copies[request] = modelCopy{ready: time.Now().Add(time.Second + modelCopyDelay), grows: true}
 }
 
 // Copy implements Backend.
@@ -268,7 +276,7 @@
 	return &KVCopy{Server: to, Source: from, Handle: req.ID}, nil
 }
 
-// reached returns the newest event of a request's run.
+// reached returns the id of the newest event of a request's run, and whether it runs.
 func (e *modelEngine) reached(request string) (event int, runs bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -302,11 +310,11 @@
 	e := b.engines[s.ID]
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	kept := promptcache.Contents{}
-	for id, tokens := range e.kept {
-		kept[id] = tokens
+	cached := promptcache.Contents{}
+	for id, tokens := range e.cached {
+		cached[id] = tokens
 	}
-	return kept, nil
+	return cached, nil
 }
 
 // tokensRead returns how many prompt tokens all engines have read.
@@ -387,9 +395,9 @@
 	return ids
 }
 
-// modelRequest returns a request with a long prompt: a short part that it shares and
-// 7,800 tokens of its own, within a third, as long prompts are. The same name gives the
-// same length.
+// modelRequest returns a request with a long prompt: a short part that all requests share
+// and one of its own of 7,800 tokens, 30% more or less, as long prompts vary. The same
+// name gives the same length.
 func modelRequest(name string) *Request {
 	chance := rand.New(rand.NewPCG(xxhash.Sum64String(name), 0))
 	own := int(7800 * (0.7 + 0.6*chance.Float64()))
--- a/exchange/estimate.go
+++ b/exchange/estimate.go
@@ -17,9 +17,9 @@
 	duty   float64 // share of the server's time spent reading prompts
 }
 
-// How long a stream may be expected to take, as a share of the time left. Estimates are
-// right within a quarter: streams are 0.63 to 1.45 times as long as the mean, and
-// future prompts are extrapolated from those of the last ten seconds.
+// Shares of the time left that an estimate may take up for the stream to be sent.
+// Estimates are accurate to a quarter: streams are 0.63 to 1.45 times as long as the
+// mean, and future prompts are extrapolated from those of the last ten seconds.
 const (
 	// idleShare applies where no prompt is queued. It errs towards sending: a prompt
 	// sent in vain there delays no other stream.
@@ -32,17 +32,17 @@
 )
 
 // fits reports whether the stream may still be complete in the time left.
-func (t estimate) fits(left time.Duration) bool {
+func (e estimate) fits(left time.Duration) bool {
 	share := queueShare
-	if t.unread == 0 {
+	if e.unread == 0 {
 		share = idleShare
 	}
-	return float64(t.end) <= share*float64(left)
+	return float64(e.end) <= share*float64(left)
 }
 
 // readsInTime reports whether the prompt may be read in the time left.
-func (t estimate) readsInTime(left time.Duration) bool {
-	return float64(t.first) <= idleShare*float64(left)
+func (e estimate) readsInTime(left time.Duration) bool {
+	return float64(e.first) <= idleShare*float64(left)
 }
 
 // LateError says that no server is expected to finish a request in time.
@@ -53,12 +53,12 @@
 
 // Error implements error.
 func (e *LateError) Error() string {
-	t := e.soonest
+	est := e.soonest
 	return fmt.Sprintf("exchange: no backend server would finish in time: at the best one the first event comes after %v, the last after %v, %v are left"+
-		" (%d prompt tokens ahead, %.0f read a second, %.0f%% of its time)", t.first, t.end, e.left, t.unread, t.speed, 100*t.duty)
+		" (%d prompt tokens ahead, %.0f read a second, %.0f%% of its time)", est.first, est.end, e.left, est.unread, est.speed, 100*est.duty)
 }
 
-// retryAfter is by how much the servers' backlog is too long, which is when a new
+// retryAfter returns by how much the servers' backlog is too long, which is when a new
 // request could be served.
 func (e *LateError) retryAfter() time.Duration { return max(retryAfter, e.soonest.end-e.left) }
 
@@ -66,22 +66,22 @@
 // prompt. Without measurements it returns false.
 func (s *stream) estimate(server *directory.Server, now time.Time) (estimate, bool) {
 	p := s.e.paceFor(s.req.Service)
-	t := estimate{unread: server.QueuedTokens(), speed: s.e.opts.Directory.PrefillSpeed(server, now), duty: server.Utilization(now)}
-	if t.speed == 0 {
-		return t, false
+	est := estimate{unread: server.QueuedTokens(), speed: s.e.opts.Directory.PrefillSpeed(server, now), duty: server.Utilization(now)}
+	if est.speed == 0 {
+		return est, false
 	}
-	tokens := float64(t.unread + int64(s.unreadTokens(server)))
-	t.first = time.Duration(tokens / t.speed * float64(time.Second))
-	t.end = t.first + time.Duration(s.eventsLeft(p)*server.Slowness()*float64(p.eventTime(t.duty)))
-	p.observeSpeed(t.speed)
-	return t, true
+	tokens := float64(est.unread + int64(s.unreadTokens(server)))
+	est.first = time.Duration(tokens / est.speed * float64(time.Second))
+	est.end = est.first + time.Duration(s.eventsLeft(p)*server.Slowness()*float64(p.eventTime(est.duty)))
+	p.observeSpeed(est.speed)
+	return est, true
 }
 
 // fits reports whether the stream may be complete in time on a server. It is true for a
 // server without measurements.
 func (s *stream) fits(server *directory.Server, now time.Time) bool {
-	t, measured := s.estimate(server, now)
-	return !measured || t.fits(s.req.timeLeft(now))
+	est, measured := s.estimate(server, now)
+	return !measured || est.fits(s.req.timeLeft(now))
 }
 
 // eventsLeft returns how many more events of the stream are expected.
@@ -89,8 +89,9 @@
 	return max(0, p.expectedEvents(s.req.MaxTokens)-float64(s.lastEvent))
 }
 
-// worthTrial reports whether a trial of a server can succeed: the stream has most of
-// its time left, or would be complete if the server read as fast as any has.
+// worthTrial reports whether a trial of a server can succeed: the stream has at least
+// trialShare of its route's timeout left, or would be complete if the server read as
+// fast as any has.
 func (s *stream) worthTrial(now time.Time) bool {
 	left := s.req.timeLeft(now)
 	if left >= time.Duration(trialShare*float64(s.req.Route.Timeout)) {
@@ -101,15 +102,18 @@
 	return reading+time.Duration(s.eventsLeft(p)*float64(p.eventTime(0))) <= left
 }
 
-// trialShare of a route's timeout is enough for a trial, whatever is known about its
-// servers.
+// trialShare of a route's timeout is taken to be enough for a trial, whatever has been
+// measured of its servers.
 const trialShare = 0.5
 
-// pickInTime chooses the server for a prompt that has to be read.
+// pickInTime chooses the server for a prompt that has to be read. It returns nil without
+// an error if there is no server, and a *LateError if none is expected to finish in time.
+// A stream that would be late may be sent nevertheless, as a trial that measures a
+// server's speed again.
 //
 // While prompts arrive faster than servers read them, each server accepts what it can
-// finish and the rest is refused at once, so that queues do not grow up to the
-// deadline.
+// finish and the rest is refused at once. Otherwise the wait in the queues would grow up
+// to the streams' deadlines.
 func (s *stream) pickInTime() (*directory.Server, error) {
 	now := time.Now()
 	server := s.pick()
@@ -117,13 +121,13 @@
 		return server, nil
 	}
 	mayTry := s.current == nil && s.worthTrial(now)
-	if t, _ := s.estimate(server, now); mayTry && !t.readsInTime(s.req.timeLeft(now)) && server.GrantTrial(now) {
-		s.e.opts.Recorder.Emit(EventTrial, event.FieldRequest, s.req.ID, "server", server.ID, "err", &LateError{soonest: t, left: s.req.timeLeft(now)})
+	if est, _ := s.estimate(server, now); mayTry && !est.readsInTime(s.req.timeLeft(now)) && server.GrantTrial(now) {
+		s.e.opts.Recorder.Emit(EventTrial, event.FieldRequest, s.req.ID, "server", server.ID, "err", &LateError{soonest: est, left: s.req.timeLeft(now)})
 		return server, nil
 	}
 	end := func(other *directory.Server) time.Duration {
-		t, _ := s.estimate(other, now)
-		return t.end
+		est, _ := s.estimate(other, now)
+		return est.end
 	}
 	soonest := s.e.opts.Directory.Soonest(s.req.Service, s.tried, now, end)
 	if soonest == nil {
@@ -132,8 +136,8 @@
 	if s.fits(soonest, now) {
 		return soonest, nil
 	}
-	t, _ := s.estimate(soonest, now)
-	late := &LateError{soonest: t, left: s.req.timeLeft(now)}
+	est, _ := s.estimate(soonest, now)
+	late := &LateError{soonest: est, left: s.req.timeLeft(now)}
 	if mayTry && s.e.paceFor(s.req.Service).takeTrial(now) {
 		s.e.opts.Recorder.Emit(EventTrial, event.FieldRequest, s.req.ID, "server", soonest.ID, "err", late)
 		return soonest, nil
--- a/exchange/estimate_test.go
+++ b/exchange/estimate_test.go
@@ -21,11 +21,13 @@
 	mu    sync.Mutex
 	speed float64   // prompt tokens per second
 	free  time.Time // when all prompts are read
-	reads int
+	reads int       // prompts received
 }
 
+// promptEventInterval is the time between two events while a prompt is read.
 const promptEventInterval = 200 * time.Millisecond
 
+// take queues a prompt and returns when it will have been read.
 func (e *fakeEngine) take(tokens int) (readAt time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -38,6 +40,7 @@
 	return e.free
 }
 
+// pace returns the time until a stream's next event.
 func (e *fakeEngine) pace() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -90,6 +93,7 @@
 	return newTestbed(scripts), engines
 }
 
+// reads returns how many prompts the engines have been sent.
 func reads(engines map[string]*fakeEngine) (sum int) {
 	for _, e := range engines {
 		e.mu.Lock()
--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -51,14 +51,16 @@
 
 // Timings are the timeouts of an Exchange. Zero fields take the defaults.
 type Timings struct {
-	// Silence is how long a started stream may go without an event before a takeover by
-	// another server is attempted. A healthy engine sends an event every 30 ms, and
-	// every 150 ms while it reads other prompts.
+	// Silence is how long a started stream waits for an event before its server is
+	// probed. If the probe is not answered, or if pauses of this length are not usual
+	// for the service, a takeover by another server is attempted. A healthy engine
+	// sends an event every 30 ms, and every 150 ms while it reads other prompts.
 	Silence time.Duration
 	// ProbeAfter is how long a stream waits for its first event before its server is
-	// probed, and again after each answered probe.
+	// probed, and again after each probe.
 	ProbeAfter time.Duration
-	// ProbeTimeout bounds a probe.
+	// ProbeTimeout bounds a probe and the request that identifies the process at a
+	// server's address.
 	ProbeTimeout time.Duration
 	// WaitForServer is how long a stream waits for a server to become available.
 	WaitForServer time.Duration
@@ -74,7 +76,8 @@
 
 const (
 	// maxNotRunTries bounds how many servers are tried that prove not to run a request.
-	// It is larger than the number of servers that a burst fills up at the same time.
+	// It is larger than the number of servers that a burst fills up at the same time. A
+	// stream may try twice as many between two of its events.
 	maxNotRunTries = 4
 	// retryAfter is the Retry-After time for a request that found no server: about the
 	// time until a lost server is back or the queues of a burst have shortened.
@@ -149,7 +152,8 @@
 	return allowed
 }
 
-// admit counts a request and refuses one that is known to crash servers.
+// admit counts a request for the retry budget and refuses one that is known to crash
+// servers.
 func (e *Exchange) admit(req *Request) *Failure {
 	w := e.budget(req.Service)
 	w.RecordRequest()
@@ -184,6 +188,7 @@
 	case errors.As(err, &notRun):
 		s.RecordFault(now, busyFaultWeight)
 	case errors.Is(err, ErrServerLost):
+		// The loss is recorded already.
 	default:
 		s.RecordFault(now, 1)
 	}
--- a/exchange/fake_test.go
+++ b/exchange/fake_test.go
@@ -24,12 +24,12 @@
 	mu       sync.Mutex
 	scripts  map[string][]script // by server id, played in order, the last one repeatedly
 	attempts []Attempt
-	probes   map[string]error // by server id; nil: alive; errMute: no answer
-	born     map[string]int64 // by server id: start time that the process at its address reports
-	copies   []*directory.Server
-	freed    []string
+	probes   map[string]error                // result of a probe by server id; nil: alive; errHang: no answer
+	born     map[string]int64                // by server id: start time that the process at its address reports
+	copies   []*directory.Server             // servers on which copies were requested, in order
+	freed    []string                        // handles of the copies that were released
 	refusals int                             // how many of the next copies are refused
-	kept     map[string]promptcache.Contents // by server id
+	cached   map[string]promptcache.Contents // by server id
 	asked    []string                        // ids of servers that were asked what they have cached
 }
 
@@ -53,7 +53,7 @@
 	b.mu.Lock()
 	err, born := b.probes[s.ID], b.born[s.ID]
 	b.mu.Unlock()
-	if err == errMute {
+	if err == errHang {
 		<-ctx.Done()
 		return 0, &NotRunError{Reason: Unreachable, Err: ctx.Err()}
 	}
@@ -64,7 +64,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.asked = append(b.asked, s.ID)
-	return b.kept[s.ID], nil
+	return b.cached[s.ID], nil
 }
 
 func (b *fakeBackend) Copy(_ context.Context, _ *Request, from, to *directory.Server) (*KVCopy, error) {
@@ -78,7 +78,7 @@
 	return &KVCopy{Server: to, Source: from, Handle: "h"}, nil
 }
 
-// copyPlaces returns the servers on which copies were requested.
+// copyPlaces returns the servers on which copies were requested, each once.
 func (b *fakeBackend) copyPlaces() map[*directory.Server]bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -89,10 +89,10 @@
 	return places
 }
 
-func (b *fakeBackend) Free(_ context.Context, m *KVCopy) error {
+func (b *fakeBackend) Free(_ context.Context, c *KVCopy) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.freed = append(b.freed, m.Handle)
+	b.freed = append(b.freed, c.Handle)
 	return nil
 }
 
@@ -114,12 +114,14 @@
 	}
 }
 
+// refuses proves at once that it did not run the attempt.
 func refuses(reason NotRunReason) script {
 	return func(context.Context, *Attempt) (*Answer, error) {
 		return nil, &NotRunError{Reason: reason, Err: io.ErrClosedPipe}
 	}
 }
 
+// breaks breaks off before a response.
 func breaks() script {
 	return func(context.Context, *Attempt) (*Answer, error) {
 		return nil, &BrokenError{Err: io.ErrUnexpectedEOF}
@@ -127,8 +129,8 @@
 }
 
 // streams sends events from the one after Attempt.ResumeAfter up to last, each after
-// the gap, and then ends the stream: complete if how is nil, silent if it is errMute,
-// and broken off with any other error.
+// the gap. Then it ends the stream if how is nil, sends nothing more if how is errHang,
+// and breaks the stream off with any other error.
 func streams(last int, gap time.Duration, how error) script {
 	return func(ctx context.Context, a *Attempt) (*Answer, error) {
 		from := 0
@@ -146,7 +148,7 @@
 					return
 				}
 			}
-			if how == errMute {
+			if how == errHang {
 				<-ctx.Done()
 				how = ctx.Err()
 			}
@@ -160,17 +162,18 @@
 	}
 }
 
-var errMute = io.ErrNoProgress
+// errHang makes a fake server send nothing and keep the connection open.
+var errHang = io.ErrNoProgress
 
 // recordingSink records what a caller gets.
 type recordingSink struct {
-	heads  int
-	header http.Header
-	ids    []uint64
-	longest,
-	first time.Duration
-	start time.Time
-	last  time.Time
+	heads    int // response heads received
+	header   http.Header
+	ids      []uint64 // of the events
+	longest, // pause between two events
+	first time.Duration // from start to the first event
+	start time.Time // of the request; set by the test
+	last  time.Time // when the newest event came
 }
 
 func (s *recordingSink) Begin(_ int, header http.Header) error {
@@ -243,6 +246,7 @@
 	return r
 }
 
+// everywhere returns the script for each of the servers a1, a2, b1 and b2.
 func everywhere(s script) map[string][]script {
 	return map[string][]script{"a1": {s}, "a2": {s}, "b1": {s}, "b2": {s}}
 }
--- a/exchange/forward.go
+++ b/exchange/forward.go
@@ -11,7 +11,8 @@
 	"github.com/pearyard/pearyard/event"
 )
 
-// resumeAfter returns the id of the event after which the next attempt resumes.
+// resumeAfter returns the id of the event after which the next attempt resumes; empty:
+// it starts from the beginning.
 func (s *stream) resumeAfter() string {
 	if s.lastEvent == 0 {
 		return s.req.LastEvent
@@ -88,10 +89,11 @@
 	}
 }
 
-// restBufferSize is the size of the buffer for such a response, in bytes.
+// restBufferSize is the size of the buffer of forwardRest, in bytes.
 const restBufferSize = 32 << 10
 
-// promptRead removes the prompt from the server's load.
+// promptRead removes the prompt from the server's load. The time that it took measures
+// the server's speed, unless the server may have had a part of the prompt cached.
 func (s *stream) promptRead(a *streamAttempt) {
 	if s.ran > 0 || s.req.LastEvent != "" || s.cachedTokens[a.server.Start] > 0 {
 		a.load.CachedPromptRead()
@@ -117,7 +119,8 @@
 		"reached", s.lastEvent, "how", how, "after", time.Since(since))
 }
 
-// silentSince returns when the caller last got an event, or when its request arrived.
+// silentSince returns when the caller last got an event; if it got none, when its request
+// arrived.
 func (s *stream) silentSince() time.Time {
 	if s.lastEventAt.IsZero() {
 		return s.req.Arrived
--- a/exchange/late_attempt_test.go
+++ b/exchange/late_attempt_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// Guards against sending a call to a server after its deadline: one that must not run
-// twice would be lost.
+// Guards against sending a call to a server after its deadline: the caller of one that
+// must not run twice would be told that it may have run, and could not send it again.
 func TestCallWithoutTimeIsRefusedAtOnce(t *testing.T) {
 	for _, left := range []time.Duration{0, time.Millisecond, responseMargin} {
 		synctest.Test(t, func(t *testing.T) {
--- a/exchange/load_test.go
+++ b/exchange/load_test.go
@@ -24,8 +24,8 @@
 
 // inTime reports whether the response is complete, its first event came within the
 // objective and no pause was longer than the caller allows.
-func (o received) inTime(r *Request, events int) bool {
-	return o.err == nil && o.events == events && o.first <= r.Route.Objective && o.pause <= r.Route.MaxGap
+func (r received) inTime(req *Request, events int) bool {
+	return r.err == nil && r.events == events && r.first <= req.Route.Objective && r.pause <= req.Route.MaxGap
 }
 
 // play sends streams at the given times, with ids that start with name, and returns
@@ -105,7 +105,7 @@
 			unlucky := false
 			for n := range zones {
 				before := time.Duration(n)*gap + gap - down - firstAt
-				unlucky = unlucky || (before >= 0 && before <= modelCopyAfter+modelCopyTime)
+				unlucky = unlucky || (before >= 0 && before <= modelCopyDelay+modelCopyTime)
 			}
 			g.Expect(unlucky).To(gomega.BeTrue(), "caller %d, first event at %v: %+v", i, firstAt, o)
 		}
--- a/exchange/locate.go
+++ b/exchange/locate.go
@@ -11,7 +11,8 @@
 
 // locatePrompt finds out which servers have the stream's prompt cached. Servers are
 // asked only for a caller that comes back for the rest of a stream: a new prompt is
-// cached nowhere, and that of a caller who has received nothing yet looks new.
+// cached nowhere, and that of a caller who has received nothing yet looks new. For
+// these, only what servers have answered recently is used.
 //
 // A server that still has the prompt cached resumes at once, where another one would
 // have to read it again.
--- a/exchange/locate_test.go
+++ b/exchange/locate_test.go
@@ -83,7 +83,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		b := newTestbed(everywhere(streams(3, time.Millisecond, nil)))
-		b.backend.kept = map[string]promptcache.Contents{"a1": {"p": 8000}, "b1": {"p": 8000}}
+		b.backend.cached = map[string]promptcache.Contents{"a1": {"p": 8000}, "b1": {"p": 8000}}
 		server := func(id string) int {
 			for i, s := range b.dir.View().Service("s") {
 				if s.ID == id {
@@ -120,8 +120,9 @@
 
 // A VM's connections to its callers and servers are reset. The caller comes back for
 // the rest of its stream, whose prompt is cached on the server whose connection broke.
-// That one fault must not send the stream where the prompt has to be read. A server
-// that breaks off again and again is used only if there is no other.
+// Guards against sending the stream to another server because of that one fault: the
+// prompt would have to be read there. A server that breaks off again and again is used
+// only if there is no other.
 func TestOneBrokenConnectionDoesNotMakeThePromptBeReadAgain(t *testing.T) {
 	for name, c := range map[string]struct {
 		faults float64
@@ -134,7 +135,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				g := gomega.NewWithT(t)
 				b := newTestbed(everywhere(streams(3, time.Millisecond, nil)), "a1", "a2")
-				b.backend.kept = map[string]promptcache.Contents{"a1": {"p": 4480}}
+				b.backend.cached = map[string]promptcache.Contents{"a1": {"p": 4480}}
 				b.dir.View().Service("s")[0].RecordFault(time.Now(), c.faults)
 				req := streamRequest()
 				req.LastEvent, req.PromptTokens, req.Prompt = "1", 4488, []promptcache.Part{{ID: "p", Tokens: 4488}}
--- a/exchange/metrics.go
+++ b/exchange/metrics.go
@@ -3,18 +3,18 @@
 import "github.com/prometheus/client_golang/prometheus"
 
 type metrics struct {
-	requests       *prometheus.CounterVec   // by kind, outcome and the side that ended them
-	duration       *prometheus.HistogramVec // by kind
-	firstEvent     prometheus.Histogram
-	pauses         prometheus.Histogram
-	resumes        *prometheus.CounterVec // by how
-	resumeTime     prometheus.Histogram
-	attempts       *prometheus.CounterVec // by result
-	copies         prometheus.Counter
-	freesFailed    prometheus.Counter
-	renewalsFailed prometheus.Counter
-	probes         prometheus.Counter
-	budgetSpent    prometheus.Counter
+	requests        *prometheus.CounterVec   // by kind, outcome and the side that ended them
+	duration        *prometheus.HistogramVec // by kind
+	firstEvent      prometheus.Histogram
+	pauses          prometheus.Histogram
+	resumes         *prometheus.CounterVec // by how
+	resumeTime      prometheus.Histogram
+	attempts        *prometheus.CounterVec // by result
+	copies          prometheus.Counter
+	freesFailed     prometheus.Counter
+	refreshesFailed prometheus.Counter
+	probes          prometheus.Counter
+	budgetSpent     prometheus.Counter
 }
 
 func newMetrics(reg prometheus.Registerer) *metrics {
@@ -44,13 +44,13 @@
 			Name: "pearyard_exchange_copies_again_total", Help: "Copies of streams' memory that were asked for because the former one's server was lost."}),
 		freesFailed: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "pearyard_exchange_copies_not_freed_total", Help: "Copies that could not be given up; their servers let go of them after some seconds."}),
-		renewalsFailed: prometheus.NewCounter(prometheus.CounterOpts{
+		refreshesFailed: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "pearyard_exchange_copies_not_renewed_total", Help: "Copies that could not be brought up to date; what was copied before holds."}),
 		probes: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "pearyard_exchange_probes_total", Help: "Questions to backend servers for a sign of life."}),
 		budgetSpent: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "pearyard_exchange_retry_budget_spent_total", Help: "Retries that the budget did not allow."}),
 	}
-	reg.MustRegister(m.requests, m.duration, m.firstEvent, m.pauses, m.resumes, m.resumeTime, m.attempts, m.freesFailed, m.renewalsFailed, m.copies, m.probes, m.budgetSpent)
+	reg.MustRegister(m.requests, m.duration, m.firstEvent, m.pauses, m.resumes, m.resumeTime, m.attempts, m.freesFailed, m.refreshesFailed, m.copies, m.probes, m.budgetSpent)
 	return m
 }
--- a/exchange/outcome.go
+++ b/exchange/outcome.go
@@ -45,7 +45,8 @@
 func (e *Exchange) TurnedAway(by EndedBy) { e.metrics.countEnd(noKind, outcomeTurnedAway, by) }
 
 // conclude logs and counts how a request ended, with the version of the configuration
-// that routed it and the position of the list of servers known now.
+// that routed it and the position of the list of servers known now. more returns further
+// fields of the log line.
 func (e *Exchange) conclude(req *Request, status int, err error, more func() []any) {
 	took := time.Since(req.Arrived)
 	kind := req.Route.Kind.String()
--- a/exchange/pace.go
+++ b/exchange/pace.go
@@ -10,13 +10,16 @@
 	// unloadedQuantile of all pauses are shorter than the pace of a stream whose server
 	// reads no prompt. It is small, since on busy servers most events are delayed.
 	unloadedQuantile = 0.1
-	// unloadedStep is how far one pause moves that pace, as a share of it. A few
-	// hundred events, which a VM sees in a second or two, make a measurement.
+	// unloadedStep is how far one pause moves that pace, as a share of it: a longer one
+	// raises it by unloadedQuantile of the step, a shorter one lowers it by the rest of
+	// the step. A few hundred events, which a VM sees in a second or two, make a
+	// measurement.
 	unloadedStep = 0.02
 	// lengthWeight is the weight of a new measurement of how many events a stream has.
 	lengthWeight = 0.1
-	// shortLengthShare is the share of the mean length that estimates go by: streams are
-	// 0.63 to 1.45 times as long as the mean, a tenth of them shorter than 0.79.
+	// shortLengthShare of the mean length is what estimates assume, so that few streams
+	// are expected to be longer than they are: streams are 0.63 to 1.45 times as long as
+	// the mean, a tenth of them shorter than 0.79.
 	shortLengthShare = 0.7
 )
 
@@ -26,7 +29,7 @@
 	pauses           pauses
 	unloaded         atomic.Int64  // nanoseconds per event while the server reads no prompt; 0: not measured
 	lengthRatio      atomic.Uint64 // bits of a float64: events per token that may be generated
-	leastLengthRatio atomic.Uint64 // the same, of the longest stream so far that has not ended
+	leastLengthRatio atomic.Uint64 // the same, of the longest stream so far; used until a stream is complete
 	lastSent         atomic.Int64  // Unix nanoseconds of the newest prompt sent
 	topSpeed         atomic.Uint64 // bits of a float64: highest estimate of a server's prompt tokens per second
 }
@@ -114,7 +117,7 @@
 func (p *pace) recordSent(now time.Time) { p.lastSent.Store(now.UnixNano()) }
 
 // trialInterval is how long a process sends no prompt of a service before it sends one
-// that is expected to be late. Measurements come from responses alone, and without any
-// a service that has recovered would be refused for good. Its recovery is found out
-// within this time and that of one prompt.
+// that is expected to be late, as a trial. Measurements come from responses alone, so
+// without trials all requests of a service that has recovered would be refused for good.
+// Its recovery is found out within this time and that of one prompt.
 const trialInterval = 2 * time.Second
--- a/exchange/pauses.go
+++ b/exchange/pauses.go
@@ -10,10 +10,10 @@
 	// minPause is what an event takes while the server reads no prompt, with a margin;
 	// shorter pauses say nothing about what a prompt costs.
 	minPause = 80 * time.Millisecond
-	// pauseSamples is how many long pauses are kept: those of about five streams, each
-	// of which is delayed by one or two prompts.
+	// pauseSamples is how many pauses of at least minPause are kept: those of about five
+	// streams, each of which is delayed by one or two prompts.
 	pauseSamples = 32
-	// minPauseSamples is how many make a measurement. The first few tell too little: a
+	// minPauseSamples is how many samples make a measurement. Fewer tell too little: a
 	// prompt that starts in the middle of an event delays it by a part only.
 	minPauseSamples = 8
 	// usualQuantile of the samples are no longer than the usual pause. The rest may be
@@ -28,8 +28,8 @@
 	// pause for 730 ms: at twice the bound each was cut off just before the end of its
 	// pause.
 	unmeasuredFactor = 3
-	// maxSilence is the longest silence that is tolerated. Callers give up on a stream
-	// after two seconds at the earliest.
+	// maxSilence is the longest silence during which a server that answers probes is
+	// not yet replaced. Callers give up on a stream after two seconds at the earliest.
 	maxSilence = 1800 * time.Millisecond
 )
 
@@ -62,12 +62,13 @@
 	p.usual.Store(sorted[int(usualQuantile*float64(len(sorted)-1))])
 }
 
-// bound returns how long a stream of a server that answers probes may be silent: least,
-// or more if the usual pauses there are longer, or not measured yet and the server
-// reads a prompt. slowness is the server's, relative to the median one.
-func (p *pauses) bound(least time.Duration, reads bool, slowness float64) time.Duration {
+// bound returns how long a stream of a server that answers probes may be silent before a
+// takeover is attempted: least, or more if the usual pauses there are longer, or not
+// measured yet and the server reads a prompt. slowness is the server's, relative to the
+// median one.
+func (p *pauses) bound(least time.Duration, readsPrompt bool, slowness float64) time.Duration {
 	usual := p.usual.Load()
-	if usual == 0 && reads {
+	if usual == 0 && readsPrompt {
 		return unmeasuredFactor * least
 	}
 	return max(least, min(time.Duration(silenceFactor*slowness*float64(usual)), maxSilence))
--- a/exchange/pauses_test.go
+++ b/exchange/pauses_test.go
@@ -55,9 +55,9 @@
 	})
 }
 
-// A process that has just started has measured no pauses. During a prompt a healthy
-// engine gets unmeasuredFactor times the default bound; without one its silence counts
-// as a loss as usual.
+// A process that has just started has measured no pauses. Guards against taking a pause
+// during a prompt for a loss then: a server that reads a prompt gets unmeasuredFactor
+// times the default bound.
 func TestUnmeasuredPausesDuringAPromptAreTolerated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
@@ -97,10 +97,10 @@
 // slow.
 func TestLossOfASlowEngineIsNoticedInTime(t *testing.T) {
 	ended := &NotRunError{Reason: Unreachable, Err: io.ErrClosedPipe}
-	for answer, within := range map[error]time.Duration{ended: 450 * time.Millisecond, errMute: 500 * time.Millisecond} {
+	for answer, within := range map[error]time.Duration{ended: 450 * time.Millisecond, errHang: 500 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			b := newTestbed(inOrder(streams(50, eventInterval, errMute), streams(130, eventInterval, nil)))
+			b := newTestbed(inOrder(streams(50, eventInterval, errHang), streams(130, eventInterval, nil)))
 			for range minPauseSamples {
 				b.paceFor("s").observePause(700 * time.Millisecond)
 			}
@@ -115,8 +115,8 @@
 	}
 }
 
-// Where engines pause no longer than usual, a silent stream is taken over as soon as
-// ever, though its engine is alive.
+// Where engines pause for 200 ms at most, a silent stream must be taken over after the
+// default bound, although its engine is alive.
 func TestUsualPausesKeepTheDefaultBoundOfSilence(t *testing.T) {
 	p := &pauses{}
 	for range 1000 {
--- a/exchange/pausing_test.go
+++ b/exchange/pausing_test.go
@@ -37,13 +37,13 @@
 		"others refuse":   {servers: all},
 		"no other server": {servers: all[:1]},
 		"the retry budget is spent": {servers: all, change: func(b *testbed, _ *Request) {
-			b.opts.SharedBudget = &stingy{until: time.Now().Add(time.Hour)}
+			b.opts.SharedBudget = &spentBudget{until: time.Now().Add(time.Hour)}
 		}},
 		"the route allows one server": {servers: all, change: func(_ *testbed, r *Request) { r.Route.MaxAttempts = 1 }},
 		"it can't be resumed":         {servers: all, change: func(_ *testbed, r *Request) { r.Route.Resumable = false }},
 		"no probe is answered": {servers: all, change: func(b *testbed, _ *Request) {
 			for _, id := range all {
-				b.backend.probes[id] = errMute
+				b.backend.probes[id] = errHang
 			}
 		}},
 	} {
@@ -98,5 +98,5 @@
 func pausesAndBreaks(ctx context.Context, a *Attempt) (*Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, 50*eventInterval+500*time.Millisecond)
 	context.AfterFunc(ctx, cancel)
-	return streams(50, eventInterval, errMute)(ctx, a)
+	return streams(50, eventInterval, errHang)(ctx, a)
 }
--- a/exchange/plain.go
+++ b/exchange/plain.go
@@ -15,8 +15,9 @@
 )
 
 const (
-	// maxBufferedBody bounds the responses that are read completely before the caller
-	// gets any of them: until then a broken response can be requested again.
+	// maxBufferedBody is the size in bytes up to which a response is read completely
+	// before the caller gets any of it: until then a broken response can be requested
+	// again.
 	maxBufferedBody = 256 << 10
 	// hedgeFraction of its objective is how long an idempotent request waits for a
 	// response before a second server is asked as well. Calls take a fifth of the
@@ -51,9 +52,9 @@
 	results    chan result
 	tried      map[directory.Start]bool
 	pending    int
-	sent       int // attempts that may have run
+	ran        int // ended attempts that may have run
 	refused    int // attempts that provably did not run
-	last       error
+	lastErr    error
 	lastServer *directory.Server // server of the newest attempt or result
 	errorReply *Reply            // a server's own error response, forwarded if no better one arrives
 }
@@ -86,7 +87,7 @@
 }
 
 func (c *call) summary(status int) []any {
-	fields := []any{"sent", c.sent, "pending", c.pending, "refused", c.refused, "server", serverName(c.lastServer), "last", c.last}
+	fields := []any{"sent", c.ran, "pending", c.pending, "refused", c.refused, "server", serverName(c.lastServer), "last", c.lastErr}
 	if status != 0 {
 		fields = append(fields, "status", status)
 	}
@@ -145,9 +146,11 @@
 	if c.errorReply != nil {
 		return c.errorReply, nil
 	}
-	return nil, c.refusal(c.last)
+	return nil, c.refusal(c.lastErr)
 }
 
+// hedgeTimer returns a timer that fires when a second server is to be asked as well; it
+// never fires for a request that must not be hedged.
 func (c *call) hedgeTimer() *time.Timer {
 	objective := c.req.Route.Objective
 	if c.req.Route.Kind != site.Idempotent || c.req.Route.Attempts() < 2 || objective <= 0 {
@@ -161,20 +164,20 @@
 // mayTry reports whether the request may be sent to one more server. Servers that
 // provably did not run it don't count against its attempts.
 func (c *call) mayTry() bool {
-	return c.sent+c.pending < c.req.Route.Attempts() && c.refused < maxNotRunTries && c.req.hasTime(time.Now())
+	return c.ran+c.pending < c.req.Route.Attempts() && c.refused < maxNotRunTries && c.req.hasTime(time.Now())
 }
 
 // relaunch sends the request to another server after a failed attempt.
 func (c *call) relaunch(ctx context.Context, r result) bool {
 	if !unreached(r.err) && !c.e.allowRetry(c.req.Service) {
-		c.last = errors.Wrap(ErrBudget, c.last.Error())
+		c.lastErr = errors.Wrap(ErrBudget, c.lastErr.Error())
 		return false
 	}
 	if !c.launch(ctx) {
 		return false
 	}
 	c.e.opts.Recorder.Emit(EventAgain, event.FieldRequest, c.req.ID, "route", c.req.Route.Name,
-		"after", r.server.Start, "err", c.last, "since", time.Since(c.req.Arrived))
+		"after", r.server.Start, "err", c.lastErr, "since", time.Since(c.req.Arrived))
 	return true
 }
 
@@ -185,6 +188,7 @@
 	return errors.As(err, &notRun) && notRun.Unreached()
 }
 
+// launch sends the request to one more server, and reports whether there is one.
 func (c *call) launch(ctx context.Context) bool {
 	s := c.e.opts.Directory.Pick(directory.Query{Service: c.req.Service, Zone: c.e.opts.Zone, Exclude: c.tried}, time.Now())
 	if s == nil {
@@ -232,25 +236,25 @@
 func (c *call) handleResult(r result) *Reply {
 	c.lastServer = r.server
 	if r.err == nil && (r.reply.Status < 500 || !c.req.Route.Repeatable()) {
-		c.sent++
+		c.ran++
 		c.succeeded(r)
 		return r.reply
 	}
 	if r.err == nil {
-		c.sent++
+		c.ran++
 		c.errorReply = r.reply
-		c.last = errors.Errorf("the server answered %d", r.reply.Status)
+		c.lastErr = errors.Errorf("the server answered %d", r.reply.Status)
 		r.server.RecordFault(time.Now(), errorStatusFaultWeight)
 		c.e.metrics.attempts.WithLabelValues("error_status").Inc()
 		return nil
 	}
-	c.last = r.err
+	c.lastErr = r.err
 	var notRun *NotRunError
 	if errors.As(r.err, &notRun) {
 		c.refused++
 		c.e.metrics.attempts.WithLabelValues(string(notRun.Reason)).Inc()
 	} else {
-		c.sent++
+		c.ran++
 		c.e.checkCrash(c.req, r.server)
 		c.e.metrics.attempts.WithLabelValues("broken").Inc()
 	}
@@ -281,11 +285,11 @@
 	if c.errorReply != nil {
 		return c.errorReply, nil
 	}
-	return nil, &Failure{By: end.By, Ran: c.sent+c.pending > 0, TimedOut: true, RetryAfter: retryAfter, Err: errors.Wrap(ErrTimeout, describe(c.last))}
+	return nil, &Failure{By: end.By, Ran: c.ran+c.pending > 0, TimedOut: true, RetryAfter: retryAfter, Err: errors.Wrap(ErrTimeout, describe(c.lastErr))}
 }
 
 func (c *call) refusal(err error) *Failure {
-	return &Failure{By: c.req.failedBy(err), Ran: c.sent > 0, RetryAfter: retryAfter, Err: err}
+	return &Failure{By: c.req.failedBy(err), Ran: c.ran > 0, RetryAfter: retryAfter, Err: err}
 }
 
 func describe(err error) string {
--- a/exchange/plain_test.go
+++ b/exchange/plain_test.go
@@ -29,7 +29,7 @@
 }
 
 // All servers are full for a moment and say that they did not run the call. The caller
-// is told at once that it has not run, and when to come back.
+// must be told at once that it has not run, and when to come back.
 func TestRefusalByAllServersIsReportedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
--- a/exchange/probe.go
+++ b/exchange/probe.go
@@ -23,6 +23,7 @@
 	alive bool          // the process that was probed answered; valid once done is closed
 }
 
+// start returns the probe of a server that is in flight, and starts one if there is none.
 func (p *prober) start(s *directory.Server) *probe {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -35,6 +36,7 @@
 	return pr
 }
 
+// run sends a probe and records what it says about the server.
 func (p *prober) run(s *directory.Server, pr *probe) {
 	ctx, cancel := context.WithTimeout(context.Background(), p.exchange.opts.Timings.ProbeTimeout)
 	defer cancel()
--- a/exchange/request.go
+++ b/exchange/request.go
@@ -32,7 +32,7 @@
 	Route        *site.Route
 	Service      string
 	Organisation string // empty if no key was needed
-	LastEvent    string // id of the last event that the caller has; empty: none
+	LastEvent    string // id of the last event that the caller has from an earlier request; empty: none
 	Version      uint64 // of the configuration that the route and the service come from
 
 	PromptTokens int
@@ -94,12 +94,13 @@
 	// continues.
 	Copy(ctx context.Context, req *Request, from, to *directory.Server) (*KVCopy, error)
 	// Free releases a copy that was made by Copy.
-	Free(ctx context.Context, m *KVCopy) error
+	Free(ctx context.Context, c *KVCopy) error
 	// Probe checks that a server is alive, bypassing its queue. It returns the start
 	// time of the process that answered (see directory.Start), 0 if the process did not
 	// report it.
 	Probe(ctx context.Context, s *directory.Server) (born int64, err error)
-	// CachedPrompts asks a server which prompt parts it has cached.
+	// CachedPrompts asks a server which prompt parts it has cached, and how many tokens
+	// of each.
 	CachedPrompts(ctx context.Context, s *directory.Server) (promptcache.Contents, error)
 }
 
--- a/exchange/rest.go
+++ b/exchange/rest.go
@@ -45,7 +45,8 @@
 	return r.Body.Close()
 }
 
-// brokenOff returns the end of a request whose server connection ended early.
+// brokenOff returns the outcome of a request whose server broke off the rest of its
+// response.
 func (r *trackedRest) brokenOff(err error) error {
 	switch {
 	case r.ctx.Err() == nil:
--- a/exchange/restarts.go
+++ b/exchange/restarts.go
@@ -10,8 +10,8 @@
 // RestartDetector detects servers that crashed and were restarted while the store is
 // unavailable. A new start has a new id, or the id of the former one and a later start
 // time; only the store lists either. Without detection every crash during an outage
-// takes a server out of use until the outage is over, and the loss of two zones leaves
-// half of them.
+// takes a server out of use until the outage is over, and after the loss of two of four
+// zones half of the servers stay unused.
 //
 // A server's address may be given to another service, but not sooner than Reuse after
 // the server's end. A process that answers there within Reuse of the last proof of life
@@ -33,11 +33,12 @@
 	// the first one: a process takes about a second to come back.
 	restartPollInterval = 150 * time.Millisecond
 	restartFirstDelay   = 1050 * time.Millisecond
-	// reuseMargin is a safety margin before the address may be another service's.
+	// reuseMargin is how long before the end of Reuse polling stops, as a safety margin.
 	reuseMargin = 100 * time.Millisecond
 )
 
-// watchAddress polls the address of a server that has just been lost.
+// watchAddress polls the address of a server that has just been lost, while the store is
+// unavailable, until a later start answers or the address may be another service's.
 func (r *RestartDetector) watchAddress(e *Exchange, s *directory.Server) {
 	if r == nil || r.Reuse <= 0 {
 		return
@@ -80,11 +81,13 @@
 	}()
 }
 
+// report logs a restart and passes it on to Found.
 func (r *RestartDetector) report(e *Exchange, s *directory.Server, start directory.Start) {
 	e.opts.Recorder.Emit(EventRestarted, "server", s.Start, "now", start, "service", s.Service, "zone", s.Zone, "since", time.Since(s.LastHeard()))
 	r.Found(s, start)
 }
 
+// poll reports whether another start answers at a server's address.
 func (r *RestartDetector) poll(e *Exchange, s *directory.Server, lastProof, monotonic time.Time) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), e.opts.Timings.ProbeTimeout)
 	defer cancel()
--- a/exchange/restarts_test.go
+++ b/exchange/restarts_test.go
@@ -12,15 +12,16 @@
 	"github.com/pearyard/pearyard/directory"
 )
 
-// newRestartTestbed returns a testbed with one server that is lost, and a process at
-// its address that answers with another id from a given time on.
-func newRestartTestbed(away bool, backAfter time.Duration) (b *testbed, found func() string) {
+// newRestartTestbed returns a testbed with one server that is lost, and a process at its
+// address that answers with another id, a2, once backAfter has passed. found waits and
+// returns the id of the restart that was detected; empty: none.
+func newRestartTestbed(storeUnavailable bool, backAfter time.Duration) (b *testbed, found func() string) {
 	b = newTestbed(nil, "a1")
 	lost := time.Now()
 	got := make(chan string, 1)
 	b.opts.Restarts = &RestartDetector{
 		Reuse:            2 * time.Second,
-		StoreUnavailable: func() bool { return away },
+		StoreUnavailable: func() bool { return storeUnavailable },
 		Identify: func(context.Context, *directory.Server) (directory.Start, error) {
 			if time.Since(lost) < backAfter {
 				return directory.Start{}, io.ErrClosedPipe
--- a/exchange/running.go
+++ b/exchange/running.go
@@ -24,8 +24,8 @@
 
 // activeStreams holds the streams in progress.
 //
-// A process that is killed writes no last line, so each stream is logged once before,
-// together with others.
+// A process that is killed logs no end of its streams. So that the log names them
+// nevertheless, each stream is logged once while it runs, together with others.
 type activeStreams struct {
 	mu      sync.Mutex
 	streams map[*activeStream]struct{}
@@ -39,27 +39,27 @@
 	logged    bool                             // guarded by activeStreams.mu
 }
 
-func (r *activeStreams) add(id string) *activeStream {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+func (a *activeStreams) add(id string) *activeStream {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	s := &activeStream{id: id, startedAt: time.Now()}
-	r.streams[s] = struct{}{}
+	a.streams[s] = struct{}{}
 	return s
 }
 
-func (r *activeStreams) remove(s *activeStream) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	delete(r.streams, s)
+func (a *activeStreams) remove(s *activeStream) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	delete(a.streams, s)
 }
 
 // takeUnlogged returns the streams that are old enough to be logged and have not been,
 // and marks them as logged.
-func (r *activeStreams) takeUnlogged(now time.Time) []string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+func (a *activeStreams) takeUnlogged(now time.Time) []string {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	var names []string
-	for s := range r.streams {
+	for s := range a.streams {
 		if s.logged || now.Sub(s.startedAt) < runningLogInterval {
 			continue
 		}
@@ -70,7 +70,8 @@
 	return names
 }
 
-// LogRunning logs the streams in progress until ctx ends.
+// LogRunning logs each stream that has been in progress for runningLogInterval, once,
+// until ctx ends.
 func (e *Exchange) LogRunning(ctx context.Context) error {
 	for retry.Wait(ctx, runningLogInterval) == nil {
 		for names := range slices.Chunk(e.active.takeUnlogged(time.Now()), streamsPerLine) {
--- a/exchange/running_test.go
+++ b/exchange/running_test.go
@@ -14,8 +14,8 @@
 )
 
 // An entry VM loses power while a stream runs through it without trouble, and the
-// caller complains with the stream's id: an earlier line must name it. Short streams,
-// and the later seconds of a long one, must cost no more lines.
+// caller complains with the stream's id. Guards against a log without that id: each
+// stream that runs for a second must be logged, once only.
 func TestStreamsInProgressAreLoggedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
--- a/exchange/sse.go
+++ b/exchange/sse.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// eventBufferSize is the initial size of the buffer for one event.
+	// eventBufferSize is the initial size of the buffer for one event, in bytes.
 	eventBufferSize = 1024
-	// maxEvent bounds one event. A server that sends a longer one sends garbage.
+	// maxEvent bounds one event, in bytes. A server that sends a longer one sends garbage.
 	maxEvent = 1 << 20
 )
 
@@ -60,6 +60,7 @@
 	}
 }
 
+// endError returns the error for a stream that ended with err.
 func (r *eventReader) endError(err error) error {
 	if err == io.EOF && len(r.buf) > 0 {
 		return io.ErrUnexpectedEOF
@@ -72,6 +73,7 @@
 	return bytes.LastIndexByte(buf[:len(buf)-1], '\n') + 1
 }
 
+// eventID returns the id in a line of an event; false: the line holds none.
 func eventID(line []byte) (uint64, bool) {
 	value, ok := bytes.CutPrefix(line, []byte("id:"))
 	if !ok {
--- a/exchange/start_test.go
+++ b/exchange/start_test.go
@@ -27,8 +27,8 @@
 	b.dir.Apply(position, list, false, time.Now())
 }
 
-// mute is a server that accepts a request and sends nothing.
-func mute(ctx context.Context, _ *Attempt) (*Answer, error) {
+// hangs accepts a request and sends nothing.
+func hangs(ctx context.Context, _ *Attempt) (*Answer, error) {
 	<-ctx.Done()
 	return nil, &BrokenError{Err: ctx.Err()}
 }
@@ -39,7 +39,7 @@
 func TestProbeAnsweredByALaterStartDoesNotCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newTestbed(map[string][]script{"a1": {mute}, "b1": {streams(10, 30*time.Millisecond, nil)}}, "a1")
+		b := newTestbed(map[string][]script{"a1": {hangs}, "b1": {streams(10, 30*time.Millisecond, nil)}}, "a1")
 		b.list(2, nil, "a1")
 		b.backend.born["a1"] = 100
 		sink := &recordingSink{start: time.Now()}
@@ -69,7 +69,7 @@
 		t.Run(id, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := gomega.NewWithT(t)
-				b := newTestbed(map[string][]script{"a1": {mute, streams(10, 30*time.Millisecond, nil)}}, "a1")
+				b := newTestbed(map[string][]script{"a1": {hangs, streams(10, 30*time.Millisecond, nil)}}, "a1")
 				b.list(2, nil, "a1")
 				b.backend.born["a1"] = 200
 				b.opts.Restarts = &RestartDetector{
@@ -98,7 +98,7 @@
 func TestStreamLeavesAReplacedStartAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newTestbed(map[string][]script{"a1": {mute}, "b1": {streams(10, 30*time.Millisecond, nil)}}, "a1")
+		b := newTestbed(map[string][]script{"a1": {hangs}, "b1": {streams(10, 30*time.Millisecond, nil)}}, "a1")
 		b.list(2, nil, "a1")
 		sink := &recordingSink{start: time.Now()}
 		done := make(chan error, 1)
@@ -189,7 +189,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		b := newTestbed(map[string][]script{
-			"a1": {streams(3, 30*time.Millisecond, errMute), streams(10, 30*time.Millisecond, nil)},
+			"a1": {streams(3, 30*time.Millisecond, errHang), streams(10, 30*time.Millisecond, nil)},
 		}, "a1")
 		b.list(2, nil, "a1")
 		sink := &recordingSink{start: time.Now()}
@@ -221,7 +221,7 @@
 		"a later start":                     {100, 200, true},
 		"the same start":                    {100, 100, false},
 		"an earlier start":                  {200, 100, false},
-		"no start told":                     {100, 0, false},
+		"no start time reported":            {100, 0, false},
 		"a list entry without a start time": {0, 100, false},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/exchange/stream.go
+++ b/exchange/stream.go
@@ -24,36 +24,40 @@
 	lastEventAt   time.Time
 	firstEventAt  time.Time
 	longestPause  time.Duration
-	tried         map[directory.Start]bool // servers that did not run it or broke off
-	reachedServer int                      // attempts that reached a server
+	tried         map[directory.Start]bool // servers that are not asked: they refused, broke off or are silent
+	delivered     int                      // attempts that reached a server
 	retryReserved bool                     // a retry was taken from the budget and has not reached a server yet
 	ran           int                      // attempts that may have run
-	refused       int
-	// refusedSinceEvent counts the refusals since the caller's last event.
+	refused       int                      // attempts that provably did not run, takeovers included
+	// refusedSinceEvent counts those of them since the caller's last event that were not
+	// takeovers.
 	refusedSinceEvent int
 	// abandoned counts the takeovers that were started and abandoned because the silent
-	// server resumed. Each may have run the stream.
+	// server resumed or the stream ended. Each may have run the stream.
 	abandoned int
 	// takeoversRefused counts the refused takeovers since the caller's last event. They
-	// don't count as tries once the current attempt is over.
+	// limit further takeovers only, not the attempts after the current one has failed.
 	takeoversRefused int
-	resumed          int
-	lastErr          error
-	lostZone         string
+	resumed          int                     // attempts that resumed the stream of an earlier one
+	lastErr          error                   // of the last attempt that failed; nil: none
+	lostZone         string                  // zone of the last server that broke off or is probably lost; empty: none
 	cachedTokens     map[directory.Start]int // tokens of the prompt that servers have cached
 
 	current          *streamAttempt // attempt whose events go to the caller; nil before the first
 	next             *streamAttempt // takeover attempt beside a silent current one; nil otherwise
-	isSilent         bool           // current is silent, and that has been logged
+	isSilent         bool           // current sends nothing, and that has been logged
 	noTakeoverReason string         // why no takeover was started, as last logged
-	// retryAvailable fires when the retry budget is to be asked again; nil: it is not.
+	// retryAvailable fires when a takeover is to be tried again after the retry budget was
+	// spent; nil: it is not to be.
 	retryAvailable <-chan time.Time
-	inProgress     bool // current is in progress and may be running
-	active         *activeStream
+	inProgress     bool          // current is in progress and may be running
+	active         *activeStream // its entry in Exchange.active
 }
 
-// Stream serves a streaming request into sink. A *Failure before the response head can
-// be sent to the caller; after the head, the response must be cut off.
+// Stream serves a streaming request into sink. begun reports whether the response head
+// has been sent. The error is a *Failure, or an *End if the caller can't be answered. A
+// *Failure can be sent to the caller if begun is false; otherwise the response must be
+// cut off.
 func (e *Exchange) Stream(ctx context.Context, req *Request, sink Sink) (begun bool, err error) {
 	if f := e.admit(req); f != nil {
 		return false, f
@@ -120,8 +124,8 @@
 // finalError ends a stream: no further attempt is made.
 type finalError struct{ err error }
 
-// finalOutcome returns the outcome of a stream that got a finalError: its own failure,
-// or that the response could not be written any more.
+// finalOutcome returns the outcome of a stream that a finalError ended: the failure that
+// it holds, or else that the response could not be written to the caller.
 func (s *stream) finalOutcome(ctx context.Context, err error) error {
 	var failure *Failure
 	if errors.As(err, &failure) {
@@ -147,16 +151,17 @@
 		}
 		s.e.metrics.attempts.WithLabelValues(string(notRun.Reason)).Inc()
 		if !notRun.Unreached() {
-			s.countReached()
+			s.countDelivered()
 		}
 		if a.from != nil && notRun.Reason == Busy {
-			// There was no copy: the server may be tried from the start.
+			// The server did not have the copy, or no room for it: it may still be
+			// tried without one.
 			s.logRetry(a, err)
 			return
 		}
 	} else {
 		s.ran++
-		s.countReached()
+		s.countDelivered()
 		s.lostZone = a.server.Zone
 		if !a.gotEvent {
 			// The KV cache is copied once there is an event. A server that is asked to
@@ -171,9 +176,9 @@
 	s.logRetry(a, err)
 }
 
-// countReached counts an attempt that reached its server: the next one is a retry.
-func (s *stream) countReached() {
-	s.reachedServer++
+// countDelivered counts an attempt that reached its server: the next one is a retry.
+func (s *stream) countDelivered() {
+	s.delivered++
 	s.retryReserved = false
 }
 
@@ -202,23 +207,24 @@
 }
 
 // chooseServer returns the server for the next attempt: the one that holds a copy of
-// the stream's KV cache, or else the one that is expected to start soonest.
+// the stream's KV cache, with that copy, or else the one that is expected to start
+// soonest. If there is none, it waits for one.
 func (s *stream) chooseServer(ctx context.Context) (*directory.Server, *KVCopy, error) {
 	if !s.req.hasTime(time.Now()) {
 		return nil, nil, ErrNoTime
 	}
-	if s.reachedServer > 0 && !s.hasCopy() {
+	if s.delivered > 0 && !s.hasCopy() {
 		// A retry that would be late must not cost any budget.
 		if _, err := s.pickInTime(); err != nil {
 			return nil, nil, err
 		}
 	}
-	if s.reachedServer > 0 && !s.reserveRetry(ctx) {
+	if s.delivered > 0 && !s.reserveRetry(ctx) {
 		return nil, nil, ErrBudget
 	}
 	if s.hasCopy() {
-		m := s.current.copies.take()
-		return m.Server, m, nil
+		c := s.current.copies.take()
+		return c.Server, c, nil
 	}
 	if s.current != nil {
 		s.current.copies.close()
@@ -235,7 +241,7 @@
 		if err := retry.Wait(ctx, pickInterval); err != nil {
 			return nil, nil, err
 		}
-		clear(s.tried)
+		clear(s.tried) // a server that refused may have room by now
 	}
 }
 
@@ -248,9 +254,9 @@
 	return at != nil && !s.tried[at.Start] && s.e.opts.Directory.Usable(at, time.Now())
 }
 
-// reserveRetry takes the next attempt out of the retry budget, unless what was taken
-// for the last one is still unused: a server that has ended refuses the connection, so
-// no server got a retry. In a mass loss the streams try many such servers.
+// reserveRetry takes the next attempt out of the retry budget, unless the last attempt
+// reached no server: a server that has ended refuses the connection, so no server got
+// that retry. In a mass loss the streams try many such servers.
 func (s *stream) reserveRetry(ctx context.Context) bool {
 	if !s.retryReserved {
 		s.retryReserved = s.awaitBudget(ctx)
@@ -260,8 +266,8 @@
 
 // awaitBudget takes a retry out of the budget, waiting for it if necessary. In a mass
 // loss the share that a process may take before the others know of it is spent within
-// moments and available again a moment later. Without the wait, a stream was lost for
-// want of 200 ms, less than the pause that its caller allows.
+// moments and available again about 200 ms later, which is less than the pause that
+// callers allow. Without the wait, streams were cut off for lack of budget.
 func (s *stream) awaitBudget(ctx context.Context) bool {
 	giveUp := time.Now().Add(budgetWait)
 	for !s.e.allowRetry(s.req.Service) {
@@ -272,16 +278,20 @@
 	return true
 }
 
-// budgetWait is how long a stream waits for the retry budget.
+// budgetWait is how long a stream waits for the retry budget. A silent stream without a
+// response head waits as long for another server; see silenceLimit.
 const budgetWait = time.Second
 
-// pickInterval is how often a stream without a server looks for one.
+// pickInterval is how often a stream looks for a server while there is none, and asks for
+// the retry budget while that is spent.
 const pickInterval = 50 * time.Millisecond
 
+// pick returns the server that is expected to start soonest on the stream; nil: there is
+// none.
 func (s *stream) pick() *directory.Server {
 	return s.e.opts.Directory.Pick(directory.Query{
 		Service: s.req.Service, Zone: s.e.opts.Zone, Exclude: s.tried, Prompt: s.req.PromptTokens, AvoidZone: s.lostZone,
-		AfterDisruption: s.reachedServer > 0 || s.isSilent, CachedTokens: s.cachedTokens, Resumable: s.req.Route.Resumable,
+		AfterDisruption: s.delivered > 0 || s.isSilent, CachedTokens: s.cachedTokens, Resumable: s.req.Route.Resumable,
 	}, time.Now())
 }
 
--- a/exchange/stream_test.go
+++ b/exchange/stream_test.go
@@ -15,8 +15,10 @@
 	"github.com/pearyard/pearyard/retry"
 )
 
+// eventInterval is the time between two events of a healthy server that reads no prompt.
 const eventInterval = 30 * time.Millisecond
 
+// consecutive returns the event ids from one to another.
 func consecutive(from, to uint64) []uint64 {
 	var ids []uint64
 	for i := from; i <= to; i++ {
@@ -74,7 +76,7 @@
 func TestSilentLossIsNoticedInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newTestbed(inOrder(streams(50, eventInterval, errMute), streams(130, eventInterval, nil)))
+		b := newTestbed(inOrder(streams(50, eventInterval, errHang), streams(130, eventInterval, nil)))
 		sink, err := runStream(t, b, streamRequest())
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(sink.ids).To(gomega.Equal(consecutive(1, 130)))
@@ -88,7 +90,7 @@
 func TestLossBeforeTheFirstEvent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newTestbed(inOrder(streams(0, eventInterval, errMute), streams(20, eventInterval, nil)))
+		b := newTestbed(inOrder(streams(0, eventInterval, errHang), streams(20, eventInterval, nil)))
 		for _, id := range []string{"a1", "a2"} {
 			b.backend.probes[id] = &NotRunError{Reason: Unreachable, Err: io.ErrClosedPipe}
 		}
@@ -117,9 +119,9 @@
 	})
 }
 
-// A server was lost some seconds ago and is tried again because there is no other. What
-// was known against it must not end the new attempt at its start: streams failed with
-// "may have run" within a millisecond.
+// A server was lost some seconds ago and is tried again because there is no other.
+// Guards against ending the new attempt at its start because of the loss before it:
+// streams failed with "may have run" within a millisecond.
 func TestFormerLossDoesNotEndANewAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
@@ -352,16 +354,16 @@
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		synctest.Wait()
 		g.Expect(b.backend.copyPlaces()).To(gomega.HaveLen(1))
-		g.Expect(len(b.backend.copies)).To(gomega.BeNumerically("<=", 1+int(130*eventInterval/copyCheckInterval)), "asked for, and brought up to date")
+		g.Expect(len(b.backend.copies)).To(gomega.BeNumerically("<=", 1+int(130*eventInterval/copyCheckInterval)), "requested once, and refreshed")
 		g.Expect(b.backend.freed).To(gomega.Equal([]string{"h"}))
 	})
 }
 
-// stingy is a SharedBudget that allows nothing until a given time.
-type stingy struct{ until time.Time }
+// spentBudget is a SharedBudget that allows nothing until a given time.
+type spentBudget struct{ until time.Time }
 
-func (l *stingy) Allow(string, *retry.Window) bool { return time.Now().After(l.until) }
-func (l *stingy) First(string, *retry.Window)      {}
+func (b *spentBudget) Allow(string, *retry.Window) bool { return time.Now().After(b.until) }
+func (b *spentBudget) First(string, *retry.Window)      {}
 
 // Many streams of one entry VM are lost at once, more than it may retry before the
 // others know. Guards against ending the last ones: they wait for a moment and resume.
@@ -375,7 +377,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				g := gomega.NewWithT(t)
 				b := newTestbed(inOrder(streams(50, eventInterval, io.ErrUnexpectedEOF), streams(130, eventInterval, nil)))
-				b.opts.SharedBudget = &stingy{until: time.Now().Add(50*eventInterval + c.spent)}
+				b.opts.SharedBudget = &spentBudget{until: time.Now().Add(50*eventInterval + c.spent)}
 				sink, err := runStream(t, b, streamRequest())
 				if !c.served {
 					g.Expect(errors.Is(err, ErrBudget)).To(gomega.BeTrue())
@@ -389,27 +391,27 @@
 	}
 }
 
-// counting is a SharedBudget that allows and counts every retry.
-type counting struct{ taken int }
+// countingBudget is a SharedBudget that allows and counts every retry.
+type countingBudget struct{ taken int }
 
-func (l *counting) Allow(string, *retry.Window) bool { l.taken++; return true }
-func (l *counting) First(string, *retry.Window)      {}
+func (b *countingBudget) Allow(string, *retry.Window) bool { b.taken++; return true }
+func (b *countingBudget) First(string, *retry.Window)      {}
 
 // A zone is lost. A stream that ran there is sent to servers that were lost with it and
-// refuse connections, before it finds a live one. Servers get one retry, so one is
-// taken out of the budget. With one per try, 93 streams ended for lack of budget when
-// several zones were lost one by one.
+// refuse connections, before it finds a live one. Only that one gets a retry, so one
+// retry must be taken out of the budget. With one for each attempt, 93 streams ended for
+// lack of budget when several zones were lost one by one.
 func TestRetryThatReachesNoServerCostsNoBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		b := newTestbed(inOrder(streams(50, eventInterval, io.ErrUnexpectedEOF), refuses(Refused), refuses(Unreachable), streams(130, eventInterval, nil)))
-		lender := &counting{}
-		b.opts.SharedBudget = lender
+		budget := &countingBudget{}
+		b.opts.SharedBudget = budget
 		sink, err := runStream(t, b, streamRequest())
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(sink.ids).To(gomega.Equal(consecutive(1, 130)))
 		g.Expect(b.backend.sent()).To(gomega.HaveLen(4))
-		g.Expect(lender.taken).To(gomega.Equal(1))
+		g.Expect(budget.taken).To(gomega.Equal(1))
 	})
 }
 
@@ -420,8 +422,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		b := newTestbed(inOrder(breaks(), streams(130, eventInterval, nil)))
-		lender := &counting{}
-		b.opts.SharedBudget = lender
+		budget := &countingBudget{}
+		b.opts.SharedBudget = budget
 		sink, err := runStream(t, b, streamRequest())
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(sink.ids).To(gomega.Equal(consecutive(1, 130)))
@@ -429,7 +431,7 @@
 		g.Expect(sent).To(gomega.HaveLen(2))
 		g.Expect(sent[0].CopyTo).NotTo(gomega.BeNil())
 		g.Expect(sent[1].ResumeFrom).To(gomega.BeNil())
-		g.Expect(lender.taken).To(gomega.Equal(1))
+		g.Expect(budget.taken).To(gomega.Equal(1))
 	})
 }
 
--- a/exchange/takeover.go
+++ b/exchange/takeover.go
@@ -17,8 +17,8 @@
 // back.
 const silenceTimeout = 5 * time.Second
 
-// errAbandoned: the request ended while its attempt was in progress.
-var errAbandoned = errors.New("exchange: the request ended before its answer")
+// errRequestEnded: the request ended while its attempt was in progress.
+var errRequestEnded = errors.New("exchange: the request ended before its answer")
 
 // relay forwards what the current attempt's server sends until the stream is complete
 // (nil) or the attempt is over. While that server is silent, another one is asked to
@@ -46,14 +46,14 @@
 			if done || err != nil {
 				return err
 			}
-		case n := <-s.current.watch.alerts:
-			if err := s.onSilence(ctx, n); err != nil {
+		case alert := <-s.current.watch.alerts:
+			if err := s.onSilence(ctx, alert); err != nil {
 				return err
 			}
 		case <-s.retryAvailable:
 			s.tryTakeover(ctx)
 		case <-ctx.Done():
-			return &BrokenError{Err: errAbandoned}
+			return &BrokenError{Err: errRequestEnded}
 		}
 	}
 }
@@ -73,8 +73,8 @@
 	}
 }
 
-// handleCurrent processes a step of the current attempt. If that attempt is over, a
-// takeover attempt replaces it.
+// handleCurrent processes a step of the current attempt. If that attempt is over, the
+// takeover attempt, if there is one, replaces it.
 func (s *stream) handleCurrent(ctx context.Context, st step) (done bool, err error) {
 	st.rethrow()
 	if isEvent := st.err == nil && st.reply == nil; isEvent {
@@ -119,7 +119,8 @@
 	return nil
 }
 
-// promote makes the takeover attempt the current one, for the reason given.
+// promote makes the takeover attempt the current one. why is recorded as the failure of
+// the former one.
 func (s *stream) promote(why error) {
 	s.current.end()
 	s.handleFailure(s.current, why)
@@ -148,15 +149,15 @@
 	return a.server.String()
 }
 
-// abandonNext ends the takeover attempt. It counts as a retry, since its server may
-// have started to run the stream.
+// abandonNext ends the takeover attempt, if there is one, since it is no longer needed.
+// It counts as a retry, since its server may have started to run the stream.
 func (s *stream) abandonNext() {
 	if s.next == nil {
 		return
 	}
 	s.dropNext()
 	s.abandoned++
-	s.countReached()
+	s.countDelivered()
 }
 
 // dropNext ends the takeover attempt and releases the copy that it resumed from. The
@@ -191,11 +192,13 @@
 }
 
 // silenceLimit is how long a server may show no proof of life while no other server
-// takes the stream over. A caller that has received nothing yet loses nothing by a
-// response that says so, and learns sooner that it may come back.
+// takes the stream over. It is short if the caller has received nothing and another
+// server may run the stream: a failure loses nothing that the caller has, and lets it
+// come back sooner. If no other server may run the stream, the server is given the full
+// time, since it may be working while only its probe answers are lost.
 func (s *stream) silenceLimit() time.Duration {
 	if s.headSent || !s.mayTakeOver() {
-		return silenceTimeout // or no other server may run it
+		return silenceTimeout
 	}
 	return budgetWait
 }
@@ -214,15 +217,15 @@
 		s.next = s.launch(ctx, server, from)
 		return
 	}
-	s.logNotOffered(err)
+	s.logNoTakeover(err)
 	if errors.Is(err, ErrBudget) && time.Since(s.silentSince()) < budgetWait {
 		s.retryAvailable = time.After(pickInterval)
 	}
 }
 
-// logNotOffered logs why no other server takes over a silent stream, once for each
-// reason in a row: a takeover is tried every 50 ms.
-func (s *stream) logNotOffered(why error) {
+// logNoTakeover logs why no other server takes over a silent stream. A reason is logged
+// again only after another one, since a takeover may be tried every 50 ms (pickInterval).
+func (s *stream) logNoTakeover(why error) {
 	reason := why.Error()
 	var late *LateError
 	if errors.As(why, &late) {
@@ -246,8 +249,8 @@
 // prompt sooner.
 var errCurrentSooner = errors.New("exchange: the silent server is alive and expected to resume before another one could")
 
-// chooseTakeover returns the server that is to take over the stream of a silent one;
-// nil and the reason, if there is none now.
+// chooseTakeover returns the server that is to take over the stream of a silent server,
+// and the copy to resume from; nil and the reason, if there is none now.
 func (s *stream) chooseTakeover() (*directory.Server, *KVCopy, error) {
 	if !s.req.hasTime(time.Now()) {
 		return nil, nil, ErrNoTime
@@ -260,9 +263,9 @@
 		if !s.tryReserveRetry() {
 			return nil, nil, ErrBudget
 		}
-		s.current.copyState.Store(copyOffered)
-		m := s.current.copies.take()
-		return m.Server, m, nil
+		s.current.copyState.Store(copyTaken)
+		c := s.current.copies.take()
+		return c.Server, c, nil
 	}
 	server, err := s.pickInTime()
 	switch {
@@ -282,16 +285,17 @@
 // worthRereading reports whether the prompt should be read again on another server
 // while the current one may still resume. A server that is alive resumes in the end:
 // the prompt would be read twice, and delay the other server's streams, for a response
-// that is late either way. It is worthwhile once the server has been silent for
-// longer than any healthy one.
+// that is late either way. It is worthwhile if the other server is expected to send an
+// event before the caller's allowed pause is over, or once the silence is longer than
+// that of any healthy server.
 func (s *stream) worthRereading(server *directory.Server) bool {
-	quiet := time.Since(s.silentSince())
-	if !s.current.watch.alive() || !s.current.gotEvent || quiet >= maxSilence {
+	silence := time.Since(s.silentSince())
+	if !s.current.watch.alive() || !s.current.gotEvent || silence >= maxSilence {
 		return true
 	}
-	t, measured := s.estimate(server, time.Now())
+	est, measured := s.estimate(server, time.Now())
 	gap := s.req.Route.MaxGap
-	return !measured || gap <= 0 || quiet+t.first <= gap
+	return !measured || gap <= 0 || silence+est.first <= gap
 }
 
 // tryReserveRetry is reserveRetry without waiting: the current attempt may resume any
--- a/exchange/takeover_offer_test.go
+++ b/exchange/takeover_abandoned_test.go
@@ -16,7 +16,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		slow := func(ctx context.Context, a *Attempt) (*Answer, error) { return paced(130, 5*time.Second)(ctx, a) }
-		goesOnAndBreaks := func(ctx context.Context, a *Attempt) (*Answer, error) {
+		resumesAndBreaks := func(ctx context.Context, a *Attempt) (*Answer, error) {
 			ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
 			context.AfterFunc(ctx, cancel)
 			pauses := make([]time.Duration, 401)
@@ -26,7 +26,7 @@
 			pauses[51] = 600 * time.Millisecond
 			return paced(400, pauses...)(ctx, a)
 		}
-		b := newTestbed(inOrder(goesOnAndBreaks, slow, streams(400, eventInterval, nil)))
+		b := newTestbed(inOrder(resumesAndBreaks, slow, streams(400, eventInterval, nil)))
 		sink, err := runStream(t, b, streamRequest())
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(sink.ids).To(gomega.Equal(consecutive(1, 400)))
--- a/exchange/takeover_alert_test.go
+++ b/exchange/takeover_alert_test.go
@@ -8,7 +8,8 @@
 	"github.com/onsi/gomega"
 )
 
-// stuckSink takes a millisecond for each event, and long for one.
+// stuckSink is a caller that takes a millisecond for each event and the time stuck for
+// the event stuckAt.
 type stuckSink struct {
 	recordingSink
 	stuckAt uint64
@@ -32,16 +33,16 @@
 	for range 20 { // an event and an alert are ready at once: which is received first is random
 		synctest.Test(t, func(t *testing.T) {
 			b := newTestbed(inOrder(pausing(6*time.Second)), "a1")
-			b.backend.probes["a1"] = errMute
+			b.backend.probes["a1"] = errHang
 			sink := &stuckSink{recordingSink: recordingSink{start: time.Now()}, stuckAt: 50, stuck: 7 * time.Second}
 			req := streamRequest()
 			req.Route.MaxAttempts = 1
 			if _, err := b.Stream(t.Context(), req, sink); err != nil {
 				cut++
-				t.Logf("cut after %d events: %v", len(sink.ids), err)
+				t.Logf("cut off after %d events: %v", len(sink.ids), err)
 			}
 			time.Sleep(time.Second) // probes may be in flight
 		})
 	}
-	gomega.NewWithT(t).Expect(cut).To(gomega.BeZero(), "answers cut of 20")
+	gomega.NewWithT(t).Expect(cut).To(gomega.BeZero(), "responses cut off, of 20")
 }
--- a/exchange/takeover_bounds_test.go
+++ b/exchange/takeover_bounds_test.go
@@ -12,12 +12,13 @@
 
 // A server pauses, and another one would take the stream over. It must not be asked
 // where the route allows one server, the stream can't be resumed, or the retry budget
-// is spent: many pausing servers would cause as many additional prompts.
+// is spent: when many servers pause at once, each stream's prompt would be sent to
+// another server as well.
 func TestNoTakeoverWithoutPermission(t *testing.T) {
 	for name, change := range map[string]func(*testbed, *Request){
 		"the route allows one server": func(_ *testbed, r *Request) { r.Route.MaxAttempts = 1 },
 		"it can't be resumed":         func(_ *testbed, r *Request) { r.Route.Resumable = false },
-		"the retry budget is spent":   func(b *testbed, _ *Request) { b.opts.SharedBudget = &stingy{until: time.Now().Add(time.Hour)} },
+		"the retry budget is spent":   func(b *testbed, _ *Request) { b.opts.SharedBudget = &spentBudget{until: time.Now().Add(time.Hour)} },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -42,11 +43,11 @@
 			synctest.Test(t, func(t *testing.T) {
 				g := gomega.NewWithT(t)
 				b := newTestbed(inOrder(pausing(preemption), next))
-				lender := &counting{}
-				b.opts.SharedBudget = lender
+				budget := &countingBudget{}
+				b.opts.SharedBudget = budget
 				_, err := runStream(t, b, streamRequest())
 				g.Expect(err).NotTo(gomega.HaveOccurred())
-				g.Expect(lender.taken).To(gomega.Equal(1))
+				g.Expect(budget.taken).To(gomega.Equal(1))
 			})
 		})
 	}
@@ -55,14 +56,14 @@
 // A zone loses its network, and the streams that ran there fall silent together, more
 // than this VM may retry before the others know. A stream that finds the budget spent
 // asks again a moment later and resumes within the pause that callers allow. Guards
-// against asking again 0.4 s later.
+// against asking again only 0.4 s later, which took longer than that pause.
 func TestSilentStreamWaitsForTheRetryBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newTestbed(inOrder(streams(50, eventInterval, errMute), streams(130, eventInterval, nil)))
-		b.opts.SharedBudget = &stingy{until: time.Now().Add(50*eventInterval + DefaultSilence + 150*time.Millisecond)}
+		b := newTestbed(inOrder(streams(50, eventInterval, errHang), streams(130, eventInterval, nil)))
+		b.opts.SharedBudget = &spentBudget{until: time.Now().Add(50*eventInterval + DefaultSilence + 150*time.Millisecond)}
 		for id := range b.backend.scripts {
-			b.backend.probes[id] = errMute
+			b.backend.probes[id] = errHang
 		}
 		sink, err := runStream(t, b, streamRequest())
 		time.Sleep(time.Second) // probes may be in flight
--- a/exchange/takeover_log_test.go
+++ b/exchange/takeover_log_test.go
@@ -8,16 +8,16 @@
 	"github.com/onsi/gomega"
 )
 
-// A server falls silent beside twenty idle ones, and its stream resumes elsewhere only
-// four seconds later. Guards against lines that don't say to which server it was
-// offered, or why to none: the retry budget was spent.
-func TestLinesSayWhyASilentStreamIsNotOffered(t *testing.T) {
+// A server falls silent, and its stream is not taken over because the retry budget is
+// spent. Guards against a log that doesn't say so: a stream resumed only after four
+// seconds although twenty other servers were idle, and no line gave the reason.
+func TestReasonForNoTakeoverIsLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		b := newTestbed(inOrder(pausing(3 * time.Second)))
-		b.opts.SharedBudget = &stingy{until: time.Now().Add(time.Hour)}
+		b.opts.SharedBudget = &spentBudget{until: time.Now().Add(time.Hour)}
 		_, err := runStream(t, b, streamRequest())
-		g.Expect(err).NotTo(gomega.HaveOccurred(), "the server went on")
+		g.Expect(err).NotTo(gomega.HaveOccurred(), "the server resumes by itself")
 		var logged []string
 		for _, entry := range b.recorder.Entries("r1") {
 			if entry.ID == EventNotOffered.ID() {
--- a/exchange/takeover_lostprobes_test.go
+++ b/exchange/takeover_lostprobes_test.go
@@ -25,7 +25,7 @@
 					pauses = append(pauses, eventInterval)
 				}
 				b := newTestbed(inOrder(paced(20, pauses...)), "a1")
-				b.backend.probes["a1"] = errMute
+				b.backend.probes["a1"] = errHang
 				req := streamRequest()
 				change(req)
 				sink, err := runStream(t, b, req)
--- a/exchange/takeover_order_test.go
+++ b/exchange/takeover_order_test.go
@@ -11,9 +11,9 @@
 // startOver sends the stream from its first event, whatever event it is to resume
 // after.
 func startOver(ctx context.Context, a *Attempt) (*Answer, error) {
-	from := *a
-	from.ResumeAfter = ""
-	return streams(130, eventInterval, nil)(ctx, &from)
+	fromStart := *a
+	fromStart.ResumeAfter = ""
+	return streams(130, eventInterval, nil)(ctx, &fromStart)
 }
 
 // A healthy server pauses, and the one that is asked to take over starts the stream
--- a/exchange/takeover_servers_test.go
+++ b/exchange/takeover_servers_test.go
@@ -26,7 +26,7 @@
 		w := &workLog{}
 		b := newTestbed(inOrder(w.recorded(paced(130, pauses...)), w.recorded(slow)))
 		for id := range b.backend.scripts {
-			b.backend.probes[id] = errMute
+			b.backend.probes[id] = errHang
 		}
 		req := streamRequest()
 		req.Route.MaxAttempts = 2
--- a/exchange/takeover_test.go
+++ b/exchange/takeover_test.go
@@ -22,6 +22,7 @@
 	runs []*workSpan
 }
 
+// workSpan is the work of one server on a stream.
 type workSpan struct {
 	server string
 	first  time.Time // its first event; zero: none
@@ -59,6 +60,7 @@
 	}
 }
 
+// recordingBody passes the error of each read to a function.
 type recordingBody struct {
 	Body
 	read func(error)
@@ -138,9 +140,9 @@
 func TestLostServerIsNotAwaitedUntilTheDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newTestbed(inOrder(streams(50, eventInterval, errMute), refuses(Busy)))
+		b := newTestbed(inOrder(streams(50, eventInterval, errHang), refuses(Busy)))
 		for id := range b.backend.scripts {
-			b.backend.probes[id] = errMute
+			b.backend.probes[id] = errHang
 		}
 		req := streamRequest()
 		_, err := runStream(t, b, req)
@@ -170,7 +172,7 @@
 		first := streams(50, eventInterval, io.ErrUnexpectedEOF)
 		b := newTestbed(inOrder(first, refuses(Busy), reads, refuses(Busy)))
 		for id := range b.backend.scripts {
-			b.backend.probes[id] = errMute
+			b.backend.probes[id] = errHang
 		}
 		sink, err := runStream(t, b, streamRequest())
 		time.Sleep(time.Second) // probes may be in flight
@@ -179,25 +181,25 @@
 	})
 }
 
-// chaotic plays an attempt at random: pauses of all lengths, breaks, refusals, late
+// randomScript plays each attempt at random: pauses of all lengths, breaks, refusals, late
 // response heads.
-type chaotic struct {
+type randomScript struct {
 	mu   sync.Mutex
 	rng  *rand.Rand
 	last int // last event of a complete stream
 }
 
-func (c *chaotic) chance(n int) int {
+func (c *randomScript) intN(n int) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.rng.IntN(n)
 }
 
-func (c *chaotic) play(ctx context.Context, a *Attempt) (*Answer, error) {
-	if err := sleep(ctx, time.Duration(c.chance(900))*time.Millisecond); err != nil {
+func (c *randomScript) play(ctx context.Context, a *Attempt) (*Answer, error) {
+	if err := sleep(ctx, time.Duration(c.intN(900))*time.Millisecond); err != nil {
 		return nil, &BrokenError{Err: err}
 	}
-	switch c.chance(6) {
+	switch c.intN(6) {
 	case 0:
 		return nil, &NotRunError{Reason: Busy, Err: io.ErrClosedPipe}
 	case 1:
@@ -205,13 +207,13 @@
 	}
 	from := 0
 	_, _ = fmt.Sscan(a.ResumeAfter, &from)
-	breakAt := c.chance(3 * c.last)
+	breakAt := c.intN(3 * c.last)
 	r, w := io.Pipe()
 	go func() {
 		for i := from + 1; i <= c.last; i++ {
 			pause := eventInterval
-			if c.chance(12) == 0 {
-				pause = time.Duration(c.chance(3000)) * time.Millisecond
+			if c.intN(12) == 0 {
+				pause = time.Duration(c.intN(3000)) * time.Millisecond
 			}
 			if err := sleep(ctx, pause); err != nil {
 				_ = w.CloseWithError(err)
@@ -239,12 +241,12 @@
 	for seed := range uint64(400) {
 		synctest.Test(t, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			c := &chaotic{rng: rand.New(rand.NewPCG(seed, 1)), last: 40}
+			c := &randomScript{rng: rand.New(rand.NewPCG(seed, 1)), last: 40}
 			w := &workLog{}
 			b := newTestbed(everywhere(w.recorded(c.play)))
 			for id := range b.backend.scripts {
-				if c.chance(4) == 0 {
-					b.backend.probes[id] = errMute
+				if c.intN(4) == 0 {
+					b.backend.probes[id] = errHang
 				}
 			}
 			sink, err := runStream(t, b, streamRequest())
--- a/exchange/watch.go
+++ b/exchange/watch.go
@@ -26,15 +26,15 @@
 	server *directory.Server
 	alerts chan silenceAlert // holds the newest alert
 
-	mu           sync.Mutex
-	timer        *time.Timer // never nil
-	armedAt      time.Time
-	wait         time.Duration
-	waitingSince time.Time // when the wait for the next event started; zero while there is none
-	beforeFirst  bool      // no event has arrived yet
-	lastProof    time.Time // the server's newest proof of life
-	lastAlive    bool      // alive of the newest alert; true before the first
-	pauseCounted bool      // this wait has been counted as a pause
+	mu            sync.Mutex
+	timer         *time.Timer   // never nil
+	armedAt       time.Time     // when timer was last set
+	wait          time.Duration // what timer was last set to
+	waitingSince  time.Time     // when the wait for the next event started; zero while there is none
+	beforeFirst   bool          // no event has arrived yet
+	lastProof     time.Time     // the server's newest proof of life, or the start of the attempt
+	presumedAlive bool          // nothing but the silence, if there is one, suggests that the server is lost
+	pauseCounted  bool          // this wait has been counted as a pause
 }
 
 // silenceAlert reports that a server sends nothing.
@@ -45,7 +45,7 @@
 
 func newWatch(ctx context.Context, e *Exchange, server *directory.Server) *silenceWatch {
 	now := time.Now()
-	w := &silenceWatch{e: e, server: server, alerts: make(chan silenceAlert, 1), beforeFirst: true, waitingSince: now, lastProof: now, lastAlive: true}
+	w := &silenceWatch{e: e, server: server, alerts: make(chan silenceAlert, 1), beforeFirst: true, waitingSince: now, lastProof: now, presumedAlive: true}
 	w.ctx, w.cancel = context.WithCancelCause(ctx)
 	w.mu.Lock()
 	w.armedAt, w.wait = now, e.opts.Timings.ProbeAfter
@@ -76,16 +76,16 @@
 
 // alert replaces an alert that was not received yet. The caller holds mu.
 func (w *silenceWatch) alert(alive bool) {
-	w.lastAlive = alive
+	w.presumedAlive = alive
 	w.discardAlert()
 	w.alerts <- silenceAlert{alive: alive, sinceProof: time.Since(w.lastProof)}
 }
 
-// alive returns what the newest alert said; true without one.
+// alive reports whether nothing but its silence suggests that the server is lost.
 func (w *silenceWatch) alive() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.lastAlive
+	return w.presumedAlive
 }
 
 // isWaiting reports whether the next event is still awaited.
@@ -95,11 +95,11 @@
 	return !w.waitingSince.IsZero()
 }
 
-// silenceError describes the wait in progress.
+// silenceError returns the error of an attempt that is ended because of the silence.
 func (w *silenceWatch) silenceError() *SilentError {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	e := &SilentError{Alive: w.lastAlive, Unread: w.server.QueuedTokens()}
+	e := &SilentError{Alive: w.presumedAlive, Unread: w.server.QueuedTokens()}
 	if !w.waitingSince.IsZero() {
 		e.Silence = time.Since(w.waitingSince)
 	}
@@ -123,15 +123,15 @@
 	if !w.beforeFirst && !w.pauseCounted {
 		w.pace().observePause(w.normalized(time.Since(w.waitingSince)))
 	}
-	w.beforeFirst, w.pauseCounted, w.lastAlive = false, false, true
+	w.beforeFirst, w.pauseCounted, w.presumedAlive = false, false, true
 	w.waitingSince, w.lastProof = time.Time{}, time.Now()
 	w.timer.Stop()
 	w.discardAlert()
 }
 
-// discardAlert withdraws an alert that was not received yet, since the silence is over.
-// Received later, while the next event is awaited, it ended a response that continued.
-// The caller holds mu.
+// discardAlert withdraws an alert that was not received yet. An alert that was received
+// after its silence was over, while the next event was awaited, cut off a response that
+// was still being sent. The caller holds mu.
 func (w *silenceWatch) discardAlert() {
 	select {
 	case <-w.alerts:
@@ -139,6 +139,7 @@
 	}
 }
 
+// pace returns the pace of the server's service.
 func (w *silenceWatch) pace() *pace { return w.e.paceFor(w.server.Service) }
 
 // normalized returns how long the median server of the service would have paused.
@@ -159,6 +160,8 @@
 // arrived meanwhile are still unread.
 const maxTimerDelay = 150 * time.Millisecond
 
+// onTimer handles the end of a wait. Before the first event it probes the server and
+// raises an alert if the probe fails.
 func (w *silenceWatch) onTimer() {
 	if w.ctx.Err() != nil {
 		return
@@ -168,12 +171,12 @@
 	if late {
 		w.arm(w.wait)
 	}
-	early := w.beforeFirst
+	beforeFirst := w.beforeFirst
 	w.mu.Unlock()
 	if late {
 		return
 	}
-	if !early {
+	if !beforeFirst {
 		w.silentBetweenEvents()
 		return
 	}
@@ -197,9 +200,9 @@
 }
 
 // silentBetweenEvents raises an alert for a silence between two events that is longer
-// than the pauses of other servers, or whose server does not answer a probe. The former
-// is raised before the probe is answered: where a copy of the stream's KV cache is
-// ready, nothing needs to be known about the server.
+// than the usual pauses of the service (see pauses.bound), or whose server does not
+// answer a probe. The former is raised before the probe is answered: where a copy of the
+// stream's KV cache is ready, nothing needs to be known about the server.
 func (w *silenceWatch) silentBetweenEvents() {
 	probe := w.e.probes.start(w.server) // also on behalf of streams that await their first event there
 	w.mu.Lock()
@@ -212,7 +215,7 @@
 	remaining := w.pace().pauses.bound(w.e.opts.Timings.Silence, w.server.QueuedTokens() > 0, w.server.Slowness()) - silence
 	tooLong := remaining <= 0
 	if tooLong {
-		w.alert(w.lastAlive)
+		w.alert(w.presumedAlive)
 		remaining = w.e.opts.Timings.ProbeAfter
 	}
 	w.arm(remaining)
@@ -227,7 +230,7 @@
 		w.alert(false)
 		return
 	}
-	w.lastAlive, w.lastProof = true, time.Now()
+	w.presumedAlive, w.lastProof = true, time.Now()
 	if tooLong {
 		w.countPause(silence)
 	}
@@ -238,7 +241,8 @@
 // within which the stream has to resume elsewhere.
 const quickProbeTimeout = 100 * time.Millisecond
 
-// awaitProbe reports whether the server answers the probe in time.
+// awaitProbe reports whether the server answers the probe within quickProbeTimeout; true
+// if the attempt ends first.
 func (w *silenceWatch) awaitProbe(probe *probe) bool {
 	select {
 	case <-probe.done:
@@ -262,8 +266,8 @@
 	w.pace().pauses.observe(w.normalized(silence))
 }
 
-// translate replaces the error that closing the connection caused by the watch's own
-// reason.
+// translate returns the error of an attempt. If the watch closed the connection because
+// the server is lost, err is only the consequence and is replaced by ErrServerLost.
 func (w *silenceWatch) translate(err error) error {
 	var notRun *NotRunError
 	if errors.As(err, &notRun) {
@@ -276,6 +280,7 @@
 	return err
 }
 
+// stop ends the watch and the context of the attempt.
 func (w *silenceWatch) stop() {
 	w.cancel(context.Canceled)
 	w.mu.Lock()
