--- a/exchange/copies.go
+++ b/exchange/copies.go
@@ -258,6 +258,6 @@
 	}
 	a.copies.set(replacement)
 	a.copyState.Store(copyPlaced)
-	s.e.metrics.copies.Inc()
+	s.e.metrics.copiesReplaced.Inc()
 	return true
 }
--- a/exchange/estimate.go
+++ b/exchange/estimate.go
@@ -12,9 +12,9 @@
 type estimate struct {
 	first, end time.Duration // from now to the first event, to the last one
 	// What it is based on.
-	unread int64   // prompt tokens queued at the server
-	speed  float64 // prompt tokens read per second
-	duty   float64 // share of the server's time spent reading prompts
+	unread      int64   // prompt tokens queued at the server
+	speed       float64 // prompt tokens read per second
+	utilization float64 // share of the server's time spent reading prompts
 }
 
 // Shares of the time left that an estimate may take up for the stream to be sent.
@@ -55,7 +55,7 @@
 func (e *LateError) Error() string {
 	est := e.soonest
 	return fmt.Sprintf("exchange: no backend server would finish in time: at the best one the first event comes after %v, the last after %v, %v are left"+
-		" (%d prompt tokens ahead, %.0f read a second, %.0f%% of its time)", est.first, est.end, e.left, est.unread, est.speed, 100*est.duty)
+		" (%d prompt tokens ahead, %.0f read a second, %.0f%% of its time)", est.first, est.end, e.left, est.unread, est.speed, 100*est.utilization)
 }
 
 // retryAfter returns by how much the servers' backlog is too long, which is when a new
@@ -66,13 +66,13 @@
 // prompt. Without measurements it returns false.
 func (s *stream) estimate(server *directory.Server, now time.Time) (estimate, bool) {
 	p := s.e.paceFor(s.req.Service)
-	est := estimate{unread: server.QueuedTokens(), speed: s.e.opts.Directory.PrefillSpeed(server, now), duty: server.Utilization(now)}
+	est := estimate{unread: server.QueuedTokens(), speed: s.e.opts.Directory.PrefillSpeed(server, now), utilization: server.Utilization(now)}
 	if est.speed == 0 {
 		return est, false
 	}
 	tokens := float64(est.unread + int64(s.unreadTokens(server)))
 	est.first = time.Duration(tokens / est.speed * float64(time.Second))
-	est.end = est.first + time.Duration(s.eventsLeft(p)*server.Slowness()*float64(p.eventTime(est.duty)))
+	est.end = est.first + time.Duration(s.eventsLeft(p)*server.Slowness()*float64(p.eventTime(est.utilization)))
 	p.observeSpeed(est.speed)
 	return est, true
 }
--- a/exchange/estimate_test.go
+++ b/exchange/estimate_test.go
@@ -309,6 +309,6 @@
 		fast, _ := s.estimate(servers[0], time.Now())
 		slow, _ := s.estimate(servers[3], time.Now())
 		g.Expect(slow.first).To(gomega.BeNumerically("~", 3*fast.first, fast.first/20))
-		g.Expect(slow.end).To(gomega.BeNumerically("~", 3*fast.end, fast.end/3), "the duty of the slow one is higher, too")
+		g.Expect(slow.end).To(gomega.BeNumerically("~", 3*fast.end, fast.end/3), "the utilization of the slow one is higher, too")
 	})
 }
--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -221,8 +221,8 @@
 	zoneLossWindow = 2 * time.Second
 )
 
-// busyFaultWeight is the weight of a refusal. A full server is healthy, but one that
-// refuses although it has room will do so again.
+// busyFaultWeight is the weight of a refusal; that of a broken attempt is 1. A full
+// server is healthy, but one that refuses although it has room will do so again.
 const busyFaultWeight = 0.3
 
 // markEnded records that a server's process has ended.
--- a/exchange/metrics.go
+++ b/exchange/metrics.go
@@ -6,11 +6,11 @@
 	requests        *prometheus.CounterVec   // by kind, outcome and the side that ended them
 	duration        *prometheus.HistogramVec // by kind
 	firstEvent      prometheus.Histogram
-	pauses          prometheus.Histogram
+	longestPause    prometheus.Histogram
 	resumes         *prometheus.CounterVec // by how
 	resumeTime      prometheus.Histogram
 	attempts        *prometheus.CounterVec // by result
-	copies          prometheus.Counter
+	copiesReplaced  prometheus.Counter
 	freesFailed     prometheus.Counter
 	refreshesFailed prometheus.Counter
 	probes          prometheus.Counter
@@ -30,7 +30,7 @@
 		firstEvent: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name: "pearyard_exchange_first_event_seconds", Help: "Time to the first event of a stream, seconds.",
 			Buckets: prometheus.ExponentialBuckets(0.05, 2, 10)}),
-		pauses: prometheus.NewHistogram(prometheus.HistogramOpts{
+		longestPause: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name: "pearyard_exchange_longest_pause_seconds", Help: "Longest pause between two events of a stream, seconds.",
 			Buckets: prometheus.ExponentialBuckets(0.02, 2, 10)}),
 		resumes: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -40,7 +40,7 @@
 			Buckets: prometheus.ExponentialBuckets(0.05, 2, 8)}),
 		attempts: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "pearyard_exchange_attempts_total", Help: "Sendings to backend servers by result."}, []string{"result"}),
-		copies: prometheus.NewCounter(prometheus.CounterOpts{
+		copiesReplaced: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "pearyard_exchange_copies_again_total", Help: "Copies of streams' memory that were asked for because the former one's server was lost."}),
 		freesFailed: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "pearyard_exchange_copies_not_freed_total", Help: "Copies that could not be given up; their servers let go of them after some seconds."}),
@@ -51,6 +51,6 @@
 		budgetSpent: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "pearyard_exchange_retry_budget_spent_total", Help: "Retries that the budget did not allow."}),
 	}
-	reg.MustRegister(m.requests, m.duration, m.firstEvent, m.pauses, m.resumes, m.resumeTime, m.attempts, m.freesFailed, m.refreshesFailed, m.copies, m.probes, m.budgetSpent)
+	reg.MustRegister(m.requests, m.duration, m.firstEvent, m.longestPause, m.resumes, m.resumeTime, m.attempts, m.freesFailed, m.refreshesFailed, m.copiesReplaced, m.probes, m.budgetSpent)
 	return m
 }
--- a/exchange/pace.go
+++ b/exchange/pace.go
@@ -97,13 +97,13 @@
 
 // eventTime returns how long an event takes on a median server that spends this share
 // of its time reading prompts.
-func (p *pace) eventTime(duty float64) time.Duration {
+func (p *pace) eventTime(utilization float64) time.Duration {
 	unloaded := float64(p.unloaded.Load())
 	loaded := max(unloaded, float64(p.pauses.usual.Load()))
 	if unloaded == 0 {
 		return 0
 	}
-	return time.Duration(1 / ((1-duty)/unloaded + duty/loaded))
+	return time.Duration(1 / ((1-utilization)/unloaded + utilization/loaded))
 }
 
 // takeTrial reports whether one prompt may be sent as a trial now, and takes that
--- a/exchange/plain.go
+++ b/exchange/plain.go
@@ -262,8 +262,8 @@
 	return nil
 }
 
-// errorStatusFaultWeight is the weight of a server's own error status: healthy
-// applications answer some of their requests that way.
+// errorStatusFaultWeight is the weight of a server's own error status, where a broken
+// attempt has 1: healthy applications answer some of their requests that way.
 const errorStatusFaultWeight = 0.15
 
 func (c *call) succeeded(r result) {
--- a/exchange/request.go
+++ b/exchange/request.go
@@ -2,6 +2,11 @@
 // response. It decides where a request goes, when it is retried, when a stream resumes
 // on another server, and what a caller is told when nothing more can be done. It
 // reaches callers and backend servers through interfaces and knows no protocol.
+//
+// An attempt is one delivery of a request to one server. While the server of a stream's
+// attempt sends nothing, another server may be asked to take the stream over, and the
+// attempt that delivers the next event goes on. To read a prompt is to compute its KV
+// cache (prefill); a server that holds a copy of that cache resumes a stream at once.
 package exchange
 
 import (
--- a/exchange/stream.go
+++ b/exchange/stream.go
@@ -72,7 +72,7 @@
 	}
 	if err == nil {
 		e.opts.Suspects.RecordCompletion(req.Fingerprint())
-		e.metrics.pauses.Observe(s.longestPause.Seconds())
+		e.metrics.longestPause.Observe(s.longestPause.Seconds())
 	}
 	e.conclude(req, s.status, err, s.summary)
 	return s.headSent, err
