--- a/exchange/metrics.go
+++ b/exchange/metrics.go
@@ -3,18 +3,18 @@
 import "github.com/prometheus/client_golang/prometheus"
 
 type metrics struct {
-	requests       *prometheus.CounterVec   // by kind, outcome and the side that ended them
-	duration       *prometheus.HistogramVec // by kind
-	firstEvent     prometheus.Histogram
-	pauses         prometheus.Histogram
-	resumes        *prometheus.CounterVec // by how
-	resumeTime     prometheus.Histogram
-	attempts       *prometheus.CounterVec // by result
-	copies         prometheus.Counter
-	freesFailed    prometheus.Counter
-	renewalsFailed prometheus.Counter
-	probes         prometheus.Counter
-	budgetSpent    prometheus.Counter
+	requests        *prometheus.CounterVec   // by kind, outcome and the side that ended them
+	duration        *prometheus.HistogramVec // by kind
+	firstEvent      prometheus.Histogram
+	longestPause    prometheus.Histogram
+	resumes         *prometheus.CounterVec // by how
+	resumeTime      prometheus.Histogram
+	attempts        *prometheus.CounterVec // by result
+	copiesReplaced  prometheus.Counter
+	freesFailed     prometheus.Counter
+	refreshesFailed prometheus.Counter
+	probes          prometheus.Counter
+	budgetSpent     prometheus.Counter
 }
 
 func newMetrics(reg prometheus.Registerer) *metrics {
@@ -30,7 +30,7 @@
 		firstEvent: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name: "pearyard_exchange_first_event_seconds", Help: "Time to the first event of a stream, seconds.",
 			Buckets: prometheus.ExponentialBuckets(0.05, 2, 10)}),
-		pauses: prometheus.NewHistogram(prometheus.HistogramOpts{
+		longestPause: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name: "pearyard_exchange_longest_pause_seconds", Help: "Longest pause between two events of a stream, seconds.",
 			Buckets: prometheus.ExponentialBuckets(0.02, 2, 10)}),
 		resumes: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -40,17 +40,17 @@
 			Buckets: prometheus.ExponentialBuckets(0.05, 2, 8)}),
 		attempts: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "pearyard_exchange_attempts_total", Help: "Sendings to backend servers by result."}, []string{"result"}),
-		copies: prometheus.NewCounter(prometheus.CounterOpts{
+		copiesReplaced: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "pearyard_exchange_copies_again_total", Help: "Copies of streams' memory that were asked for because the former one's server was lost."}),
 		freesFailed: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "pearyard_exchange_copies_not_freed_total", Help: "Copies that could not be given up; their servers let go of them after some seconds."}),
-		renewalsFailed: prometheus.NewCounter(prometheus.CounterOpts{
+		refreshesFailed: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "pearyard_exchange_copies_not_renewed_total", Help: "Copies that could not be brought up to date; what was copied before holds."}),
 		probes: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "pearyard_exchange_probes_total", Help: "Questions to backend servers for a sign of life."}),
 		budgetSpent: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "pearyard_exchange_retry_budget_spent_total", Help: "Retries that the budget did not allow."}),
 	}
-	reg.MustRegister(m.requests, m.duration, m.firstEvent, m.pauses, m.resumes, m.resumeTime, m.attempts, m.freesFailed, m.renewalsFailed, m.copies, m.probes, m.budgetSpent)
+	reg.MustRegister(m.requests, m.duration, m.firstEvent, m.longestPause, m.resumes, m.resumeTime, m.attempts, m.freesFailed, m.refreshesFailed, m.copiesReplaced, m.probes, m.budgetSpent)
 	return m
 }
