--- a/directory/directory.go
+++ b/directory/directory.go
@@ -20,8 +20,8 @@
 // Service returns the servers of a service.
 func (v *View) Service(name string) []*Server { return v.byService[name] }
 
-// Invalid returns the number of invalid entries in the list.
-func (v *View) Invalid() int { return v.invalid }
+// InvalidCount returns the number of invalid entries in the list.
+func (v *View) InvalidCount() int { return v.invalid }
 
 // Len returns the number of known servers.
 func (v *View) Len() int { return len(v.byID) }
@@ -200,10 +200,10 @@
 }
 
 // isNewReason reports whether the reason for which an entry is invalid has changed. Peers
-// don't pass reasons on, so FaultNoService equals any other reason: without this rule,
+// don't pass reasons on, so ReasonNoService equals any other reason: without this rule,
 // reading an entry from the store and from a peer in turn would log it every time.
 func isNewReason(known, reason string) bool {
-	return known == "" || (known != reason && known != FaultNoService && reason != FaultNoService)
+	return known == "" || (known != reason && known != ReasonNoService && reason != ReasonNoService)
 }
 
 func (d *Directory) applyListing(old *View, l Listing, now time.Time, change *Change) *Server {
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -443,10 +443,10 @@
 	g.Expect(logged()[0]).To(gomega.ContainSubstring(`"i-0": its state is "odd"`))
 	g.Expect(logged()[0]).To(gomega.HaveSuffix("+2992"))
 	g.Expect(len(logged()[0])).To(gomega.BeNumerically("<", 2000))
-	g.Expect(f.Directory.View().Invalid()).To(gomega.Equal(3000))
+	g.Expect(f.Directory.View().InvalidCount()).To(gomega.Equal(3000))
 	g.Expect(f.Directory.View().Len()).To(gomega.Equal(1))
 	list = slices.Clone(list) // views keep the list that they were given
-	list[5].Invalid = FaultNoService
+	list[5].Invalid = ReasonNoService
 	f.ApplyPeerList(60, list, true, "peer")
 	g.Expect(logged()).To(gomega.HaveLen(1), "a peer passes on no reason")
 	list = slices.Clone(list)
--- a/directory/listing.go
+++ b/directory/listing.go
@@ -58,7 +58,7 @@
 	case !ValidID(l.ID):
 		return "its id can't be a header's value"
 	case l.Service == "":
-		return FaultNoService
+		return ReasonNoService
 	case l.Address == "":
 		return "it has no address"
 	case !ValidAddress(l.Address):
@@ -68,10 +68,10 @@
 	}
 }
 
-// FaultNoService is the reason of an entry without a service. Peers pass an invalid entry
+// ReasonNoService is the reason of an entry without a service. Peers pass an invalid entry
 // on without its service and reason, so it is also the reason of every invalid entry that
 // comes from a peer.
-const FaultNoService = "it has no service"
+const ReasonNoService = "it has no service"
 
 // ValidID reports whether an id can be sent as a header value, that is, whether it is
 // printable ASCII. An id with a line break could inject headers into the request.
--- a/directory/speed_test.go
+++ b/directory/speed_test.go
@@ -11,7 +11,7 @@
 func prefillIn(s *Server, tokens int, d time.Duration) {
 	r := s.BeginStream(tokens)
 	time.Sleep(d)
-	r.PromptRead()
+	r.PromptPrefilled()
 	r.End()
 }
 
--- a/directory/speedmodel_test.go
+++ b/directory/speedmodel_test.go
@@ -241,10 +241,10 @@
 	switch {
 	case s.firstEvent == 0:
 		s.firstEvent = time.Since(s.begun)
-		s.load.PromptRead()
+		s.load.PromptPrefilled()
 		m.report(s.vm)
 	case s.load.prompt != 0:
-		s.load.CachedPromptRead()
+		s.load.CachedPromptPrefilled()
 		m.report(s.vm)
 	}
 	s.tokens--
--- a/directory/streamload.go
+++ b/directory/streamload.go
@@ -30,10 +30,10 @@
 	ended        bool
 }
 
-// PromptRead records the prefill of a new prompt, at its stream's first event. The tokens
-// queued ahead count in full, although some of them may have been prefilled before: the
-// estimate of the server's speed errs to the fast side only.
-func (r *StreamLoad) PromptRead() {
+// PromptPrefilled records, at its stream's first event, that a new prompt was prefilled.
+// The tokens queued ahead count in full, although some of them may have been prefilled
+// before the stream began: the estimate of the server's speed errs to the fast side only.
+func (r *StreamLoad) PromptPrefilled() {
 	if r.prompt == 0 {
 		return
 	}
@@ -45,9 +45,9 @@
 	r.removePrompt()
 }
 
-// CachedPromptRead records the prefill of a prompt that may be in the server's cache, so
-// that its time says nothing about the server's speed.
-func (r *StreamLoad) CachedPromptRead() { r.removePrompt() }
+// CachedPromptPrefilled records that a prompt was prefilled that may have been in the
+// server's cache, so that its time says nothing about the server's speed.
+func (r *StreamLoad) CachedPromptPrefilled() { r.removePrompt() }
 
 // removePrompt removes the prompt from the load.
 func (r *StreamLoad) removePrompt() {
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -125,7 +125,7 @@
 		Help: "Entries of backend servers and losses told of them that were dropped, as another start is the known one.",
 	}, func() float64 { return float64(e.directory.DroppedReports()) }))
 	gauge("pearyard_servers_invalid", "Entries of the list of backend servers that name no server.",
-		func() float64 { return float64(e.directory.View().Invalid()) })
+		func() float64 { return float64(e.directory.View().InvalidCount()) })
 	if dropped != nil {
 		gauge("pearyard_log_lines_dropped", "Log lines dropped because nobody read the output.", func() float64 { return float64(dropped()) })
 	}
--- a/entry/handler.go
+++ b/entry/handler.go
@@ -99,7 +99,7 @@
 		// Whether the route is public can't be read either, so the key isn't checked.
 		return nil
 	}
-	if config.Keys() && !call.Route.Public {
+	if config.RequiresKeys() && !call.Route.Public {
 		owner := config.Owner(call.APIKey)
 		if owner == nil {
 			return &platform.RequestError{Status: http.StatusUnauthorized, By: exchange.EndedByConfiguration, Err: errors.New("entry: the key is unknown")}
--- a/exchange/estimate_test.go
+++ b/exchange/estimate_test.go
@@ -247,7 +247,7 @@
 				for range 20 {
 					load := s.BeginStream(8000)
 					time.Sleep(40 * time.Second)
-					load.PromptRead()
+					load.PromptPrefilled()
 					load.End()
 				}
 			}
@@ -292,7 +292,7 @@
 		for i, seconds := range []time.Duration{1, 1, 1, 3} {
 			prompt := servers[i].BeginStream(8000)
 			time.Sleep(seconds * time.Second)
-			prompt.PromptRead()
+			prompt.PromptPrefilled()
 			prompt.End()
 		}
 		p := b.paceFor("s")
--- a/exchange/forward.go
+++ b/exchange/forward.go
@@ -94,10 +94,10 @@
 // promptRead removes the prompt from the server's load.
 func (s *stream) promptRead(a *streamAttempt) {
 	if s.ran > 0 || s.req.LastEvent != "" || s.cachedTokens[a.server.Start] > 0 {
-		a.load.CachedPromptRead()
+		a.load.CachedPromptPrefilled()
 		return
 	}
-	a.load.PromptRead()
+	a.load.PromptPrefilled()
 }
 
 // logResumed records the first event of an attempt that resumes the stream.
--- a/exchange/takeover_bounds_test.go
+++ b/exchange/takeover_bounds_test.go
@@ -83,7 +83,7 @@
 		for _, s := range b.dir.View().Service("s") {
 			load := s.BeginStream(8000)
 			time.Sleep(time.Second)
-			load.PromptRead()
+			load.PromptPrefilled()
 			load.End()
 		}
 		sink, err := runStream(t, b, streamRequest())
--- a/fleet/readtimes_test.go
+++ b/fleet/readtimes_test.go
@@ -38,7 +38,7 @@
 		for i, server := range here.View().Service("s") {
 			prompt := server.BeginStream(8000)
 			time.Sleep(time.Duration(i+1) * time.Second)
-			prompt.PromptRead()
+			prompt.PromptPrefilled()
 			prompt.End()
 		}
 		time.Sleep(time.Second)
--- a/route/routebench/directory.go
+++ b/route/routebench/directory.go
@@ -90,7 +90,7 @@
 
 func (l *serverLoad) read() {
 	if l != nil {
-		l.running.PromptRead()
+		l.running.PromptPrefilled()
 	}
 }
 
--- a/site/config.go
+++ b/site/config.go
@@ -207,8 +207,8 @@
 	return false
 }
 
-// Routes returns the number of routes.
-func (c *Config) Routes() int { return c.routes }
+// RouteCount returns the number of routes.
+func (c *Config) RouteCount() int { return c.routes }
 
 // Match returns the route of host with the longest prefix of path, or nil.
 func (c *Config) Match(host, path string) *Route {
@@ -225,8 +225,9 @@
 	return nil
 }
 
-// Keys reports whether requests need a key at all.
-func (c *Config) Keys() bool { return c.byKey != nil }
+// RequiresKeys reports whether the configuration has organisations, so that requests need
+// the key of one of them unless their route is public.
+func (c *Config) RequiresKeys() bool { return c.byKey != nil }
 
 // Owner returns the organisation that holds a key, or nil.
 func (c *Config) Owner(key string) *Organisation { return c.byKey[key] }
--- a/site/follow.go
+++ b/site/follow.go
@@ -135,7 +135,7 @@
 		f.OnApplied(v)
 	}
 	f.Recorder.Emit(EventApplied, "version", v.Config.Version, "position", v.Position,
-		"routes", v.Config.Routes(), "from", from, "objectives", v.Config.Objectives())
+		"routes", v.Config.RouteCount(), "from", from, "objectives", v.Config.Objectives())
 	if faults := v.Config.ReadErrors; len(faults) > 0 {
 		f.Recorder.Emit(EventPartlyUnreadable, "version", v.Config.Version, "position", v.Position,
 			"faults", strings.Join(faults[:min(len(faults), maxLoggedFaults)], "; "), "count", len(faults), "from", from)
