--- a/follow/congestion_test.go
+++ b/follow/congestion_test.go
@@ -12,12 +12,14 @@
 	"github.com/onsi/gomega"
 )
 
-// sharedLink carries responses in pages; concurrent ones share it evenly.
+// sharedLink is a network link that transfers pages of responses; concurrent transfers
+// share it evenly.
 type sharedLink struct {
 	mu     sync.Mutex
-	active int
+	active int // transfers
 }
 
+// add adds n to the number of active transfers and returns it.
 func (l *sharedLink) add(n int) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -25,12 +27,12 @@
 	return l.active
 }
 
-// carry transfers a page that takes alone when it has the link to itself.
-func (l *sharedLink) carry(ctx context.Context, alone time.Duration) error {
+// carry transfers a page that takes the time unshared when it has the link to itself.
+func (l *sharedLink) carry(ctx context.Context, unshared time.Duration) error {
 	const tick = 10 * time.Millisecond
 	defer l.add(-1)
 	l.add(1)
-	for left := alone; left > 0; {
+	for left := unshared; left > 0; {
 		if _, err := waitFor(ctx, tick); err != nil {
 			return err
 		}
@@ -39,18 +41,18 @@
 	return nil
 }
 
-// An entry VM starts, or lists anew, over a congested link: a list of six pages takes 0.7
-// s a page, 4.2 s in total. Each page takes longer than the half second after which
-// another request is sent. Guards against an unbounded number of requests: the copies
-// shared the link, each page took longer still, no list ever arrived whole, and callers
-// got 503 for as long as the link was congested.
+// An entry VM reads the whole list over a congested link: six pages take 0.7 s each, 4.2 s
+// in total. Each page takes longer than the half second after which another request is
+// sent. Guards against an unbounded number of requests: their responses shared the link,
+// each page took longer still, no list ever arrived whole, and callers got 503 for as long
+// as the link was congested.
 func TestListOverACongestedLinkArrivesWhole(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const pages, page = 6, 700 * time.Millisecond
 		g := gomega.NewWithT(t)
 		link := &sharedLink{}
 		began := time.Now()
-		var first atomic.Int64
+		var firstAfter atomic.Int64
 		var open, most, reads atomic.Int32
 		loop := &Loop{LongPoll: time.Second, Next: waitFor, Read: func(ctx context.Context) (Update, error) {
 			reads.Add(1)
@@ -65,12 +67,12 @@
 					return nil, err
 				}
 			}
-			return func() { first.CompareAndSwap(0, int64(time.Since(began))) }, nil
+			return func() { firstAfter.CompareAndSwap(0, int64(time.Since(began))) }, nil
 		}}
 		run(t, loop, 30*time.Second)
-		t.Logf("first whole list after %v, lists requested %d, open at a time %d", time.Duration(first.Load()), reads.Load(), most.Load())
-		g.Expect(first.Load()).NotTo(gomega.BeZero(), "no list arrived whole in 30 s")
-		g.Expect(time.Duration(first.Load())).To(gomega.BeNumerically("<", 10*time.Second))
+		t.Logf("first whole list after %v, lists requested %d, open at a time %d", time.Duration(firstAfter.Load()), reads.Load(), most.Load())
+		g.Expect(firstAfter.Load()).NotTo(gomega.BeZero(), "no list arrived whole in 30 s")
+		g.Expect(time.Duration(firstAfter.Load())).To(gomega.BeNumerically("<", 10*time.Second))
 	})
 }
 
--- a/follow/follow.go
+++ b/follow/follow.go
@@ -15,13 +15,13 @@
 	// request's wait there, before another request is sent beside the open one.
 	responseTimeout = 500 * time.Millisecond
 	// pageTimeout is how long the next page of a response that has begun to arrive may
-	// take, even over a congested link. Together with the delay after it, it must be less
-	// than the time within which a change must be in force.
+	// take, even over a congested link. Together with the delay before the next request it
+	// must be less than the two seconds within which a change must be in force.
 	pageTimeout = 1200 * time.Millisecond
 	// minRetryDelay is the shortest delay after a failure; it grows, with jitter, up to
 	// minRetryDelay + maxExtraDelay. Together with responseTimeout it limits how late the
-	// store's return is noticed, which must be well below the time within which a change
-	// must be in force.
+	// store's return is noticed, which must be well below the two seconds within which a
+	// change must be in force.
 	minRetryDelay = 150 * time.Millisecond
 	maxExtraDelay = 400 * time.Millisecond
 	// failuresUntilLost is the number of consecutive failures after which the store is
@@ -31,36 +31,40 @@
 
 // Share gives access to what other processes have read.
 type Share interface {
-	// Delegated returns how long this process need not read.
+	// Delegated returns for how long other processes read on behalf of this one; 0 if they
+	// don't.
 	Delegated() time.Duration
-	// Updates holds a token when another process has read something newer.
+	// Updates returns a channel that holds a token after another process has read
+	// something newer.
 	Updates() <-chan struct{}
 	// Wait returns how long a request waits at the store; alone is the time for a process
 	// that reads by itself.
 	Wait(alone time.Duration) time.Duration
 	// Pause returns the delay after a failure, given the default d; others is set if
-	// another loop sends requests to the same store.
+	// another loop of this process probes the same store.
 	Pause(d time.Duration, others bool) time.Duration
-	// Read records a response whose content may be as old as age, Failed a missing one.
+	// Read records a response whose content is at most as old as age.
 	Read(age time.Duration)
+	// Failed records a request that failed or got no response in time.
 	Failed()
 }
 
 // Outage describes a period without responses of the store, reported at its end.
 type Outage struct {
-	Failures    int
-	Duration    time.Duration // since the subject was last confirmed
-	LongestWait time.Duration // longest wait for one request
+	Failures    int           // consecutive failures
+	Duration    time.Duration // since the subject was last confirmed, by the store or by other processes
+	LongestWait time.Duration // longest time that Run waited for a response before a failure
 }
 
-// ErrNoResponse is the failure of a request that got no response in time. It stays open.
+// ErrNoResponse is the failure of a request that got no response in time. The request
+// stays open: its response is still accepted if it arrives later.
 var ErrNoResponse = errors.New("follow: no response from the store in time")
 
 // Loop follows one subject. If a request gets no response in time it stays open, and
 // another one is sent beside it. Timeouts therefore need not grow: a slow store responds
 // to the older request, a store that is back responds to the newest.
 //
-// All functions but Read and Next may be nil.
+// All functions but Read and Next may be nil, and so may Share and ProbeGroup.
 type Loop struct {
 	// Read reads the whole subject; Next waits up to wait for a change. Several calls may
 	// run at once. Only Run calls the updates that they return.
@@ -74,14 +78,14 @@
 	MayDelegate func() bool
 
 	// LongPoll is how long a request waits at the store for changes. A connection that went
-	// silent is detected this much later at most, plus half a second.
+	// silent is detected after at most this time plus responseTimeout.
 	LongPoll time.Duration
 	// MinInterval is the shortest time between two requests.
 	MinInterval time.Duration
 
 	Share      Share
-	ProbeGroup *ProbeGroup // shared by all loops with the same store; may be nil
-	// OnFailure is called after each failure; it may ask peers.
+	ProbeGroup *ProbeGroup // shared by all loops with the same store
+	// OnFailure is called after each failure in a goroutine of its own; it may ask peers.
 	OnFailure func(ctx context.Context)
 	// OnLost and OnRegained report the loss and return of the store.
 	OnLost     func(err error)
@@ -89,12 +93,12 @@
 
 	confirmedAt atomic.Int64 // Unix nanoseconds of the newest response or confirmation by others
 	failing     atomic.Bool
-	failedAt    atomic.Int64 // Unix nanoseconds of the newest failure; 0: none
-	failures    int
-	longestWait time.Duration // longest wait for one request since the newest response
+	failedAt    atomic.Int64  // Unix nanoseconds of the newest failure; 0: none
+	failures    int           // since the newest response
+	longestWait time.Duration // see Outage; since the newest response
 	group       *requestGroup // the requests that may still get a response
 	started     bool          // there has been a response
-	behind      bool          // others have read since this process did
+	behind      bool          // other processes may have read something newer
 }
 
 // Run follows the subject until ctx ends.
@@ -148,15 +152,15 @@
 // Failing reports whether the newest request failed. It is safe for concurrent use.
 func (l *Loop) Failing() bool { return l.failing.Load() }
 
-// FailedWithin reports whether a request has failed at most d ago. It is safe for
-// concurrent use.
+// FailedWithin reports whether the newest request failed, or any request did at most d
+// ago. It is safe for concurrent use.
 func (l *Loop) FailedWithin(d time.Duration) bool {
 	at := l.failedAt.Load()
 	return l.Failing() || (at != 0 && time.Since(time.Unix(0, at)) < d)
 }
 
-// waitDelegated waits while other processes read on behalf of this one. It returns false
-// at once if they don't.
+// waitDelegated waits while other processes read on behalf of this one, until they have
+// read something newer. It returns false at once if they don't read for this one.
 func (l *Loop) waitDelegated(ctx context.Context) bool {
 	if l.Share == nil || !l.started || (l.MayDelegate != nil && !l.MayDelegate()) {
 		return false
@@ -226,15 +230,16 @@
 		l.Share.Failed()
 	}
 	if l.OnFailure != nil {
-		// Not during the delay: peers that don't respond must not hold up the next
+		// Run does not wait for it: peers that don't respond must not hold up the next
 		// request.
 		go l.OnFailure(ctx)
 	}
 	l.delay(ctx, retry.BackoffBetween(minRetryDelay, maxExtraDelay, l.failures))
 }
 
-// delay waits for d, or until a request that is still open gets a response, other processes
-// have read something newer, or another loop that probes the same store is done.
+// delay waits before the next request: for d, or as long as the Share and ProbeGroup ask
+// for. It ends early if a request that is still open gets a response, other processes have
+// read something newer, or another loop that probes the same store is done.
 func (l *Loop) delay(ctx context.Context, d time.Duration) {
 	probed := l.ProbeGroup.join(l)
 	switch {
--- a/follow/follow_test.go
+++ b/follow/follow_test.go
@@ -11,7 +11,7 @@
 	"github.com/onsi/gomega"
 )
 
-// run runs a loop in virtual time for a while.
+// run runs a loop in virtual time for d.
 func run(t *testing.T, l *Loop, d time.Duration) {
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan error, 1)
@@ -21,6 +21,7 @@
 	<-done
 }
 
+// waitFor waits like a request for changes that gets an empty response.
 func waitFor(ctx context.Context, wait time.Duration) (Update, error) {
 	select {
 	case <-time.After(wait):
@@ -36,7 +37,7 @@
 func TestArrivingResponseIsNotRequestedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		reads, taken := atomic.Int32{}, atomic.Int32{}
+		reads, applied := atomic.Int32{}, atomic.Int32{}
 		loop := &Loop{LongPoll: time.Second, Next: waitFor, Read: func(ctx context.Context) (Update, error) {
 			reads.Add(1)
 			for range 5 {
@@ -45,11 +46,11 @@
 				}
 				httptrace.ContextClientTrace(ctx).GotFirstResponseByte()
 			}
-			return func() { taken.Add(1) }, nil
+			return func() { applied.Add(1) }, nil
 		}}
 		run(t, loop, 5*time.Second)
 		g.Expect(reads.Load()).To(gomega.BeNumerically("==", 1))
-		g.Expect(taken.Load()).To(gomega.BeNumerically("==", 1))
+		g.Expect(applied.Load()).To(gomega.BeNumerically("==", 1))
 	})
 }
 
@@ -61,30 +62,30 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		began := time.Now()
-		var again, abandoned atomic.Int64 // since began
+		var secondAt, cancelledAt atomic.Int64 // since began
 		reads := atomic.Int32{}
 		loop := &Loop{LongPoll: time.Second, Next: waitFor, Read: func(ctx context.Context) (Update, error) {
 			if reads.Add(1) > 1 {
-				again.CompareAndSwap(0, int64(time.Since(began)))
+				secondAt.CompareAndSwap(0, int64(time.Since(began)))
 				<-ctx.Done()
 				return nil, ctx.Err()
 			}
 			_, _ = waitFor(ctx, 400*time.Millisecond)
 			httptrace.ContextClientTrace(ctx).GotFirstResponseByte()
 			<-ctx.Done()
-			abandoned.Store(int64(time.Since(began)))
+			cancelledAt.Store(int64(time.Since(began)))
 			return nil, ctx.Err()
 		}}
 		run(t, loop, 10*time.Second)
-		g.Expect(time.Duration(again.Load())).To(gomega.BeNumerically("<=", 400*time.Millisecond+pageTimeout+minRetryDelay+maxExtraDelay))
+		g.Expect(time.Duration(secondAt.Load())).To(gomega.BeNumerically("<=", 400*time.Millisecond+pageTimeout+minRetryDelay+maxExtraDelay))
 		g.Expect(pageTimeout + minRetryDelay + maxExtraDelay).To(gomega.BeNumerically("<", 2*time.Second))
-		g.Expect(time.Duration(abandoned.Load())).To(gomega.Equal(400*time.Millisecond + requestLifetime))
+		g.Expect(time.Duration(cancelledAt.Load())).To(gomega.Equal(400*time.Millisecond + requestLifetime))
 	})
 }
 
 // The store is down for a minute. It gets a request at least every 1.1 s, since a change
-// after its return must be known within two seconds, but not many more, since calls are
-// priced. Abandoned requests must not pile up.
+// after its return must be known within two seconds, but not many more, since each call is
+// charged. Open requests must not pile up.
 func TestSilentStoreGetsRequestsAtASteadyRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
--- a/follow/probing.go
+++ b/follow/probing.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// probeTimeout is how long a loop leaves probing to another one: the store may respond to
-// this loop's requests and not to the other's.
+// probeTimeout is how long a loop leaves probing to another one before it sends a request
+// itself: the store may respond to this loop's requests and not to the other's.
 const probeTimeout = time.Second
 
-// maxProbeDelay is the longest delay of the loop that probes for all.
+// maxProbeDelay is the longest delay between two requests of the loop that probes for all.
+// A Share may extend it.
 const maxProbeDelay = 300 * time.Millisecond
 
-// ProbeGroup coordinates the loops that follow one store while it does not respond: one
-// of them probes it, and the others follow as soon as there is a response. With a nil
-// ProbeGroup each loop sends its own requests.
+// ProbeGroup coordinates the loops of this process that follow one store while it does not
+// respond: one of them probes it by its own requests, and the others send theirs as soon
+// as there is a response. With a nil ProbeGroup each loop sends requests by itself.
 type ProbeGroup struct {
 	mu     sync.Mutex
 	prober *Loop         // the loop that probes; nil: the store responds
@@ -24,49 +25,50 @@
 // NewProbeGroup returns a ProbeGroup for the loops of one store.
 func NewProbeGroup() *ProbeGroup { return &ProbeGroup{done: make(chan struct{})} }
 
-// join makes a loop the one that probes if there is none. Otherwise it returns a channel
-// that is closed when the probing ends: the store responds again, or the probing loop left.
-func (t *ProbeGroup) join(l *Loop) (done <-chan struct{}) {
-	if t == nil {
+// join makes a loop the one that probes if there is none, and returns nil. Otherwise it
+// returns a channel that is closed when the probing ends: the store responds again, or the
+// probing loop left.
+func (g *ProbeGroup) join(l *Loop) (done <-chan struct{}) {
+	if g == nil {
 		return nil
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.prober == nil || t.prober == l {
-		t.prober = l
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.prober == nil || g.prober == l {
+		g.prober = l
 		return nil
 	}
-	return t.done
+	return g.done
 }
 
 // responded ends the probing: all loops send requests again.
-func (t *ProbeGroup) responded() {
-	if t == nil {
+func (g *ProbeGroup) responded() {
+	if g == nil {
 		return
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.endLocked()
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.endLocked()
 }
 
-// leave ends the probing if this loop does it; it is called by a loop that has no need for
-// requests.
-func (t *ProbeGroup) leave(l *Loop) {
-	if t == nil {
+// leave ends the probing if l does it. Loops that need no requests for now call it, so
+// that another one probes.
+func (g *ProbeGroup) leave(l *Loop) {
+	if g == nil {
 		return
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.prober == l {
-		t.endLocked()
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.prober == l {
+		g.endLocked()
 	}
 }
 
-func (t *ProbeGroup) endLocked() {
-	if t.prober == nil {
+func (g *ProbeGroup) endLocked() {
+	if g.prober == nil {
 		return
 	}
-	t.prober = nil
-	close(t.done)
-	t.done = make(chan struct{})
+	g.prober = nil
+	close(g.done)
+	g.done = make(chan struct{})
 }
--- a/follow/probing_test.go
+++ b/follow/probing_test.go
@@ -12,13 +12,13 @@
 	"github.com/pearyard/pearyard/retry"
 )
 
-// silentStore counts requests, and responds once it is back.
+// silentStore counts requests, and responds only to those that are sent once it is back.
 type silentStore struct {
 	requests atomic.Int32
-	back     time.Time
+	back     time.Time // when the outage ends
 }
 
-func (s *silentStore) loop(turns *ProbeGroup) *Loop {
+func (s *silentStore) loop(group *ProbeGroup) *Loop {
 	respond := func(ctx context.Context) (Update, error) {
 		s.requests.Add(1)
 		if time.Now().Before(s.back) {
@@ -34,7 +34,7 @@
 			}
 			return respond(ctx)
 		},
-		LongPoll: time.Second, ProbeGroup: turns,
+		LongPoll: time.Second, ProbeGroup: group,
 	}
 }
 
@@ -42,11 +42,11 @@
 // loop that is late after its return because another one probed.
 func TestOneLoopProbesAStoreThatIsDown(t *testing.T) {
 	const outage = 10 * time.Second
-	play := func(t *testing.T, turns *ProbeGroup) (requests int, late time.Duration) {
+	simulate := func(t *testing.T, group *ProbeGroup) (requests int, late time.Duration) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		store := &silentStore{back: time.Now().Add(outage)}
-		loops := []*Loop{store.loop(turns), store.loop(turns), store.loop(turns)}
+		loops := []*Loop{store.loop(group), store.loop(group), store.loop(group)}
 		for _, l := range loops {
 			go func() { _ = l.Run(ctx) }()
 		}
@@ -63,8 +63,8 @@
 	}
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		alone, _ := play(t, nil)
-		requests, late := play(t, NewProbeGroup())
+		alone, _ := simulate(t, nil)
+		requests, late := simulate(t, NewProbeGroup())
 		g.Expect(requests).To(gomega.BeNumerically("<", alone))
 		g.Expect(late).To(gomega.BeNumerically("<", responseTimeout+maxProbeDelay+50*time.Millisecond))
 	})
