--- a/site/config.go
+++ b/site/config.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Kind says whether a request may be repeated.
+// Kind is the kind of a route's requests. It determines whether they may be repeated.
 type Kind uint8
 
 // Kinds of requests.
@@ -16,7 +16,10 @@
 	// AtMostOnce is the zero value, so that requests of a route whose kind is unknown are
 	// never repeated.
 	AtMostOnce Kind = iota
+	// Idempotent requests may be repeated.
 	Idempotent
+	// Stream requests have a stream of events as their response. They may be repeated if
+	// the route is Resumable.
 	Stream
 )
 
@@ -53,9 +56,9 @@
 
 	Targets     []Target
 	Timeout     time.Duration // longest time without a final response; 0: no limit
-	Objective   time.Duration // time within which a response (of a stream: the first event) is in time
-	MaxGap      time.Duration // longest pause between events of a stream in time; 0: no limit
-	MaxAttempts int           // backend servers that may run one request
+	Objective   time.Duration // a response (of a stream: the first event) is in time if it takes no longer; 0: none
+	MaxGap      time.Duration // a stream is in time if no pause between its events is longer; 0: no limit
+	MaxAttempts int           // number of backend servers that may run one request; see Attempts
 	Priority    int           // 0 is the most urgent
 	Public      bool          // needs no key
 	Resumable   bool          // another backend server can continue from an event id
@@ -107,7 +110,7 @@
 // Service is a kind of backend server.
 type Service struct {
 	Name       string
-	HealthPath string // responds with the id of the process; empty: none
+	HealthPath string // path at which a backend server responds with the id of its process; empty: none
 	MaxConns   int    // connections that one backend server accepts from all callers
 	// Copies is set if a running stream's KV cache can be copied to another backend
 	// server.
@@ -119,15 +122,15 @@
 // Organisation is a holder of keys.
 type Organisation struct {
 	Name     string
-	Priority int // overrides that of the route; negative: none
+	Priority int // overrides the route's priority unless negative
 }
 
 // ClientLimits limit what a client may send. Zero means no limit.
 type ClientLimits struct {
 	HeaderBytes int
 	BodyBytes   int64
-	HeaderTime  time.Duration
-	IdleTime    time.Duration
+	HeaderTime  time.Duration // to send the header of a request
+	IdleTime    time.Duration // of a connection between requests
 }
 
 // Config is one accepted version of the configuration. It is immutable.
@@ -138,9 +141,9 @@
 	ReadErrors []string // parts that can't be read, with their places
 
 	routes  int
-	targets []string // services that routes lead to, without duplicates
-	byHost  map[string][]*Route
-	byKey   map[string]*Organisation
+	targets []string                 // services that routes lead to, without duplicates
+	byHost  map[string][]*Route      // by host in lower case; longest prefix first
+	byKey   map[string]*Organisation // nil without organisations
 }
 
 // KeyedOrganisation is an organisation with its keys.
@@ -149,7 +152,7 @@
 	Keys []string
 }
 
-// New returns a version with indexes for lookups on the request path.
+// New returns a Config with indexes for the lookups that each request needs.
 func New(version uint64, routes []Route, services []Service, organisations []KeyedOrganisation, limits ClientLimits) *Config {
 	c := &Config{
 		Version: version, Limits: limits, routes: len(routes),
@@ -210,7 +213,8 @@
 // RouteCount returns the number of routes.
 func (c *Config) RouteCount() int { return c.routes }
 
-// Match returns the route of host with the longest prefix of path, or nil.
+// Match returns the route of host with the longest prefix of path, or nil. A host with a
+// port that no route names gets the routes of the host without the port.
 func (c *Config) Match(host, path string) *Route {
 	list, ok := c.byHost[strings.ToLower(host)]
 	if !ok {
--- a/site/follow.go
+++ b/site/follow.go
@@ -26,7 +26,8 @@
 const (
 	// longPoll is how long one request waits at the store for changes. With the response
 	// timeout of package follow and one more request it stays below the three seconds
-	// after which a process whose connections went silent counts as connected again.
+	// after which a process whose connections went silent must have the newest
+	// configuration again.
 	longPoll = 1900 * time.Millisecond
 	// minInterval is the shortest time between two requests. It limits the rate when
 	// waits end at once: an entry older than the store's history once caused 600 requests
@@ -34,8 +35,8 @@
 	minInterval = 100 * time.Millisecond
 )
 
-// maxLoggedFaults is the number of unreadable parts that a log line names.
-const maxLoggedFaults = 8
+// maxLoggedReadErrors is the largest number of read errors in a log line.
+const maxLoggedReadErrors = 8
 
 // Follower keeps a Holder up to date with a Source.
 type Follower struct {
@@ -49,7 +50,7 @@
 
 	loop       atomic.Pointer[follow.Loop]
 	reached    atomic.Uint64 // position up to which changes were read; written by Run alone
-	unreadable atomic.Uint64 // position of the newest unreadable version
+	unreadable atomic.Uint64 // position of the newest unreadable version that was logged
 }
 
 // Run follows the source until ctx ends.
@@ -84,17 +85,19 @@
 	return f.handleResponse(v, reached, err)
 }
 
+// handleResponse returns the update for a result of the Source.
 func (f *Follower) handleResponse(v *Versioned, reached uint64, err error) (follow.Update, error) {
 	var bad *UnreadableError
 	if errors.As(err, &bad) {
 		f.reportUnreadable(bad, reached)
 	}
 	if bad != nil && f.Holder.Position() > 0 {
-		// The last good version stays in force. The store responded, so this is not a
-		// failure of it: another request would return the same. A version whose own
-		// position can't be read is skipped by the position of the response, or each wait
-		// would end with it at once. Without a good version peers are asked, as after a
-		// failure.
+		// The last good version stays in force. The store responded, so this does not
+		// count as a failure, after which the whole subject would be read again with the
+		// same result. If the position of the unreadable version is unknown, that of the
+		// response is used: otherwise each wait for changes would end with it at once.
+		// A process without a good version gets an error, as after a failure of the store,
+		// and asks its peers.
 		return func() { f.advance(max(bad.Position, reached)) }, nil
 	}
 	if err != nil {
@@ -113,7 +116,7 @@
 // reportUnreadable logs an unreadable version once, although several requests may have
 // returned it.
 func (f *Follower) reportUnreadable(bad *UnreadableError, reached uint64) {
-	position := cmp.Or(bad.Position, reached)
+	position := cmp.Or(bad.Position, reached) // bad.Position is 0 if it is unknown
 	for {
 		known := f.unreadable.Load()
 		if position <= known {
@@ -136,8 +139,8 @@
 	}
 	f.Recorder.Emit(EventApplied, "version", v.Config.Version, "position", v.Position,
 		"routes", v.Config.RouteCount(), "from", from, "objectives", v.Config.Objectives())
-	if faults := v.Config.ReadErrors; len(faults) > 0 {
+	if readErrors := v.Config.ReadErrors; len(readErrors) > 0 {
 		f.Recorder.Emit(EventPartlyUnreadable, "version", v.Config.Version, "position", v.Position,
-			"faults", strings.Join(faults[:min(len(faults), maxLoggedFaults)], "; "), "count", len(faults), "from", from)
+			"faults", strings.Join(readErrors[:min(len(readErrors), maxLoggedReadErrors)], "; "), "count", len(readErrors), "from", from)
 	}
 }
--- a/site/holder.go
+++ b/site/holder.go
@@ -1,6 +1,9 @@
 package site
 
-import "sync/atomic"
+import (
+	"fmt"
+	"sync/atomic"
+)
 
 // Versioned is a configuration with its position in the store's history.
 type Versioned struct {
@@ -13,12 +16,14 @@
 
 // UnreadableError is returned for a version in the store that can't be read.
 type UnreadableError struct {
-	Position uint64
+	Position uint64 // of the version; 0 if it is unknown
 	Err      error
 }
 
 // Error implements error.
-func (e *UnreadableError) Error() string { return "site: unreadable version: " + e.Err.Error() }
+func (e *UnreadableError) Error() string {
+	return fmt.Sprintf("site: the configuration at position %d of the store can't be read: %v", e.Position, e.Err)
+}
 
 // Unwrap returns the cause.
 func (e *UnreadableError) Unwrap() error { return e.Err }
@@ -46,7 +51,7 @@
 	return nil
 }
 
-// Position returns that of the version in force, 0 before the first one.
+// Position returns the position of the version in force, 0 before the first one.
 func (h *Holder) Position() uint64 {
 	if v := h.current.Load(); v != nil {
 		return v.Position
@@ -54,7 +59,8 @@
 	return 0
 }
 
-// Offer puts a version in force if it is newer, and reports whether it did.
+// Offer puts a version in force if its position is later and its version number is not
+// smaller, and reports whether it did.
 func (h *Holder) Offer(v *Versioned) bool {
 	for {
 		old := h.current.Load()
--- a/site/model_test.go
+++ b/site/model_test.go
@@ -37,33 +37,33 @@
 	// modelStep is the time after each event, modelWait that of a wait.
 	modelStep = 300 * time.Millisecond
 	modelWait = 1300 * time.Millisecond
-	// disturbed is how long after a silence, a lost response or a start a process may
-	// still use an older version.
-	disturbed = 3 * time.Second
+	// disturbancePeriod is how long after a silence, a lost response or a start a process
+	// may still use an older version.
+	disturbancePeriod = 3 * time.Second
 )
 
-// modelStore is the store; a request that is open when a response is lost or the store
-// falls silent never gets one.
+// modelStore is the store. A request that is open when a response is lost or the store
+// falls silent never gets a response.
 type modelStore struct {
 	mu      sync.Mutex
 	version uint64
 	lost    int           // losses of open requests so far
 	silent  bool          // new requests are lost, too
-	moved   chan struct{} // closed at each change of the above
+	changed chan struct{} // closed at each change of the above
 }
 
-func (s *modelStore) move(f func()) {
+func (s *modelStore) change(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f()
-	close(s.moved)
-	s.moved = make(chan struct{})
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
-func (s *modelStore) state() (version uint64, lost int, silent bool, moved chan struct{}) {
+func (s *modelStore) state() (version uint64, lost int, silent bool, changed chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.version, s.lost, s.silent, s.moved
+	return s.version, s.lost, s.silent, s.changed
 }
 
 func (s *modelStore) Read(ctx context.Context) (*Versioned, uint64, error) {
@@ -72,28 +72,28 @@
 		<-ctx.Done()
 		return nil, 0, ctx.Err()
 	}
-	return at(version, version), version, nil
+	return versionAt(version, version), version, nil
 }
 
 func (s *modelStore) Next(ctx context.Context, after uint64, wait time.Duration) (*Versioned, uint64, error) {
-	_, begun, _, _ := s.state()
+	_, lostBefore, _, _ := s.state()
 	end := time.NewTimer(wait)
 	defer end.Stop()
 	for {
-		version, lost, silent, moved := s.state()
-		if silent || lost > begun {
+		version, lost, silent, changed := s.state()
+		if silent || lost > lostBefore {
 			<-ctx.Done()
 			return nil, 0, ctx.Err()
 		}
 		if version > after {
-			return at(version, version), version, nil
+			return versionAt(version, version), version, nil
 		}
 		select {
 		case <-ctx.Done():
 			return nil, 0, ctx.Err()
 		case <-end.C:
 			return nil, after, nil
-		case <-moved:
+		case <-changed:
 		}
 	}
 }
@@ -105,9 +105,9 @@
 	follower *Follower
 	end      func()
 
-	acknowledgedAt time.Time // of the newest version
-	disturbedAt    time.Time // newest silence, loss or start
-	highest        uint64    // position seen since the start
+	acknowledgedAt time.Time // time at which the store acknowledged the newest version
+	disturbedAt    time.Time // time of the newest silence, loss or start
+	highest        uint64    // highest position in force since the start
 	offer          func(h *Holder, v *Versioned)
 	source         func(*modelStore) Source
 }
@@ -131,19 +131,19 @@
 	switch s {
 	case stepChange:
 		if !m.store.silent {
-			m.store.move(func() { m.store.version++ })
+			m.store.change(func() { m.store.version++ })
 			m.acknowledgedAt = time.Now()
 		}
 	case stepLose:
-		m.store.move(func() { m.store.lost++ })
+		m.store.change(func() { m.store.lost++ })
 		m.disturbedAt = time.Now()
 	case stepSilence:
-		m.store.move(func() { m.store.silent = !m.store.silent; m.store.lost++ })
+		m.store.change(func() { m.store.silent = !m.store.silent; m.store.lost++ })
 		m.disturbedAt = time.Now()
 	case stepNewest:
-		m.offer(m.holder, at(m.store.version, m.store.version))
+		m.offer(m.holder, versionAt(m.store.version, m.store.version))
 	case stepOlder:
-		m.offer(m.holder, at(m.store.version-1, m.store.version-1))
+		m.offer(m.holder, versionAt(m.store.version-1, m.store.version-1))
 	case stepRestart:
 		m.end()
 		m.start()
@@ -157,7 +157,7 @@
 		return fmt.Sprintf("went back from %d to %d", m.highest, position)
 	}
 	m.highest = position
-	if m.store.silent || time.Since(m.acknowledgedAt) <= applyWithin || time.Since(m.disturbedAt) <= disturbed {
+	if m.store.silent || time.Since(m.acknowledgedAt) <= applyWithin || time.Since(m.disturbedAt) <= disturbancePeriod {
 		return ""
 	}
 	if position < m.store.version {
@@ -177,9 +177,9 @@
 	return ""
 }
 
-// play runs one sequence and returns the first violation.
-func (m *modelRun) play(sequence []step) string {
-	m.store = &modelStore{version: 5, moved: make(chan struct{})}
+// runSequence runs one sequence and returns the first violation.
+func (m *modelRun) runSequence(sequence []step) string {
+	m.store = &modelStore{version: 5, changed: make(chan struct{})}
 	m.acknowledgedAt = time.Now()
 	m.start()
 	defer func() { m.end() }()
@@ -196,12 +196,12 @@
 	if m.store.silent {
 		m.do(stepSilence)
 	}
-	return m.pass(disturbed + modelStep)
+	return m.pass(disturbancePeriod + modelStep)
 }
 
-// playAll runs all sequences of a length and returns the first few that violate an
-// invariant.
-func playAll(depth int, run func() *modelRun) (violations []string, played int) {
+// runAllSequences runs all sequences of a length. It returns the first few that violate an
+// invariant, and the number of sequences.
+func runAllSequences(depth int, newRun func() *modelRun) (violations []string, runs int) {
 	sequence := make([]step, depth)
 	var extend func(i int)
 	extend = func(i int) {
@@ -212,13 +212,13 @@
 			}
 			return
 		}
-		played++
-		if violation := run().play(sequence); violation != "" && len(violations) < 5 {
+		runs++
+		if violation := newRun().runSequence(sequence); violation != "" && len(violations) < 5 {
 			violations = append(violations, string(sequenceText(sequence))+": "+violation)
 		}
 	}
 	extend(0)
-	return violations, played
+	return violations, runs
 }
 
 func sequenceText(sequence []step) []byte {
@@ -242,16 +242,17 @@
 func TestConfigurationInAllOrdersOfEvents(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		violations, played := playAll(modelDepth, correctRun)
+		violations, runs := runAllSequences(modelDepth, correctRun)
 		g.Expect(violations).To(gomega.BeEmpty())
-		g.Expect(played).To(gomega.Equal(16807))
+		g.Expect(runs).To(gomega.Equal(16807))
 	})
 }
 
-// The model finds a holder that accepts any version that it is offered.
+// Shows that the model detects a faulty process: its holder accepts any version that it is
+// offered.
 func TestModelFindsAVersionThatGoesBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		violations, _ := playAll(2, func() *modelRun {
+		violations, _ := runAllSequences(2, func() *modelRun {
 			m := correctRun()
 			m.offer = func(h *Holder, v *Versioned) { h.current.Store(v) }
 			return m
@@ -260,10 +261,10 @@
 	})
 }
 
-// The model finds a process that learns of a change too late.
+// Shows that the model detects a faulty process: it learns of changes too late.
 func TestModelFindsAChangeThatIsLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		violations, _ := playAll(2, func() *modelRun {
+		violations, _ := runAllSequences(2, func() *modelRun {
 			m := correctRun()
 			m.source = func(s *modelStore) Source { return unawareSource{s} }
 			return m
--- a/site/objectives.go
+++ b/site/objectives.go
@@ -8,13 +8,13 @@
 // ObjectiveSeparator separates the objectives of a configuration in a log line.
 const ObjectiveSeparator = ","
 
-// maxLoggedObjectives bounds a log line: there are many routes, but few different
-// objectives.
+// maxLoggedObjectives is the largest number of objectives in a log line. There are many
+// routes, but usually fewer different objectives.
 const maxLoggedObjectives = 12
 
-// Objectives returns the different objectives of the routes as KIND:RESPONSE or
-// KIND:RESPONSE/GAP for the log: without them the log shows how long a response took, but
-// not whether that was in time.
+// Objectives returns the different objectives of the routes for the log, each as
+// KIND:OBJECTIVE or KIND:OBJECTIVE/MAXGAP. Without them the log shows how long a response
+// took, but not whether that was in time.
 func (c *Config) Objectives() string {
 	seen := map[string]bool{}
 	for _, routes := range c.byHost {
--- a/site/objectives_test.go
+++ b/site/objectives_test.go
@@ -7,8 +7,8 @@
 	"github.com/onsi/gomega"
 )
 
-// The log shows by which objectives a response was in time. Many routes share a few
-// objectives; a log line names each once.
+// Many routes share a few objectives; the log line that tells which responses are in time
+// names each of them once.
 func TestObjectivesNameEachOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
 	config := New(1, []Route{
--- a/site/outage_test.go
+++ b/site/outage_test.go
@@ -30,7 +30,8 @@
 	f()
 }
 
-// newest returns the version and the number of silences so far; false while silent.
+// newest returns the version and the number of silences so far; ok is false while the
+// store is silent.
 func (s *silentStore) newest() (version uint64, silences int, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -46,7 +47,7 @@
 	}
 	select {
 	case <-time.After(s.slow):
-		return at(version, version), version, nil
+		return versionAt(version, version), version, nil
 	case <-ctx.Done():
 		return nil, 0, ctx.Err()
 	}
@@ -54,14 +55,14 @@
 
 func (s *silentStore) Next(ctx context.Context, after uint64, wait time.Duration) (*Versioned, uint64, error) {
 	s.set(func() { s.requests++ })
-	_, begun, ok := s.newest()
+	_, silencesBefore, ok := s.newest()
 	for end := time.Now().Add(wait + s.slow); ok; {
 		version, silences, _ := s.newest()
-		if silences > begun {
+		if silences > silencesBefore {
 			break
 		}
 		if version > after {
-			return at(version, version), version, nil
+			return versionAt(version, version), version, nil
 		}
 		if time.Now().After(end) {
 			return nil, after, nil
@@ -101,17 +102,17 @@
 				time.Sleep(time.Second)
 				store.set(func() { store.version = 2 })
 				time.Sleep(applyWithin)
-				in := f.Holder.Position()
+				position := f.Holder.Position()
 				stop()
 				<-done
-				g.Expect(in).To(gomega.BeNumerically("==", 2))
+				g.Expect(position).To(gomega.BeNumerically("==", 2))
 			})
 		})
 	}
 }
 
 // The store responds, but takes two seconds each time. Its content must still get
-// through, without an unlimited number of requests: calls are priced.
+// through, with a limited number of requests, since each call is charged.
 func TestSlowStoreIsStillRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
--- a/site/site_test.go
+++ b/site/site_test.go
@@ -14,7 +14,7 @@
 	"github.com/pearyard/pearyard/event"
 )
 
-func at(position, version uint64) *Versioned {
+func versionAt(position, version uint64) *Versioned {
 	return &Versioned{Config: New(version, nil, nil, nil, ClientLimits{}), Position: position}
 }
 
@@ -23,11 +23,11 @@
 	g := gomega.NewWithT(t)
 	h := NewHolder()
 	g.Expect(h.Config()).To(gomega.BeNil())
-	g.Expect(h.Offer(at(5, 3))).To(gomega.BeTrue())
-	g.Expect(h.Offer(at(4, 2))).To(gomega.BeFalse())
-	g.Expect(h.Offer(at(5, 3))).To(gomega.BeFalse())
-	g.Expect(h.Offer(at(6, 2))).To(gomega.BeFalse(), "an older version at a later position")
-	g.Expect(h.Offer(at(9, 7))).To(gomega.BeTrue())
+	g.Expect(h.Offer(versionAt(5, 3))).To(gomega.BeTrue())
+	g.Expect(h.Offer(versionAt(4, 2))).To(gomega.BeFalse())
+	g.Expect(h.Offer(versionAt(5, 3))).To(gomega.BeFalse())
+	g.Expect(h.Offer(versionAt(6, 2))).To(gomega.BeFalse(), "an older version at a later position")
+	g.Expect(h.Offer(versionAt(9, 7))).To(gomega.BeTrue())
 	g.Expect(h.Position()).To(gomega.BeNumerically("==", 9))
 }
 
@@ -37,29 +37,30 @@
 	h := NewHolder()
 	var wg sync.WaitGroup
 	for i := uint64(1); i <= 100; i++ {
-		wg.Go(func() { h.Offer(at(i, i)) })
+		wg.Go(func() { h.Offer(versionAt(i, i)) })
 	}
 	wg.Wait()
 	g.Expect(h.Position()).To(gomega.BeNumerically("==", 100))
 }
 
-// hungSource responds until its connection goes silent; a new one works.
+// hungSource is a store whose connection can go silent: Next then gets no response until
+// a Read opens a new connection.
 type hungSource struct {
 	mu           sync.Mutex
 	version      uint64
 	silent       bool
 	err          error
-	historyStart uint64 // history up to here is gone
+	historyStart uint64 // the history up to this position is gone
 	reads        int
 }
 
-func (s *hungSource) droppedHistory() uint64 {
+func (s *hungSource) historyStartNow() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.historyStart
 }
 
-func (s *hungSource) now() *Versioned { return at(s.version, s.version) }
+func (s *hungSource) now() *Versioned { return versionAt(s.version, s.version) }
 
 func (s *hungSource) Read(context.Context) (*Versioned, uint64, error) {
 	s.mu.Lock()
@@ -73,7 +74,7 @@
 }
 
 func (s *hungSource) Next(ctx context.Context, after uint64, wait time.Duration) (*Versioned, uint64, error) {
-	if after < s.droppedHistory() {
+	if after < s.historyStartNow() {
 		return s.Read(ctx)
 	}
 	end := time.After(wait)
@@ -106,8 +107,8 @@
 	s.version, s.silent, s.err = version, silent, err
 }
 
-func startFollower(t *testing.T, source Source, lost func(context.Context)) *Holder {
-	f := &Follower{Holder: NewHolder(), Source: source, Recorder: event.Discard(), OnFailure: lost}
+func startFollower(t *testing.T, source Source, onFailure func(context.Context)) *Holder {
+	f := &Follower{Holder: NewHolder(), Source: source, Recorder: event.Discard(), OnFailure: onFailure}
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
@@ -122,8 +123,8 @@
 }
 
 // The connection to the store goes silent without a reset, and a change is made at that
-// very moment. It is in force within the three seconds after which a process counts as
-// connected again.
+// very moment. It is in force within the three seconds after which a process whose
+// connections went silent must have the newest configuration again.
 func TestSilentConnectionToTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
@@ -158,7 +159,7 @@
 
 // The store drops its history, and the configuration was written long before. Guards
 // against waits for changes that end at once and are each followed by a read, 600 times a
-// second: the store's rate limits and the price of calls forbid that.
+// second: the store limits the rate of calls, and each call is charged.
 func TestDroppedHistoryIsNotRequestedAgainAndAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
@@ -213,10 +214,10 @@
 		source.set(0, false, &UnreadableError{Position: 9, Err: errors.New("unknown kind")})
 		recorder := event.Discard()
 		f := &Follower{Holder: NewHolder(), Source: source, Recorder: recorder}
-		helped := atomic.Bool{}
+		peersRespond := atomic.Bool{}
 		f.OnFailure = func(context.Context) {
-			if helped.Load() {
-				f.Offer(at(4, 4), "peer")
+			if peersRespond.Load() {
+				f.Offer(versionAt(4, 4), "peer")
 			}
 		}
 		unreadable := func() (n int) {
@@ -232,7 +233,7 @@
 		go func() { done <- f.Run(ctx) }()
 		time.Sleep(100 * time.Millisecond)
 		g.Expect(unreadable()).To(gomega.Equal(1))
-		helped.Store(true)
+		peersRespond.Store(true)
 		time.Sleep(5 * time.Second)
 		g.Expect(f.Holder.Position()).To(gomega.BeNumerically("==", 4))
 		stop()
