--- a/exchange/forward.go
+++ b/exchange/forward.go
@@ -96,10 +96,10 @@
 // the server's speed, unless the server may have had a part of the prompt cached.
 func (s *stream) promptRead(a *streamAttempt) {
 	if s.ran > 0 || s.req.LastEvent != "" || s.cachedTokens[a.server.Start] > 0 {
-		a.load.CachedPromptRead()
+		a.load.CachedPromptPrefilled()
 		return
 	}
-	a.load.PromptRead()
+	a.load.PromptPrefilled()
 }
 
 // logResumed records the first event of an attempt that resumes the stream.
