--- a/httpconn/body.go
+++ b/httpconn/body.go
@@ -38,6 +38,7 @@
 
 // finishResponse returns the connection to the pool, or closes it if it can't be reused.
 func (c *Conn) finishResponse(b *Body) {
+	// stopped is false if the context has ended, which closes the connection.
 	stopped := c.stopWatch == nil || c.stopWatch()
 	if !stopped || !b.reusable || !c.requestWritten() || c.reader.Buffered() > 0 {
 		_ = c.Conn.Close()
--- a/httpconn/httpconn.go
+++ b/httpconn/httpconn.go
@@ -17,7 +17,7 @@
 type Options struct {
 	ConnectTimeout time.Duration
 	MaxIdle        time.Duration // idle connections are dropped after it
-	MaxIdlePerAddr int
+	MaxIdlePerAddr int           // idle connections kept per address; further ones are closed
 }
 
 // Defaults for Options.
@@ -29,9 +29,9 @@
 	// it is that the peer closes it just as the next request is sent.
 	DefaultMaxIdle        = 2 * time.Second
 	DefaultMaxIdlePerAddr = 16
-	// readBufferSize fits the head of a response or several events.
+	// readBufferSize, in bytes, fits the head of a response or several server-sent events.
 	readBufferSize = 4096
-	// maxSyncBody is the largest request body that is written before the response is
+	// maxSyncBody is the largest request body, in bytes, that is written before the response is
 	// read. A longer one is written concurrently: a server may respond before it
 	// has read the whole request, and if both ends only wrote they would deadlock.
 	maxSyncBody = 2048
@@ -55,7 +55,7 @@
 	opts   Options
 	dialer net.Dialer
 
-	mu   sync.Mutex // guards idle; held for a few instructions only, never during I/O
+	mu   sync.Mutex // guards idle; never held during I/O
 	idle map[string][]*Conn
 }
 
@@ -84,7 +84,7 @@
 	keepAliveTimeout time.Duration // idle timeout announced by the server; 0: none
 	stopWatch        func() bool   // stops watching the request's context
 	writeResult      chan error    // result of writing a long request concurrently
-	body             *Body
+	body             *Body         // of the last response received; nil while in the pool
 }
 
 // Get returns an idle connection to addr that is usable, or a new one.
@@ -208,11 +208,12 @@
 	return len(resp.TransferEncoding) > 0 && resp.TransferEncoding[0] == "chunked"
 }
 
-// Skip discards a response that belongs to another request. It fails if the end of
-// that response can't be determined.
+// Skip discards the body of the last response received, which belongs to another
+// request, so that Receive can read the next one. It fails if the end of the body
+// can't be determined.
 func (c *Conn) Skip() error {
 	if c.body == nil || !c.body.reusable {
-		return errors.New("httpconn: an answer without a length can't be skipped")
+		return errors.New("httpconn: can't skip a response that has no length or that closes the connection")
 	}
 	_, err := io.Copy(io.Discard, io.LimitReader(c.body.raw, maxSkipBytes+1))
 	return errors.Wrap(err, "httpconn: skip")
--- a/httpconn/httpconn_test.go
+++ b/httpconn/httpconn_test.go
@@ -192,7 +192,8 @@
 	g.Eventually(closed).Should(gomega.Receive())
 }
 
-// A server announces in Keep-Alive how long it keeps an idle connection.
+// A server announces in Keep-Alive how long it keeps an idle connection; the pool gives
+// its connections up before that.
 func TestKeepAliveTimeoutIsParsed(t *testing.T) {
 	g := gomega.NewWithT(t)
 	g.Expect(parseKeepAlive(http.Header{"Keep-Alive": {"max=5, Timeout=3"}})).To(gomega.Equal(3 * time.Second))
--- a/httpconn/idle.go
+++ b/httpconn/idle.go
@@ -59,7 +59,7 @@
 	return state
 }
 
-// peekSocket does the same on a socket.
+// peekSocket peeks at a socket's next byte without consuming it or blocking.
 func peekSocket(fd int) connState {
 	var b [1]byte
 	for {
