--- a/event/queue.go
+++ b/event/queue.go
@@ -15,30 +15,30 @@
 	// DefaultQueueLines is the maximum number of log lines that wait for the output. At
 	// 300 bytes per line that is 600 KB.
 	DefaultQueueLines = 2048
-	// Fill levels of the queue up to which lines of a level are accepted: info lines are
+	// Fractions of the queue up to which lines of a level are accepted: info lines are
 	// dropped first, then warnings, and errors last.
 	infoFill, warnFill = 0.5, 0.8
-	// batchBytes is the size from which on a batch of lines is written.
+	// batchBytes is the size at which a batch of lines is written even if more are queued.
 	batchBytes = 32 << 10
 	// flushTimeout bounds the wait for the output when the process ends.
 	flushTimeout = 200 * time.Millisecond
 )
 
-// Queue is a logger that never waits for its output. Otherwise an output that nobody reads
-// would block the process at its next log line. While the queue is full, lines are
+// Queue is a logger that never waits for its output. Without it, an output that nobody
+// reads would block the process at its next log line. While the queue is full, lines are
 // dropped, and the next accepted line carries the number of dropped lines.
 type Queue struct {
 	lines   chan []byte
 	out     io.Writer
-	dropped [3]atomic.Int64 // by level: info, warn, error
-	total   atomic.Int64
+	dropped [3]atomic.Int64 // lines dropped since the last accepted one, by severity
+	total   atomic.Int64    // all lines dropped so far
 	closing chan struct{}
 	done    chan struct{}
 	once    sync.Once
 }
 
-// NewQueue returns a logger that formats lines as logfmt, queues up to that many of them
-// and writes them to out in its own goroutine.
+// NewQueue returns a logger that formats log lines as logfmt, queues at most the given
+// number of them and writes them to out in its own goroutine.
 func NewQueue(out io.Writer, lines int) *Queue {
 	q := &Queue{lines: make(chan []byte, lines), out: out, closing: make(chan struct{}), done: make(chan struct{})}
 	go q.run()
@@ -67,6 +67,7 @@
 // Dropped returns how many lines have been dropped so far.
 func (q *Queue) Dropped() int64 { return q.total.Load() }
 
+// isFull reports whether lines of a severity are dropped at the current queue length.
 func (q *Queue) isFull(severity int) bool {
 	queued := float64(len(q.lines))
 	size := float64(cap(q.lines))
@@ -93,6 +94,8 @@
 	return fields
 }
 
+// severityOf returns the severity of a line by its level: 2 for error, 1 for warn, 0 for
+// any other or none.
 func severityOf(keyvals []any) int {
 	for i := 0; i+1 < len(keyvals); i += 2 {
 		if keyvals[i] != level.Key() {
