--- a/inspect/inspect_test.go
+++ b/inspect/inspect_test.go
@@ -70,7 +70,7 @@
 	})
 }
 
-func TestDumpIsBoundedAndSaysSo(t *testing.T) {
+func TestDumpIsBoundedAndReportsTruncation(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r, _ := newRegistry(t)
 	r.Add("huge", func() any { return strings.Repeat("h", inspect.MaxSectionBytes+1) })
--- a/inspect/state.go
+++ b/inspect/state.go
@@ -62,6 +62,8 @@
 	err error
 }
 
+// capture returns the snapshot as a Section, or one with an error if the snapshot has not
+// returned when expired is closed or an earlier one is still running.
 func (s *section) capture(expired <-chan struct{}) Section {
 	if !s.busy.CompareAndSwap(false, true) {
 		return Section{Error: "an earlier snapshot of this section has not returned"}
@@ -91,6 +93,7 @@
 	return snapshotResult{raw: raw, err: err}
 }
 
+// limitSize returns the snapshot as a Section, truncated if it exceeds MaxSectionBytes.
 func limitSize(got snapshotResult) Section {
 	if got.err != nil {
 		return Section{Error: got.err.Error()}
