--- a/entry/entry.go
+++ b/entry/entry.go
@@ -73,7 +73,7 @@
 	fleet           *fleet.Fleet
 	socket          *fleet.Socket
 	loads           *fleet.Loads
-	readTimes       *fleet.ReadTimes
+	readTimes       *fleet.PrefillTimes
 	election        *fleet.Election
 	budgets         *fleet.Budgets
 	suspects        *suspect.Ledger
@@ -146,7 +146,7 @@
 	e.socket = fleet.NewSocket(e.settings.Peers, e.fleet.Peers, e.registry)
 	e.socket.SetRecorder(e.recorder)
 	e.loads = fleet.NewLoads(fleet.LoadsOptions{Socket: e.socket, CellPeers: e.fleet.CellPeers, Directory: e.directory})
-	e.readTimes = fleet.NewReadTimes(e.socket, e.fleet.CellPeers, e.directory)
+	e.readTimes = fleet.NewPrefillTimes(e.socket, e.fleet.CellPeers, e.directory)
 	e.election = fleet.NewElection(fleet.ElectionOptions{
 		Address: e.settings.Peers, Socket: e.socket, Position: e.position, Reached: e.checkedPosition, Size: e.fleet.Size, Fetch: e.fleet.FetchChanges, Recorder: e.recorder,
 	})
--- a/fleet/fuzz_test.go
+++ b/fleet/fuzz_test.go
@@ -47,7 +47,7 @@
 		s := NewSocket("", func() []string { return nil }, nil)
 		loads := NewLoads(LoadsOptions{Directory: d, Socket: s})
 		NewRestarts(s, d)
-		NewReadTimes(s, func() []string { return nil }, d)
+		NewPrefillTimes(s, func() []string { return nil }, d)
 		NewBudgets(BudgetsOptions{Socket: s, CellPeers: func() []string { return nil }, Size: func() int { return 2 }, Ratio: 1, Extra: 1})
 		NewElection(ElectionOptions{
 			Address: "self", Socket: s, Recorder: event.Discard(), Fetch: func(context.Context, string, uint64) {},
--- a/fleet/readtimes_test.go
+++ b/fleet/prefilltimes_test.go
@@ -24,7 +24,7 @@
 		g := gomega.NewWithT(t)
 		here, there := newThreeServers(), newThreeServers()
 		receiver := NewSocket("there", func() []string { return nil }, nil)
-		NewReadTimes(receiver, func() []string { return nil }, there)
+		NewPrefillTimes(receiver, func() []string { return nil }, there)
 		sender := NewSocket("here", func() []string { return nil }, nil)
 		sent := 0
 		sender.write = func(raw []byte, _ string) bool {
@@ -34,7 +34,7 @@
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		go func() { _ = NewReadTimes(sender, func() []string { return []string{"there"} }, here).Run(ctx) }()
+		go func() { _ = NewPrefillTimes(sender, func() []string { return []string{"there"} }, here).Run(ctx) }()
 		for i, server := range here.View().Service("s") {
 			prompt := server.BeginStream(8000)
 			time.Sleep(time.Duration(i+1) * time.Second)
