--- a/fleet/budgets.go
+++ b/fleet/budgets.go
@@ -19,9 +19,9 @@
 	maxPropagation = 200 * time.Millisecond
 )
 
-// Budgets lets entry VMs share the retry budget. Losses hit VMs unevenly, so a fixed part
-// for each VM would be too small for some and unused at others. It would, however, hold
-// without any communication.
+// Budgets lets entry VMs share the retry budget. A fixed part of it for each VM would need no
+// communication, but losses hit VMs unevenly: it would be too small for some VMs and unused
+// at others.
 //
 // Invariant: VMs that receive each other's reports stay within their common bound. The
 // budget that is free according to the newest reports is divided by the number of VMs. A
@@ -32,14 +32,14 @@
 // whole budget.
 type Budgets struct {
 	opts    BudgetsOptions
-	changed chan struct{}
+	changed chan struct{} // holds a token when a retry was counted and has to be reported
 
 	mu      sync.Mutex
-	own     map[string]*ownBudget
+	own     map[string]*ownBudget  // by service
 	peers   map[string]*peerBudget // by sender
 	ratio   float64                // retries allowed per first try
 	extra   float64                // fixed retries allowed on top, for all VMs together
-	started time.Time
+	started time.Time              // of this process
 }
 
 // BudgetsOptions configures a Budgets.
@@ -52,18 +52,20 @@
 	Window    time.Duration // sliding window over which the bound holds; 0: Extra is available from the start
 }
 
+// ownBudget holds the tries of one service at this VM.
 type ownBudget struct {
 	window        *retry.Window
 	recentRetries []time.Time // retries that other VMs may not know of yet
 }
 
+// peerBudget holds what another VM has reported.
 type peerBudget struct {
 	header header
-	at     time.Time
-	counts map[uint32]tryCounts
+	at     time.Time            // when the newest report arrived
+	counts map[uint32]tryCounts // by hash of the service's name
 
-	// Fixed retries that the VM took before its restarts, by service, and when the newest
-	// restart was detected.
+	// Fixed retries that the VM took before its restarts, by hash of the service's name, and
+	// when the newest restart was detected.
 	retriesBeforeRestart map[uint32]float64
 	restartedAt          time.Time
 }
@@ -71,21 +73,21 @@
 // forgottenRetries returns the fixed retries that the VM took before its restart, as long
 // as they may fall into the window. The restarted VM no longer counts them, but the
 // backend servers have received them.
-func (o *peerBudget) forgottenRetries(service uint32, window time.Duration, now time.Time) float64 {
-	if now.Sub(o.restartedAt) >= window {
+func (p *peerBudget) forgottenRetries(service uint32, window time.Duration, now time.Time) float64 {
+	if now.Sub(p.restartedAt) >= window {
 		return 0
 	}
-	return o.retriesBeforeRestart[service]
+	return p.retriesBeforeRestart[service]
 }
 
 // recordRestart records that the VM has restarted and counts from zero.
-func (o *peerBudget) recordRestart(ratio float64, window time.Duration, now time.Time) {
-	if now.Sub(o.restartedAt) >= window {
-		o.retriesBeforeRestart = map[uint32]float64{}
+func (p *peerBudget) recordRestart(ratio float64, window time.Duration, now time.Time) {
+	if now.Sub(p.restartedAt) >= window {
+		p.retriesBeforeRestart = map[uint32]float64{}
 	}
-	o.restartedAt = now
-	for service, s := range o.counts {
-		o.retriesBeforeRestart[service] += max(0, float64(s.retries)-ratio*float64(s.firstTries))
+	p.restartedAt = now
+	for service, s := range p.counts {
+		p.retriesBeforeRestart[service] += max(0, float64(s.retries)-ratio*float64(s.firstTries))
 	}
 }
 
@@ -100,9 +102,10 @@
 }
 
 // startupShare is the part of the fixed retries that a process may use until it is as old
-// as the window. It is half of the 15% of the whole budget that package entry keeps back,
-// so that two restarts within a window stay within the bound. Without any fixed retries, a
-// site with little traffic cut every stream whose server failed during that time.
+// as the window. Package entry uses 85% of the budget, so it is 6.8% of the whole: less than
+// half of the 15% kept back, so that two restarts within a window stay within the bound.
+// Without any fixed retries, a site with little traffic cut every stream whose server failed
+// during that time.
 const startupShare = 0.08
 
 // FixedShare returns the part of the fixed retries that a process may use: all of them
@@ -139,6 +142,7 @@
 	}
 }
 
+// ownCounts returns the counts of this VM to report, for services with any.
 func (b *Budgets) ownCounts() []tryCounts {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -152,9 +156,11 @@
 	return list
 }
 
+// toUint16 returns n, or the largest uint16 if n is larger.
 func toUint16(n float64) uint16 { return uint16(min(n, math.MaxUint16)) }
 
-// First implements exchange.SharedBudget.
+// First implements exchange.SharedBudget. The window counts the first try; here the service
+// becomes one of those that are reported.
 func (b *Budgets) First(service string, w *retry.Window) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -179,6 +185,7 @@
 	return true
 }
 
+// recordRetryLocked records a retry that the other VMs don't know of, and has it reported.
 func (b *Budgets) recordRetryLocked(service string, w *retry.Window, now time.Time) {
 	own := b.ownLocked(service, w)
 	own.recentRetries = append(own.dropKnownRetries(now), now)
@@ -211,13 +218,13 @@
 func (b *Budgets) availableLocked(service string, w *retry.Window, now time.Time) (free, vms float64) {
 	firstTries, retries := w.Counts()
 	heard := 1.0
-	for _, o := range b.peers {
-		retries += o.forgottenRetries(directory.Hash(service), b.opts.Window, now)
-		if now.Sub(o.at) > budgetReportTTL {
+	for _, p := range b.peers {
+		retries += p.forgottenRetries(directory.Hash(service), b.opts.Window, now)
+		if now.Sub(p.at) > budgetReportTTL {
 			continue
 		}
 		heard++
-		s := o.counts[directory.Hash(service)]
+		s := p.counts[directory.Hash(service)]
 		firstTries += float64(s.firstTries)
 		retries += float64(s.retries)
 	}
@@ -234,20 +241,20 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	o := b.peers[from]
-	if o == nil {
-		o = &peerBudget{}
-		b.peers[from] = o
+	p := b.peers[from]
+	if p == nil {
+		p = &peerBudget{}
+		b.peers[from] = p
 	}
-	if !h.newerThan(o.header) {
+	if !h.newerThan(p.header) {
 		return true
 	}
-	if h.incarnation > o.header.incarnation && o.counts != nil {
-		o.recordRestart(b.ratio, b.opts.Window, now)
+	if h.incarnation > p.header.incarnation && p.counts != nil {
+		p.recordRestart(b.ratio, b.opts.Window, now)
 	}
-	o.header, o.at, o.counts = h, now, make(map[uint32]tryCounts, len(list))
+	p.header, p.at, p.counts = h, now, make(map[uint32]tryCounts, len(list))
 	for _, s := range list {
-		o.counts[s.service] = s
+		p.counts[s.service] = s
 	}
 	for sender, other := range b.peers {
 		if now.Sub(other.at) > senderTTL {
--- a/fleet/budgets_test.go
+++ b/fleet/budgets_test.go
@@ -130,17 +130,16 @@
 	f.Add([]byte{1})
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		if list, ok := decodeBudget(raw); ok && len(raw) < maxDatagram-headerBytes && string(encodeBudget(list).raw) != string(raw) {
-			t.Fatalf("%x", raw)
+			t.Fatalf("%x became %x", raw, encodeBudget(list).raw)
 		}
 	})
 }
 
-// Guards against fixed retries that are used twice across a restart. All VMs are killed
-// twice during a mass loss, after they have used all retries beyond those allowed per
-// first try. The restarted VMs know nothing of these, and used the fixed retries that
-// return with their age in addition: backend servers got 653 retries in ten seconds where
-// 639 were allowed. The fixed retries may return only when the whole window lies after the
-// start of the process.
+// Guards against fixed retries that are used again after a restart. All VMs are killed twice
+// during a mass loss, after they have used their fixed retries, and know nothing of these
+// when they are back. When the fixed retries returned little by little with the age of the
+// process, backend servers got 653 retries in ten seconds where 639 were allowed. They may
+// return only when the whole window lies after the start.
 func TestFixedRetriesAreNotReusedAfterRestart(t *testing.T) {
 	const (
 		window     = 10 * time.Second
@@ -228,14 +227,14 @@
 			}
 		}
 		request()
-		life := uint64(1)
+		incarnation := uint64(1)
 		exchangeCounts := func() {
 			for i, from := range vms {
 				from.seq++
 				raw := encodeBudget(from.ownCounts()).raw
 				for j, to := range vms {
 					if i != j {
-						to.receive(string(rune('a'+i)), header{incarnation: life, seq: from.seq}, raw, time.Now())
+						to.receive(string(rune('a'+i)), header{incarnation: incarnation, seq: from.seq}, raw, time.Now())
 					}
 				}
 			}
@@ -257,7 +256,7 @@
 		for i := range size / 2 {
 			vms[i] = start() // killed and restarted within a second
 		}
-		life++
+		incarnation++
 		time.Sleep(600 * time.Millisecond)
 		request()
 		useRetries()
--- a/fleet/cluster_model_test.go
+++ b/fleet/cluster_model_test.go
@@ -30,8 +30,8 @@
 // storeChange is one change of the list of servers. A listing without an address means
 // that the server is gone.
 type storeChange struct {
-	at      uint64
-	listing directory.Listing
+	position uint64
+	listing  directory.Listing
 }
 
 // storeModel simulates the platform's store in virtual time and counts calls.
@@ -191,7 +191,7 @@
 
 func (s storeClient) changedAfter(after uint64) (changed []directory.Listing) {
 	for _, c := range s.changes {
-		if c.at > after {
+		if c.position > after {
 			changed = append(changed, c.listing)
 		}
 	}
@@ -393,8 +393,8 @@
 func (c *cluster) connect(vm *clusterVM, config *site.Follower, servers *directory.Follower) {
 	vm.Fleet.UseElection(vm.election)
 	config.OnApplied = vm.Fleet.Applied
-	turns := follow.NewProbeGroup()
-	config.ProbeGroup, servers.ProbeGroup = turns, turns
+	probes := follow.NewProbeGroup()
+	config.ProbeGroup, servers.ProbeGroup = probes, probes
 	config.Share, servers.Share = vm.election.For(Config), vm.election.For(List)
 }
 
--- a/fleet/cluster_test.go
+++ b/fleet/cluster_test.go
@@ -18,7 +18,8 @@
 const settleTime = registryPollInterval + 2*time.Second
 
 // maxWatcherCalls returns how many calls the watchers may make during d while nothing
-// changes.
+// changes: long polls for two subjects and reads of the registry, with two more of each for
+// those that begin before d or end after it.
 func maxWatcherCalls(d time.Duration) int {
 	return watcherCount * (2*(int(d/pollTimeout)+2) + int(d/registryPollInterval) + 2)
 }
@@ -27,7 +28,8 @@
 // one supported.
 var clusterSizes = []int{18, 103, 400}
 
-func forEachSize(t *testing.T, play func(g *gomega.WithT, c *cluster, size int)) {
+// forEachSize runs a test on a cluster of each size whose VMs know each other.
+func forEachSize(t *testing.T, run func(g *gomega.WithT, c *cluster, size int)) {
 	for _, size := range clusterSizes {
 		if raceDetector && size > clusterSizes[1] {
 			continue // .ci/run runs it without the race detector
@@ -42,7 +44,7 @@
 				c := newCluster(ctx, 20)
 				c.startAll(size)
 				time.Sleep(settleTime)
-				play(gomega.NewWithT(t), c, size)
+				run(gomega.NewWithT(t), c, size)
 			})
 		})
 	}
@@ -55,8 +57,8 @@
 	forEachSize(t, func(g *gomega.WithT, c *cluster, size int) {
 		before := c.store.counts()
 		time.Sleep(steady)
-		by, sum := c.store.countsSince(before)
-		g.Expect(sum).To(gomega.BeNumerically("<=", maxWatcherCalls(steady)), "%v", by)
+		calls, sum := c.store.countsSince(before)
+		g.Expect(sum).To(gomega.BeNumerically("<=", maxWatcherCalls(steady)), "%v", calls)
 	})
 }
 
@@ -70,10 +72,10 @@
 		before := c.store.counts()
 		c.startAll(size)
 		time.Sleep(span)
-		by, sum := c.store.countsSince(before)
+		calls, sum := c.store.countsSince(before)
 		// Each VM writes its row and reads three subjects; one more request confirms that
 		// its list is as new as that of the watchers.
-		g.Expect(sum).To(gomega.BeNumerically("<=", 5*size+maxWatcherCalls(span)), "%v", by)
+		g.Expect(sum).To(gomega.BeNumerically("<=", 5*size+maxWatcherCalls(span)), "%v", calls)
 	})
 }
 
@@ -89,10 +91,10 @@
 		}
 		g.Expect(c.timeUntilAll(drains)).To(gomega.BeNumerically("<", 600*time.Millisecond))
 		time.Sleep(time.Second)
-		by, sum := c.store.countsSince(before)
+		calls, sum := c.store.countsSince(before)
 		// Each VM reads the configuration itself; changes of the list come from the
 		// watchers.
-		g.Expect(sum).To(gomega.BeNumerically("<=", size+size/4+40), "%v", by)
+		g.Expect(sum).To(gomega.BeNumerically("<=", size+size/4+40), "%v", calls)
 	})
 }
 
@@ -135,11 +137,11 @@
 		c.store.setConfig()
 		g.Expect(c.timeUntilAll(func(vm *clusterVM) bool { return vm.holder.Position() == c.store.config.Position })).To(gomega.BeNumerically("<", 2*time.Second))
 		time.Sleep(outage / 2)
-		by, _ := c.store.countsSince(before)
+		calls, _ := c.store.countsSince(before)
 		c.setCut(false, cut...)
 		// Each VM sends one request for each of both subjects, and one per second during
 		// the two seconds in which other VMs replace the watchers that are cut off.
-		g.Expect(by[unanswered]).To(gomega.BeNumerically("<=", 4*len(cut)+watcherCount*4), "%v", by)
+		g.Expect(calls[unanswered]).To(gomega.BeNumerically("<=", 4*len(cut)+watcherCount*4), "%v", calls)
 		c.store.setConfig()
 		g.Expect(c.timeUntilAll(func(vm *clusterVM) bool { return vm.holder.Position() == c.store.config.Position })).To(gomega.BeNumerically("<", 2*time.Second))
 	})
@@ -157,13 +159,13 @@
 		c.setCut(true, all...)
 		before := c.store.counts()
 		time.Sleep(outage)
-		by, sum := c.store.countsSince(before)
+		calls, sum := c.store.countsSince(before)
 		c.setCut(false, all...)
 		// At each VM one loop sends a request at once and then one per outagePause plus
 		// the half second of its timeout, the other loop sends two; the first VMs send one
 		// per second for each subject.
 		perVM := 1 + int(math.Ceil(float64(outage)/float64(outagePause+500*time.Millisecond))) + 2
-		g.Expect(sum).To(gomega.BeNumerically("<=", perVM*size+watcherCount*2*9), "%v", by)
+		g.Expect(sum).To(gomega.BeNumerically("<=", perVM*size+watcherCount*2*9), "%v", calls)
 		c.store.setConfig()
 		c.store.setServer(directory.Listing{ID: "s1", Service: "s", Address: "10.1.0.1:80", Zone: "a", Slots: 8, Draining: true})
 		g.Expect(c.timeUntilAll(func(vm *clusterVM) bool { return vm.holder.Position() == c.store.config.Position })).To(gomega.BeNumerically("<", 1200*time.Millisecond))
--- a/fleet/confighistory.go
+++ b/fleet/confighistory.go
@@ -19,32 +19,32 @@
 }
 
 // add appends a version unless it is no newer than the newest.
-func (t *configHistory) add(v *site.Versioned) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if n := len(t.versions); n > 0 && t.versions[n-1].Position >= v.Position {
+func (h *configHistory) add(v *site.Versioned) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if n := len(h.versions); n > 0 && h.versions[n-1].Position >= v.Position {
 		return
 	}
-	t.versions = append(t.versions, v)
-	t.versions = t.versions[max(0, len(t.versions)-1-maxOldVersions):]
-	t.deltas = map[uint64][]byte{}
+	h.versions = append(h.versions, v)
+	h.versions = h.versions[max(0, len(h.versions)-1-maxOldVersions):]
+	h.deltas = map[uint64][]byte{}
 }
 
 // deltaSince returns the delta from the version at a position to the newest, and the
 // newest version. Both are nil if that version is unknown or is the newest itself; the
 // delta is nil if it would be too long.
-func (t *configHistory) deltaSince(position uint64) ([]byte, *site.Versioned) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for i, v := range t.versions {
-		if v.Position != position || i == len(t.versions)-1 {
+func (h *configHistory) deltaSince(position uint64) ([]byte, *site.Versioned) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for i, v := range h.versions {
+		if v.Position != position || i == len(h.versions)-1 {
 			continue
 		}
-		newest := t.versions[len(t.versions)-1]
-		delta, made := t.deltas[position]
+		newest := h.versions[len(h.versions)-1]
+		delta, made := h.deltas[position]
 		if !made {
 			delta = boundedDelta(v.Raw, newest.Raw)
-			t.deltas[position] = delta
+			h.deltas[position] = delta
 		}
 		return delta, newest
 	}
--- a/fleet/delegation.go
+++ b/fleet/delegation.go
@@ -11,9 +11,9 @@
 // there is a position at which both were the newest.
 func (s span) overlaps(other span) bool { return s.from <= other.to && other.from <= s.to }
 
-// confirmation is the span that a watcher has confirmed for the data in force here. It
-// expires after memberTimeout, so that a wrong one does not keep this process from asking
-// for changes forever.
+// confirmation is the span of the data in force here, up to the position that a watcher has
+// announced. It expires after memberTimeout, so that a wrong one does not keep this process
+// from asking for changes forever.
 type confirmation struct {
 	span
 	at time.Time
@@ -38,8 +38,9 @@
 	return span{from, to}
 }
 
-// Delegated returns for how long this process need not read the subject, because a watcher
-// has just announced that the data in force here is the newest.
+// Delegated returns for how long this process need not read the subject, because it has read
+// it itself or a watcher has announced that the data in force here is the newest. It is 0 at
+// a watcher, which reads all the time.
 func (e *Election) Delegated(s Subject) time.Duration {
 	if e.IsWatcher() {
 		return 0
@@ -49,8 +50,9 @@
 	return max(0, time.Until(e.delegated[s]))
 }
 
-// handlePosition handles the span of a subject that a peer has announced; read tells that
-// the store has just confirmed it.
+// handlePosition handles the span of a subject that a peer has announced: it fetches newer
+// data from the peer, or delegates reads if the data is the same. read tells that the store
+// has just confirmed the span to the peer.
 func (e *Election) handlePosition(from string, s Subject, read bool, theirs span, now time.Time) {
 	own := e.span(s)
 	switch {
--- a/fleet/delta_test.go
+++ b/fleet/delta_test.go
@@ -79,13 +79,13 @@
 		ahead.holder.Offer(text)
 		ahead.Applied(text)
 	}
-	ask := func(since uint64) *fleetpb.NewestResponse {
+	query := func(since uint64) *fleetpb.NewestResponse {
 		answer, err := ahead.Newest(t.Context(), &fleetpb.NewestRequest{ConfigPosition: since, ChangesOnly: true})
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		return answer
 	}
-	g.Expect(ask(5).GetConfig()).To(gomega.BeEmpty(), "this version is no longer kept")
-	g.Expect(ask(5+maxOldVersions+1).GetConfig()).To(gomega.BeEmpty(), "the peer has the newest version")
+	g.Expect(query(5).GetConfig()).To(gomega.BeEmpty(), "this version is no longer kept")
+	g.Expect(query(5+maxOldVersions+1).GetConfig()).To(gomega.BeEmpty(), "the peer has the newest version")
 	old, _ := decodeConfig(6, configText(100, 1))
 	behind.holder.Offer(old)
 	behind.FetchChanges(t.Context(), ahead.opts.Address, 0)
--- a/fleet/election.go
+++ b/fleet/election.go
@@ -26,8 +26,8 @@
 	// electionDelay is how long after its start a VM does not watch: until it has heard
 	// the announcements of the others, it would consider itself one of the first.
 	electionDelay = 2 * firstAnnouncementDelay
-	// membersLeaseTime is how long a watcher's read of the registry of entry VMs replaces
-	// one by this process; it covers lost datagrams.
+	// membersLeaseTime is how long a read of the registry of entry VMs, by this process or a
+	// watcher, makes another one unnecessary; it covers lost datagrams.
 	membersLeaseTime = 3 * registryPollInterval
 	// memberTimeout is how long an announcement is valid; it covers a lost datagram.
 	memberTimeout = 2500 * time.Millisecond
@@ -35,11 +35,11 @@
 	// period of sites plus the time to start again.
 	stopTimeout = 10 * time.Second
 	// leaseTime is how long a watcher's read of the store replaces one by this process.
-	// Together with the duration of one read it must stay below the time within which a
-	// change has to be in force.
+	// Together with maxAnnouncedAge and the duration of one read it must stay below the two
+	// seconds within which a change has to be in force.
 	leaseTime = 1350 * time.Millisecond
 	// pollTimeout is how long a watcher's long poll waits at the store. It must be shorter
-	// than leaseTime.
+	// than leaseTime, as a watcher announces each answer only when the poll ends.
 	pollTimeout = 900 * time.Millisecond
 	// outagePause is how long a VM waits between two requests to an unavailable store
 	// while other VMs send requests as well. It bounds the delay if those other VMs are
@@ -70,21 +70,21 @@
 // store themselves only if no announcement has arrived for leaseTime.
 type Election struct {
 	opts          ElectionOptions
-	rank          uint64
+	rank          uint64                // hash of the own address; the lowest ranks are the watchers
 	healthy       [subjects]atomic.Bool // the store answers this VM
 	stopping      atomic.Bool           // a planned stop has begun
 	elected       atomic.Bool           // electionDelay has passed
 	membersDigest atomic.Uint64         // hash of the entry VMs last read from the registry; 0: not read yet
 
 	mu        sync.Mutex
-	members   map[string]*member // by address
-	delegated [subjects]time.Time
+	members   map[string]*member  // by address
+	delegated [subjects]time.Time // until when the subject need not be read here
 	confirmed [subjects]confirmation
 	fetches   map[string]*wantedPositions // running queries, by peer
-	// membersDelegatedUntil is when the newest read of the registry by a watcher expires.
+	// membersDelegatedUntil is until when the registry need not be read here.
 	membersDelegatedUntil time.Time
 
-	updates    [subjects]chan struct{} // hold a token when the subject has to be read
+	updates    [subjects]chan struct{} // hold a token when the subject has to be read or has become delegated
 	newMembers chan struct{}           // holds a token when the registry has to be read
 	// watchersChanged holds a token when the eligibility of a member has changed.
 	watchersChanged chan struct{}
@@ -107,11 +107,11 @@
 // member is another entry VM, as it announced itself.
 type member struct {
 	header   header
-	at       time.Time
-	healthy  bool
-	stopping bool
+	at       time.Time // when its newest announcement arrived
+	healthy  bool      // the store answers it
+	stopping bool      // a planned stop of it has begun
 	stopAt   time.Time // when its stop was first announced; zero while it serves
-	rank     uint64
+	rank     uint64    // hash of its address
 }
 
 // eligible reports whether the member may be a watcher: the store answers it and it is not
@@ -166,6 +166,8 @@
 	return isWatcher
 }
 
+// announce sends an announcement with the state of this VM; a holds only the flags of what
+// has just been read.
 func (e *Election) announce(a announcement) {
 	a.healthy, a.isWatcher, a.stopping = e.isHealthy(), e.IsWatcher(), e.stopping.Load()
 	a.config, a.list, a.membersDigest = e.span(Config), e.span(List), e.membersDigest.Load()
@@ -222,6 +224,7 @@
 	return e.countRankedBefore(func(vm *member) bool { return vm.healthy })
 }
 
+// countRankedBefore returns the number of live members that count and rank before this VM.
 func (e *Election) countRankedBefore(counts func(*member) bool) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -257,12 +260,12 @@
 		return ok
 	}
 	read := [subjects]bool{Config: a.configReadNow, List: a.listReadNow}
-	// Candidates that are not watchers know nothing newer than the watchers do.
 	if a.membersReadNow {
 		e.receiveMembers(a.membersDigest, now)
 	}
 	theirs := [subjects]span{Config: a.config, List: a.list}
 	for s := range subjects {
+		// Candidates that are not watchers know nothing newer than the watchers do.
 		if a.isWatcher || read[s] {
 			e.handlePosition(from, s, read[s], theirs[s], now)
 		}
--- a/fleet/election_test.go
+++ b/fleet/election_test.go
@@ -27,31 +27,31 @@
 }
 
 func newTestElection() *testElection {
-	b := &testElection{}
-	b.Election = NewElection(ElectionOptions{
+	e := &testElection{}
+	e.Election = NewElection(ElectionOptions{
 		Address: "self", Socket: NewSocket("", func() []string { return nil }, nil), Recorder: event.Discard(),
-		Position: func(s Subject) uint64 { return b.position[s].Load() },
-		Size:     func() int { return b.size },
+		Position: func(s Subject) uint64 { return e.position[s].Load() },
+		Size:     func() int { return e.size },
 		Fetch: func(context.Context, string, uint64) {
-			b.fetched.Add(1)
-			if b.onFetch != nil {
-				b.onFetch()
+			e.fetched.Add(1)
+			if e.onFetch != nil {
+				e.onFetch()
 			}
 		},
 	})
-	b.elected.Store(true)
-	// The peers get rank 1, so they are the watchers.
-	b.rank = 1 << 63
-	return b
+	e.elected.Store(true)
+	// The peers get rank 1, so the first two are the watchers.
+	e.rank = 1 << 63
+	return e
 }
 
 // receiveFrom delivers an announcement of a peer that ranks before this process.
-func (b *testElection) receiveFrom(from string, w announcement) {
-	b.seq++
-	b.receive(from, header{incarnation: 1, seq: b.seq}, encodeAnnouncement(w).raw, time.Now())
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.members[from].rank = 1
+func (e *testElection) receiveFrom(from string, a announcement) {
+	e.seq++
+	e.receive(from, header{incarnation: 1, seq: e.seq}, encodeAnnouncement(a).raw, time.Now())
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.members[from].rank = 1
 }
 
 // at returns the span of data that was read at one position.
@@ -66,18 +66,18 @@
 func TestWatchersReadForAllOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newTestElection()
-		g.Expect(b.Delegated(List)).To(gomega.BeZero(), "alone")
-		b.receiveFrom("p", healthy(0))
-		g.Expect(b.Delegated(List)).To(gomega.BeZero(), "one watcher is too few")
-		b.receiveFrom("q", healthy(0))
-		g.Expect(b.Delegated(List)).To(gomega.BeNumerically("~", leaseTime, 10*time.Millisecond))
-		g.Expect(b.Delegated(Config)).To(gomega.BeZero(), "no announcement covered it")
+		e := newTestElection()
+		g.Expect(e.Delegated(List)).To(gomega.BeZero(), "alone")
+		e.receiveFrom("p", healthy(0))
+		g.Expect(e.Delegated(List)).To(gomega.BeZero(), "one watcher is too few")
+		e.receiveFrom("q", healthy(0))
+		g.Expect(e.Delegated(List)).To(gomega.BeNumerically("~", leaseTime, 10*time.Millisecond))
+		g.Expect(e.Delegated(Config)).To(gomega.BeZero(), "no announcement covered it")
 		time.Sleep(leaseTime + time.Millisecond)
-		g.Expect(b.Delegated(List)).To(gomega.BeZero())
-		b.receiveFrom("p", healthy(0))
+		g.Expect(e.Delegated(List)).To(gomega.BeZero())
+		e.receiveFrom("p", healthy(0))
 		time.Sleep(memberTimeout + time.Millisecond)
-		g.Expect(b.IsWatcher()).To(gomega.BeTrue(), "no other VM is known")
+		g.Expect(e.IsWatcher()).To(gomega.BeTrue(), "no other VM is known")
 	})
 }
 
@@ -85,12 +85,12 @@
 func TestWatcherWithoutStoreIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newTestElection()
-		b.receiveFrom("p", healthy(0))
-		b.receiveFrom("q", healthy(0))
-		g.Expect(b.IsWatcher()).To(gomega.BeFalse())
-		b.receiveFrom("q", announcement{})
-		g.Expect(b.IsWatcher()).To(gomega.BeTrue())
+		e := newTestElection()
+		e.receiveFrom("p", healthy(0))
+		e.receiveFrom("q", healthy(0))
+		g.Expect(e.IsWatcher()).To(gomega.BeFalse())
+		e.receiveFrom("q", announcement{})
+		g.Expect(e.IsWatcher()).To(gomega.BeTrue())
 	})
 }
 
@@ -99,20 +99,20 @@
 func TestNewerPositionIsFetched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newTestElection()
-		b.receiveFrom("p", healthy(7))
+		e := newTestElection()
+		e.receiveFrom("p", healthy(7))
 		synctest.Wait()
-		b.receiveFrom("q", healthy(7))
+		e.receiveFrom("q", healthy(7))
 		synctest.Wait()
-		g.Expect(b.fetched.Load()).To(gomega.BeNumerically("==", 2))
-		g.Expect(b.Delegated(List)).To(gomega.BeZero(), "the peers did not answer")
-		g.Expect(b.updates[List]).To(gomega.Receive(), "then the store is read")
-		b.onFetch = func() { b.position[List].Store(7) }
-		b.receiveFrom("p", healthy(7))
+		g.Expect(e.fetched.Load()).To(gomega.BeNumerically("==", 2))
+		g.Expect(e.Delegated(List)).To(gomega.BeZero(), "the peers did not answer")
+		g.Expect(e.updates[List]).To(gomega.Receive(), "then the store is read")
+		e.onFetch = func() { e.position[List].Store(7) }
+		e.receiveFrom("p", healthy(7))
 		synctest.Wait()
-		g.Expect(b.Delegated(List)).To(gomega.BeNumerically(">", 0))
-		b.receiveFrom("q", healthy(5))
-		g.Expect(b.fetched.Load()).To(gomega.BeNumerically("==", 3), "an older position is ignored")
+		g.Expect(e.Delegated(List)).To(gomega.BeNumerically(">", 0))
+		e.receiveFrom("q", healthy(5))
+		g.Expect(e.fetched.Load()).To(gomega.BeNumerically("==", 3), "an older position is ignored")
 	})
 }
 
@@ -121,17 +121,17 @@
 func TestWrongConfirmationExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newTestElection()
+		e := newTestElection()
 		wrong := healthy(0)
 		wrong.list.to = 1 << 60
-		b.receiveFrom("p", wrong)
-		b.receiveFrom("p", healthy(7))
+		e.receiveFrom("p", wrong)
+		e.receiveFrom("p", healthy(7))
 		synctest.Wait()
-		g.Expect(b.fetched.Load()).To(gomega.BeZero(), "the wrong position is believed at first")
+		g.Expect(e.fetched.Load()).To(gomega.BeZero(), "the wrong position is believed at first")
 		time.Sleep(memberTimeout)
-		b.receiveFrom("p", healthy(7))
+		e.receiveFrom("p", healthy(7))
 		synctest.Wait()
-		g.Expect(b.fetched.Load()).To(gomega.BeNumerically("==", 1))
+		g.Expect(e.fetched.Load()).To(gomega.BeNumerically("==", 1))
 	})
 }
 
@@ -141,31 +141,31 @@
 func TestConfigurationIsReadFromTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newTestElection()
-		b.receiveFrom("p", announcement{healthy: true, configReadNow: true})
-		b.receiveFrom("q", announcement{healthy: true, configReadNow: true})
-		g.Expect(b.Delegated(Config)).To(gomega.BeNumerically(">", 0))
-		b.receiveFrom("q", announcement{healthy: true, configReadNow: true, config: at(9)})
+		e := newTestElection()
+		e.receiveFrom("p", announcement{healthy: true, configReadNow: true})
+		e.receiveFrom("q", announcement{healthy: true, configReadNow: true})
+		g.Expect(e.Delegated(Config)).To(gomega.BeNumerically(">", 0))
+		e.receiveFrom("q", announcement{healthy: true, configReadNow: true, config: at(9)})
 		synctest.Wait()
-		g.Expect(b.fetched.Load()).To(gomega.BeNumerically("==", 1))
-		g.Expect(b.Delegated(Config)).To(gomega.BeZero(), "the peer sent no change")
-		g.Expect(b.updates[Config]).To(gomega.Receive())
+		g.Expect(e.fetched.Load()).To(gomega.BeNumerically("==", 1))
+		g.Expect(e.Delegated(Config)).To(gomega.BeZero(), "the peer sent no change")
+		g.Expect(e.updates[Config]).To(gomega.Receive())
 
 		v := newVM(t, "reader")
-		handedOn := func(since uint64) []byte {
+		sentConfig := func(since uint64) []byte {
 			answer, err := v.Newest(t.Context(), &fleetpb.NewestRequest{ConfigPosition: since, ChangesOnly: true})
 			g.Expect(err).NotTo(gomega.HaveOccurred())
 			return answer.GetConfig()
 		}
-		put := func(position uint64, raw []byte) {
+		apply := func(position uint64, raw []byte) {
 			text, _ := decodeConfig(position, raw)
 			v.holder.Offer(text)
 			v.Applied(text)
 		}
-		put(9, []byte("text"))
-		g.Expect(handedOn(0)).To(gomega.BeEmpty())
-		put(10, randomText(20*maxDeltaBytes))
-		g.Expect(handedOn(9)).To(gomega.BeEmpty(), "the texts have nothing in common")
+		apply(9, []byte("text"))
+		g.Expect(sentConfig(0)).To(gomega.BeEmpty())
+		apply(10, randomText(20*maxDeltaBytes))
+		g.Expect(sentConfig(9)).To(gomega.BeEmpty(), "the texts have nothing in common")
 		v.server.Close()
 	})
 }
@@ -183,10 +183,10 @@
 		return conn
 	}
 	own, peer := open(), open()
-	b := newTestElection()
-	b.opts.Socket.conn.Store(own)
-	b.opts.Socket.peers = func() []string { return []string{peer.LocalAddr().String()} }
-	return b, func() announcement {
+	e := newTestElection()
+	e.opts.Socket.conn.Store(own)
+	e.opts.Socket.peers = func() []string { return []string{peer.LocalAddr().String()} }
+	return e, func() announcement {
 		t.Helper()
 		raw := make([]byte, 2*maxDatagram)
 		_ = peer.SetReadDeadline(time.Now().Add(10 * time.Second))
@@ -195,11 +195,11 @@
 			t.Fatal(err)
 		}
 		k, _, rest, ok := decodeHeader(raw[:n])
-		w, okWord := decodeAnnouncement(rest)
-		if !ok || !okWord || k != kindAnnouncement {
+		a, okBody := decodeAnnouncement(rest)
+		if !ok || !okBody || k != kindAnnouncement {
 			t.Fatalf("not an announcement: %x", raw[:n])
 		}
-		return w
+		return a
 	}
 }
 
@@ -210,14 +210,14 @@
 // the store answers.
 func TestSlowAnswerIsNotAnnounced(t *testing.T) {
 	g := gomega.NewWithT(t)
-	b, nextAnnouncement := newSendingElection(t)
-	b.Read(List, maxAnnouncedAge+time.Millisecond)
+	e, nextAnnouncement := newSendingElection(t)
+	e.Read(List, maxAnnouncedAge+time.Millisecond)
 	g.Expect(nextAnnouncement()).To(gomega.Equal(announcement{isWatcher: true}))
-	b.Read(Config, maxAnnouncedAge+time.Millisecond)
+	e.Read(Config, maxAnnouncedAge+time.Millisecond)
 	g.Expect(nextAnnouncement()).To(gomega.Equal(announcement{healthy: true, isWatcher: true}))
-	b.Read(List, maxAnnouncedAge)
+	e.Read(List, maxAnnouncedAge)
 	g.Expect(nextAnnouncement()).To(gomega.Equal(announcement{healthy: true, isWatcher: true, listReadNow: true}))
-	b.Read(Config, 0)
+	e.Read(Config, 0)
 	g.Expect(nextAnnouncement()).To(gomega.Equal(announcement{healthy: true, isWatcher: true, configReadNow: true}))
 }
 
@@ -225,10 +225,10 @@
 // beyond the candidates ever sends.
 func TestStopIsAnnounced(t *testing.T) {
 	g := gomega.NewWithT(t)
-	b, nextAnnouncement := newSendingElection(t)
-	b.AnnounceStop()
+	e, nextAnnouncement := newSendingElection(t)
+	e.AnnounceStop()
 	g.Expect(nextAnnouncement()).To(gomega.Equal(announcement{isWatcher: true, stopping: true}))
-	b.Read(List, 0)
+	e.Read(List, 0)
 	g.Expect(nextAnnouncement()).To(gomega.Equal(announcement{isWatcher: true, stopping: true, listReadNow: true}), "all later announcements carry the flag")
 }
 
@@ -252,10 +252,12 @@
 
 func FuzzDecodeAnnouncement(f *testing.F) {
 	f.Add(encodeAnnouncement(announcement{healthy: true, config: at(1), list: at(2)}).raw)
+	f.Add(encodeAnnouncement(announcement{healthy: true, isWatcher: true, configReadNow: true, listReadNow: true, membersReadNow: true, stopping: true, membersDigest: 3}).raw)
 	f.Add([]byte{0xff})
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		if w, ok := decodeAnnouncement(raw); ok && raw[0] < 8 && string(encodeAnnouncement(w).raw) != string(raw) {
-			t.Fatalf("%x", raw)
+		// The encoder never sets the other bits of the flags.
+		if a, ok := decodeAnnouncement(raw); ok && raw[0] < 2*flagWatcher && string(encodeAnnouncement(a).raw) != string(raw) {
+			t.Fatalf("%x became %x", raw, encodeAnnouncement(a).raw)
 		}
 	})
 }
@@ -266,24 +268,24 @@
 func TestAllStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newTestElection()
-		b.size = 3
-		g.Expect(b.AllStop()).To(gomega.BeFalse(), "no announcement received")
-		b.receiveFrom("p", announcement{healthy: true, stopping: true})
-		g.Expect(b.AllStop()).To(gomega.BeFalse(), "one VM is silent")
-		b.receiveFrom("q", announcement{healthy: true})
-		g.Expect(b.AllStop()).To(gomega.BeFalse())
-		b.receiveFrom("q", announcement{healthy: true, stopping: true})
-		g.Expect(b.AllStop()).To(gomega.BeTrue())
-		b.receiveFrom("p", announcement{})
-		g.Expect(b.AllStop()).To(gomega.BeFalse(), "restarted")
-		b.receiveFrom("p", announcement{stopping: true})
+		e := newTestElection()
+		e.size = 3
+		g.Expect(e.AllStop()).To(gomega.BeFalse(), "no announcement received")
+		e.receiveFrom("p", announcement{healthy: true, stopping: true})
+		g.Expect(e.AllStop()).To(gomega.BeFalse(), "one VM is silent")
+		e.receiveFrom("q", announcement{healthy: true})
+		g.Expect(e.AllStop()).To(gomega.BeFalse())
+		e.receiveFrom("q", announcement{healthy: true, stopping: true})
+		g.Expect(e.AllStop()).To(gomega.BeTrue())
+		e.receiveFrom("p", announcement{})
+		g.Expect(e.AllStop()).To(gomega.BeFalse(), "restarted")
+		e.receiveFrom("p", announcement{stopping: true})
 		time.Sleep(stopTimeout)
-		g.Expect(b.AllStop()).To(gomega.BeFalse(), "the announcements have expired")
-		b.AnnounceStop()
-		w, ok := decodeAnnouncement(encodeAnnouncement(announcement{stopping: b.stopping.Load()}).raw)
+		g.Expect(e.AllStop()).To(gomega.BeFalse(), "the announcements have expired")
+		e.AnnounceStop()
+		a, ok := decodeAnnouncement(encodeAnnouncement(announcement{stopping: e.stopping.Load()}).raw)
 		g.Expect(ok).To(gomega.BeTrue())
-		g.Expect(w.stopping).To(gomega.BeTrue())
+		g.Expect(a.stopping).To(gomega.BeTrue())
 	})
 }
 
@@ -292,21 +294,21 @@
 func TestFirstStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newTestElection()
-		g.Expect(b.FirstStop()).To(gomega.BeZero())
-		b.receiveFrom("p", announcement{healthy: true, stopping: true})
+		e := newTestElection()
+		g.Expect(e.FirstStop()).To(gomega.BeZero())
+		e.receiveFrom("p", announcement{healthy: true, stopping: true})
 		first := time.Now()
 		time.Sleep(2 * time.Second)
-		b.receiveFrom("q", announcement{stopping: true})
+		e.receiveFrom("q", announcement{stopping: true})
 		second := time.Now()
-		b.receiveFrom("p", announcement{stopping: true})
-		g.Expect(b.FirstStop()).To(gomega.Equal(first))
-		b.receiveFrom("p", announcement{healthy: true})
-		g.Expect(b.FirstStop()).To(gomega.Equal(second), "restarted")
-		b.receiveFrom("p", announcement{stopping: true})
-		g.Expect(b.FirstStop()).To(gomega.Equal(second), "stopped again")
+		e.receiveFrom("p", announcement{stopping: true})
+		g.Expect(e.FirstStop()).To(gomega.Equal(first))
+		e.receiveFrom("p", announcement{healthy: true})
+		g.Expect(e.FirstStop()).To(gomega.Equal(second), "restarted")
+		e.receiveFrom("p", announcement{stopping: true})
+		g.Expect(e.FirstStop()).To(gomega.Equal(second), "stopped again")
 		time.Sleep(stopTimeout)
-		g.Expect(b.FirstStop()).To(gomega.BeZero(), "the announcements have expired")
+		g.Expect(e.FirstStop()).To(gomega.BeZero(), "the announcements have expired")
 	})
 }
 
@@ -318,8 +320,8 @@
 func TestAllStopIsFalseWhileSilentVMsServe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		b := newTestElection()
-		b.size = 12
+		e := newTestElection()
+		e.size = 12
 		silent := newTestElection() // one of the four, to show that it announces nothing
 		for i := range candidateCount {
 			silent.receiveFrom(fmt.Sprint("c", i), announcement{healthy: true, stopping: true})
@@ -327,9 +329,9 @@
 		g.Expect(silent.healthyBefore()).To(gomega.BeNumerically(">=", candidateCount), "it ranks behind the candidates, so Run announces nothing")
 		g.Expect(silent.stopping.Load()).To(gomega.BeFalse(), "and it serves")
 		for i := range candidateCount - 1 {
-			b.receiveFrom(fmt.Sprint("c", i), announcement{healthy: true, stopping: true})
+			e.receiveFrom(fmt.Sprint("c", i), announcement{healthy: true, stopping: true})
 		}
-		b.AnnounceStop()
-		g.Expect(b.AllStop()).To(gomega.BeFalse(), "four of twelve VMs serve; they are silent by design")
+		e.AnnounceStop()
+		g.Expect(e.AllStop()).To(gomega.BeFalse(), "four of twelve VMs serve; they are silent by design")
 	})
 }
--- a/fleet/fetch.go
+++ b/fleet/fetch.go
@@ -6,7 +6,8 @@
 )
 
 // fetch asks a peer for changes, with at most one query per peer at a time. What the peer
-// can't send as changes is read from the store.
+// can't send as changes is read from the store. read and theirs are as for handlePosition; at
+// is when the announcement arrived.
 func (e *Election) fetch(peer string, s Subject, read bool, theirs span, at time.Time) {
 	if !e.beginFetch(peer, s, theirs) {
 		return
@@ -44,6 +45,7 @@
 	return !busy
 }
 
+// endFetch records the end of the query to a peer and returns the positions wanted of it.
 func (e *Election) endFetch(peer string) wantedPositions {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -37,9 +37,12 @@
 	// registryPollInterval is how often the watchers read the registry. VMs are added
 	// rarely.
 	registryPollInterval = 5 * time.Second
-	registryTimeout      = 2 * time.Second
-	retryPause           = 200 * time.Millisecond
-	maxPause             = time.Second
+	// registryTimeout bounds one read of the registry and the write of the own row before it.
+	registryTimeout = 2 * time.Second
+	// retryPause and maxPause bound the pauses between attempts until the registry has been
+	// read for the first time.
+	retryPause = 200 * time.Millisecond
+	maxPause   = time.Second
 	// peersPerQuery is how many peers are asked at once: more than one, as the store may
 	// not answer a peer either.
 	peersPerQuery = 2
@@ -72,9 +75,9 @@
 // Fleet tracks the other entry VMs, queries them and answers their queries.
 type Fleet struct {
 	opts        Options
-	peers       atomic.Pointer[[]string]
-	cellPeers   atomic.Pointer[[]string]
-	size        atomic.Int64 // 0 until the registry has been read
+	peers       atomic.Pointer[[]string] // addresses of the other entry VMs, sorted
+	cellPeers   atomic.Pointer[[]string] // those in the cell of this process
+	size        atomic.Int64             // number of entry VMs; 0 until the registry has been read
 	sendLimiter rateLimiter
 
 	election *Election // nil: this process reads the registry itself
@@ -95,6 +98,8 @@
 	return f
 }
 
+// setPeers sets the peers, with duplicates and the own address removed, and from them the
+// cell and the partition of this process in the directory.
 func (f *Fleet) setPeers(addresses []string) {
 	seen := map[string]bool{f.opts.Address: true}
 	peers := make([]string, 0, len(addresses))
@@ -109,19 +114,20 @@
 	cells := directory.Cells(len(peers) + 1)
 	own := directory.CellOf(f.opts.Address, cells)
 	f.opts.Directory.SetCells(own, cells)
-	near := peers
+	cellPeers := peers
 	if cells > 1 {
-		near = slices.DeleteFunc(slices.Clone(peers), func(p string) bool { return directory.CellOf(p, cells) != own })
+		cellPeers = slices.DeleteFunc(slices.Clone(peers), func(p string) bool { return directory.CellOf(p, cells) != own })
 	}
-	f.cellPeers.Store(&near)
-	index, _ := slices.BinarySearch(near, f.opts.Address)
-	f.opts.Directory.SetPartition(index, len(near)+1)
+	f.cellPeers.Store(&cellPeers)
+	index, _ := slices.BinarySearch(cellPeers, f.opts.Address)
+	f.opts.Directory.SetPartition(index, len(cellPeers)+1)
 }
 
 // Peers returns the addresses of the other entry VMs.
 func (f *Fleet) Peers() []string { return *f.peers.Load() }
 
-// CellPeers returns the addresses of the other entry VMs in the cell of this process.
+// CellPeers returns the addresses of the other entry VMs in the cell of this process, with
+// which it exchanges load (see directory.CellSize).
 func (f *Fleet) CellPeers() []string { return *f.cellPeers.Load() }
 
 // Size returns the number of entry VMs, including this one; unknownSize until the registry
@@ -139,10 +145,10 @@
 // Run registers this process and keeps the addresses of the other VMs up to date until ctx
 // ends.
 func (f *Fleet) Run(ctx context.Context) error {
-	announced := false
+	registered := false
 	failures := 0
 	for ctx.Err() == nil {
-		err := f.syncRegistry(ctx, &announced)
+		err := f.syncRegistry(ctx, &registered)
 		if err == nil {
 			failures = 0
 			f.waitForNextRead(ctx)
@@ -190,14 +196,16 @@
 	}
 }
 
-func (f *Fleet) syncRegistry(ctx context.Context, announced *bool) error {
+// syncRegistry writes the row of this process unless it is registered, and reads the rows of
+// all entry VMs.
+func (f *Fleet) syncRegistry(ctx context.Context, registered *bool) error {
 	ctx, cancel := context.WithTimeout(ctx, registryTimeout)
 	defer cancel()
-	if !*announced {
+	if !*registered {
 		if err := f.opts.Registry.Put(ctx, registryTable, f.opts.Name, []byte(f.opts.Address)); err != nil {
 			return err
 		}
-		*announced = true
+		*registered = true
 	}
 	rows, err := f.opts.Registry.Rows(ctx, registryTable)
 	if err != nil {
@@ -205,7 +213,7 @@
 	}
 	// Another program may have overwritten the row of this process, which hides it from
 	// the others.
-	*announced = directory.ValidAddress(string(rows[f.opts.Name]))
+	*registered = directory.ValidAddress(string(rows[f.opts.Name]))
 	f.setPeers(f.addresses(rows))
 	f.size.Store(int64(len(f.Peers())) + 1)
 	if f.election != nil {
@@ -275,6 +283,8 @@
 	f.query(ctx, peer, since, true)
 }
 
+// query asks a peer for what is newer than the configuration in force here and than the list
+// at a position, and applies the answer.
 func (f *Fleet) query(ctx context.Context, peer string, since uint64, changesOnly bool) {
 	client := fleetpb.NewFleetProtobufClient("http://"+peer, f.opts.Client)
 	answer, err := client.Newest(ctx, &fleetpb.NewestRequest{
@@ -288,6 +298,7 @@
 	f.applyAnswer(peer, answer)
 }
 
+// applyAnswer applies what is newer in a peer's answer than the data in force here.
 func (f *Fleet) applyAnswer(peer string, answer *fleetpb.NewestResponse) {
 	f.applyConfig(peer, answer)
 	if answer.GetListPosition() <= f.opts.Directory.View().Position {
@@ -337,7 +348,7 @@
 	return applyDelta(own.Raw, answer.GetConfig())
 }
 
-// errNoBaseConfig: a delta was received but this process has no configuration.
+// errNoBaseConfig says that a delta was received but this process has no configuration.
 var errNoBaseConfig = errors.New("fleet: received a configuration delta without a configuration to apply it to")
 
 // Applied records a configuration that has come into force, for answers to peers.
@@ -350,15 +361,15 @@
 func (f *Fleet) Newest(_ context.Context, r *fleetpb.NewestRequest) (*fleetpb.NewestResponse, error) {
 	answer := &fleetpb.NewestResponse{Settled: f.opts.Settled()}
 	view := f.opts.Directory.View()
-	behind := view.Position > r.GetListPosition()
-	if behind {
-		behind = !f.addListChanges(answer, r.GetListPosition())
+	needsFullList := view.Position > r.GetListPosition()
+	if needsFullList {
+		needsFullList = !f.addListChanges(answer, r.GetListPosition())
 	}
 	if delta, newest := f.configHistory.deltaSince(r.GetConfigPosition()); delta != nil {
 		answer.ConfigPosition, answer.Config, answer.ConfigIsDelta = newest.Position, delta, true
 	}
 	if !r.GetChangesOnly() {
-		f.addFull(answer, f.configAfter(r.GetConfigPosition()), view, behind)
+		f.addFull(answer, f.configAfter(r.GetConfigPosition()), view, needsFullList)
 	}
 	return answer, nil
 }
@@ -382,8 +393,8 @@
 	return nil
 }
 
-// addFull adds a full configuration, a full list or both to the answer, if the send rate
-// allows it.
+// addFull adds the configuration, unless it is nil or the answer holds a delta of it, and the
+// full list if list is set. It adds neither if the send rate does not allow both.
 func (f *Fleet) addFull(answer *fleetpb.NewestResponse, config *site.Versioned, view *directory.View, list bool) {
 	if answer.ConfigIsDelta {
 		config = nil
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -68,15 +68,15 @@
 // The VM gets both changes from a peer.
 func TestPeerSendsConfigurationAndList(t *testing.T) {
 	g := gomega.NewWithT(t)
-	well := newVM(t, "well")
-	cut := newVM(t, "cut", well.opts.Address)
+	connected := newVM(t, "connected")
+	cut := newVM(t, "cut", connected.opts.Address)
 	v, _ := decodeConfig(9, []byte("text"))
-	well.holder.Offer(v)
-	well.dir.Apply(8, []directory.Listing{{ID: "i1", Service: "s", Address: "1.2.3.4:5", Zone: "z", Slots: 4, Draining: true, Cold: time.Second}}, false, time.Now())
+	connected.holder.Offer(v)
+	connected.dir.Apply(8, []directory.Listing{{ID: "i1", Service: "s", Address: "1.2.3.4:5", Zone: "z", Slots: 4, Draining: true, Cold: time.Second}}, false, time.Now())
 	cut.FetchNewest(t.Context())
 	g.Expect(cut.holder.Position()).To(gomega.BeNumerically("==", 9))
 	g.Expect(string(cut.holder.Current().Raw)).To(gomega.Equal("text"))
-	g.Expect(cut.dir.View().Listings).To(gomega.Equal(well.dir.View().Listings))
+	g.Expect(cut.dir.View().Listings).To(gomega.Equal(connected.dir.View().Listings))
 }
 
 // A peer that is behind by a known change gets that change rather than three thousand
@@ -144,8 +144,8 @@
 	registry := &fakeRegistry{rows: map[string][]byte{"a": []byte("1.1.1.1:1"), "b": []byte("2.2.2.2:2"), "c": []byte("3.3.3.3:3"), "d": []byte("4.4.4.4:4")}}
 	f := New(Options{Name: "a", Address: "1.1.1.1:1", Seeds: []string{"2.2.2.2:2"}, Registry: registry, Directory: directory.New(), Holder: site.NewHolder()})
 	g.Expect(f.Size()).To(gomega.Equal(unknownSize))
-	announced := false
-	g.Expect(f.syncRegistry(t.Context(), &announced)).To(gomega.Succeed())
+	registered := false
+	g.Expect(f.syncRegistry(t.Context(), &registered)).To(gomega.Succeed())
 	g.Expect(f.Size()).To(gomega.Equal(4))
 }
 
@@ -164,9 +164,9 @@
 	g.Expect(ahead.holder.Position()).To(gomega.BeNumerically("==", 7))
 	g.Expect(ahead.dir.View().Len()).To(gomega.BeZero())
 
-	lying, _ := decodeConfig(99, []byte("x"))
-	lying.Raw = []byte("bad")
-	behind.holder.Offer(lying)
+	undecodable, _ := decodeConfig(99, []byte("x"))
+	undecodable.Raw = []byte("bad")
+	behind.holder.Offer(undecodable)
 	ahead.FetchNewest(t.Context())
 	g.Expect(ahead.holder.Position()).To(gomega.BeNumerically("==", 7))
 }
@@ -178,19 +178,19 @@
 	v := newVM(t, "a", "1.1.1.1:1")
 	registry := v.opts.Registry.(*fakeRegistry)
 	registry.err = errors.New("store unavailable")
-	announced := false
-	g.Expect(v.syncRegistry(t.Context(), &announced)).NotTo(gomega.Succeed())
+	registered := false
+	g.Expect(v.syncRegistry(t.Context(), &registered)).NotTo(gomega.Succeed())
 	g.Expect(v.Peers()).To(gomega.Equal([]string{"1.1.1.1:1"}))
 	registry.err = nil
 	registry.rows["b"] = []byte("2.2.2.2:2")
-	g.Expect(v.syncRegistry(t.Context(), &announced)).To(gomega.Succeed())
+	g.Expect(v.syncRegistry(t.Context(), &registered)).To(gomega.Succeed())
 	g.Expect(v.Peers()).To(gomega.Equal([]string{"2.2.2.2:2"}))
 	g.Expect(v.Size()).To(gomega.Equal(2))
 	g.Expect(registry.rows).To(gomega.HaveKey("a"))
 }
 
-func receiveLoads(l *Loads, from string, life uint64, seq uint32, loads []directory.Load, lost []uint32) {
-	l.receive(from, header{incarnation: life, seq: seq}, encodeLoads(loads, lost).raw, time.Now())
+func receiveLoads(l *Loads, from string, incarnation uint64, seq uint32, loads []directory.Load, lost []uint32) {
+	l.receive(from, header{incarnation: incarnation, seq: seq}, encodeLoads(loads, lost).raw, time.Now())
 }
 
 // Reports that are duplicated, late or from an earlier start of their sender have no
--- a/fleet/loads.go
+++ b/fleet/loads.go
@@ -16,8 +16,8 @@
 	// resendInterval is how often an unchanged report is repeated, as a datagram may be
 	// lost.
 	resendInterval = time.Second
-	// loadTTL is how long a report is valid. It covers two lost datagrams, and bounds how
-	// long the load of an entry VM that is gone still counts.
+	// loadTTL is how long a report is valid. It covers a lost datagram, and bounds how long
+	// the load of an entry VM that is gone still counts.
 	loadTTL = 2500 * time.Millisecond
 	// lossTTL is how long the loss of a server is reported.
 	lossTTL = time.Second
@@ -91,16 +91,16 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	t := l.senders[from]
-	if t == nil {
-		t = &loadSender{}
-		l.senders[from] = t
+	s := l.senders[from]
+	if s == nil {
+		s = &loadSender{}
+		l.senders[from] = s
 	}
-	if !h.newerThan(t.header) {
+	if !h.newerThan(s.header) {
 		return true
 	}
 	l.opts.Directory.SetPeerLoad(from, loads)
-	*t = loadSender{header: h, at: now}
+	*s = loadSender{header: h, at: now}
 	for _, server := range lost {
 		l.opts.Directory.RecordPeerLoss(server, now)
 	}
@@ -111,12 +111,12 @@
 func (l *Loads) expire(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for from, t := range l.senders {
-		if now.Sub(t.at) < loadTTL {
+	for from, s := range l.senders {
+		if now.Sub(s.at) < loadTTL {
 			continue
 		}
 		l.opts.Directory.SetPeerLoad(from, nil)
-		if now.Sub(t.at) > senderTTL {
+		if now.Sub(s.at) > senderTTL {
 			delete(l.senders, from)
 		}
 	}
--- a/fleet/members.go
+++ b/fleet/members.go
@@ -12,8 +12,8 @@
 	}
 }
 
-// MembersDelegated reports whether a watcher has recently read the registry and found the
-// same entry VMs as are known here.
+// MembersDelegated reports whether this process has recently read the registry, or a watcher
+// has and found the same entry VMs as are known here.
 func (e *Election) MembersDelegated() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/fleet/hashrange_test.go
+++ b/fleet/partition_test.go
@@ -11,8 +11,8 @@
 )
 
 // 103 VMs place the streams of a lost server at the same moment, among 360 idle servers.
-// Guards against hash ranges computed for other servers than those that the VMs of the
-// cell choose from: many VMs then sent their streams to the same server.
+// Guards against partitions of other servers than those that the VMs of the cell choose
+// from: many VMs then sent their streams to the same server.
 func TestVMsThatPlaceAgainChooseDifferentServers(t *testing.T) {
 	const vms = 103
 	g := gomega.NewWithT(t)
--- a/fleet/prefilltimes_test.go
+++ b/fleet/prefilltimes_test.go
@@ -19,7 +19,7 @@
 
 // Guards against a VM that takes a slow server for a normal one until it has sent it a
 // prompt itself.
-func TestReadTimesReachOtherVMs(t *testing.T) {
+func TestPrefillTimesReachOtherVMs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		here, there := newThreeServers(), newThreeServers()
@@ -49,15 +49,15 @@
 	})
 }
 
-func FuzzDecodeReadTimes(f *testing.F) {
-	f.Add(encodeReadTimes([]directory.PrefillTime{{Server: 3, PerToken: 125 * time.Microsecond}, {Server: 4, PerToken: time.Hour}}).raw)
+func FuzzDecodePrefillTimes(f *testing.F) {
+	f.Add(encodePrefillTimes([]directory.PrefillTime{{Server: 3, PerToken: 125 * time.Microsecond}, {Server: 4, PerToken: time.Hour}}).raw)
 	f.Add([]byte{1, 2, 3})
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		times, ok := decodeReadTimes(raw)
+		times, ok := decodePrefillTimes(raw)
 		if !ok {
 			return
 		}
-		encoded := encodeReadTimes(times).raw
+		encoded := encodePrefillTimes(times).raw
 		if len(raw) <= maxDatagram-headerBytes && string(encoded) != string(raw) {
 			t.Fatalf("%x became %x", raw, encoded)
 		}
--- a/fleet/ratelimiter.go
+++ b/fleet/ratelimiter.go
@@ -10,11 +10,11 @@
 	// second: half of the slowest link of an entry VM, 10 Mbit/s. The other half is for
 	// its callers.
 	maxSendRate = 625_000
-	// serverEntryBytes is the approximate encoded size of a server's entry in a list.
+	// serverEntryBytes is the approximate encoded size, in bytes, of a server in a list.
 	serverEntryBytes = 100
 )
 
-// rateLimiter limits the rate of large answers to peers.
+// rateLimiter limits the rate of large answers to peers to maxSendRate.
 //
 // After an outage or a mass restart all VMs send queries at once. Links full of lists that
 // arrive too late would leave no bandwidth for callers. A VM that gets no answer asks
@@ -25,12 +25,12 @@
 }
 
 // allow reports whether an answer of that size may start now, and reserves its time if so.
-func (p *rateLimiter) allow(bytes int, now time.Time) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if now.Before(p.next) {
+func (l *rateLimiter) allow(bytes int, now time.Time) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if now.Before(l.next) {
 		return false
 	}
-	p.next = now.Add(time.Duration(bytes) * time.Second / maxSendRate)
+	l.next = now.Add(time.Duration(bytes) * time.Second / maxSendRate)
 	return true
 }
--- a/fleet/restarts.go
+++ b/fleet/restarts.go
@@ -7,7 +7,7 @@
 )
 
 // Restarts tells the other entry VMs of backend servers that were restarted while the
-// store is unavailable, and receives what they tell.
+// store is unavailable, and receives their reports.
 type Restarts struct {
 	socket    *Socket
 	directory *directory.Directory
--- a/fleet/restarts_test.go
+++ b/fleet/restarts_test.go
@@ -71,16 +71,16 @@
 // One with a newer position but an older start does not replace the known start.
 func TestListsCarryStarts(t *testing.T) {
 	g := gomega.NewWithT(t)
-	well := newVM(t, "well")
-	cut := newVM(t, "cut", well.opts.Address)
-	well.dir.Apply(3, []directory.Listing{listingBornAt("i1", 100)}, false, time.Now())
+	connected := newVM(t, "connected")
+	cut := newVM(t, "cut", connected.opts.Address)
+	connected.dir.Apply(3, []directory.Listing{listingBornAt("i1", 100)}, false, time.Now())
 	cut.FetchNewest(t.Context())
-	g.Expect(cut.dir.View().Listings).To(gomega.Equal(well.dir.View().Listings))
+	g.Expect(cut.dir.View().Listings).To(gomega.Equal(connected.dir.View().Listings))
 	cut.dir.RecordRestart(cut.dir.View().Service("s")[0], directory.Start{ID: "i1", Born: 200}, time.Now())
 	moved := listingBornAt("i1", 100)
 	moved.Slots = 9
-	well.dir.Apply(4, []directory.Listing{moved}, false, time.Now())
-	cut.FetchChanges(t.Context(), well.opts.Address, cut.dir.View().Position)
+	connected.dir.Apply(4, []directory.Listing{moved}, false, time.Now())
+	cut.FetchChanges(t.Context(), connected.opts.Address, cut.dir.View().Position)
 	g.Expect(cut.dir.View().Position).To(gomega.BeNumerically("==", 4))
 	g.Expect(cut.dir.View().Service("s")[0].Start).To(gomega.Equal(directory.Start{ID: "i1", Born: 200}))
 }
--- a/fleet/socket.go
+++ b/fleet/socket.go
@@ -17,9 +17,9 @@
 // Socket sends datagrams to the other entry VMs and dispatches those that it receives by
 // their kind.
 type Socket struct {
-	address     string
+	address     string // ip:port
 	peers       func() []string
-	incarnation uint64
+	incarnation uint64     // of this process: its start in Unix nanoseconds
 	sendMu      sync.Mutex // held while a datagram is sent: a receiver drops one that arrives after a later one
 	seq         atomic.Uint32
 	conn        atomic.Pointer[net.UDPConn]
@@ -91,6 +91,7 @@
 	}
 }
 
+// dispatch passes the body of a datagram to the handler of its kind and counts the datagram.
 func (s *Socket) dispatch(from string, raw []byte, now time.Time) {
 	k, h, rest, ok := decodeHeader(raw)
 	if handle := s.handlers[k]; ok && handle != nil && handle(from, h, rest, now) {
@@ -112,8 +113,9 @@
 	s.lastReported, s.unreported = now, 0
 }
 
-// Send sends a datagram to all peers. Errors are ignored: a peer that misses a datagram
-// gets the next one within a second.
+// Send sends a datagram to all peers. Errors are ignored, as datagrams may be lost anyway:
+// loads, budgets and the announcements of candidates are repeated every second. Restarts and
+// prefill times are sent only once.
 func (s *Socket) Send(b body) { s.SendTo(b, s.peers()) }
 
 // SendTo sends a datagram to some peers; see Send.
--- a/fleet/wire.go
+++ b/fleet/wire.go
@@ -13,18 +13,21 @@
 // Header: kind (1 byte), incarnation of the sender (8, grows with each start), sequence
 // number (4).
 //
+// A server is given by the hash of its start (4).
+//
 // Loads: number of loads (2), number of lost servers (2), for each load its server (4),
-// streams (1), copies (1), prompt tokens in units of prefillUnit (2), for each lost server
-// its hash (4).
+// streams (1), copies of streams that run elsewhere (1), prompt tokens in units of
+// prefillUnit (2), then each lost server (4).
 //
 // Announcement: flags (1), spans of configuration and list (first and last position, 8
 // each), digest of the entry VMs (8).
 //
-// Restart: server (4), birth time of its new start (8), ID of its new start.
+// Restart: server by its former start (4), birth time of its new start (8), ID of its new
+// start.
 //
 // Budget: for each service the hash of its name (4), first tries and retries (2 each).
 //
-// Read times: for each server its hash (4), nanoseconds per prompt token (4).
+// Prefill times: for each server (4), nanoseconds per prompt token (4).
 const (
 	kindLoads  kind = 1
 	kindBudget kind = 4
@@ -34,20 +37,21 @@
 	// kindAnnouncement is not 2, the former kind that has single positions in place of
 	// spans.
 	kindAnnouncement kind = 6
-	kindReadTimes    kind = 7
+	kindPrefillTimes kind = 7
 
 	headerBytes       = 13
 	countBytes        = 4
 	loadBytes         = 8
 	serverHashBytes   = 4
 	announcementBytes = 41
-	readTimeBytes     = 8
+	prefillTimeBytes  = 8
 	// restartBytes is the length of the fields before the ID.
 	restartBytes = serverHashBytes + 8
 
-	// maxDatagram is below the size at which a datagram is fragmented.
+	// maxDatagram is below the size at which a datagram is fragmented: with the IP and UDP
+	// headers it fits into the usual MTU of 1,500 bytes.
 	maxDatagram = 1400
-	// prefillUnit is the granularity of prompt token counts.
+	// prefillUnit is the granularity of prompt token counts, which take two bytes.
 	prefillUnit = 64
 )
 
@@ -144,28 +148,29 @@
 	membersDigest uint64 // hash of the entry VMs that the sender knows; 0: not read yet
 }
 
+// Bits of the flags of an announcement.
 const (
 	flagHealthy = 1 << iota
-	flagConfig
-	flagList
+	flagConfigRead
+	flagListRead
 	flagStopping
-	flagMembers
-	flagWatches
+	flagMembersRead
+	flagWatcher
 )
 
-func encodeAnnouncement(w announcement) body {
+func encodeAnnouncement(a announcement) body {
 	var flags byte
 	for _, f := range []struct {
 		set  bool
 		flag byte
-	}{{w.healthy, flagHealthy}, {w.configReadNow, flagConfig}, {w.listReadNow, flagList}, {w.stopping, flagStopping}, {w.membersReadNow, flagMembers}, {w.isWatcher, flagWatches}} {
+	}{{a.healthy, flagHealthy}, {a.configReadNow, flagConfigRead}, {a.listReadNow, flagListRead}, {a.stopping, flagStopping}, {a.membersReadNow, flagMembersRead}, {a.isWatcher, flagWatcher}} {
 		if f.set {
 			flags |= f.flag
 		}
 	}
 	out := make([]byte, 0, announcementBytes)
 	out = append(out, flags)
-	for _, number := range []uint64{w.config.from, w.config.to, w.list.from, w.list.to, w.membersDigest} {
+	for _, number := range []uint64{a.config.from, a.config.to, a.list.from, a.list.to, a.membersDigest} {
 		out = binary.BigEndian.AppendUint64(out, number)
 	}
 	return body{kindAnnouncement, out}
@@ -177,31 +182,31 @@
 	}
 	flags := raw[0]
 	number := func(i int) uint64 { return binary.BigEndian.Uint64(raw[1+8*i:]) }
-	w := announcement{
-		healthy: flags&flagHealthy != 0, isWatcher: flags&flagWatches != 0, configReadNow: flags&flagConfig != 0, listReadNow: flags&flagList != 0,
-		membersReadNow: flags&flagMembers != 0, stopping: flags&flagStopping != 0,
+	a := announcement{
+		healthy: flags&flagHealthy != 0, isWatcher: flags&flagWatcher != 0, configReadNow: flags&flagConfigRead != 0, listReadNow: flags&flagListRead != 0,
+		membersReadNow: flags&flagMembersRead != 0, stopping: flags&flagStopping != 0,
 		config: span{number(0), number(1)}, list: span{number(2), number(3)}, membersDigest: number(4),
 	}
-	return w, w.config.from <= w.config.to && w.list.from <= w.list.to
+	return a, a.config.from <= a.config.to && a.list.from <= a.list.to
 }
 
-func encodeReadTimes(times []directory.PrefillTime) body {
-	times = times[:min(len(times), (maxDatagram-headerBytes)/readTimeBytes)]
-	out := make([]byte, 0, len(times)*readTimeBytes)
+func encodePrefillTimes(times []directory.PrefillTime) body {
+	times = times[:min(len(times), (maxDatagram-headerBytes)/prefillTimeBytes)]
+	out := make([]byte, 0, len(times)*prefillTimeBytes)
 	for _, t := range times {
 		out = binary.BigEndian.AppendUint32(out, t.Server)
 		out = binary.BigEndian.AppendUint32(out, uint32(min(t.PerToken.Nanoseconds(), math.MaxUint32)))
 	}
-	return body{kindReadTimes, out}
+	return body{kindPrefillTimes, out}
 }
 
-func decodeReadTimes(raw []byte) ([]directory.PrefillTime, bool) {
-	if len(raw)%readTimeBytes != 0 {
+func decodePrefillTimes(raw []byte) ([]directory.PrefillTime, bool) {
+	if len(raw)%prefillTimeBytes != 0 {
 		return nil, false
 	}
-	times := make([]directory.PrefillTime, len(raw)/readTimeBytes)
+	times := make([]directory.PrefillTime, len(raw)/prefillTimeBytes)
 	for i := range times {
-		at := raw[i*readTimeBytes:]
+		at := raw[i*prefillTimeBytes:]
 		times[i] = directory.PrefillTime{
 			Server:   binary.BigEndian.Uint32(at),
 			PerToken: time.Duration(binary.BigEndian.Uint32(at[4:])),
@@ -226,7 +231,7 @@
 
 // tryCounts is what one process has counted of a service's tries.
 type tryCounts struct {
-	service             uint32
+	service             uint32 // hash of its name
 	firstTries, retries uint16
 }
 
