--- a/fleet/readtimes_test.go
+++ b/fleet/prefilltimes_test.go
@@ -19,12 +19,12 @@
 
 // Guards against a VM that takes a slow server for a normal one until it has sent it a
 // prompt itself.
-func TestReadTimesReachOtherVMs(t *testing.T) {
+func TestPrefillTimesReachOtherVMs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		here, there := newThreeServers(), newThreeServers()
 		receiver := NewSocket("there", func() []string { return nil }, nil)
-		NewReadTimes(receiver, func() []string { return nil }, there)
+		NewPrefillTimes(receiver, func() []string { return nil }, there)
 		sender := NewSocket("here", func() []string { return nil }, nil)
 		sent := 0
 		sender.write = func(raw []byte, _ string) bool {
@@ -34,7 +34,7 @@
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		go func() { _ = NewReadTimes(sender, func() []string { return []string{"there"} }, here).Run(ctx) }()
+		go func() { _ = NewPrefillTimes(sender, func() []string { return []string{"there"} }, here).Run(ctx) }()
 		for i, server := range here.View().Service("s") {
 			prompt := server.BeginStream(8000)
 			time.Sleep(time.Duration(i+1) * time.Second)
@@ -49,15 +49,15 @@
 	})
 }
 
-func FuzzDecodeReadTimes(f *testing.F) {
-	f.Add(encodeReadTimes([]directory.PrefillTime{{Server: 3, PerToken: 125 * time.Microsecond}, {Server: 4, PerToken: time.Hour}}).raw)
+func FuzzDecodePrefillTimes(f *testing.F) {
+	f.Add(encodePrefillTimes([]directory.PrefillTime{{Server: 3, PerToken: 125 * time.Microsecond}, {Server: 4, PerToken: time.Hour}}).raw)
 	f.Add([]byte{1, 2, 3})
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		times, ok := decodeReadTimes(raw)
+		times, ok := decodePrefillTimes(raw)
 		if !ok {
 			return
 		}
-		encoded := encodeReadTimes(times).raw
+		encoded := encodePrefillTimes(times).raw
 		if len(raw) <= maxDatagram-headerBytes && string(encoded) != string(raw) {
 			t.Fatalf("%x became %x", raw, encoded)
 		}
