--- a/inbound/conn.go
+++ b/inbound/conn.go
@@ -39,15 +39,18 @@
 	net.Conn
 	epoch          time.Time
 	phase          atomic.Int32
-	since          atomic.Int64            // start of the phase, monotonic nanoseconds after epoch; written before phase
+	since          atomic.Int64            // when it became idle or its header began, monotonic nanoseconds after epoch; written before phase
 	cancelRequests context.CancelCauseFunc // cancels the connection's requests
 	cancelCause    func(error) error       // see Options.CancelCause
 	headerStarted  bool                    // part of a header has arrived; used only by the goroutine that reads headers
 }
 
-func (c *clientConn) setPhaseStart(now time.Time) { c.since.Store(int64(now.Sub(c.epoch))) }
+// restartClock makes the time that counts against a limit start at now.
+func (c *clientConn) restartClock(now time.Time) { c.since.Store(int64(now.Sub(c.epoch))) }
 
-func (c *clientConn) timeInPhase(now time.Time) time.Duration {
+// elapsed returns the time that counts against the limit of the phase: since the
+// connection became idle, or since the first data of the header arrived.
+func (c *clientConn) elapsed(now time.Time) time.Duration {
 	return now.Sub(c.epoch) - time.Duration(c.since.Load())
 }
 
@@ -59,6 +62,8 @@
 	}
 	c.startWaiting()
 	if !httpconn.WaitReadable(c.Conn) {
+		// The connection supports no wait without a read, so the data is taken before
+		// the phase changes.
 		n, err := c.read(b)
 		if !c.dataArrived() {
 			return 0, net.ErrClosed
@@ -91,7 +96,7 @@
 // dropped before. The first data after a request starts a header.
 func (c *clientConn) dataArrived() bool {
 	if !c.headerStarted {
-		c.setPhaseStart(time.Now())
+		c.restartClock(time.Now())
 		c.headerStarted = true
 	}
 	return c.phase.CompareAndSwap(phaseIdle, phaseReading) || c.phase.CompareAndSwap(phaseHeader, phaseReading)
@@ -136,7 +141,7 @@
 
 // requestDone records that the connection is ready for its next request.
 func (c *clientConn) requestDone() {
-	c.setPhaseStart(time.Now())
+	c.restartClock(time.Now())
 	c.headerStarted = false
 	c.phase.CompareAndSwap(phaseServing, phaseReading)
 }
@@ -152,10 +157,10 @@
 )
 
 // check marks the connection as dropped if it is over its limit and this process
-// waits for its client.
+// waits for its client, or if its header is over the limit by more than unreadGrace.
 func (c *clientConn) check(limits Limits, now time.Time) (connPhase, checkResult) {
 	phase := c.phase.Load()
-	limit, elapsed := limitOf(phase, limits), c.timeInPhase(now)
+	limit, elapsed := limitOf(phase, limits), c.elapsed(now)
 	if limit <= 0 || elapsed <= limit {
 		return phase, withinLimit
 	}
@@ -186,6 +191,7 @@
 	}
 }
 
+// limitOf returns the limit that applies in a phase, 0 if none does.
 func limitOf(phase connPhase, limits Limits) time.Duration {
 	switch phase {
 	case phaseIdle:
--- a/inbound/finish.go
+++ b/inbound/finish.go
@@ -34,54 +34,54 @@
 //
 // The server's own Shutdown closes the listener and idle connections without
 // checking for requests in them, so it is called when no connection is left.
-func (c *Listener) Finish(ctx context.Context, server *http.Server) error {
-	c.stopping.Store(true)
-	c.drainQueue(ctx)
-	for c.openCount() > 0 && ctx.Err() == nil {
-		c.sweepWithLimits(stopLimits, time.Now())
+func (l *Listener) Finish(ctx context.Context, server *http.Server) error {
+	l.stopping.Store(true)
+	l.drainQueue(ctx)
+	for l.openCount() > 0 && ctx.Err() == nil {
+		l.sweepWithLimits(stopLimits, time.Now())
 		_ = retry.Wait(ctx, finishPollInterval)
 	}
-	c.reportUnread()
+	l.reportUnread()
 	return server.Shutdown(ctx)
 }
 
 // reportUnread reports the connections with unread data that are still open when
 // the time of a planned stop is over.
-func (c *Listener) reportUnread() {
+func (l *Listener) reportUnread() {
 	now := time.Now()
 	var unread unreadCloses
-	c.mu.Lock()
-	for conn := range c.open {
+	l.mu.Lock()
+	for conn := range l.open {
 		if phase := conn.phase.Load(); conn.hasUnread(phase) {
-			unread.add(phase, conn.timeInPhase(now))
-			c.unread.WithLabelValues(phaseLabels[phase]).Inc()
+			unread.add(phase, conn.elapsed(now))
+			l.unread.WithLabelValues(phaseLabels[phase]).Inc()
 		}
 	}
-	c.mu.Unlock()
-	unread.emit(c.opts.Recorder, stopLimits, 0)
+	l.mu.Unlock()
+	unread.emit(l.opts.Recorder, stopLimits, 0)
 }
 
-func (c *Listener) openCount() int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return len(c.open)
+func (l *Listener) openCount() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return len(l.open)
 }
 
 // drainQueue accepts the connections in the listener's queue, closes the listener,
 // and waits until the server has stopped accepting: a connection that is accepted
 // just before the close may not be among the open ones yet.
-func (c *Listener) drainQueue(ctx context.Context) {
-	c.withQueueTimeout(ctx, c.acceptQueued)
-	_ = c.end.close(c.Listener) // the server's Shutdown closes it again and returns the error
-	c.withQueueTimeout(ctx, c.end.wait)
+func (l *Listener) drainQueue(ctx context.Context) {
+	l.withQueueTimeout(ctx, l.acceptQueued)
+	_ = l.end.close(l.Listener) // the server's Shutdown closes it again and returns the error
+	l.withQueueTimeout(ctx, l.end.wait)
 }
 
 // withQueueTimeout runs a step with queueTimeout and emits an event if it fails.
-func (c *Listener) withQueueTimeout(ctx context.Context, step func(context.Context) error) {
+func (l *Listener) withQueueTimeout(ctx context.Context, step func(context.Context) error) {
 	ctx, cancel := context.WithTimeout(ctx, queueTimeout)
 	defer cancel()
 	if err := step(ctx); err != nil {
-		c.opts.Recorder.Emit(EventQueueLeft, "err", err, "waited", queueTimeout)
+		l.opts.Recorder.Emit(EventQueueLeft, "err", err, "waited", queueTimeout)
 	}
 }
 
@@ -89,14 +89,14 @@
 // The queue is first in, first out, so all earlier connections are accepted by then.
 // A deadline on the listener would not do: in a process without CPU time it may pass
 // before the queue is read at all.
-func (c *Listener) acceptQueued(ctx context.Context) error {
+func (l *Listener) acceptQueued(ctx context.Context) error {
 	var dialer net.Dialer
-	own, err := dialer.DialContext(ctx, c.Addr().Network(), c.Addr().String())
+	own, err := dialer.DialContext(ctx, l.Addr().Network(), l.Addr().String())
 	if err != nil {
 		return errors.Wrap(err, "inbound: connect to own listener")
 	}
 	defer own.Close()
-	for !c.isAccepted(own.LocalAddr().String()) {
+	for !l.isAccepted(own.LocalAddr().String()) {
 		if err := retry.Wait(ctx, queuePollInterval); err != nil {
 			return errors.Wrap(err, "inbound: own connection was not accepted in time")
 		}
@@ -105,10 +105,10 @@
 }
 
 // isAccepted reports whether a connection from remote is open.
-func (c *Listener) isAccepted(remote string) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for conn := range c.open {
+func (l *Listener) isAccepted(remote string) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for conn := range l.open {
 		if conn.RemoteAddr().String() == remote {
 			return true
 		}
@@ -117,9 +117,9 @@
 }
 
 // Close implements net.Listener.
-func (c *Listener) Close() error {
-	c.end.release()
-	return c.end.close(c.Listener)
+func (l *Listener) Close() error {
+	l.end.release()
+	return l.end.close(l.Listener)
 }
 
 // listenerEnd coordinates the end of a listener with its server. A server whose
@@ -139,24 +139,24 @@
 }
 
 // hold blocks the server's Accept until release is called.
-func (q *listenerEnd) hold() {
-	q.endOnce.Do(func() { close(q.ended) })
-	<-q.released
+func (e *listenerEnd) hold() {
+	e.endOnce.Do(func() { close(e.ended) })
+	<-e.released
 }
 
 // wait returns once hold has been called.
-func (q *listenerEnd) wait(ctx context.Context) error {
+func (e *listenerEnd) wait(ctx context.Context) error {
 	select {
-	case <-q.ended:
+	case <-e.ended:
 		return nil
 	case <-ctx.Done():
 		return errors.Wrap(ctx.Err(), "inbound: listener is still accepting")
 	}
 }
 
-func (q *listenerEnd) release() { q.releaseOnce.Do(func() { close(q.released) }) }
+func (e *listenerEnd) release() { e.releaseOnce.Do(func() { close(e.released) }) }
 
-func (q *listenerEnd) close(l net.Listener) error {
-	q.closeOnce.Do(func() { q.closeErr = l.Close() })
-	return q.closeErr
+func (e *listenerEnd) close(l net.Listener) error {
+	e.closeOnce.Do(func() { e.closeErr = l.Close() })
+	return e.closeErr
 }
--- a/inbound/listener.go
+++ b/inbound/listener.go
@@ -23,7 +23,7 @@
 // stalled. It has then not read what clients sent meanwhile, and no limit is applied.
 const stallThreshold = 5 * sweepInterval
 
-// delayBuckets reach beyond the delay that counts as a stall.
+// delayBuckets are in seconds and reach beyond the delay that counts as a stall.
 var delayBuckets = []float64{0.01, 0.03, 0.1, 0.2, 0.3, 0.5, 1, 2, 5}
 
 // Limits bound what a client may do with its connection; 0 is no limit.
@@ -94,32 +94,32 @@
 
 // Attach sets the hooks and the handler of server, which is to serve on the listener,
 // so that the listener knows the state of its connections.
-func (c *Listener) Attach(server *http.Server) {
-	server.Handler = c.handler(server.Handler)
-	server.ConnState = c.connState
-	server.ConnContext = c.connContext
+func (l *Listener) Attach(server *http.Server) {
+	server.Handler = l.handler(server.Handler)
+	server.ConnState = l.connState
+	server.ConnContext = l.connContext
 }
 
 // Accept implements net.Listener.
-func (c *Listener) Accept() (net.Conn, error) {
-	raw, err := c.Listener.Accept()
+func (l *Listener) Accept() (net.Conn, error) {
+	raw, err := l.Listener.Accept()
 	if errors.Is(err, net.ErrClosed) {
-		c.end.hold()
+		l.end.hold()
 	}
 	if err != nil {
 		return nil, err
 	}
-	conn := &clientConn{Conn: raw, epoch: c.epoch, cancelCause: c.opts.CancelCause}
-	conn.setPhaseStart(time.Now())
+	conn := &clientConn{Conn: raw, epoch: l.epoch, cancelCause: l.opts.CancelCause}
+	conn.restartClock(time.Now())
 	conn.phase.Store(phaseReading)
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.open[conn] = struct{}{}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.open[conn] = struct{}{}
 	return conn, nil
 }
 
 // connState is the server's ConnState hook.
-func (c *Listener) connState(conn net.Conn, state http.ConnState) {
+func (l *Listener) connState(conn net.Conn, state http.ConnState) {
 	client, ok := conn.(*clientConn)
 	if !ok {
 		return
@@ -131,16 +131,16 @@
 		client.requestDone()
 	case http.StateClosed, http.StateHijacked:
 		client.cancelRequests(nil)
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		delete(c.open, client)
+		l.mu.Lock()
+		defer l.mu.Unlock()
+		delete(l.open, client)
 	}
 }
 
 type clientKey struct{}
 
 // connContext is the server's ConnContext hook.
-func (c *Listener) connContext(ctx context.Context, conn net.Conn) context.Context {
+func (l *Listener) connContext(ctx context.Context, conn net.Conn) context.Context {
 	if client, ok := conn.(*clientConn); ok {
 		ctx, client.cancelRequests = context.WithCancelCause(ctx)
 	}
@@ -161,12 +161,12 @@
 // handler passes on requests whose connections are still open. A request that
 // arrives just as its connection is closed must not run, as its response could not
 // be delivered.
-func (c *Listener) handler(next http.Handler) http.Handler {
+func (l *Listener) handler(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if client, ok := r.Context().Value(clientKey{}).(*clientConn); ok && !client.beginRequest() {
 			panic(http.ErrAbortHandler)
 		}
-		if c.stopping.Load() {
+		if l.stopping.Load() {
 			w.Header().Set("Connection", "close")
 		}
 		next.ServeHTTP(w, r)
@@ -174,7 +174,7 @@
 }
 
 // Run closes connections by the limits in force until ctx ends.
-func (c *Listener) Run(ctx context.Context) error {
+func (l *Listener) Run(ctx context.Context) error {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	last := time.Now()
@@ -184,7 +184,7 @@
 			return nil
 		case <-ticker.C:
 			now := time.Now()
-			c.tick(now, now.Sub(last))
+			l.tick(now, now.Sub(last))
 			last = now
 		}
 	}
@@ -192,53 +192,53 @@
 
 // tick closes the connections that are over their limit. If this process has just
 // stalled it restarts their times instead.
-func (c *Listener) tick(now time.Time, sinceLast time.Duration) {
+func (l *Listener) tick(now time.Time, sinceLast time.Duration) {
 	delay := max(0, sinceLast-sweepInterval)
-	c.lastDelay.Store(int64(delay))
-	c.delay.Observe(delay.Seconds())
+	l.lastDelay.Store(int64(delay))
+	l.delay.Observe(delay.Seconds())
 	if sinceLast <= stallThreshold {
-		c.sweep(now)
+		l.sweep(now)
 		return
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for conn := range c.open {
-		conn.setPhaseStart(now)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for conn := range l.open {
+		conn.restartClock(now)
 	}
 }
 
 // sweep closes the connections that are over the limits in force.
-func (c *Listener) sweep(now time.Time) { c.sweepWithLimits(c.opts.Limits(), now) }
+func (l *Listener) sweep(now time.Time) { l.sweepWithLimits(l.opts.Limits(), now) }
 
 // sweepWithLimits closes the connections that are over limits and have no unread
 // data. Each is closed right after its check: if all were closed after the last
 // check, a process that gets no CPU time in between would close connections on which
 // requests have arrived meanwhile.
-func (c *Listener) sweepWithLimits(limits Limits, now time.Time) {
+func (l *Listener) sweepWithLimits(limits Limits, now time.Time) {
 	var unread unreadCloses
 	var closed limitCloses
-	c.mu.Lock()
-	for conn := range c.open {
+	l.mu.Lock()
+	for conn := range l.open {
 		checked := time.Now()
 		phase, result := conn.check(limits, now)
 		switch result {
 		case unreadSpared:
-			c.spared.WithLabelValues(phaseLabels[phase]).Inc()
+			l.spared.WithLabelValues(phaseLabels[phase]).Inc()
 		case closedUnread:
-			unread.add(phase, conn.timeInPhase(now))
-			c.unread.WithLabelValues(phaseLabels[phase]).Inc()
+			unread.add(phase, conn.elapsed(now))
+			l.unread.WithLabelValues(phaseLabels[phase]).Inc()
 		}
 		if result == closedQuiet && conn.hasUnread(phase) {
 			unread.betweenCheckAndClose++
-			c.unread.WithLabelValues(phaseLabels[phase]).Inc()
+			l.unread.WithLabelValues(phaseLabels[phase]).Inc()
 		}
 		if result == closedQuiet || result == closedUnread {
-			c.dropped.WithLabelValues(phaseLabels[phase]).Inc()
+			l.dropped.WithLabelValues(phaseLabels[phase]).Inc()
 			_ = conn.Close()
 			closed.add(time.Since(checked))
 		}
 	}
-	c.mu.Unlock()
-	closed.emit(c.opts.Recorder, limits)
-	unread.emit(c.opts.Recorder, limits, time.Duration(c.lastDelay.Load()))
+	l.mu.Unlock()
+	closed.emit(l.opts.Recorder, limits)
+	unread.emit(l.opts.Recorder, limits, time.Duration(l.lastDelay.Load()))
 }
--- a/inbound/listener_test.go
+++ b/inbound/listener_test.go
@@ -17,20 +17,20 @@
 // startServer starts a server with limits that the test may change.
 func startServer(t *testing.T, limits *Limits, h http.HandlerFunc) (*Listener, string) {
 	server := httptest.NewUnstartedServer(nil)
-	c := New(server.Listener, Options{Limits: func() Limits { return *limits }, Recorder: event.Discard()})
-	server.Listener, server.Config.Handler = c, h
-	c.Attach(server.Config)
+	l := New(server.Listener, Options{Limits: func() Limits { return *limits }, Recorder: event.Discard()})
+	server.Listener, server.Config.Handler = l, h
+	l.Attach(server.Config)
 	server.Start()
 	t.Cleanup(server.Close)
-	return c, c.Addr().String()
+	return l, l.Addr().String()
 }
 
-func (c *Listener) countInPhase(phase connPhase) func() int {
+func (l *Listener) countInPhase(phase connPhase) func() int {
 	return func() int {
-		c.mu.Lock()
-		defer c.mu.Unlock()
+		l.mu.Lock()
+		defer l.mu.Unlock()
 		n := 0
-		for conn := range c.open {
+		for conn := range l.open {
 			if conn.phase.Load() == phase {
 				n++
 			}
@@ -64,15 +64,15 @@
 	g := gomega.NewWithT(t)
 	limits := Limits{IdleTime: time.Minute}
 	release := make(chan struct{})
-	c, address := startServer(t, &limits, func(http.ResponseWriter, *http.Request) { <-release })
+	l, address := startServer(t, &limits, func(http.ResponseWriter, *http.Request) { <-release })
 	idle, busy := dialClient(t, address), dialClient(t, address)
 	_, _ = io.WriteString(busy, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
-	g.Eventually(c.countInPhase(phaseIdle)).Should(gomega.Equal(1))
-	g.Eventually(c.countInPhase(phaseServing)).Should(gomega.Equal(1))
-	c.sweep(time.Now().Add(50 * time.Second))
+	g.Eventually(l.countInPhase(phaseIdle)).Should(gomega.Equal(1))
+	g.Eventually(l.countInPhase(phaseServing)).Should(gomega.Equal(1))
+	l.sweep(time.Now().Add(50 * time.Second))
 	g.Consistently(isClosed(idle), "20ms").Should(gomega.BeFalse())
 	limits.IdleTime = 10 * time.Second
-	c.sweep(time.Now().Add(50 * time.Second))
+	l.sweep(time.Now().Add(50 * time.Second))
 	g.Eventually(isClosed(idle)).Should(gomega.BeTrue())
 	close(release)
 	resp, err := http.ReadResponse(bufio.NewReader(busy), nil)
@@ -86,13 +86,13 @@
 	g := gomega.NewWithT(t)
 	limits := Limits{HeaderTime: 3 * time.Second, IdleTime: time.Minute}
 	served := make(chan struct{}, 1)
-	c, address := startServer(t, &limits, func(http.ResponseWriter, *http.Request) { served <- struct{}{} })
+	l, address := startServer(t, &limits, func(http.ResponseWriter, *http.Request) { served <- struct{}{} })
 	slow := dialClient(t, address)
 	_, _ = io.WriteString(slow, "GET / HTTP/1.1\r\n")
-	g.Eventually(c.countInPhase(phaseHeader)).Should(gomega.Equal(1))
-	c.sweep(time.Now().Add(2 * time.Second))
-	g.Expect(c.countInPhase(phaseDropped)()).To(gomega.BeZero())
-	c.sweep(time.Now().Add(4 * time.Second))
+	g.Eventually(l.countInPhase(phaseHeader)).Should(gomega.Equal(1))
+	l.sweep(time.Now().Add(2 * time.Second))
+	g.Expect(l.countInPhase(phaseDropped)()).To(gomega.BeZero())
+	l.sweep(time.Now().Add(4 * time.Second))
 	_, _ = io.WriteString(slow, "Host: h\r\n\r\n")
 	g.Eventually(isClosed(slow)).Should(gomega.BeTrue())
 	g.Consistently(served, "20ms").ShouldNot(gomega.Receive())
@@ -102,10 +102,10 @@
 func TestNoLimitClosesNothing(t *testing.T) {
 	g := gomega.NewWithT(t)
 	limits := Limits{}
-	c, address := startServer(t, &limits, func(http.ResponseWriter, *http.Request) {})
+	l, address := startServer(t, &limits, func(http.ResponseWriter, *http.Request) {})
 	conn := dialClient(t, address)
-	g.Eventually(c.countInPhase(phaseIdle)).Should(gomega.Equal(1))
-	c.sweep(time.Now().Add(time.Hour))
+	g.Eventually(l.countInPhase(phaseIdle)).Should(gomega.Equal(1))
+	l.sweep(time.Now().Add(time.Hour))
 	g.Consistently(isClosed(conn), "20ms").Should(gomega.BeFalse())
 }
 
@@ -114,13 +114,13 @@
 func TestNothingIsClosedAfterStall(t *testing.T) {
 	g := gomega.NewWithT(t)
 	limits := Limits{HeaderTime: 3 * time.Second, IdleTime: 10 * time.Second}
-	c, address := startServer(t, &limits, func(http.ResponseWriter, *http.Request) {})
+	l, address := startServer(t, &limits, func(http.ResponseWriter, *http.Request) {})
 	conn := dialClient(t, address)
-	g.Eventually(c.countInPhase(phaseIdle)).Should(gomega.Equal(1))
+	g.Eventually(l.countInPhase(phaseIdle)).Should(gomega.Equal(1))
 	resumed := time.Now().Add(20 * time.Second)
-	c.tick(resumed, 20*time.Second)
-	c.tick(resumed.Add(sweepInterval), sweepInterval)
+	l.tick(resumed, 20*time.Second)
+	l.tick(resumed.Add(sweepInterval), sweepInterval)
 	g.Consistently(isClosed(conn), "20ms").Should(gomega.BeFalse())
-	c.tick(resumed.Add(11*time.Second), sweepInterval)
+	l.tick(resumed.Add(11*time.Second), sweepInterval)
 	g.Eventually(isClosed(conn)).Should(gomega.BeTrue())
 }
--- a/inbound/stall_test.go
+++ b/inbound/stall_test.go
@@ -21,8 +21,8 @@
 	"github.com/pearyard/pearyard/httpconn"
 )
 
-// stall simulates a process that gets no CPU time: its reads block until the test
-// resumes them.
+// stall simulates a process that gets no CPU time: after a number of reads that
+// proceed, reads block until the test resumes them.
 type stall struct {
 	reads   atomic.Int64 // remaining reads that don't block
 	blocked atomic.Int64 // reads that have blocked
@@ -131,31 +131,31 @@
 // reads block again.
 func newStalledServer(t *testing.T, where string, reads int64, limits Limits) *stalledServer {
 	t.Helper()
-	p := &stalledServer{stall: &stall{release: make(chan struct{})}, limits: &limits}
-	p.reads.Store(reads)
-	p.server = httptest.NewUnstartedServer(nil)
-	current := func() Limits { return *p.limits }
-	p.sockets = &stalledListener{Listener: p.server.Listener, stall: p.stall}
+	s := &stalledServer{stall: &stall{release: make(chan struct{})}, limits: &limits}
+	s.reads.Store(reads)
+	s.server = httptest.NewUnstartedServer(nil)
+	current := func() Limits { return *s.limits }
+	s.sockets = &stalledListener{Listener: s.server.Listener, stall: s.stall}
 	if where == stallInRead {
-		p.Listener = New(p.sockets, Options{Limits: current, Recorder: event.Discard()})
-		p.server.Listener = p.Listener
+		s.Listener = New(s.sockets, Options{Limits: current, Recorder: event.Discard()})
+		s.server.Listener = s.Listener
 	} else {
-		p.Listener = New(p.server.Listener, Options{Limits: current, Recorder: event.Discard()})
-		p.sockets.Listener = p.Listener
-		p.server.Listener = p.sockets
+		s.Listener = New(s.server.Listener, Options{Limits: current, Recorder: event.Discard()})
+		s.sockets.Listener = s.Listener
+		s.server.Listener = s.sockets
 	}
-	p.server.Config.Handler = p.handler(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "whole") }))
-	p.server.Config.ConnState = func(conn net.Conn, state http.ConnState) {
+	s.server.Config.Handler = s.handler(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "whole") }))
+	s.server.Config.ConnState = func(conn net.Conn, state http.ConnState) {
 		if state == http.StateIdle {
-			p.reads.Store(0)
+			s.reads.Store(0)
 		}
-		p.connState(trackedConn(conn), state)
+		s.connState(trackedConn(conn), state)
 	}
-	p.server.Config.ConnContext = func(ctx context.Context, conn net.Conn) context.Context { return p.connContext(ctx, trackedConn(conn)) }
-	p.server.Start()
-	t.Cleanup(p.server.Close)
-	t.Cleanup(p.resume)
-	return p
+	s.server.Config.ConnContext = func(ctx context.Context, conn net.Conn) context.Context { return s.connContext(ctx, trackedConn(conn)) }
+	s.server.Start()
+	t.Cleanup(s.server.Close)
+	t.Cleanup(s.resume)
+	return s
 }
 
 // trackedConn returns the connection that the Listener's hooks expect.
@@ -193,15 +193,15 @@
 func TestUnreadRequestIsServedWhenIdleLimitShortens(t *testing.T) {
 	forEachStall(t, func(t *testing.T, where string) {
 		g := gomega.NewWithT(t)
-		p := newStalledServer(t, where, 100, Limits{IdleTime: time.Minute, HeaderTime: time.Minute})
-		conn := dialClient(t, p.Addr().String())
+		s := newStalledServer(t, where, 100, Limits{IdleTime: time.Minute, HeaderTime: time.Minute})
+		conn := dialClient(t, s.Addr().String())
 		_, _ = io.WriteString(conn, wholeRequest)
 		expectWholeResponse(t, conn)
 		_, _ = io.WriteString(conn, wholeRequest)
-		g.Eventually(p.sockets.hasUnread).Should(gomega.BeTrue())
-		p.limits.IdleTime = time.Second
-		p.sweep(time.Now().Add(50 * time.Second))
-		p.resume()
+		g.Eventually(s.sockets.hasUnread).Should(gomega.BeTrue())
+		s.limits.IdleTime = time.Second
+		s.sweep(time.Now().Add(50 * time.Second))
+		s.resume()
 		expectWholeResponse(t, conn)
 	})
 }
@@ -211,12 +211,12 @@
 func TestFirstRequestReadAfterIdleLimitIsServed(t *testing.T) {
 	forEachStall(t, func(t *testing.T, where string) {
 		g := gomega.NewWithT(t)
-		p := newStalledServer(t, where, 0, Limits{IdleTime: 10 * time.Second, HeaderTime: time.Minute})
-		conn := dialClient(t, p.Addr().String())
+		s := newStalledServer(t, where, 0, Limits{IdleTime: 10 * time.Second, HeaderTime: time.Minute})
+		conn := dialClient(t, s.Addr().String())
 		_, _ = io.WriteString(conn, wholeRequest)
-		g.Eventually(p.sockets.hasUnread).Should(gomega.BeTrue())
-		p.sweep(time.Now().Add(11 * time.Second))
-		p.resume()
+		g.Eventually(s.sockets.hasUnread).Should(gomega.BeTrue())
+		s.sweep(time.Now().Add(11 * time.Second))
+		s.resume()
 		expectWholeResponse(t, conn)
 	})
 }
@@ -227,14 +227,14 @@
 func TestHeaderReadAfterItsLimitIsServed(t *testing.T) {
 	forEachStall(t, func(t *testing.T, where string) {
 		g := gomega.NewWithT(t)
-		p := newStalledServer(t, where, 1, Limits{IdleTime: time.Minute, HeaderTime: 3 * time.Second})
-		conn := dialClient(t, p.Addr().String())
+		s := newStalledServer(t, where, 1, Limits{IdleTime: time.Minute, HeaderTime: 3 * time.Second})
+		conn := dialClient(t, s.Addr().String())
 		_, _ = io.WriteString(conn, wholeRequest[:10])
-		g.Eventually(p.blocked.Load).Should(gomega.BeNumerically(">", 0), "the next read blocks")
+		g.Eventually(s.blocked.Load).Should(gomega.BeNumerically(">", 0), "the next read blocks")
 		_, _ = io.WriteString(conn, wholeRequest[10:])
-		g.Eventually(p.sockets.hasUnread).Should(gomega.BeTrue())
-		p.sweep(time.Now().Add(4 * time.Second))
-		p.resume()
+		g.Eventually(s.sockets.hasUnread).Should(gomega.BeTrue())
+		s.sweep(time.Now().Add(4 * time.Second))
+		s.resume()
 		expectWholeResponse(t, conn)
 	})
 }
@@ -251,17 +251,17 @@
 				if kept {
 					reads = 100
 				}
-				p := newStalledServer(t, where, reads, Limits{IdleTime: time.Minute, HeaderTime: time.Minute})
-				conn := dialClient(t, p.Addr().String())
+				s := newStalledServer(t, where, reads, Limits{IdleTime: time.Minute, HeaderTime: time.Minute})
+				conn := dialClient(t, s.Addr().String())
 				if kept {
 					_, _ = io.WriteString(conn, wholeRequest)
 					expectWholeResponse(t, conn)
 				}
 				_, _ = io.WriteString(conn, wholeRequest)
-				g.Eventually(p.sockets.hasUnread).Should(gomega.BeTrue())
-				finished := p.startFinish(t, 5*time.Second)
+				g.Eventually(s.sockets.hasUnread).Should(gomega.BeTrue())
+				finished := s.startFinish(t, 5*time.Second)
 				g.Consistently(finished, "100ms").ShouldNot(gomega.BeClosed())
-				p.resume()
+				s.resume()
 				expectWholeResponse(t, conn)
 				g.Eventually(finished, "2s").Should(gomega.BeClosed())
 			})
@@ -270,13 +270,13 @@
 }
 
 // startFinish calls Finish and returns a channel that is closed when it has returned.
-func (p *stalledServer) startFinish(t *testing.T, within time.Duration) <-chan struct{} {
+func (s *stalledServer) startFinish(t *testing.T, within time.Duration) <-chan struct{} {
 	ctx, cancel := context.WithTimeout(t.Context(), within)
 	t.Cleanup(cancel)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_ = p.Finish(ctx, p.server.Config)
+		_ = s.Finish(ctx, s.server.Config)
 	}()
 	return done
 }
@@ -291,15 +291,15 @@
 }
 
 // Accept implements net.Listener.
-func (q *blockedListener) Accept() (net.Conn, error) {
-	<-q.release
-	return q.Listener.Accept()
+func (l *blockedListener) Accept() (net.Conn, error) {
+	<-l.release
+	return l.Listener.Accept()
 }
 
 // Close implements net.Listener.
-func (q *blockedListener) Close() error {
-	q.once.Do(func() { close(q.closed) })
-	return q.Listener.Close()
+func (l *blockedListener) Close() error {
+	l.once.Do(func() { close(l.closed) })
+	return l.Listener.Close()
 }
 
 // At the end of a planned stop two clients have connected and sent their requests,
@@ -310,19 +310,19 @@
 	raw, err := net.Listen("tcp4", "127.0.0.1:0")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	queue := &blockedListener{Listener: raw, release: make(chan struct{}), closed: make(chan struct{})}
-	c := New(queue, Options{Recorder: event.Discard()})
+	l := New(queue, Options{Recorder: event.Discard()})
 	answer := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "whole") })
 	server := &http.Server{Handler: answer}
-	c.Attach(server)
+	l.Attach(server)
 	served := make(chan error, 1)
-	go func() { served <- server.Serve(c) }()
+	go func() { served <- server.Serve(l) }()
 	t.Cleanup(func() { _ = server.Close() })
 	clients := []net.Conn{dialClient(t, raw.Addr().String()), dialClient(t, raw.Addr().String())}
 	for _, conn := range clients {
 		_, _ = io.WriteString(conn, wholeRequest)
 	}
-	p := &stalledServer{Listener: c, server: &httptest.Server{Config: server}}
-	finished := p.startFinish(t, 5*time.Second)
+	s := &stalledServer{Listener: l, server: &httptest.Server{Config: server}}
+	finished := s.startFinish(t, 5*time.Second)
 	select {
 	case <-queue.closed:
 	case <-time.After(100 * time.Millisecond):
@@ -340,18 +340,18 @@
 // seconds over the limit, and an event reports the unread data.
 func TestHeaderWithUnreadDataAtEachCheckIsClosed(t *testing.T) {
 	g := gomega.NewWithT(t)
-	p := newStalledServer(t, stallInRead, 1, Limits{IdleTime: time.Minute, HeaderTime: 3 * time.Second})
-	p.opts.Recorder = event.NewRecorder(log.NewNopLogger(), 16)
-	conn := dialClient(t, p.Addr().String())
+	s := newStalledServer(t, stallInRead, 1, Limits{IdleTime: time.Minute, HeaderTime: 3 * time.Second})
+	s.opts.Recorder = event.NewRecorder(log.NewNopLogger(), 16)
+	conn := dialClient(t, s.Addr().String())
 	_, _ = io.WriteString(conn, wholeRequest[:10])
-	g.Eventually(p.blocked.Load).Should(gomega.BeNumerically(">", 0), "the next read blocks")
+	g.Eventually(s.blocked.Load).Should(gomega.BeNumerically(">", 0), "the next read blocks")
 	_, _ = io.WriteString(conn, "x")
-	g.Eventually(p.sockets.hasUnread).Should(gomega.BeTrue())
-	p.sweep(time.Now().Add(12 * time.Second))
+	g.Eventually(s.sockets.hasUnread).Should(gomega.BeTrue())
+	s.sweep(time.Now().Add(12 * time.Second))
 	g.Consistently(isClosed(conn), "20ms").Should(gomega.BeFalse())
-	p.sweep(time.Now().Add(14 * time.Second))
+	s.sweep(time.Now().Add(14 * time.Second))
 	g.Eventually(isClosed(conn)).Should(gomega.BeTrue())
-	entries := p.opts.Recorder.Entries("")
+	entries := s.opts.Recorder.Entries("")
 	g.Expect(entries).To(gomega.HaveLen(1))
 	g.Expect(entries[0].Fields).To(gomega.HaveKeyWithValue("head", "1"))
 }
@@ -360,14 +360,14 @@
 // for a new connection whose first request never arrives.
 func TestFinishDoesNotWaitForQuietConnections(t *testing.T) {
 	g := gomega.NewWithT(t)
-	p := newStalledServer(t, stallInRead, 100, Limits{IdleTime: time.Minute, HeaderTime: time.Minute})
-	conn := dialClient(t, p.Addr().String())
+	s := newStalledServer(t, stallInRead, 100, Limits{IdleTime: time.Minute, HeaderTime: time.Minute})
+	conn := dialClient(t, s.Addr().String())
 	_, _ = io.WriteString(conn, wholeRequest)
-	p.resume()
+	s.resume()
 	expectWholeResponse(t, conn)
-	dialClient(t, p.Addr().String())
-	g.Eventually(p.countInPhase(phaseIdle)).Should(gomega.Equal(2))
-	g.Eventually(p.startFinish(t, time.Minute), "5s").Should(gomega.BeClosed())
+	dialClient(t, s.Addr().String())
+	g.Eventually(s.countInPhase(phaseIdle)).Should(gomega.Equal(2))
+	g.Eventually(s.startFinish(t, time.Minute), "5s").Should(gomega.BeClosed())
 	g.Expect(isClosed(conn)()).To(gomega.BeTrue())
 }
 
@@ -378,9 +378,9 @@
 	raw, err := net.Listen("tcp4", "127.0.0.1:0")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	recorder := event.NewRecorder(log.NewNopLogger(), 16)
-	c := New(raw, Options{Recorder: recorder})
-	p := &stalledServer{Listener: c, server: &httptest.Server{Config: &http.Server{}}}
-	g.Eventually(p.startFinish(t, time.Minute), "5s").Should(gomega.BeClosed())
+	l := New(raw, Options{Recorder: recorder})
+	s := &stalledServer{Listener: l, server: &httptest.Server{Config: &http.Server{}}}
+	g.Eventually(s.startFinish(t, time.Minute), "5s").Should(gomega.BeClosed())
 	g.Expect(recorder.Entries("")).NotTo(gomega.BeEmpty())
 	g.Expect(recorder.Entries("")[0].Name).To(gomega.Equal(EventQueueLeft.Name))
 }
@@ -389,13 +389,13 @@
 // no response, and an event reports that.
 func TestFinishReportsUnreadData(t *testing.T) {
 	g := gomega.NewWithT(t)
-	p := newStalledServer(t, stallInRead, 0, Limits{})
-	p.opts.Recorder = event.NewRecorder(log.NewNopLogger(), 16)
-	conn := dialClient(t, p.Addr().String())
+	s := newStalledServer(t, stallInRead, 0, Limits{})
+	s.opts.Recorder = event.NewRecorder(log.NewNopLogger(), 16)
+	conn := dialClient(t, s.Addr().String())
 	_, _ = io.WriteString(conn, wholeRequest)
-	g.Eventually(p.sockets.hasUnread).Should(gomega.BeTrue())
-	g.Eventually(p.startFinish(t, 200*time.Millisecond), "5s").Should(gomega.BeClosed())
-	entries := p.opts.Recorder.Entries("")
+	g.Eventually(s.sockets.hasUnread).Should(gomega.BeTrue())
+	g.Eventually(s.startFinish(t, 200*time.Millisecond), "5s").Should(gomega.BeClosed())
+	entries := s.opts.Recorder.Entries("")
 	g.Expect(entries).To(gomega.HaveLen(1))
 	g.Expect(entries[0].Name).To(gomega.Equal(EventUnreadDropped.Name))
 }
--- a/inbound/unread.go
+++ b/inbound/unread.go
@@ -9,15 +9,15 @@
 // unreadCloses counts the connections that one sweep has closed with unread data:
 // their clients may be waiting for a response. A sweep reports all of them in one event.
 type unreadCloses struct {
-	header    int // part of a header was read
-	unhandled int // data was read but not processed, or nothing was read
+	header    int // part of a header was read, and more data was unread
+	unhandled int // the first data was unread, or data was read but not processed
 	// betweenCheckAndClose counts those whose data arrived after a check that found
 	// none: this process got no CPU time in between.
 	betweenCheckAndClose int
 	longest              time.Duration
 }
 
-// add counts a connection by its phase and the time that it was in the phase.
+// add counts a connection by its phase and the time that counted against its limit.
 func (u *unreadCloses) add(phase connPhase, elapsed time.Duration) {
 	u.longest = max(u.longest, elapsed)
 	if phase == phaseHeader {
@@ -27,7 +27,7 @@
 	u.unhandled++
 }
 
-// emit emits an event if there were such connections.
+// emit emits an event if there were such connections. delay is how late the sweep was.
 func (u *unreadCloses) emit(recorder *event.Recorder, limits Limits, delay time.Duration) {
 	if u.header+u.unhandled+u.betweenCheckAndClose == 0 {
 		return
