--- a/inbound/conn.go
+++ b/inbound/conn.go
@@ -160,13 +160,13 @@
 // waits for its client, or if its header is over the limit by more than unreadGrace.
 func (c *clientConn) check(limits Limits, now time.Time) (connPhase, checkResult) {
 	phase := c.phase.Load()
-	limit, elapsed := limitOf(phase, limits), c.elapsed(now)
-	if limit <= 0 || elapsed <= limit {
+	limit, took := limitOf(phase, limits), c.elapsed(now)
+	if limit <= 0 || took <= limit {
 		return phase, withinLimit
 	}
 	unread := c.hasUnread(phase)
 	// An idle connection that stays open is then subject to the header limit.
-	if unread && (phase == phaseIdle || elapsed <= limit+unreadGrace) {
+	if unread && (phase == phaseIdle || took <= limit+unreadGrace) {
 		return phase, unreadSpared
 	}
 	if !c.phase.CompareAndSwap(phase, phaseDropped) {
