--- a/entry/bodies_test.go
+++ b/entry/bodies_test.go
@@ -21,13 +21,13 @@
 
 // writeAllThenRead sends a complete request before it reads the response, as many
 // clients do. The socket buffers little that the other end has not read.
-func (w *testEnv) writeAllThenRead(head string, body []byte) (*http.Response, error) {
-	w.t.Helper()
-	conn, err := net.Dial("tcp4", w.callerAddr)
+func (env *testEnv) writeAllThenRead(head string, body []byte) (*http.Response, error) {
+	env.t.Helper()
+	conn, err := net.Dial("tcp4", env.callerAddr)
 	if err != nil {
-		w.t.Fatal(err)
+		env.t.Fatal(err)
 	}
-	w.t.Cleanup(func() { _ = conn.Close() })
+	env.t.Cleanup(func() { _ = conn.Close() })
 	_ = conn.SetDeadline(time.Now().Add(20 * time.Second))
 	if _, err := conn.Write(append([]byte(head), body...)); err != nil {
 		// Such clients don't read a response after a write error.
@@ -58,7 +58,7 @@
 // close becomes a reset, which discards the response in the caller's socket: the
 // caller sees "connection reset by peer" instead of the refusal.
 func TestRefusalReachesCallerThatStillWritesItsBody(t *testing.T) {
-	w := startServing(t, 1, nil)
+	env := startServing(t, 1, nil)
 	for name, c := range map[string]struct {
 		head   string
 		status int
@@ -76,7 +76,7 @@
 						length, body = "Transfer-Encoding: chunked", chunkedBody(size)
 					}
 					head := "POST /once/1 HTTP/1.1\r\nHost: " + testHost + "\r\nAuthorization: Token k0\r\n" + c.head + length + "\r\n\r\n"
-					resp, err := w.writeAllThenRead(head, body)
+					resp, err := env.writeAllThenRead(head, body)
 					g.Expect(err).NotTo(gomega.HaveOccurred())
 					g.Expect(resp.StatusCode).To(gomega.Equal(c.status))
 				})
@@ -90,12 +90,12 @@
 // request in a panic or the process out of memory. Every request is refused as not run
 // then, so the body isn't kept.
 func TestAnnouncedSizeAllocatesNothingWithoutConfiguration(t *testing.T) {
-	w := newTestEnv(t, 1, nil)
-	gomega.NewWithT(t).Eventually(w.listens).Should(gomega.BeTrue())
+	env := newTestEnv(t, 1, nil)
+	gomega.NewWithT(t).Eventually(env.listens).Should(gomega.BeTrue())
 	for _, length := range []string{"Content-Length: 9000000000000000000", "Transfer-Encoding: chunked"} {
 		t.Run(length, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			conn, err := net.Dial("tcp4", w.callerAddr)
+			conn, err := net.Dial("tcp4", env.callerAddr)
 			g.Expect(err).NotTo(gomega.HaveOccurred())
 			defer conn.Close()
 			_, err = fmt.Fprintf(conn, "POST /once/1 HTTP/1.1\r\nHost: %s\r\nAttempt-Id: r1\r\nAuthorization: Token k0\r\n%s\r\n\r\n", testHost, length)
--- a/entry/changes_test.go
+++ b/entry/changes_test.go
@@ -36,8 +36,8 @@
 )
 
 // changeBackend serves requests; the first attempt of those to /…/break and
-// /…/nocopy breaks off in the middle. A stream may resume from the copy of its
-// memory, except for /…/nocopy, whose copy the server reports missing.
+// /…/nocopy breaks off in the middle. A stream may resume from the copy of its KV
+// cache, except for /…/nocopy, whose copy the server reports missing.
 type changeBackend struct {
 	modelServer
 	fromCopy *atomic.Int64 // attempts that resumed from a copy
@@ -186,7 +186,7 @@
 type changeRequest struct {
 	path string
 	slow bool // sending its body takes changeBody
-	// chunked says that its body is sent without a length.
+	// chunked is set if its body is sent without a length.
 	chunked bool
 }
 
--- a/entry/drain.go
+++ b/entry/drain.go
@@ -98,7 +98,7 @@
 	return limits
 }
 
-// countRunning counts running requests.
+// countRunning returns a handler that counts its running requests in runningRequests.
 func (e *Entry) countRunning(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		e.runningRequests.Add(1)
--- a/entry/durations.go
+++ b/entry/durations.go
@@ -12,8 +12,8 @@
 	// of eight is among the longest fifth of all requests in five cases of six.
 	minSamples = 8
 	// durationMargin allows for a request that takes longer than the recent ones: when
-	// several processes stop, their streams move to the others, and each prompt that
-	// is read beside a stream slows it down by a twentieth.
+	// several processes stop, their streams move to the others, and each prompt that a
+	// backend server reads while it generates a stream slows the stream by a twentieth.
 	durationMargin = 1.1
 )
 
@@ -52,9 +52,9 @@
 	}
 }
 
-// record adds a sample in the place of the oldest one.
-func (d *durationStats) record(length time.Duration) {
-	d.completed[d.count%maxSamples] = length
+// record adds a sample; once there are maxSamples, it replaces the oldest one.
+func (d *durationStats) record(took time.Duration) {
+	d.completed[d.count%maxSamples] = took
 	d.count++
 }
 
@@ -92,8 +92,8 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	longest := time.Duration(0)
-	for _, length := range d.completed[:min(d.count, maxSamples)] {
-		longest = max(longest, length)
+	for _, took := range d.completed[:min(d.count, maxSamples)] {
+		longest = max(longest, took)
 	}
 	for arrived := range d.running {
 		longest = max(longest, now.Sub(*arrived))
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -48,10 +48,12 @@
 	// are longer than any limit that operators set.
 	idleTimeout    = 2 * time.Minute
 	headerTimeout  = 10 * time.Second
-	maxHeaderBytes = 64 << 10
-	peerTimeout    = 2 * time.Second
+	maxHeaderBytes = 64 << 10        // of a caller's request
+	peerTimeout    = 2 * time.Second // of a call to another entry VM
 	pruneInterval  = time.Second
-	maxConnIdle    = 1500 * time.Millisecond
+	// maxConnIdle is how long a connection to a backend server may be idle and still be
+	// reused.
+	maxConnIdle = 1500 * time.Millisecond
 )
 
 // Options configure an Entry.
@@ -140,8 +142,9 @@
 	})
 }
 
-// newPeerState sets up what entry VMs exchange by datagrams: load, read times, retry
-// budgets, and the election of the one that reads the store for all.
+// newPeerState sets up what entry VMs exchange by datagrams: the load of backend
+// servers and how fast they read prompts, retry budgets, and the election of the VM
+// that reads the store for all.
 func (e *Entry) newPeerState() {
 	e.socket = fleet.NewSocket(e.settings.Peers, e.fleet.Peers, e.registry)
 	e.socket.SetRecorder(e.recorder)
@@ -156,8 +159,8 @@
 	})
 	e.fleet.UseElection(e.election)
 	e.configFollower.OnApplied = e.fleet.Applied
-	turns := follow.NewProbeGroup()
-	e.configFollower.ProbeGroup, e.serverFollower.ProbeGroup = turns, turns
+	probes := follow.NewProbeGroup()
+	e.configFollower.ProbeGroup, e.serverFollower.ProbeGroup = probes, probes
 	e.configFollower.Share, e.serverFollower.Share = e.election.For(fleet.Config), e.election.For(fleet.List)
 }
 
@@ -199,7 +202,7 @@
 	s := e.settings
 	backend := platform.NewBackend(e.pool)
 	e.exchange = exchange.New(exchange.Options{
-		Restarts: e.newRestarts(backend), SharedBudget: e.budgets,
+		Restarts: e.newRestartDetector(backend), SharedBudget: e.budgets,
 		Zone: s.Zone, Directory: e.directory, Backend: &guardedBackend{backend, e.recorder}, Services: e.findService,
 		Suspects: e.suspects, Recorder: e.recorder, Metrics: e.registry,
 		RetryWindow: s.RetryWindow, RetryRatio: retryBudgetShare * s.RetryRatio,
@@ -209,12 +212,12 @@
 	})
 }
 
-// newRestarts returns how to find backend servers that restart while the store is
-// unreachable.
-func (e *Entry) newRestarts(backend *platform.Backend) *exchange.RestartDetector {
-	found := fleet.NewRestarts(e.socket, e.directory)
+// newRestartDetector returns the detector of backend servers that restart while the
+// store is unreachable.
+func (e *Entry) newRestartDetector(backend *platform.Backend) *exchange.RestartDetector {
+	restarts := fleet.NewRestarts(e.socket, e.directory)
 	return &exchange.RestartDetector{
-		Reuse: e.settings.AddressReuse, StoreUnavailable: e.serverFollower.Failing, Found: found.Announce,
+		Reuse: e.settings.AddressReuse, StoreUnavailable: e.serverFollower.Failing, Found: restarts.Announce,
 		Identify: func(ctx context.Context, s *directory.Server) (directory.Start, error) {
 			service, ok := e.findService(s.Service)
 			if !ok || service.HealthPath == "" {
--- a/entry/env_test.go
+++ b/entry/env_test.go
@@ -67,7 +67,7 @@
 	fastGap = 4 * time.Millisecond
 )
 
-const testHost = "reasons.example"
+const testHost = "entry.example"
 
 // testRoute returns a route in the format of the configuration.
 func testRoute(path, kind, more string) string {
@@ -83,8 +83,8 @@
 }
 
 // configure writes a version of the configuration to the store.
-func (w *testEnv) configure(version int, keys string, routes ...string) {
-	w.store.Put("op", "config", fmt.Appendf(nil,
+func (env *testEnv) configure(version int, keys string, routes ...string) {
+	env.store.Put("op", "config", fmt.Appendf(nil,
 		`{"version":%d,"routes":[%s],"services":[{"name":"s","healthPath":"/healthz"}],"limits":{"maxBodyBytes":1000},"tenants":[{"name":"o","apiKeys":[%s]}]}`,
 		version, strings.Join(routes, ","), keys))
 }
@@ -97,49 +97,49 @@
 	store, err := nursery.NewStore()
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	t.Cleanup(store.Close)
-	w := &testEnv{t: t, store: store, cloud: nursery.NewCloud(store), ended: make(chan struct{})}
+	env := &testEnv{t: t, store: store, cloud: nursery.NewCloud(store), ended: make(chan struct{})}
 	for range servers {
-		w.addServer("s")
+		env.addServer("s")
 	}
 	ip := fmt.Sprintf("127.0.93.%d", envCount.Add(1))
 	addresses := freeAddresses(t, ip, 3)
-	w.callerAddr, w.readyAddr = addresses[0], addresses[1]
-	w.entryProxy, err = soak.NewProxy(w.callerAddr)
+	env.callerAddr, env.readyAddr = addresses[0], addresses[1]
+	env.entryProxy, err = soak.NewProxy(env.callerAddr)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	t.Cleanup(w.entryProxy.Close)
+	t.Cleanup(env.entryProxy.Close)
 	settings := platform.Settings{
-		Name: "edge-1", Zone: "a", IP: ip, Callers: w.callerAddr, Ready: w.readyAddr, Peers: addresses[2], Store: store.Address,
+		Name: "edge-1", Zone: "a", IP: ip, Callers: env.callerAddr, Ready: env.readyAddr, Peers: addresses[2], Store: store.Address,
 		Grace: 2 * time.Second, LeaveWithin: 2 * time.Second, ConfigWithin: 2 * time.Second,
 		RetryRatio: 0.8, RetryExtra: 150, RetryWindow: 10 * time.Second, AddressReuse: 2 * time.Second,
 	}
 	if change != nil {
 		change(&settings)
 	}
-	w.entry, err = entry.New(entry.Options{Settings: settings, Logger: log.NewLogfmtLogger(log.NewSyncWriter(&w.logs))})
+	env.entry, err = entry.New(entry.Options{Settings: settings, Logger: log.NewLogfmtLogger(log.NewSyncWriter(&env.logs))})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	var ctx context.Context
-	ctx, w.stop = context.WithCancel(t.Context())
+	ctx, env.stop = context.WithCancel(t.Context())
 	go func() {
-		defer close(w.ended)
-		if err := w.entry.Run(ctx); err != nil {
+		defer close(env.ended)
+		if err := env.entry.Run(ctx); err != nil {
 			t.Error(err)
 		}
 	}()
-	t.Cleanup(func() { w.stop(); <-w.ended })
-	return w
+	t.Cleanup(func() { env.stop(); <-env.ended })
+	return env
 }
 
 // startServing starts an environment with a configuration and waits until it is ready.
 func startServing(t *testing.T, servers int, change func(*platform.Settings)) *testEnv {
 	t.Helper()
-	w := newTestEnv(t, servers, change)
-	w.configure(1, `"k0","k1"`, testRoutes...)
-	gomega.NewWithT(t).Eventually(w.isReady, "10s", "10ms").Should(gomega.BeTrue())
-	return w
+	env := newTestEnv(t, servers, change)
+	env.configure(1, `"k0","k1"`, testRoutes...)
+	gomega.NewWithT(t).Eventually(env.isReady, "10s", "10ms").Should(gomega.BeTrue())
+	return env
 }
 
-func (w *testEnv) isReady() bool {
-	resp, err := http.Get("http://" + w.readyAddr + platform.ReadyPath)
+func (env *testEnv) isReady() bool {
+	resp, err := http.Get("http://" + env.readyAddr + platform.ReadyPath)
 	if err != nil {
 		return false
 	}
@@ -148,8 +148,8 @@
 }
 
 // listens reports whether callers can connect.
-func (w *testEnv) listens() bool {
-	conn, err := net.Dial("tcp4", w.callerAddr)
+func (env *testEnv) listens() bool {
+	conn, err := net.Dial("tcp4", env.callerAddr)
 	if err != nil {
 		return false
 	}
@@ -158,21 +158,21 @@
 }
 
 // addServer starts a backend server with a proxy in front of it.
-func (w *testEnv) addServer(service string) {
+func (env *testEnv) addServer(service string) {
 	var link *soak.Proxy
-	server, err := w.cloud.NewServer(service, "a", func(own string) string {
+	server, err := env.cloud.NewServer(service, "a", func(own string) string {
 		var err error
 		if link, err = soak.NewProxy(own); err != nil {
-			w.t.Fatal(err)
+			env.t.Fatal(err)
 		}
 		return link.Address
 	})
 	if err != nil {
-		w.t.Fatal(err)
+		env.t.Fatal(err)
 	}
-	w.t.Cleanup(func() { link.Close(); server.Crash() })
+	env.t.Cleanup(func() { link.Close(); server.Crash() })
 	server.EventGap.Store(int64(slowGap))
-	w.servers, w.serverProxies = append(w.servers, server), append(w.serverProxies, link)
+	env.servers, env.serverProxies = append(env.servers, server), append(env.serverProxies, link)
 }
 
 // envCount numbers the environments. Each has a loopback address of its own, so that
@@ -211,32 +211,32 @@
 type testRequest struct {
 	id, path, key string
 	timeout       time.Duration
-	body          int
+	body          int    // bytes
 	direct        bool   // bypasses the proxy in front of the process
 	extraHeader   string // further header lines
 }
 
 // send sends a request without reading the response.
-func (w *testEnv) send(a testRequest) *testCaller {
-	w.t.Helper()
-	address := w.entryProxy.Address
-	if a.direct {
-		address = w.callerAddr
+func (env *testEnv) send(r testRequest) *testCaller {
+	env.t.Helper()
+	address := env.entryProxy.Address
+	if r.direct {
+		address = env.callerAddr
 	}
 	conn, err := net.Dial("tcp4", address)
 	if err != nil {
-		w.t.Fatal(err)
+		env.t.Fatal(err)
 	}
-	w.t.Cleanup(func() { _ = conn.Close() })
-	c := &testCaller{id: a.id, conn: conn, reader: bufio.NewReader(conn)}
-	if a.key == "" {
-		a.key = "k0"
+	env.t.Cleanup(func() { _ = conn.Close() })
+	c := &testCaller{id: r.id, conn: conn, reader: bufio.NewReader(conn)}
+	if r.key == "" {
+		r.key = "k0"
 	}
-	if a.timeout == 0 {
-		a.timeout = 20 * time.Second
+	if r.timeout == 0 {
+		r.timeout = 20 * time.Second
 	}
 	_, c.Err = fmt.Fprintf(conn, "POST %s HTTP/1.1\r\nHost: %s\r\nAttempt-Id: %s\r\nDeadline-Ms: %d\r\nAuthorization: Token %s\r\n%sContent-Length: %d\r\n\r\n%s",
-		a.path, testHost, a.id, a.timeout.Milliseconds(), a.key, a.extraHeader, a.body, strings.Repeat("b", a.body))
+		r.path, testHost, r.id, r.timeout.Milliseconds(), r.key, r.extraHeader, r.body, strings.Repeat("b", r.body))
 	return c
 }
 
@@ -285,11 +285,11 @@
 
 // lastLine waits until the last log line of a request names what ended it, and returns
 // the line.
-func (w *testEnv) lastLine(id string) explain.Line {
-	w.t.Helper()
+func (env *testEnv) lastLine(id string) explain.Line {
+	env.t.Helper()
 	var last explain.Line
-	gomega.NewWithT(w.t).Eventually(func() string {
-		for _, l := range w.lines() {
+	gomega.NewWithT(env.t).Eventually(func() string {
+		for _, l := range env.lines() {
 			if l.Fields["request"] == id {
 				last = l
 			}
@@ -300,19 +300,19 @@
 }
 
 // lines returns the log of the process.
-func (w *testEnv) lines() []explain.Line {
-	lines, err := explain.Read(strings.NewReader(w.logs.text()))
+func (env *testEnv) lines() []explain.Line {
+	lines, err := explain.Read(strings.NewReader(env.logs.text()))
 	if err != nil {
-		w.t.Fatal(err)
+		env.t.Fatal(err)
 	}
 	return lines
 }
 
 // endedCount returns how many requests were ended for a reason, by the metrics.
-func (w *testEnv) endedCount(by string) int {
-	families, err := w.entry.Metrics().Gather()
+func (env *testEnv) endedCount(by string) int {
+	families, err := env.entry.Metrics().Gather()
 	if err != nil {
-		w.t.Fatal(err)
+		env.t.Fatal(err)
 	}
 	n := 0.0
 	for _, f := range families {
--- a/entry/guard.go
+++ b/entry/guard.go
@@ -46,15 +46,15 @@
 }
 
 // Copy implements exchange.Backend.
-func (g *guardedBackend) Copy(ctx context.Context, req *exchange.Request, from, to *directory.Server) (m *exchange.KVCopy, err error) {
+func (g *guardedBackend) Copy(ctx context.Context, req *exchange.Request, from, to *directory.Server) (kv *exchange.KVCopy, err error) {
 	defer g.recoverInto(req.ID, from, &err)
 	return g.Backend.Copy(ctx, req, from, to)
 }
 
 // Free implements exchange.Backend.
-func (g *guardedBackend) Free(ctx context.Context, m *exchange.KVCopy) (err error) {
-	defer g.recoverInto("", m.Server, &err)
-	return g.Backend.Free(ctx, m)
+func (g *guardedBackend) Free(ctx context.Context, kv *exchange.KVCopy) (err error) {
+	defer g.recoverInto("", kv.Server, &err)
+	return g.Backend.Free(ctx, kv)
 }
 
 // Probe implements exchange.Backend.
@@ -69,7 +69,7 @@
 	return g.Backend.CachedPrompts(ctx, s)
 }
 
-// guardedBody does the same for the body of a response.
+// guardedBody turns panics of Read of a response's body into errors.
 type guardedBody struct {
 	exchange.Body
 	backend *guardedBackend
--- a/entry/handler.go
+++ b/entry/handler.go
@@ -38,9 +38,9 @@
 
 // ServeHTTP implements http.Handler.
 func (h *handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	a := &httpanswer.Writer{ResponseWriter: w}
-	defer h.recoverPanic(a, r)
-	h.handle(a, r)
+	writer := &httpanswer.Writer{ResponseWriter: w}
+	defer h.recoverPanic(writer, r)
+	h.handle(writer, r)
 }
 
 // handle serves a request or refuses it.
@@ -107,13 +107,14 @@
 		call.Organisation = owner.Name
 	}
 	call.Service = call.Route.Pick()
-	length, by := requestTimeout(call.Timeout, call.Route.Timeout)
-	call.Deadline, call.DeadlineBy = call.Arrived.Add(length), by
+	timeout, by := requestTimeout(call.Timeout, call.Route.Timeout)
+	call.Deadline, call.DeadlineBy = call.Arrived.Add(timeout), by
 	return nil
 }
 
-// requestTimeout returns how long a request may take, and what a request ended by that timeout
-// is ended by: the caller's deadline or the route's timeout.
+// requestTimeout returns the shorter of the timeouts that the caller asked for and the
+// route allows, where 0 is none, and what a request is ended by when it passes. Without
+// either it is defaultTimeout.
 func requestTimeout(asked, allowed time.Duration) (time.Duration, exchange.EndedBy) {
 	switch {
 	case asked > 0 && (allowed <= 0 || asked <= allowed):
--- a/entry/http10_test.go
+++ b/entry/http10_test.go
@@ -18,8 +18,8 @@
 func TestTruncatedHTTP10ResponseIsReset(t *testing.T) {
 	for _, path := range []string{"/stream/1", "/large/1"} {
 		t.Run(path, func(t *testing.T) {
-			g, w := gomega.NewWithT(t), startServing(t, 1, nil)
-			conn, err := net.Dial("tcp4", w.callerAddr)
+			g, env := gomega.NewWithT(t), startServing(t, 1, nil)
+			conn, err := net.Dial("tcp4", env.callerAddr)
 			g.Expect(err).NotTo(gomega.HaveOccurred())
 			defer conn.Close()
 			_, err = fmt.Fprintf(conn, "POST %s HTTP/1.0\r\nHost: %s\r\nAttempt-Id: r1\r\nAuthorization: Token k0\r\nContent-Length: 0\r\n\r\n", path, testHost)
@@ -28,7 +28,7 @@
 			answer, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			g.Expect(err).NotTo(gomega.HaveOccurred())
 			g.Expect(answer.StatusCode).To(gomega.Equal(200))
-			w.servers[0].Crash()
+			env.servers[0].Crash()
 			_, err = io.Copy(io.Discard, answer.Body)
 			g.Expect(err).To(gomega.HaveOccurred(), "looks complete")
 		})
@@ -37,9 +37,9 @@
 
 // A complete response to an HTTP/1.0 caller ends without an error.
 func TestCompleteHTTP10Response(t *testing.T) {
-	g, w := gomega.NewWithT(t), startServing(t, 1, nil)
-	w.servers[0].EventGap.Store(int64(fastGap))
-	conn, err := net.Dial("tcp4", w.callerAddr)
+	g, env := gomega.NewWithT(t), startServing(t, 1, nil)
+	env.servers[0].EventGap.Store(int64(fastGap))
+	conn, err := net.Dial("tcp4", env.callerAddr)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	defer conn.Close()
 	_, err = fmt.Fprintf(conn, "POST /stream/1 HTTP/1.0\r\nHost: %s\r\nAttempt-Id: r1\r\nAuthorization: Token k0\r\nContent-Length: 0\r\n\r\n", testHost)
--- a/entry/late_test.go
+++ b/entry/late_test.go
@@ -18,9 +18,10 @@
 	"github.com/pearyard/pearyard/site"
 )
 
-// sendSlowBody sends a call with the deadline wait whose body takes the time body to arrive.
-// It returns the status, the Retry-After and whether the call reached a backend server.
-func sendSlowBody(t *testing.T, wait, body time.Duration, stops bool) (status int, after string, reached bool) {
+// sendSlowBody sends a call with the deadline wait whose body takes the time body to
+// arrive; stops begins a planned stop before that. It returns the status, the Retry-After
+// and whether the call reached a backend server.
+func sendSlowBody(t *testing.T, wait, body time.Duration, stops bool) (status int, retryAfter string, reached bool) {
 	backend := modelServer{&sync.Map{}}
 	stop := newShutdownState()
 	e := modelEntry(stop, backend)
@@ -51,23 +52,24 @@
 func TestRequestCompleteAfterDeadlineIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		status, after, reached := sendSlowBody(t, time.Second, 1100*time.Millisecond, false)
+		status, retryAfter, reached := sendSlowBody(t, time.Second, 1100*time.Millisecond, false)
 		g.Expect(reached).To(gomega.BeFalse())
 		g.Expect(status).To(gomega.Equal(http.StatusServiceUnavailable))
-		wait, err := strconv.ParseFloat(after, 64)
+		wait, err := strconv.ParseFloat(retryAfter, 64)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(wait).To(gomega.BeNumerically(">=", 0))
 	})
 }
 
-// The same during a planned stop.
+// The same late in a planned stop: the body is complete only shortly before the process
+// ends, long after the deadline.
 func TestRequestCompleteAfterDeadlineIsRefusedDuringStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		status, after, reached := sendSlowBody(t, time.Second, 7600*time.Millisecond, true)
+		status, retryAfter, reached := sendSlowBody(t, time.Second, 7600*time.Millisecond, true)
 		g.Expect(reached).To(gomega.BeFalse())
 		g.Expect(status).To(gomega.Equal(http.StatusServiceUnavailable))
-		g.Expect(after).NotTo(gomega.HavePrefix("-"), "Retry-After is not negative")
+		g.Expect(retryAfter).NotTo(gomega.HavePrefix("-"), "Retry-After is not negative")
 	})
 }
 
--- a/entry/listen.go
+++ b/entry/listen.go
@@ -41,11 +41,11 @@
 	return e.anyRoutedServer(func(s *directory.Server) bool { return !s.Draining() })
 }
 
-// anyRoutedServer reports whether a service that a route leads to has a server that
-// counts.
-func (e *Entry) anyRoutedServer(counts func(*directory.Server) bool) bool {
+// anyRoutedServer reports whether a service that a route leads to has a server for
+// which matches returns true.
+func (e *Entry) anyRoutedServer(matches func(*directory.Server) bool) bool {
 	config, view := e.configHolder.Config(), e.directory.View()
-	return config != nil && config.AnyTarget(func(service string) bool { return slices.ContainsFunc(view.Service(service), counts) })
+	return config != nil && config.AnyTarget(func(service string) bool { return slices.ContainsFunc(view.Service(service), matches) })
 }
 
 // serveReady adds the server of the platform's readiness check.
--- a/entry/main.go
+++ b/entry/main.go
@@ -61,7 +61,7 @@
 func checkConfig(path string, stdout io.Writer) (int, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return exitFailed, errors.Wrap(err, "entry: configuration")
+		return exitFailed, errors.Wrap(err, "entry: read configuration file")
 	}
 	found := platform.CheckConfig(raw)
 	if len(found) > 0 {
--- a/entry/model_test.go
+++ b/entry/model_test.go
@@ -229,9 +229,9 @@
 	ended := make(chan error, 1)
 	go func() { ended <- group.Run() }()
 	got := make([]string, len(requests))
-	var asking sync.WaitGroup
+	var sending sync.WaitGroup
 	for i, r := range requests {
-		asking.Go(func() {
+		sending.Go(func() {
 			wait := modelSignal + r.at
 			if r.reused {
 				wait -= time.Second + modelCall
@@ -249,7 +249,7 @@
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
-	asking.Wait()
+	sending.Wait()
 	return got
 }
 
--- a/entry/outcomes_test.go
+++ b/entry/outcomes_test.go
@@ -22,8 +22,8 @@
 func TestLongErrorOfStreamIsNotTruncated(t *testing.T) {
 	const length = 300 << 10
 	g := gomega.NewWithT(t)
-	w := startWithRawServer(t, func(conn net.Conn, r *http.Request) { writeRawResponse(conn, r, 422, strings.Repeat("x", length)) })
-	c := w.send(testRequest{id: "r1", path: "/stream/1"}).readRest()
+	env := startWithRawServer(t, func(conn net.Conn, r *http.Request) { writeRawResponse(conn, r, 422, strings.Repeat("x", length)) })
+	c := env.send(testRequest{id: "r1", path: "/stream/1"}).readRest()
 	g.Expect(c.Status).To(gomega.Equal(422))
 	if c.Err == nil {
 		g.Expect(c.Bytes).To(gomega.BeEquivalentTo(length), "looks complete")
@@ -36,17 +36,17 @@
 func TestReceivedErrorIsDeliveredAtDeadline(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var sent atomic.Int32
-	w := newTestEnv(t, 0, nil)
+	env := newTestEnv(t, 0, nil)
 	respond := func(conn net.Conn, r *http.Request) {
 		if r.Header.Get("Attempt-Id") == "r1" && sent.Add(1) == 1 {
 			writeRawResponse(conn, r, 500, "reason")
 		}
 	}
-	w.addRawServer(respond)
-	w.addRawServer(respond)
-	w.configure(1, `"k0"`, append(testRoutes, testRoute("/twice/", "idempotent", `"maxAttempts":2,"timeoutMs":8000`))...)
-	g.Eventually(w.isReady, "10s", "10ms").Should(gomega.BeTrue())
-	c := w.send(testRequest{id: "r1", path: "/twice/1", timeout: time.Second}).readHead()
+	env.addRawServer(respond)
+	env.addRawServer(respond)
+	env.configure(1, `"k0"`, append(testRoutes, testRoute("/twice/", "idempotent", `"maxAttempts":2,"timeoutMs":8000`))...)
+	g.Eventually(env.isReady, "10s", "10ms").Should(gomega.BeTrue())
+	c := env.send(testRequest{id: "r1", path: "/twice/1", timeout: time.Second}).readHead()
 	g.Expect(sent.Load()).To(gomega.BeEquivalentTo(2))
 	g.Expect(c.Status).To(gomega.Equal(500))
 }
@@ -56,11 +56,11 @@
 // could not repeat a stream that must not run twice.
 func TestStreamSentToNoServerIsRefused(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w := newTestEnv(t, 0, nil)
-	w.addServer("other")
-	w.configure(1, `"k0"`, append(testRoutes, strings.ReplaceAll(testRoute("/other/", "idempotent", `"maxAttempts":1`), `"service":"s"`, `"service":"other"`))...)
-	g.Eventually(w.isReady, "10s", "10ms").Should(gomega.BeTrue())
-	c := w.send(testRequest{id: "r1", path: "/stream/1", timeout: 200 * time.Millisecond}).readHead()
-	w.expectServerEnds("r1")
+	env := newTestEnv(t, 0, nil)
+	env.addServer("other")
+	env.configure(1, `"k0"`, append(testRoutes, strings.ReplaceAll(testRoute("/other/", "idempotent", `"maxAttempts":1`), `"service":"s"`, `"service":"other"`))...)
+	g.Eventually(env.isReady, "10s", "10ms").Should(gomega.BeTrue())
+	c := env.send(testRequest{id: "r1", path: "/stream/1", timeout: 200 * time.Millisecond}).readHead()
+	env.expectServerEnds("r1")
 	g.Expect(c.Status).To(gomega.Equal(503))
 }
--- a/entry/peers_test.go
+++ b/entry/peers_test.go
@@ -21,7 +21,7 @@
 	t.Helper()
 	g := gomega.NewWithT(t)
 	other, own := "", ""
-	w := startServing(t, 1, func(s *platform.Settings) {
+	env := startServing(t, 1, func(s *platform.Settings) {
 		other, own = freeAddresses(t, s.IP, 1)[0], s.Peers
 		rows := platform.NewStore(s.Store, prometheus.NewRegistry())
 		g.Expect(rows.Put(t.Context(), "entry_vms", "edge-2", []byte(other))).To(gomega.Succeed())
@@ -37,7 +37,7 @@
 	go func() { ended <- socket.Run(ctx) }()
 	t.Cleanup(func() { cancel(); <-ended })
 	g.Eventually(func() float64 { return datagramsReceived(t, metrics) }, "10s", "10ms").Should(gomega.BeNumerically(">", 0), "datagrams arrive")
-	return w, election
+	return env, election
 }
 
 // datagramsReceived returns how many datagrams were received.
@@ -58,22 +58,22 @@
 // other stopping processes would send their callers here.
 func TestStopIsAnnouncedAtItsBeginning(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w, other := startWithPeer(t)
+	env, other := startWithPeer(t)
 	g.Expect(other.AllStop()).To(gomega.BeFalse())
-	w.stop()
+	env.stop()
 	g.Eventually(other.AllStop, "1s", "5ms").Should(gomega.BeTrue())
-	g.Expect(w.listens()).To(gomega.BeTrue(), "the stop has only begun")
+	g.Expect(env.listens()).To(gomega.BeTrue(), "the stop has only begun")
 }
 
 // Both entry VMs are stopped. The Retry-After of a refusal is the time until they are
 // back: a caller that retried at once would be refused by the other one too.
 func TestRetryAfterWhenBothVMsStop(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w, other := startWithPeer(t)
+	env, other := startWithPeer(t)
 	other.AnnounceStop()
-	w.stop()
-	g.Eventually(w.logs.text).Should(gomega.ContainSubstring("event=PY2754"))
-	answer := w.send(testRequest{id: "r1", path: "/stream/1"}).readHead()
+	env.stop()
+	g.Eventually(env.logs.text).Should(gomega.ContainSubstring("event=PY2754"))
+	answer := env.send(testRequest{id: "r1", path: "/stream/1"}).readHead()
 	g.Expect(answer.Status).To(gomega.Equal(503))
 	wait, err := strconv.ParseFloat(answer.Header.Get("Retry-After"), 64)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -91,21 +91,21 @@
 	}{"young": {time.Hour, false}, "old": {200 * time.Millisecond, true}} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			w := startServing(t, 2, func(s *platform.Settings) { s.RetryRatio, s.RetryExtra, s.RetryWindow = 0, 10, c.window })
-			answer := w.send(testRequest{id: "r1", path: "/stream/again/1"}).readHead().readLines(9)
-			ran := w.cloud.Ledger.Runs()[0].Server
-			for _, s := range w.servers {
+			env := startServing(t, 2, func(s *platform.Settings) { s.RetryRatio, s.RetryExtra, s.RetryWindow = 0, 10, c.window })
+			answer := env.send(testRequest{id: "r1", path: "/stream/again/1"}).readHead().readLines(9)
+			ran := env.cloud.Ledger.Runs()[0].Server
+			for _, s := range env.servers {
 				if s.ID() == ran {
 					s.Crash()
 				}
 			}
 			if c.whole {
 				g.Expect(answer.readRest().Err).NotTo(gomega.HaveOccurred())
-				w.expectServerEnds("r1", nursery.Interrupted, nursery.Completed)
+				env.expectServerEnds("r1", nursery.Interrupted, nursery.Completed)
 				return
 			}
 			g.Expect(answer.readRest().Err).To(gomega.HaveOccurred())
-			w.expectEnd("r1", requestEnd{"limit", "PY2722", "A limit ended it after"})
+			env.expectEnd("r1", requestEnd{"limit", "PY2722", "A limit ended it after"})
 		})
 	}
 }
--- a/entry/rawserver_test.go
+++ b/entry/rawserver_test.go
@@ -16,39 +16,39 @@
 )
 
 // startWithRawServer starts an environment with a single backend server that runs
-// conversation for each request, after it has read its head and body.
-func startWithRawServer(t *testing.T, conversation func(conn net.Conn, r *http.Request)) *testEnv {
+// respond for each request, after it has read its head and body.
+func startWithRawServer(t *testing.T, respond func(conn net.Conn, r *http.Request)) *testEnv {
 	t.Helper()
-	w := newTestEnv(t, 0, nil)
-	w.addRawServer(conversation)
-	w.configure(1, `"k0"`, testRoutes...)
-	gomega.NewWithT(t).Eventually(w.isReady, "10s", "10ms").Should(gomega.BeTrue())
-	return w
+	env := newTestEnv(t, 0, nil)
+	env.addRawServer(respond)
+	env.configure(1, `"k0"`, testRoutes...)
+	gomega.NewWithT(t).Eventually(env.isReady, "10s", "10ms").Should(gomega.BeTrue())
+	return env
 }
 
-// addRawServer adds a backend server that runs conversation for each request.
-func (w *testEnv) addRawServer(conversation func(conn net.Conn, r *http.Request)) {
-	w.t.Helper()
+// addRawServer adds a backend server that runs respond for each request.
+func (env *testEnv) addRawServer(respond func(conn net.Conn, r *http.Request)) {
+	env.t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
-		w.t.Fatal(err)
+		env.t.Fatal(err)
 	}
-	w.t.Cleanup(func() { _ = listener.Close() })
+	env.t.Cleanup(func() { _ = listener.Close() })
 	go func() {
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go serveRaw(conn, conversation)
+			go serveRaw(conn, respond)
 		}
 	}()
-	w.store.Put("servers", "i-raw-"+strings.ReplaceAll(listener.Addr().String(), ":", "-"), fmt.Appendf(nil,
+	env.store.Put("servers", "i-raw-"+strings.ReplaceAll(listener.Addr().String(), ":", "-"), fmt.Appendf(nil,
 		`{"service":"s","address":%q,"zone":"a","version":"v1","slots":64,"state":"ready","coldRemainingMs":0,"seq":1,"born":1}`, listener.Addr()))
 }
 
-// serveRaw serves the requests of a connection with conversation.
-func serveRaw(conn net.Conn, conversation func(conn net.Conn, r *http.Request)) {
+// serveRaw serves the requests of a connection with respond.
+func serveRaw(conn net.Conn, respond func(conn net.Conn, r *http.Request)) {
 	defer conn.Close()
 	in := bufio.NewReader(conn)
 	for {
@@ -59,7 +59,7 @@
 		if _, err := io.Copy(io.Discard, r.Body); err != nil {
 			return
 		}
-		conversation(conn, r)
+		respond(conn, r)
 	}
 }
 
@@ -72,14 +72,14 @@
 		for _, path := range []string{"/once/1", "/large/1", "/stream/1"} {
 			t.Run(status+path, func(t *testing.T) {
 				g := gomega.NewWithT(t)
-				w := startWithRawServer(t, func(conn net.Conn, r *http.Request) {
+				env := startWithRawServer(t, func(conn net.Conn, r *http.Request) {
 					_, _ = fmt.Fprintf(conn, "HTTP/1.1 %s Odd\r\nAttempt-Id: %s\r\nResponse-Signature: x\r\nContent-Length: 2\r\n\r\nab", status, r.Header.Get("Attempt-Id"))
 				})
-				c := w.send(testRequest{id: "r1", path: path}).readHead()
+				c := env.send(testRequest{id: "r1", path: path}).readHead()
 				g.Expect(c.Err).NotTo(gomega.HaveOccurred(), "closed without a response")
 				g.Expect(c.Status).To(gomega.Equal(502))
 				g.Expect(c.Header).NotTo(gomega.HaveKey("Response-Signature"), "this response is not from a server")
-				w.expectEnd("r1", requestEnd{"server", "PY2722", "Its backend server "})
+				env.expectEnd("r1", requestEnd{"server", "PY2722", "Its backend server "})
 			})
 		}
 	}
@@ -88,8 +88,8 @@
 // A request takes longer to arrive than its caller waits. It is refused as not run, by
 // its deadline.
 func TestEndedByDeadlineBeforeBodyIsComplete(t *testing.T) {
-	g, w := gomega.NewWithT(t), startServing(t, 1, nil)
-	conn, err := net.Dial("tcp4", w.callerAddr)
+	g, env := gomega.NewWithT(t), startServing(t, 1, nil)
+	conn, err := net.Dial("tcp4", env.callerAddr)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	defer conn.Close()
 	_, err = fmt.Fprintf(conn, "POST /once/1 HTTP/1.1\r\nHost: %s\r\nAttempt-Id: r1\r\nDeadline-Ms: 200\r\nAuthorization: Token k0\r\nContent-Length: 2\r\n\r\na", testHost)
@@ -100,8 +100,8 @@
 	answer, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(answer.StatusCode).To(gomega.Equal(503))
-	w.expectServerEnds("r1")
-	w.expectEnd("r1", requestEnd{"deadline", "PY2761", "It was refused and has not run: its last byte came after"})
+	env.expectServerEnds("r1")
+	env.expectEnd("r1", requestEnd{"deadline", "PY2761", "It was refused and has not run: its last byte came after"})
 }
 
 // The grace period of a planned stop ends while calls run that must not run twice, or
@@ -111,22 +111,22 @@
 	for _, path := range []string{"/once/1", "/large/1", "/stream/1"} {
 		t.Run(path, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			w := newTestEnv(t, 0, func(s *platform.Settings) { s.Grace = 500 * time.Millisecond })
+			env := newTestEnv(t, 0, func(s *platform.Settings) { s.Grace = 500 * time.Millisecond })
 			reached := make(chan struct{}, 1)
-			w.addRawServer(func(_ net.Conn, r *http.Request) {
+			env.addRawServer(func(_ net.Conn, r *http.Request) {
 				if r.Header.Get("Attempt-Id") == "r1" {
 					reached <- struct{}{} // and never responds
 				}
 			})
-			w.configure(1, `"k0"`, testRoutes...)
-			g.Eventually(w.isReady, "10s", "10ms").Should(gomega.BeTrue())
-			c := w.send(testRequest{id: "r1", path: path})
+			env.configure(1, `"k0"`, testRoutes...)
+			g.Eventually(env.isReady, "10s", "10ms").Should(gomega.BeTrue())
+			c := env.send(testRequest{id: "r1", path: path})
 			g.Eventually(reached, "5s").Should(gomega.Receive())
-			w.stop()
+			env.stop()
 			g.Expect(c.readHead().Err).NotTo(gomega.HaveOccurred(), "closed without a response")
 			g.Expect(c.Status).To(gomega.Equal(502))
 			g.Expect(c.readRest().Err).NotTo(gomega.HaveOccurred())
-			w.expectEnd("r1", requestEnd{"stop", "PY2734", "The planned stop of edge-1 cut it after"})
+			env.expectEnd("r1", requestEnd{"stop", "PY2734", "The planned stop of edge-1 cut it after"})
 		})
 	}
 }
--- a/entry/ready_test.go
+++ b/entry/ready_test.go
@@ -36,10 +36,10 @@
 		return directory.Listing{ID: id, Service: service, Address: "10.0.0.1:80", Slots: 1, Draining: draining}
 	}
 	for name, list := range map[string][]directory.Listing{
-		"unknown service":        {entry("a", "other", false)},
-		"all leave":              {entry("a", "s", true)},
-		"no service":             {entry("a", "", false)},
-		"unknown and one leaves": {entry("a", "other", false), entry("b", "s", true)},
+		"unknown service":      {entry("a", "other", false)},
+		"all draining":         {entry("a", "s", true)},
+		"no service":           {entry("a", "", false)},
+		"unknown and draining": {entry("a", "other", false), entry("b", "s", true)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
--- a/entry/refusal.go
+++ b/entry/refusal.go
@@ -88,8 +88,8 @@
 	})
 }
 
-// reject rejects a malformed or unauthorized request, or one without a route. call is
-// nil if its head could not be read.
+// reject rejects a malformed or unauthorized request, one without a route, or one whose
+// body is too large. call is nil if its head could not be read.
 func (h *handler) reject(w http.ResponseWriter, r *http.Request, call *platform.Call, err error, config *site.Config) {
 	var id string
 	var version uint64
@@ -135,8 +135,8 @@
 
 // retryAfterStop returns the Retry-After for a caller that a stopping process refuses.
 //
-// If every peer is draining too, that is when the first of them is back: retrying sooner
-// would only use up the caller's retries. Plain calls may be retried at once, since
+// If all other VMs are stopping too, that is when the first of all is back: retrying
+// sooner would only use up the caller's retries. Plain calls may be retried at once, since
 // stopping processes accept them until shortly before their end.
 func (h *handler) retryAfterStop(call *platform.Call, now time.Time) time.Duration {
 	if call.Route.Kind != site.Stream || h.allPeersStopping == nil || !h.allPeersStopping() {
--- a/entry/shutdown.go
+++ b/entry/shutdown.go
@@ -37,9 +37,10 @@
 	// responseMargin. No plain call is accepted with less time left.
 	minPlainDuration = 800 * time.Millisecond
 	// estimateWindow is how long after a stop has begun streams are accepted by the
-	// estimated duration. Callers arrive for rotationDelay, and the health check that
-	// takes the process out of rotation may be late; whoever comes after that comes to
-	// a process that has long reported itself not ready.
+	// estimated duration; later ones also need a deadline before the process's end.
+	// Callers arrive for rotationDelay, and the health check that takes the process out
+	// of rotation may be late by 400 ms; whoever comes after that comes to a process
+	// that has long reported itself not ready.
 	estimateWindow = rotationDelay + 400*time.Millisecond
 	// responseMargin is reserved at the end for writing the responses to plain calls.
 	responseMargin = 300 * time.Millisecond
@@ -82,7 +83,7 @@
 	s.endOffset.Store(int64(end.Sub(s.epoch)))
 }
 
-// pastEstimateWindow reports whether the stop has gone on for so long that only requests
+// pastEstimateWindow reports whether the stop has gone on for so long that only streams
 // that are certain to end before the process are accepted.
 //
 // The durations of past streams don't bound that of the next one.
@@ -123,7 +124,7 @@
 	ended := 0
 	for _, d := range s.byRoute {
 		if d.fallback != defaultStreamDuration {
-			continue
+			continue // not a stream's route
 		}
 		need, count := d.longest(now)
 		longest = max(longest, need)
@@ -154,20 +155,20 @@
 	return drained
 }
 
-// canFinish reports whether a request that begins now and takes that long can be
+// canFinish reports whether a request that begins now and takes the time need can be
 // finished.
 func (s *shutdownState) canFinish(now time.Time, need time.Duration) bool {
 	return !s.begun() || now.Add(need).Before(s.endsAt())
 }
 
-// capDeadline returns a plain request's deadline, moved forward if necessary to leave
-// responseMargin before the end of the process.
-func (s *shutdownState) capDeadline(until time.Time) time.Time {
+// capDeadline returns a plain request's deadline, but no later than responseMargin
+// before the end of the process.
+func (s *shutdownState) capDeadline(deadline time.Time) time.Time {
 	if !s.begun() {
-		return until
+		return deadline
 	}
-	if last := s.endsAt().Add(-responseMargin); until.After(last) {
+	if last := s.endsAt().Add(-responseMargin); deadline.After(last) {
 		return last
 	}
-	return until
+	return deadline
 }
--- a/entry/shutdown_test.go
+++ b/entry/shutdown_test.go
@@ -52,8 +52,9 @@
 
 // Too few samples underestimate the duration of streams: long ones have not ended yet.
 // In a stop of all entry VMs, 0.4 s apart, a process accepted a stream with 4.16 s left
-// and cut it. Only two streams had ended, after 3.94 and 4.81 s, and the estimate was
-// need=4.26s; seven streams were cut after up to 5.4 s.
+// and cut it. Only two streams had ended, after 3.94 and 4.81 s, and the shorter one was
+// the estimate. The next stream was refused with need=4.26s in its log line; seven
+// streams were cut after up to 5.4 s, and no server had failed.
 func TestStoppingIgnoresTooFewSamples(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := newShutdownState()
--- a/entry/silent_test.go
+++ b/entry/silent_test.go
@@ -18,24 +18,24 @@
 func startWithSilentServers(t *testing.T, respond func(conn net.Conn, r *http.Request, arrival int32)) (*testEnv, *atomic.Int32) {
 	t.Helper()
 	var arrivals atomic.Int32
-	w := newTestEnv(t, 0, nil)
+	env := newTestEnv(t, 0, nil)
 	each := func(conn net.Conn, r *http.Request) {
 		if r.Header.Get("Attempt-Id") == "r1" {
 			respond(conn, r, arrivals.Add(1))
 		}
 	}
-	w.addRawServer(each)
-	w.addRawServer(each)
-	w.configure(1, `"k0"`, append(testRoutes,
+	env.addRawServer(each)
+	env.addRawServer(each)
+	env.configure(1, `"k0"`, append(testRoutes,
 		testRoute("/twice/", "idempotent", `"maxAttempts":2,"timeoutMs":8000`), testRoute("/brief/", "non_idempotent", `"maxAttempts":1,"timeoutMs":700`))...)
-	gomega.NewWithT(t).Eventually(w.isReady, "10s", "10ms").Should(gomega.BeTrue())
-	return w, &arrivals
+	gomega.NewWithT(t).Eventually(env.isReady, "10s", "10ms").Should(gomega.BeTrue())
+	return env, &arrivals
 }
 
 // silentCase is a call and its expected result.
 type silentCase struct {
 	path        string
-	wait        time.Duration
+	timeout     time.Duration
 	respond     func(conn net.Conn, r *http.Request, arrival int32)
 	status      int
 	from, until time.Duration // when the response is complete
@@ -82,15 +82,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			w, arrivals := startWithSilentServers(t, c.respond)
+			env, arrivals := startWithSilentServers(t, c.respond)
 			began := time.Now()
-			got := w.send(testRequest{id: "r1", path: c.path, timeout: c.wait}).readRest()
+			got := env.send(testRequest{id: "r1", path: c.path, timeout: c.timeout}).readRest()
 			took := time.Since(began)
 			g.Expect(got.Err).NotTo(gomega.HaveOccurred())
 			g.Expect(got.Status).To(gomega.Equal(c.status))
 			g.Expect(took).To(gomega.And(gomega.BeNumerically(">=", c.from-20*time.Millisecond), gomega.BeNumerically("<", c.until)))
 			g.Expect(arrivals.Load()).To(gomega.Equal(c.arrivals))
-			w.expectEnd("r1", c.event)
+			env.expectEnd("r1", c.event)
 		})
 	}
 }
@@ -99,16 +99,16 @@
 // has received. The response is aborted at the deadline and not sooner.
 func TestServerFallsSilentDuringLargeResponse(t *testing.T) {
 	g := gomega.NewWithT(t)
-	w := startWithRawServer(t, func(conn net.Conn, r *http.Request) {
+	env := startWithRawServer(t, func(conn net.Conn, r *http.Request) {
 		_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nResponse-Signature: x\r\nContent-Length: %d\r\n\r\n%s",
 			r.Header.Get("Attempt-Id"), 400<<10, strings.Repeat("x", 300<<10))
 		_, _ = io.Copy(io.Discard, conn)
 	})
 	began := time.Now()
-	c := w.send(testRequest{id: "r1", path: "/large/1", timeout: 1500 * time.Millisecond}).readHead()
+	c := env.send(testRequest{id: "r1", path: "/large/1", timeout: 1500 * time.Millisecond}).readHead()
 	g.Expect(c.Status).To(gomega.Equal(200))
 	g.Expect(time.Since(began)).To(gomega.BeNumerically("<", time.Second), "the beginning isn't held back")
 	g.Expect(c.readRest().Err).To(gomega.HaveOccurred())
 	g.Expect(time.Since(began)).To(gomega.BeNumerically(">=", 1400*time.Millisecond))
-	w.expectEnd("r1", requestEnd{"deadline", "PY2722", "Its caller's deadline passed after"})
+	env.expectEnd("r1", requestEnd{"deadline", "PY2722", "Its caller's deadline passed after"})
 }
