--- a/entry/durations.go
+++ b/entry/durations.go
@@ -27,9 +27,9 @@
 	fallback time.Duration // lower bound of the estimate while too few have ended
 
 	mu        sync.Mutex
-	completed [maxSamples]time.Duration
-	count     int
-	running   map[*time.Time]struct{}
+	completed [maxSamples]time.Duration // ring of the last samples
+	count     int                       // samples recorded in all
+	running   map[*time.Time]struct{}   // arrivals of running requests; pointers, as two times may be equal
 }
 
 func newDurationStats(fallback time.Duration) *durationStats {
--- a/entry/env_test.go
+++ b/entry/env_test.go
@@ -201,8 +201,8 @@
 	reader *bufio.Reader
 	Status int
 	Header http.Header
-	Lines  int   // read of the body by lines
-	Bytes  int64 // read of the body after those
+	Lines  int   // lines of the body read by readLines
+	Bytes  int64 // bytes of the body read by readRest
 	Err    error // nil if the response is complete
 	body   *bufio.Reader
 }
--- a/entry/late_test.go
+++ b/entry/late_test.go
@@ -18,10 +18,10 @@
 	"github.com/pearyard/pearyard/site"
 )
 
-// sendSlowBody sends a call with the deadline wait whose body takes the time body to
-// arrive; stops begins a planned stop before that. It returns the status, the Retry-After
+// sendSlowBody sends a call with a timeout whose body takes the time body to arrive. If
+// stops is set, a planned stop begins before that. It returns the status, the Retry-After
 // and whether the call reached a backend server.
-func sendSlowBody(t *testing.T, wait, body time.Duration, stops bool) (status int, retryAfter string, reached bool) {
+func sendSlowBody(t *testing.T, timeout, body time.Duration, stops bool) (status int, retryAfter string, reached bool) {
 	backend := modelServer{&sync.Map{}}
 	stop := newShutdownState()
 	e := modelEntry(stop, backend)
@@ -34,7 +34,7 @@
 	}
 	conn := l.dial()
 	defer conn.Close()
-	_, _ = fmt.Fprintf(conn, "POST /call/60ms HTTP/1.1\r\nHost: h\r\nAttempt-Id: r1\r\nDeadline-Ms: %d\r\nContent-Length: 1\r\n\r\n", wait.Milliseconds())
+	_, _ = fmt.Fprintf(conn, "POST /call/60ms HTTP/1.1\r\nHost: h\r\nAttempt-Id: r1\r\nDeadline-Ms: %d\r\nContent-Length: 1\r\n\r\n", timeout.Milliseconds())
 	time.Sleep(body)
 	_, _ = conn.Write([]byte("b"))
 	answer, err := http.ReadResponse(bufio.NewReader(conn), nil)
--- a/entry/model_test.go
+++ b/entry/model_test.go
@@ -35,7 +35,8 @@
 	modelCall   = 60 * time.Millisecond
 )
 
-// modelSendTimes are the times of requests, relative to the signal.
+// modelSendTimes are the times of requests, relative to the signal. They are around the
+// moments at which a stopping process changes what it accepts.
 var modelSendTimes = []time.Duration{
 	-3 * time.Second, -time.Millisecond, 0, time.Millisecond, 650 * time.Millisecond, 800 * time.Millisecond, 2500 * time.Millisecond,
 	2501 * time.Millisecond, 4 * time.Second, 5500 * time.Millisecond, 6850 * time.Millisecond, 7350 * time.Millisecond,
--- a/entry/refusal.go
+++ b/entry/refusal.go
@@ -25,7 +25,8 @@
 	// were shorter, callers would use up their retries before the list is there.
 	listRetryDelay = 1300 * time.Millisecond
 	// otherProcessDelay is the Retry-After of a process that is stopping: the caller's next
-	// connection goes to another process.
+	// connection goes to another process. It also applies to requests that were received
+	// only after their deadline.
 	otherProcessDelay = 150 * time.Millisecond
 	// restartTime is how long after its end a process serves again. In that time it
 	// is started and reads its configuration and server list from the store.
