--- a/entry/late_test.go
+++ b/entry/late_test.go
@@ -18,9 +18,10 @@
 	"github.com/pearyard/pearyard/site"
 )
 
-// sendSlowBody sends a call with the deadline wait whose body takes the time body to arrive.
-// It returns the status, the Retry-After and whether the call reached a backend server.
-func sendSlowBody(t *testing.T, wait, body time.Duration, stops bool) (status int, after string, reached bool) {
+// sendSlowBody sends a call with a timeout whose body takes the time body to arrive. If
+// stops is set, a planned stop begins before that. It returns the status, the Retry-After
+// and whether the call reached a backend server.
+func sendSlowBody(t *testing.T, timeout, body time.Duration, stops bool) (status int, retryAfter string, reached bool) {
 	backend := modelServer{&sync.Map{}}
 	stop := newShutdownState()
 	e := modelEntry(stop, backend)
@@ -33,7 +34,7 @@
 	}
 	conn := l.dial()
 	defer conn.Close()
-	_, _ = fmt.Fprintf(conn, "POST /call/60ms HTTP/1.1\r\nHost: h\r\nAttempt-Id: r1\r\nDeadline-Ms: %d\r\nContent-Length: 1\r\n\r\n", wait.Milliseconds())
+	_, _ = fmt.Fprintf(conn, "POST /call/60ms HTTP/1.1\r\nHost: h\r\nAttempt-Id: r1\r\nDeadline-Ms: %d\r\nContent-Length: 1\r\n\r\n", timeout.Milliseconds())
 	time.Sleep(body)
 	_, _ = conn.Write([]byte("b"))
 	answer, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -51,23 +52,24 @@
 func TestRequestCompleteAfterDeadlineIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		status, after, reached := sendSlowBody(t, time.Second, 1100*time.Millisecond, false)
+		status, retryAfter, reached := sendSlowBody(t, time.Second, 1100*time.Millisecond, false)
 		g.Expect(reached).To(gomega.BeFalse())
 		g.Expect(status).To(gomega.Equal(http.StatusServiceUnavailable))
-		wait, err := strconv.ParseFloat(after, 64)
+		wait, err := strconv.ParseFloat(retryAfter, 64)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(wait).To(gomega.BeNumerically(">=", 0))
 	})
 }
 
-// The same during a planned stop.
+// The same late in a planned stop: the body is complete only shortly before the process
+// ends, long after the deadline.
 func TestRequestCompleteAfterDeadlineIsRefusedDuringStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		status, after, reached := sendSlowBody(t, time.Second, 7600*time.Millisecond, true)
+		status, retryAfter, reached := sendSlowBody(t, time.Second, 7600*time.Millisecond, true)
 		g.Expect(reached).To(gomega.BeFalse())
 		g.Expect(status).To(gomega.Equal(http.StatusServiceUnavailable))
-		g.Expect(after).NotTo(gomega.HavePrefix("-"), "Retry-After is not negative")
+		g.Expect(retryAfter).NotTo(gomega.HavePrefix("-"), "Retry-After is not negative")
 	})
 }
 
