--- a/types/id.go
+++ b/types/id.go
@@ -13,7 +13,7 @@
 	"github.com/pkg/errors"
 )
 
-// RequestID identifies one request towards its caller (header Pearyard-Request-Id).
+// RequestID identifies one request to its caller (header Pearyard-Request-Id).
 type RequestID string
 
 // Organisation is the name of the customer on whose behalf a request is made.
@@ -47,7 +47,7 @@
 func KeyOf(org Organisation, idempotencyKey string) Key {
 	d := xxhash.New()
 	_, _ = d.WriteString(string(org))
-	_, _ = d.Write([]byte{0})
+	_, _ = d.Write([]byte{0}) // separator, so that "a"+"bc" and "ab"+"c" differ
 	_, _ = d.WriteString(idempotencyKey)
 	return Key(d.Sum64())
 }
@@ -84,7 +84,8 @@
 // String returns the id as `<16 hex digits>-<8 hex digits>`.
 func (g GenerationID) String() string { return fmt.Sprintf("%016x-%08x", uint64(g.Key), g.Salt) }
 
-// ErrMalformedID is returned for a string that isn't an identifier of this system.
+// ErrMalformedID is returned by the Parse functions for a string that isn't in the
+// format of the identifier.
 var ErrMalformedID = errors.New("malformed identifier")
 
 // ParseGenerationID parses the result of GenerationID.String.
@@ -97,11 +98,11 @@
 	if err != nil {
 		return GenerationID{}, ErrMalformedID
 	}
-	s32, err := strconv.ParseUint(salt, 16, 32)
+	n, err := strconv.ParseUint(salt, 16, 32)
 	if err != nil {
 		return GenerationID{}, ErrMalformedID
 	}
-	return GenerationID{Key: Key(k), Salt: uint32(s32)}, nil
+	return GenerationID{Key: Key(k), Salt: uint32(n)}, nil
 }
 
 // AttemptTag identifies one attempt of a generation. It is random instead of a
@@ -134,15 +135,15 @@
 // ParseEventID parses the result of EventID.String.
 func ParseEventID(s string) (EventID, error) {
 	head, index, ok := strings.Cut(s, ".")
-	cut := strings.LastIndexByte(head, '-')
-	if !ok || cut < 0 || len(head)-cut-1 != 8 {
+	dash := strings.LastIndexByte(head, '-')
+	if !ok || dash < 0 || len(head)-dash-1 != 8 {
 		return EventID{}, ErrMalformedID
 	}
-	gen, err := ParseGenerationID(head[:cut])
+	gen, err := ParseGenerationID(head[:dash])
 	if err != nil {
 		return EventID{}, err
 	}
-	tag, err := strconv.ParseUint(head[cut+1:], 16, 32)
+	tag, err := strconv.ParseUint(head[dash+1:], 16, 32)
 	if err != nil || tag == 0 {
 		return EventID{}, ErrMalformedID
 	}
--- a/types/id_test.go
+++ b/types/id_test.go
@@ -22,7 +22,7 @@
 		}
 		again, err := types.ParseEventID(id.String())
 		if err != nil || again != id || id.Index < 0 || id.Attempt == 0 {
-			t.Fatalf("%q was parsed as %v, and its String as %v (%v)", s, id, again, err)
+			t.Fatalf("%q was parsed as %v, whose String was parsed as %v (%v)", s, id, again, err)
 		}
 	})
 }
@@ -46,11 +46,11 @@
 			}
 			for i, want := range producers {
 				if got := lineage.At(i); got != want || !lineage.Produced(want, i) {
-					t.Fatalf("index %d: producer %d, want %d in %v", i, got, want, lineage)
+					t.Fatalf("index %d: At returned attempt %d, want %d, which Produced must confirm; lineage %v", i, got, want, lineage)
 				}
 			}
 			if lineage.Last() != attempt {
-				t.Fatalf("last is %d, want %d", lineage.Last(), attempt)
+				t.Fatalf("Last returned attempt %d, want %d", lineage.Last(), attempt)
 			}
 		}
 	})
--- a/types/outcome.go
+++ b/types/outcome.go
@@ -22,7 +22,7 @@
 // programs can depend on them.
 type Code string
 
-// Refusal codes, in the order in which a request can meet them.
+// Refusal codes, in the order in which they can arise while a request is processed.
 const (
 	CodeBadRequest      Code = "bad_request"
 	CodeUnauthorized    Code = "unauthorized"
@@ -31,33 +31,34 @@
 	CodeTooLarge        Code = "body_too_large"
 	CodeKeyRequired     Code = "idempotency_key_required"
 	CodeKeyReused       Code = "idempotency_key_reused"
-	CodeForeignEventID  Code = "foreign_event_id"
-	CodeFutureEventID   Code = "future_event_id"
+	CodeForeignEventID  Code = "foreign_event_id" // Last-Event-ID belongs to another request
+	CodeFutureEventID   Code = "future_event_id"  // Last-Event-ID is beyond the end of the answer
 	CodeRateLimited     Code = "rate_limited"
 	CodeOverloaded      Code = "overloaded"
 	CodeNoBackend       Code = "no_backend_server"
-	CodeLeaving         Code = "leaving"
-	CodeNotConfigured   Code = "not_configured"
-	CodeStale           Code = "configuration_stale"
+	CodeLeaving         Code = "leaving"             // the process is shutting down
+	CodeNotConfigured   Code = "not_configured"      // the router has no configuration yet
+	CodeStale           Code = "configuration_stale" // the router can't receive new configuration
 	CodeTableDown       Code = "table_unavailable"
-	CodeQuarantined     Code = "quarantined"
+	CodeQuarantined     Code = "quarantined" // the request has crashed engines; see package suspect
 	CodeDeadline        Code = "deadline_exceeded"
-	CodeTombstone       Code = "attempt_voided"
-	CodeIncarnation     Code = "incarnation_changed"
-	CodeGenerationLost  Code = "generation_lost"
-	CodeResumeExhausted Code = "resume_exhausted"
+	CodeTombstone       Code = "attempt_voided"      // the attempt was voided before it arrived; see package gate
+	CodeIncarnation     Code = "incarnation_changed" // the sidecar has restarted since the call was claimed
+	CodeGenerationLost  Code = "generation_lost"     // the tokens that the caller has can't be continued
+	CodeResumeExhausted Code = "resume_exhausted"    // the generation was lost too often
 	CodeUnknownOutcome  Code = "outcome_unknown"
 	CodeStillRunning    Code = "still_running"
 	CodeInternal        Code = "internal"
 )
 
-// Refusal is a final answer to a request that has no result. It is sent to the
-// caller immediately.
+// Refusal is the answer to a request that ends without a result. A router may
+// retry an attempt that was refused with OutcomeNotRun (see package retry). A
+// refusal that is sent to the caller is final and is sent without delay.
 type Refusal struct {
 	Code       Code
 	Message    string
 	Outcome    Outcome
-	RetryAfter time.Duration // 0: retrying the same request won't succeed
+	RetryAfter time.Duration // when to send the request again; 0: the same request won't succeed
 	Status     int           // HTTP status code of the response
 }
 
@@ -66,7 +67,7 @@
 	return fmt.Sprintf("%s (%s): %s", r.Code, r.Outcome, r.Message)
 }
 
-// NotRun returns a refusal of a request that provably did not run and may be sent
+// NotRun returns the refusal of a request that provably did not run and may be sent
 // again after retryAfter.
 func NotRun(code Code, retryAfter time.Duration, format string, args ...any) *Refusal {
 	status := http.StatusServiceUnavailable
@@ -76,12 +77,12 @@
 	return &Refusal{Code: code, Message: fmt.Sprintf(format, args...), Outcome: OutcomeNotRun, RetryAfter: retryAfter, Status: status}
 }
 
-// Invalid returns a refusal of a request that can't succeed without being changed.
+// Invalid returns the refusal of a request that can't succeed without being changed.
 func Invalid(status int, code Code, format string, args ...any) *Refusal {
 	return &Refusal{Code: code, Message: fmt.Sprintf(format, args...), Outcome: OutcomeNotRun, Status: status}
 }
 
-// Unknown returns the refusal for a call that may have run and won't be run again.
+// Unknown returns the refusal of a call that may have run and won't be run again.
 func Unknown(code Code, retryAfter time.Duration, format string, args ...any) *Refusal {
 	return &Refusal{Code: code, Message: fmt.Sprintf(format, args...), Outcome: OutcomeUnknown, RetryAfter: retryAfter, Status: http.StatusBadGateway}
 }
