--- a/retry/backoff.go
+++ b/retry/backoff.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Bounds of the delay before a router retries a request.
+// Upper bounds of the random delay before a router retries a request: BackoffBase
+// for the first retry, BackoffMax for any.
 const (
 	BackoffBase = 20 * time.Millisecond
 	BackoffMax  = 500 * time.Millisecond
@@ -26,14 +27,15 @@
 
 // RetryAfter returns the Retry-After delay for a caller whose request was shed.
 // load is the ratio of demand to capacity, at least 1 when requests are shed.
-// Callers shed at the same moment are spread over a window that grows with load.
-// If they all retried together, they would cause the next overload.
+// The retries of callers that are shed at the same moment are spread over a window
+// that grows with load. If they all retried together, they would cause the next
+// overload.
 func RetryAfter(load float64) time.Duration {
 	return RetryAfterMin + jitter(retryAfterWindow(load))
 }
 
-// retryAfterWindow returns the length of the window over which shed callers are
-// spread. It is one second at load 1 and grows with the square of load, because
+// retryAfterWindow returns the length of the window over which the retries of shed
+// callers are spread. It is one second at load 1 and grows with the square of load, because
 // both the number of shed callers and the time to drain the queue grow with it.
 func retryAfterWindow(load float64) time.Duration {
 	if math.IsNaN(load) || load < 1 {
@@ -60,8 +62,10 @@
 	return min(base, limit)
 }
 
-// BackoffBetween is like Backoff, with bounds given by the caller and a delay of
-// at least base. It is meant for external systems that charge for each call.
+// BackoffBetween returns the delay before retry n, counted from 1: base, plus a
+// random time between 0 and a bound that starts at base and doubles with n up to
+// limit. Unlike Backoff, it never returns less than base, because it is meant for
+// external systems that charge for each call.
 func BackoffBetween(base, limit time.Duration, n int) time.Duration {
 	return base + jitter(exponential(base, limit, n-1))
 }
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -20,7 +20,7 @@
 
 // BudgetOptions configures a Budget. Zero fields take their defaults.
 type BudgetOptions struct {
-	Service    string        // value of the service label in metrics and events
+	Service    string        // value of the service label in metrics and of the service field in events
 	Ratio      float64       // retries allowed per request in the window
 	PerSecond  float64       // retries allowed per second in addition, independent of requests
 	Window     time.Duration // length of the sliding window over which the limit holds
@@ -36,9 +36,9 @@
 // It prevents retry storms: when many backend servers fail at once under full
 // load, every failed request is retried, and without a limit the retries alone
 // keep the remaining servers overloaded. Unused retries don't accumulate beyond
-// the window, or a retry storm could follow any quiet period. In a model of 36
-// runners at 1.5 times the steady rate, with a tenth of them dead, the others
-// received 2.15 attempts per request without a budget and 1.08 with it.
+// the window, or a retry storm could follow any quiet period. In a simulation of
+// 36 backend servers at 1.5 times the steady rate, with a tenth of them dead, the
+// others received 2.15 attempts per request without a budget and 1.08 with it.
 type Budget struct {
 	window     *Window
 	now        func() time.Time
--- a/retry/budget_test.go
+++ b/retry/budget_test.go
@@ -20,10 +20,10 @@
 // any requests.
 const fixed = int(DefaultPerSecond * DefaultWindow / time.Second)
 
-// Guards against a retry storm: when a tenth of the runners fails under full
-// load, the rest refuse the excess, and routers that retry each refused request
-// four times keep the runners overloaded with retries long after the failure.
-func TestRetriesAreAShareOfFirstTries(t *testing.T) {
+// Guards against a retry storm: when a tenth of the backend servers fails under
+// full load, the rest refuse the excess, and routers that retry each refused request
+// four times keep the servers overloaded with retries long after the failure.
+func TestRetriesAreAShareOfRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		events := event.Discard()
@@ -44,7 +44,7 @@
 	})
 }
 
-func TestBudgetFloor(t *testing.T) {
+func TestBudgetAllowsFixedRetriesWithoutRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		b := NewBudget(BudgetOptions{})
@@ -120,7 +120,7 @@
 
 // Guards against a call that runs twice: the first attempt ran, its response was
 // lost, and the router mistook the unknown outcome for a refusal and retried.
-func TestOnlyProvedNotRunIsRetried(t *testing.T) {
+func TestOnlyProvablyNotRunIsRetried(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(RetryableElsewhere(nil)).To(BeFalse())
 	g.Expect(RetryableElsewhere(types.NotRun(types.CodeOverloaded, 0, "full"))).To(BeTrue())
@@ -133,7 +133,7 @@
 	}
 }
 
-func TestNextKeepsTheDeadline(t *testing.T) {
+func TestNextRetryKeepsTheDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		b := NewBudget(BudgetOptions{PerSecond: 1, Window: time.Second})
@@ -158,7 +158,7 @@
 // Guards against synchronized retries: callers that are shed at the same moment
 // and retry at the same moment are shed again, so that an overload of a
 // second lasts for minutes.
-func TestReturnsAreSpread(t *testing.T) {
+func TestRetryAfterIsSpread(t *testing.T) {
 	g := NewWithT(t)
 	const callers = 200_000 // enough that random variation of a slice stays below 15%
 	const slice = 100 * time.Millisecond
@@ -178,7 +178,7 @@
 		for _, n := range slices {
 			peak = max(peak, n)
 		}
-		even := float64(callers) * float64(slice) / float64(window)
+		even := float64(callers) * float64(slice) / float64(window) // callers per slice if spread evenly
 		g.Expect(float64(peak)).To(BeNumerically("<", 1.25*even), "load %v", load)
 	}
 	g.Expect(retryAfterWindow(2)).To(Equal(4 * time.Second))
--- a/retry/circuit.go
+++ b/retry/circuit.go
@@ -11,7 +11,7 @@
 
 // Defaults of CircuitOptions.
 const (
-	DefaultThreshold    = 3
+	DefaultThreshold    = 3 // consecutive failures
 	DefaultOpenFor      = 2 * time.Second
 	DefaultMaxOpen      = 30 * time.Second
 	DefaultProbeTimeout = 5 * time.Second
@@ -22,7 +22,7 @@
 	BackendServer string
 	Threshold     int           // consecutive failures that open the circuit
 	OpenFor       time.Duration // how long the circuit first stays open; doubles with each failed probe
-	MaxOpen       time.Duration // upper bound for OpenFor after doubling
+	MaxOpen       time.Duration // longest time that it stays open, however many probes fail
 	ProbeTimeout  time.Duration // time after which a probe without a result is given up and another may start
 	Registerer    prometheus.Registerer
 	Recorder      *event.Recorder
@@ -34,9 +34,9 @@
 
 // States of a circuit.
 const (
-	Closed   State = "closed"
-	Open     State = "open"
-	HalfOpen State = "half_open"
+	Closed   State = "closed"    // all requests are allowed
+	Open     State = "open"      // no request is allowed
+	HalfOpen State = "half_open" // a probe is allowed, or is running
 )
 
 // Circuit is a circuit breaker for one backend server. After repeated failures
@@ -50,8 +50,8 @@
 	opts        CircuitOptions
 	failures    atomic.Int64 // consecutive failures
 	trips       atomic.Int64 // openings and failed probes since the last success
-	probeAt     atomic.Int64 // Unix nanoseconds from which a probe is allowed; 0: closed
-	probing     atomic.Bool
+	probeAt     atomic.Int64 // Unix nanoseconds from which the next probe is allowed; 0: closed
+	probing     atomic.Bool  // a probe was allowed after the circuit last opened
 	openedTotal prometheus.Counter
 }
 
@@ -71,17 +71,18 @@
 }
 
 // Allow reports whether a request may be sent. If the circuit isn't closed and
-// Allow returns true, the request is the probe.
+// Allow returns true, the request is the probe, and no other is allowed until it
+// reports Success or Failure or ProbeTimeout has passed.
 func (c *Circuit) Allow() bool {
-	at := c.probeAt.Load()
-	if at == 0 {
+	probeAt := c.probeAt.Load()
+	if probeAt == 0 {
 		return true
 	}
 	now := c.opts.Now().UnixNano()
-	if now < at {
+	if now < probeAt {
 		return false
 	}
-	if !c.probeAt.CompareAndSwap(at, now+int64(c.opts.ProbeTimeout)) {
+	if !c.probeAt.CompareAndSwap(probeAt, now+int64(c.opts.ProbeTimeout)) {
 		return false
 	}
 	c.probing.Store(true)
@@ -90,11 +91,11 @@
 
 // State returns the current state without starting a probe.
 func (c *Circuit) State() State {
-	at := c.probeAt.Load()
+	probeAt := c.probeAt.Load()
 	switch {
-	case at == 0:
+	case probeAt == 0:
 		return Closed
-	case c.probing.Load() || c.opts.Now().UnixNano() >= at:
+	case c.probing.Load() || c.opts.Now().UnixNano() >= probeAt:
 		return HalfOpen
 	default:
 		return Open
@@ -125,12 +126,12 @@
 }
 
 // trip opens the circuit. The time that it stays open doubles with each trip
-// since the last success. It does nothing if probeAt no longer has the value seen,
-// on which the caller based its decision.
-func (c *Circuit) trip(seen int64) {
+// since the last success. It does nothing if probeAt no longer has the value
+// expected, because another call has opened or closed the circuit in the meantime.
+func (c *Circuit) trip(expected int64) {
 	trips := c.trips.Load() + 1
 	wait := exponential(c.opts.OpenFor, c.opts.MaxOpen, int(trips)-1)
-	if !c.probeAt.CompareAndSwap(seen, c.opts.Now().Add(wait).UnixNano()) {
+	if !c.probeAt.CompareAndSwap(expected, c.opts.Now().Add(wait).UnixNano()) {
 		return
 	}
 	c.trips.Store(trips)
--- a/retry/circuit_test.go
+++ b/retry/circuit_test.go
@@ -44,8 +44,8 @@
 
 // Guards against a circuit that stays half-open forever: a backend server freezes
 // while it runs the probe and recovers later, but the probe never reports a
-// result. The test also checks that gobreaker still has this behaviour.
-func TestLostProbeDoesNotBarTheNext(t *testing.T) {
+// result. The test also checks that gobreaker still stays half-open in this case.
+func TestProbeWithoutResultTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		c := NewCircuit(CircuitOptions{})
@@ -55,23 +55,24 @@
 		time.Sleep(DefaultProbeTimeout)
 		g.Expect(allowedOf(c, 10)).To(Equal(1))
 
-		common := gobreaker.NewTwoStepCircuitBreaker[any](gobreaker.Settings{Timeout: DefaultOpenFor, ReadyToTrip: func(n gobreaker.Counts) bool { return n.ConsecutiveFailures >= DefaultThreshold }})
+		breaker := gobreaker.NewTwoStepCircuitBreaker[any](gobreaker.Settings{Timeout: DefaultOpenFor, ReadyToTrip: func(n gobreaker.Counts) bool { return n.ConsecutiveFailures >= DefaultThreshold }})
 		for range DefaultThreshold {
-			done, err := common.Allow()
+			done, err := breaker.Allow()
 			g.Expect(err).NotTo(HaveOccurred())
 			done(errors.New("failed"))
 		}
 		time.Sleep(DefaultOpenFor + time.Millisecond)
-		_, err := common.Allow()
+		_, err := breaker.Allow()
 		g.Expect(err).NotTo(HaveOccurred())
 		time.Sleep(time.Hour)
-		_, err = common.Allow()
-		g.Expect(err).To(MatchError(gobreaker.ErrTooManyRequests), "gobreaker isn't used for this reason; if this fails, replace Circuit by gobreaker")
+		_, err = breaker.Allow()
+		g.Expect(err).To(MatchError(gobreaker.ErrTooManyRequests), "gobreaker never gives up a probe, which is why it isn't used; if this fails, replace Circuit by gobreaker")
 	})
 }
 
 // Property: while the circuit isn't closed, it allows at most one request per
-// elapsed OpenFor or Probe.
+// elapsed OpenFor, the shorter of the two times after which a probe may start
+// (OpenFor after a failure, ProbeTimeout after a probe without a result).
 func TestCircuitBoundsProbes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1_700_000_000, 0)
@@ -91,7 +92,7 @@
 			}
 		}
 		if limit := int(now.Sub(began) / DefaultOpenFor); allowed > limit {
-			t.Fatalf("%d probes in %s", allowed, now.Sub(began))
+			t.Fatalf("%d probes were allowed in %s, want at most %d", allowed, now.Sub(began), limit)
 		}
 	})
 }
@@ -128,7 +129,7 @@
 }
 
 func BenchmarkCircuit(b *testing.B) {
-	b.Run("own", func(b *testing.B) {
+	b.Run("Circuit", func(b *testing.B) {
 		c := NewCircuit(CircuitOptions{})
 		b.ReportAllocs()
 		b.RunParallel(func(pb *testing.PB) {
--- a/retry/decide.go
+++ b/retry/decide.go
@@ -25,8 +25,8 @@
 }
 
 // FitsDeadline reports whether a request that takes need can complete before
-// ctx's deadline if it is sent after wait. A request that can't only wastes
-// capacity.
+// ctx's deadline if it is sent after wait. Sending one that can't complete in time
+// would only waste capacity.
 func FitsDeadline(ctx context.Context, wait, need time.Duration) bool {
 	if ctx.Err() != nil {
 		return false
--- a/retry/metrics.go
+++ b/retry/metrics.go
@@ -12,18 +12,18 @@
 }
 
 func newBudgetMetrics(reg prometheus.Registerer, service string) budgetMetrics {
-	first := register(reg, prometheus.NewCounterVec(prometheus.CounterOpts{
+	requests := register(reg, prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "pearyard_retry_first_tries_total",
 		Help: "Requests sent for the first time.",
 	}, []string{"service"}))
-	asked := register(reg, prometheus.NewCounterVec(prometheus.CounterOpts{
+	retries := register(reg, prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "pearyard_retry_asked_total",
 		Help: "Retries asked for, by whether the budget allowed them.",
 	}, []string{"service", "allowed"}))
 	return budgetMetrics{
-		requests: first.WithLabelValues(service),
-		allowed:  asked.WithLabelValues(service, "true"),
-		refused:  asked.WithLabelValues(service, "false"),
+		requests: requests.WithLabelValues(service),
+		allowed:  retries.WithLabelValues(service, "true"),
+		refused:  retries.WithLabelValues(service, "false"),
 	}
 }
 
@@ -35,7 +35,7 @@
 }
 
 // register registers c and returns it, or returns the collector that is already
-// registered under its name.
+// registered under its name. If reg is nil, c isn't registered.
 func register[T prometheus.Collector](reg prometheus.Registerer, c T) T {
 	if reg == nil {
 		return c
--- a/retry/window.go
+++ b/retry/window.go
@@ -11,9 +11,9 @@
 const windowBuckets = 20
 
 // Window limits the retries of one service over a sliding window: to a fraction
-// of the requests in the window, plus a fixed number. Each process has its part
-// of the fixed number, so that all processes together keep a limit without
-// communication on the request path. Unused retries don't accumulate beyond the
+// of the requests in the window, plus a fixed number. Where several processes send
+// requests of a service, each is given a part of the fixed number (SetLimits), so
+// that together they keep a limit without communication on the request path. Unused retries don't accumulate beyond the
 // window, but a burst of requests allows a burst of retries.
 //
 // It is lock-free because all requests of a service are counted here. With 12
@@ -79,9 +79,9 @@
 // If the place in the ring was already reused for a later bucket, a negative
 // count is dropped.
 func (w *Window) add(n int64, requests, retries int) {
-	cell := &w.buckets[n%(windowBuckets+1)]
+	word := &w.buckets[n%(windowBuckets+1)]
 	for {
-		old := cell.Load()
+		old := word.Load()
 		b := unpack(old)
 		if b.cycle < cycleOf(n) {
 			b = bucket{cycle: cycleOf(n)}
@@ -91,13 +91,14 @@
 		}
 		b.requests = clampCount(b.requests + requests)
 		b.retries = clampCount(b.retries + retries)
-		if cell.CompareAndSwap(old, b.pack()) {
+		if word.CompareAndSwap(old, b.pack()) {
 			return
 		}
 	}
 }
 
-// totals adds up the buckets of the window that ends with bucket last.
+// totals adds up the buckets of the window that ends with bucket last. Buckets that
+// were last used in an earlier cycle count as empty.
 func (w *Window) totals(last int64) (requests, retries float64) {
 	for n := max(0, last-windowBuckets); n <= last; n++ {
 		b := unpack(w.buckets[n%(windowBuckets+1)].Load())
@@ -115,14 +116,14 @@
 type bucket struct{ cycle, requests, retries int }
 
 const (
-	// countBits is the width of a count. It allows a million requests per bucket, 200
-	// times what a whole site sends in a second.
+	// countBits is the width of a count in bits. It allows a million requests per
+	// bucket, 200 times what a whole site sends in a second. Larger counts are clamped.
 	countBits = 20
 	maxCount  = 1<<countBits - 1
 )
 
-// cycleOf returns the cycle of bucket n. The 24 bits left for it last five years
-// if the ring is reused every ten seconds.
+// cycleOf returns the cycle of bucket n. The 24 bits that the counts leave for it
+// last five years if the ring is reused every ten seconds.
 func cycleOf(n int64) int { return int(n / (windowBuckets + 1)) }
 
 func (b bucket) pack() uint64 {
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -36,7 +36,7 @@
 			from := end.Add(-length)
 			limit := ratio*float64(within(requests, from.Add(-length/windowBuckets), end)) + fixed
 			if n := within(retries, from, end); float64(n) > limit+1e-9 {
-				t.Fatalf("%d retries in the window that ends at %v, %v allowed", n, end, limit)
+				t.Fatalf("%d retries in the window that ends at %v, limit %.3f", n, end, limit)
 			}
 		}
 	})
@@ -128,5 +128,5 @@
 	w.add(w.currentBucket()-windowBuckets-1, 0, -1)
 	requests, retries := w.Counts()
 	g.Expect(requests).To(gomega.Equal(2.0))
-	g.Expect(retries).To(gomega.Equal(1.0), "nothing is subtracted from a later cycle")
+	g.Expect(retries).To(gomega.Equal(1.0), "a late removal must not be subtracted from the newer bucket")
 }
--- a/types/outcome.go
+++ b/types/outcome.go
@@ -58,7 +58,7 @@
 	Code       Code
 	Message    string
 	Outcome    Outcome
-	RetryAfter time.Duration // when to send the request again; 0: the same request won't succeed
+	RetryAfter time.Duration // delay before the request may be sent again; 0: the same request won't succeed
 	Status     int           // HTTP status code of the response
 }
 
