--- a/limit/dump.go
+++ b/limit/dump.go
@@ -9,8 +9,8 @@
 // Dump is the limiter's state for operators.
 type Dump struct {
 	Capacity      int                `json:"capacity"`
-	Used          map[string]int     `json:"used"` // slots by class
-	Waiting       int64              `json:"waiting"`
+	Used          map[string]int     `json:"used"`       // slots by class
+	Waiting       int64              `json:"waiting"`    // requests that wait for a slot
 	DrainRate     float64            `json:"drain_rate"` // slots released per second
 	Routers       int                `json:"routers"`
 	Reporting     int                `json:"reporting"` // other routers with an unexpired report
@@ -21,11 +21,11 @@
 // share of its limits.
 type DumpOrganisation struct {
 	Name       types.Organisation `json:"name"`
-	Inflight   int                `json:"inflight"`
-	Waiting    int                `json:"waiting"`
-	Rate       float64            `json:"rate_here"`       // 0: no limit
+	Inflight   int                `json:"inflight"`        // running requests
+	Waiting    int                `json:"waiting"`         // for a slot or a permit
+	Rate       float64            `json:"rate_here"`       // requests per second; 0: no limit
 	Concurrent int                `json:"concurrent_here"` // -1: no limit
-	Queued     int                `json:"queued_here"`
+	Queued     int                `json:"queued_here"`     // requests that may wait
 }
 
 // Dump returns the state. It lists at most maxOrganisations organisations, those
@@ -33,10 +33,10 @@
 func (l *Limiter) Dump(maxOrganisations int) Dump {
 	now := l.opts.Now()
 	used := l.slots.counts()
-	view := l.peers.Load()
+	reports := l.peers.Load()
 	out := Dump{
 		Capacity: l.opts.Capacity(), Waiting: l.slotWaiters.Load(), Routers: l.opts.Routers(),
-		Reporting: view.complete + view.partial, Used: map[string]int{},
+		Reporting: reports.complete + reports.partial, Used: map[string]int{},
 	}
 	for class := range classes {
 		out.Used[class.String()] = used.of(class)
--- a/limit/limitbench/accuracy.go
+++ b/limit/limitbench/accuracy.go
@@ -12,7 +12,8 @@
 // Pattern determines through which routers an organisation's requests arrive.
 type Pattern string
 
-// Values of Pattern, and the parameters of the accuracy simulation.
+// Values of Pattern, and the parameters of the accuracy simulation. rateLimit is in
+// requests per second, rateBurst, concurrencyLimit and concurrencyQueued in requests.
 const (
 	PatternEven   Pattern = "even"   // a random router
 	PatternSkewed Pattern = "skewed" // four of five requests through one router
@@ -29,7 +30,7 @@
 	rateLimit         = 200.0
 	rateBurst         = 20
 	concurrencyLimit  = 100
-	concurrencyHold   = 2 * time.Second
+	concurrencyHold   = 2 * time.Second // mean time that a request holds its permit
 	concurrencyQueued = 0
 	client            = types.Organisation("client")
 )
@@ -58,14 +59,14 @@
 	pattern  Pattern
 	admitted map[int]int // requests by second
 	held     int         // running requests
-	peak     int
-	heldSum  float64
-	over     int
+	peak     int         // highest held at a sample
+	heldSum  float64     // sum of held over all samples
+	over     int         // samples with held above the limit
 	samples  int
 }
 
-// Accuracy measures how accurately routers enforce an organisation's limits under
-// 1.5 times the load: first a rate limit, then a concurrency limit.
+// Accuracy measures how accurately routers enforce an organisation's limits when
+// it sends offeredLoad times the limit: first a rate limit, then a concurrency limit.
 func Accuracy(routers int, pattern Pattern, borrow bool, seed uint64) AccuracyRun {
 	run := AccuracyRun{Routers: routers, Pattern: pattern, Borrow: borrow, Seed: seed}
 	s := newAccuracySim(routers, pattern, borrow, seed, limit.OrganisationLimits{
@@ -106,8 +107,8 @@
 }
 
 // exchange processes the reports that a router received since its last exchange
-// and sends its own report to the others. Reports are thus up to exchangeInterval
-// old when they take effect.
+// and sends its own report to the others. Reports are thus up to exchangeDelay plus
+// exchangeInterval old when they take effect.
 func (s *accuracySim) exchange(router int) {
 	s.limiters[router].AddReports(s.inbox[router])
 	s.inbox[router] = s.inbox[router][:0]
@@ -121,8 +122,7 @@
 	})
 }
 
-// send starts a Poisson process of requests that hold their permit for an
-// exponentially distributed time with mean hold.
+// send starts a Poisson process of requests.
 func (s *accuracySim) send(perSecond float64, hold time.Duration) {
 	var next func()
 	next = func() {
@@ -148,6 +148,8 @@
 	}
 }
 
+// arrive sends one request, which holds its permit for an exponentially distributed
+// time with mean hold.
 func (s *accuracySim) arrive(hold time.Duration) {
 	ticket, refusal := s.router().Reserve(client, limit.Short, time.Time{})
 	if refusal != nil {
@@ -165,6 +167,7 @@
 	})
 }
 
+// sample records the current concurrency.
 func (s *accuracySim) sample() {
 	if s.clock.now.Sub(s.clock.start) < accuracyWarmup {
 		return
--- a/limit/limitbench/clock.go
+++ b/limit/limitbench/clock.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// clock is a virtual clock that runs scheduled actions in the order of their times.
+// clock is a virtual clock. It runs scheduled actions in the order of their times.
 type clock struct {
 	now   time.Time
 	start time.Time
-	seq   int
+	seq   int // number of actions scheduled so far
 	queue actionHeap
 }
 
@@ -56,7 +56,7 @@
 	heap.Push(&c.queue, action{at: c.now.Add(d), seq: c.seq, do: do})
 }
 
-// every schedules do to run repeatedly, every d.
+// every schedules do to run repeatedly, at intervals of d.
 func (c *clock) every(d time.Duration, do func()) {
 	c.after(d, func() {
 		do()
@@ -64,7 +64,8 @@
 	})
 }
 
-// runUntil runs the scheduled actions until end, and calls each after every one.
+// runUntil runs the scheduled actions up to the time end after the start, and calls
+// each after every one.
 func (c *clock) runUntil(end time.Duration, each func()) {
 	stop := c.start.Add(end)
 	for len(c.queue) > 0 && c.queue[0].at.Before(stop) {
--- a/limit/limitbench/command.go
+++ b/limit/limitbench/command.go
@@ -15,7 +15,7 @@
 	flagJSON  = "json"
 )
 
-// Command returns the command line command that runs the benchmark.
+// Command returns the CLI command that runs the benchmark.
 func Command() *cli.Command {
 	return &cli.Command{
 		Name:  "limit",
@@ -32,6 +32,7 @@
 	return write(c.App.Writer, Run(max(1, c.Int(flagSeeds))), c.Bool(flagJSON))
 }
 
+// write writes the result as tables or as JSON.
 func write(w io.Writer, result Result, asJSON bool) error {
 	if !asJSON {
 		result.Text(w)
--- a/limit/limitbench/fairness.go
+++ b/limit/limitbench/fairness.go
@@ -18,12 +18,12 @@
 	ModeFIFO             Mode = "fifo"       // all organisations under one name: first come, first served
 	ModeNoClass          Mode = "no-classes" // all requests in one class
 	ModeLong             Mode = "fair-long"  // like ModeFair, but the large organisation sends only long generations
-	fairCapacity              = 72
+	fairCapacity              = 72           // slots
 	smallOrganisations        = 9
 	fairEnd                   = 20 * time.Minute
 	fairWarmup                = 3 * time.Minute
 	queueTimeout              = 20 * time.Second
-	queuePerOrganisation      = 64
+	queuePerOrganisation      = 64 // requests that may wait
 	// quietLoad is the normal load of an organisation, as a fraction of its share.
 	quietLoad = 0.6
 )
@@ -82,9 +82,9 @@
 	waits   map[limit.Class][]float64 // their waits, in ms
 	sent    map[limit.Class]int
 	shed    map[limit.Class]int
-	used    float64
+	used    float64 // sum over all samples of the fraction of slots in use
 	samples float64
-	inUse   int
+	inUse   int // slots in use
 }
 
 // Fairness simulates nine small organisations under normal load beside a large one
@@ -113,6 +113,7 @@
 	return s.result()
 }
 
+// smallNames returns the names of the small organisations.
 func smallNames() []types.Organisation {
 	names := make([]types.Organisation, smallOrganisations)
 	for i := range names {
@@ -130,7 +131,8 @@
 	return sum
 }
 
-// startArrivals starts a Poisson process of an organisation's requests.
+// startArrivals starts a Poisson process of an organisation's requests, which need
+// timesShare times the organisation's equal share of the slots.
 func (s *fairSim) startArrivals(org types.Organisation, timesShare float64) {
 	hold := meanHold()
 	if s.longOnly(org) {
@@ -146,10 +148,12 @@
 	s.clock.after(s.exponential(gap), next)
 }
 
+// exponential returns an exponentially distributed duration; mean is in seconds.
 func (s *fairSim) exponential(mean float64) time.Duration {
 	return time.Duration(s.rng.ExpFloat64() * mean * float64(time.Second))
 }
 
+// longOnly reports whether an organisation sends only long generations.
 func (s *fairSim) longOnly(org types.Organisation) bool { return s.mode == ModeLong && org == "large" }
 
 // randomKind returns a random kind of request for an organisation.
@@ -182,7 +186,7 @@
 	at := s.clock.now
 	counted := at.Sub(s.clock.start) > fairWarmup
 	small := org != "large"
-	note := func(shed bool) {
+	count := func(shed bool) {
 		switch {
 		case !counted:
 		case small && shed:
@@ -195,15 +199,15 @@
 			s.run.LargeSent++
 		}
 	}
-	note(false)
+	count(false)
 	ticket, refusal := s.limiter.Reserve(name, class, at.Add(queueTimeout))
 	if refusal != nil {
-		note(true)
+		count(true)
 		return
 	}
-	begun := false
+	started := false
 	s.waiting = append(s.waiting, pending{ticket, func() {
-		begun = true
+		started = true
 		if small && counted {
 			wait := s.clock.now.Sub(at)
 			s.waits[k.class] = append(s.waits[k.class], ms(wait))
@@ -216,9 +220,9 @@
 		})
 	}})
 	s.clock.after(queueTimeout, func() {
-		if !begun {
+		if !started {
 			ticket.Release()
-			note(true)
+			count(true)
 		}
 	})
 }
@@ -239,6 +243,7 @@
 	s.waiting = waiting
 }
 
+// sample refreshes the limiter, as Limiter.Run would, and records the slots in use.
 func (s *fairSim) sample() {
 	s.limiter.Refresh()
 	s.used += float64(s.inUse) / fairCapacity
--- a/limit/limiter.go
+++ b/limit/limiter.go
@@ -12,8 +12,8 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// Options configures a Limiter. Capacity and Routers are called for every request
-// and must be cheap.
+// Options configures a Limiter. Capacity is called for every request, Routers when
+// the shares are recomputed, both concurrently; they must be cheap.
 type Options struct {
 	Self          types.ProcessID
 	Capacity      func() int // number of slots; nil: unlimited
@@ -25,6 +25,8 @@
 }
 
 const (
+	// unboundedCapacity is the number of slots if Options.Capacity is nil: half a
+	// million, which the bits of counts can hold in every class.
 	unboundedCapacity = 1 << (countBits - 2)
 	// tickInterval is how often the drain rate is sampled and added capacity is
 	// granted to waiting requests.
@@ -37,18 +39,18 @@
 	opts        Options
 	metrics     *metrics
 	admitted    [classes]prometheus.Counter
-	table       atomic.Pointer[table]
-	peers       atomic.Pointer[peerReports]
-	epoch       atomic.Uint64
-	states      sync.Map // types.Organisation -> *state
+	limits      atomic.Pointer[limitSet]    // replaced by Apply
+	peers       atomic.Pointer[peerReports] // replaced by AddReports
+	epoch       atomic.Uint64               // incremented when shares must be recomputed
+	states      sync.Map                    // types.Organisation -> *state
 	slots       slots
 	slotWaiters atomic.Int64  // requests that wait for a slot, not for a permit of their organisation
 	released    atomic.Uint64 // slots released so far
 
-	mu            sync.Mutex // guards the fields below and state.queue
-	heaps         [classes]queueHeap
-	parked        map[*orgQueue]struct{}
-	waitingWeight float64 // sum of the weights of organisations with waiting requests
+	mu            sync.Mutex             // guards the fields below and state.queue
+	heaps         [classes]queueHeap     // queues that wait for a slot, by class
+	parked        map[*orgQueue]struct{} // queues of organisations at their concurrency limit
+	waitingWeight float64                // sum of the weights of organisations with waiting requests
 	drain         drainMeter
 	underPressure bool // whether the last event said that requests wait for slots
 
@@ -75,7 +77,7 @@
 		opts.Now = time.Now
 	}
 	l := &Limiter{opts: opts, parked: map[*orgQueue]struct{}{}, reports: map[types.ProcessID]receivedReport{}, lastUsage: opts.Now()}
-	l.table.Store(&table{})
+	l.limits.Store(&limitSet{})
 	l.peers.Store(&peerReports{})
 	l.metrics = newMetrics(opts.Registerer, l)
 	for class := range classes {
@@ -99,13 +101,14 @@
 	}
 }
 
-// Refresh samples the drain rate and grants free slots to waiting requests.
+// Refresh samples the drain rate, unparks the queues of organisations that are below
+// their concurrency limit again, and grants free slots to waiting requests.
 func (l *Limiter) Refresh() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.drain.sample(l.opts.Now(), l.released.Load())
 	// An organisation whose share has grown may have no running request whose
-	// release would unpark it.
+	// release would unpark its queue.
 	for q := range l.parked {
 		l.updateHeaps(q.st)
 	}
@@ -114,7 +117,8 @@
 
 // Admit acquires a slot for a request of an organisation. If none is available,
 // it waits in the organisation's queue until it gets one or ctx ends. It refuses
-// the request immediately if the queue is full or too long for ctx's deadline.
+// the request immediately if it exceeds the organisation's rate limit, or if the
+// queue is full or too long for ctx's deadline.
 // The returned release function may be called more than once.
 func (l *Limiter) Admit(ctx context.Context, org types.Organisation, class Class) (func(), *types.Refusal) {
 	deadline, _ := ctx.Deadline()
@@ -169,7 +173,8 @@
 	return false
 }
 
-// acquirePermit acquires one of the organisation's permits at this router.
+// acquirePermit acquires one of the organisation's permits at this router. Without a
+// concurrency limit it always succeeds and only counts the running request.
 func (st *state) acquirePermit(sh *share) bool {
 	if sh.concurrent < 0 {
 		st.inflight.Add(1)
@@ -202,10 +207,10 @@
 	limiter  *Limiter
 	st       *state
 	class    Class
-	ready    chan struct{} // closed when granted; nil: granted immediately
-	queued   time.Time
+	ready    chan struct{}  // closed when granted; nil: granted immediately
+	queued   time.Time      // when it joined the queue
 	position *queuePosition // guarded by Limiter.mu; nil if not in a queue
-	done     atomic.Bool
+	done     atomic.Bool    // Release was called
 }
 
 // Ready returns a channel that is closed when the slot is granted.
@@ -222,8 +227,8 @@
 	return c
 }()
 
-// Release releases the slot, or leaves the queue if it isn't granted yet. Further
-// calls have no effect.
+// Release releases the slot and the permit, or leaves the queue if they aren't
+// granted yet. Further calls have no effect.
 func (t *Ticket) Release() {
 	if !t.done.CompareAndSwap(false, true) {
 		return
--- a/limit/limiter_test.go
+++ b/limit/limiter_test.go
@@ -82,7 +82,7 @@
 		held.Release()
 		expectEmpty(g, l)
 
-		for range 20 { // measured drain rate: one slot per second
+		for range 20 { // makes the measured drain rate one slot per second
 			held, _ = l.Reserve("o", Plain, time.Time{})
 			time.Sleep(time.Second)
 			held.Release()
--- a/limit/limits.go
+++ b/limit/limits.go
@@ -9,7 +9,7 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// OrganisationLimits are the configured limits of an organisation over all routers
+// OrganisationLimits holds the configured limits of an organisation over all routers
 // together.
 type OrganisationLimits struct {
 	Name              types.Organisation
@@ -21,27 +21,29 @@
 	Priority          int     // breaks ties between organisations that use equally much of their share
 }
 
-// minBurst is the smallest burst of a router, unless the organisation's is
-// smaller. With finer parts, random arrivals find some routers' buckets empty
-// while others have tokens left, and much of the limit stays unused.
+// minBurst is the smallest token bucket of an organisation at one router, in
+// requests, unless the organisation's whole burst is smaller. With smaller buckets,
+// random arrivals find some routers' buckets empty while others have tokens left,
+// and much of the limit stays unused.
 const minBurst = 3
 
-// table holds all limits of one configuration revision. It is immutable.
-type table struct {
-	limits map[types.Organisation]OrganisationLimits
+// limitSet holds the limits of all organisations in one configuration revision. It
+// is immutable.
+type limitSet struct {
+	byName map[types.Organisation]OrganisationLimits
 }
 
 // Apply replaces the limits of all organisations. Running and waiting requests and
 // the remaining burst of each organisation are kept.
 func (l *Limiter) Apply(limits []OrganisationLimits) {
-	next := &table{limits: make(map[types.Organisation]OrganisationLimits, len(limits))}
+	next := &limitSet{byName: make(map[types.Organisation]OrganisationLimits, len(limits))}
 	for _, o := range limits {
 		if o.Weight <= 0 {
 			o.Weight = 1
 		}
-		next.limits[o.Name] = o
+		next.byName[o.Name] = o
 	}
-	l.table.Store(next)
+	l.limits.Store(next)
 	l.epoch.Add(1)
 	l.opts.Recorder.Emit(eventApplied, "organisations", len(limits))
 	l.Refresh()
@@ -55,16 +57,16 @@
 type state struct {
 	name         types.Organisation
 	share        atomic.Pointer[share]
-	rate         atomic.Pointer[rate.Limiter]
-	inflight     atomic.Int32
-	waiting      atomic.Int32
-	peak         atomic.Int32  // highest inflight since the last usage report
-	lackedPermit atomic.Bool   // a request lacked a permit since the last usage report
-	requests     atomic.Uint64 // requests since the last usage report, refused ones included
-	demandRate   atomic.Uint64 // float64 bits of the request rate in the last usage report
-	lastRetryAt  atomic.Int64  // latest time that a refused caller was told to retry at, Unix nanoseconds
-	lastEvent    atomic.Int64  // when the last event about this organisation was emitted, Unix nanoseconds
-	queue        *orgQueue     // guarded by Limiter.mu; created by the first wait
+	rate         atomic.Pointer[rate.Limiter] // token bucket; nil: no rate limit
+	inflight     atomic.Int32                 // running requests, each with a slot and a permit
+	waiting      atomic.Int32                 // requests that wait for a slot or a permit
+	peak         atomic.Int32                 // highest inflight since the last usage report
+	lackedPermit atomic.Bool                  // a request lacked a permit since the last usage report
+	requests     atomic.Uint64                // requests since the last usage report, refused ones included
+	demandRate   atomic.Uint64                // float64 bits of the request rate in the last usage report
+	lastRetryAt  atomic.Int64                 // latest time that a refused caller was told to retry at, Unix nanoseconds
+	lastEvent    atomic.Int64                 // when the last event about this organisation was emitted, Unix nanoseconds
+	queue        *orgQueue                    // guarded by Limiter.mu; created by the first wait
 }
 
 // share is this router's part of an organisation's limits. It is computed once
@@ -73,9 +75,9 @@
 	epoch      uint64
 	weight     float64
 	priority   int
-	rate       float64 // 0: no limit
-	concurrent int     // < 0: no limit
-	queued     int
+	rate       float64 // requests per second; 0: no limit
+	concurrent int     // permits; < 0: no limit
+	queued     int     // requests that may wait
 }
 
 // state returns the state of an organisation and creates it if necessary.
@@ -83,7 +85,7 @@
 	if st, ok := l.states.Load(org); ok {
 		return st.(*state)
 	}
-	if _, configured := l.table.Load().limits[org]; !configured && org != unconfigured {
+	if _, configured := l.limits.Load().byName[org]; !configured && org != unconfigured {
 		return l.state(unconfigured)
 	}
 	st, _ := l.states.LoadOrStore(org, &state{name: org})
@@ -96,7 +98,7 @@
 	if current := st.share.Load(); current != nil && current.epoch == epoch {
 		return current
 	}
-	limits, configured := l.table.Load().limits[st.name]
+	limits, configured := l.limits.Load().byName[st.name]
 	if !configured {
 		limits = OrganisationLimits{Name: st.name, Weight: 1, Queued: l.opts.DefaultQueued}
 	}
@@ -107,17 +109,18 @@
 	return next
 }
 
-// setRate adjusts the organisation's token bucket to its share.
+// setRate adjusts the organisation's token bucket to its share. The burst is divided
+// between the routers like the rate, but not below minBurst.
 func (l *Limiter) setRate(st *state, limits OrganisationLimits, s *share, now time.Time) {
 	if s.rate <= 0 {
 		st.rate.Store(nil)
 		return
 	}
-	full := float64(limits.Burst)
-	if full <= 0 {
-		full = limits.RequestsPerSecond
+	fullBurst := float64(limits.Burst)
+	if fullBurst <= 0 {
+		fullBurst = limits.RequestsPerSecond
 	}
-	burst := max(min(minBurst, int(full)), int(full*s.rate/limits.RequestsPerSecond+0.5), 1)
+	burst := max(min(minBurst, int(fullBurst)), int(fullBurst*s.rate/limits.RequestsPerSecond+0.5), 1)
 	limiter := st.rate.Load()
 	if limiter == nil {
 		st.rate.CompareAndSwap(nil, rate.NewLimiter(rate.Limit(s.rate), burst))
--- a/limit/metrics.go
+++ b/limit/metrics.go
@@ -15,6 +15,7 @@
 	reasonDeadline = "deadline"
 )
 
+// waitBuckets are the buckets of the wait_seconds histogram, in seconds.
 var waitBuckets = []float64{.001, .005, .02, .05, .1, .25, .5, 1, 2.5, 5, 10, 30}
 
 func newMetrics(reg prometheus.Registerer, l *Limiter) *metrics {
--- a/limit/queue.go
+++ b/limit/queue.go
@@ -13,11 +13,11 @@
 	st        *state
 	waiting   [classes]list.List
 	heapIndex [classes]int // index in the heap of each class; -1: not in it
-	load      float64      // slots held per unit of weight, as of the last refresh
+	load      float64      // slots per unit of weight if one more were granted, as of the last refresh
 	priority  int
 	weight    float64
-	parked    bool // waits for the organisation's own concurrency limit, not for slots
-	size      int
+	parked    bool // waits for a permit of the organisation, not for a slot
+	size      int  // waiting tickets of all classes
 }
 
 // queuePosition is a ticket's position in its organisation's queue.
@@ -83,8 +83,8 @@
 func (l *Limiter) enqueue(t *Ticket, sh *share, now, deadline time.Time) *types.Refusal {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	// A concurrent tryAdmit that failed may have held a permit for a moment and
-	// caused the queue to be parked.
+	// A concurrent tryAdmit that failed to get a slot may have held a permit for a
+	// moment, in which the queue was parked. Unpark it if a permit is free now.
 	l.updateHeaps(t.st)
 	if int(t.st.waiting.Load()) >= sh.queued {
 		return l.shed(t.st, sh, reasonQueue, now)
@@ -148,8 +148,8 @@
 	}
 }
 
-// abandon removes a waiting ticket from its queue. It returns false if the ticket
-// was already granted.
+// abandon removes a waiting ticket from its queue. It reports whether it did; the
+// ticket may have been granted already.
 func (l *Limiter) abandon(t *Ticket) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -225,7 +225,8 @@
 	l.reportPressure()
 }
 
-// grant admits a waiting ticket, for which a slot and a permit were acquired.
+// grant admits a waiting ticket, for which the caller has acquired a slot and a
+// permit.
 func (l *Limiter) grant(t *Ticket) {
 	l.removeWaiter(t)
 	l.updateHeaps(t.st)
@@ -236,8 +237,9 @@
 
 // nextClass returns the class that receives the next free slot, and false if no
 // waiting request fits. Plain calls go first because they hold a slot for
-// milliseconds only. Between short and long generations, the organisation that
-// holds less decides, so that a flood of one organisation's short generations
+// milliseconds only. Long generations go before short ones while they hold less
+// than longPriorityShare of the slots. Beyond that, the class with the least loaded
+// organisation goes first, so that a flood of one organisation's short generations
 // doesn't delay another's long ones.
 func (l *Limiter) nextClass(capacity int) (Class, bool) {
 	used := l.slots.counts()
--- a/limit/share.go
+++ b/limit/share.go
@@ -13,12 +13,12 @@
 const (
 	// reportTTL is how long another router's report is used.
 	reportTTL = 4 * time.Second
-	// maxGrowth limits how much a router may take beyond its equal part, as a
-	// multiple of its own last demand. Demand that grows fourfold between two
+	// maxGrowth limits the part of a router that takes more than its equal part, to
+	// this multiple of its own last demand. Demand that grows fourfold between two
 	// exchanges of reports is still met.
 	maxGrowth = 4
-	// minReportedRate is the request rate below which an organisation is left out
-	// of reports.
+	// minReportedRate is the request rate, in requests per second, up to which an
+	// organisation that neither held nor lacked a permit is left out of reports.
 	minReportedRate = 0.01
 )
 
@@ -40,6 +40,7 @@
 	Organisations []Usage         `json:"organisations"`
 }
 
+// receivedReport is a report with the time at which it was received.
 type receivedReport struct {
 	report Report
 	at     time.Time
@@ -96,8 +97,8 @@
 	}
 }
 
-// AddReports merges the reports of other routers. Reports that aren't renewed
-// within reportTTL expire.
+// AddReports adds the reports of other routers. A report replaces the previous one
+// of its router, and expires if it isn't replaced within reportTTL.
 func (l *Limiter) AddReports(reports []Report) {
 	now := l.opts.Now()
 	l.peerMu.Lock()
@@ -137,10 +138,10 @@
 // computeShare computes this router's share of an organisation's limits.
 func (l *Limiter) computeShare(st *state, limits OrganisationLimits, now time.Time) *share {
 	routers := max(1, l.opts.Routers())
-	view := l.peers.Load()
-	usage := view.usage[st.name]
-	idle := view.complete - view.completeFor[st.name]
-	unknown := max(0, routers-1-len(usage)-idle)
+	reports := l.peers.Load()
+	usage := reports.usage[st.name]
+	idle := reports.complete - reports.completeFor[st.name] // routers that don't use the organisation's limits
+	unknown := max(0, routers-1-len(usage)-idle)            // routers whose usage isn't known
 	ownRate := math.Float64frombits(st.demandRate.Load())
 	out := &share{weight: limits.Weight, priority: limits.Priority, concurrent: -1}
 	out.queued = (limits.Queued + routers - 1) / routers
@@ -155,6 +156,7 @@
 	return out
 }
 
+// rate returns the request rate that a router may need before its next report.
 func (u Usage) rate() float64 { return u.Wanted }
 
 // permits returns how many permits a router may need before its next report. A
--- a/limit/shed.go
+++ b/limit/shed.go
@@ -16,11 +16,11 @@
 	// as a multiple of the time between two releases. It is larger than 1 to leave
 	// capacity for new requests.
 	retrySpacing = 1.25
-	// retryJitter is the maximum random addition, as a fraction of the distance. A
-	// larger value would make retries cluster again.
+	// retryJitter is the maximum random addition to a Retry-After, as a fraction of
+	// that distance. A larger value would make retries cluster again.
 	retryJitter = 0.25
 	// drainInterval is the minimum time between two samples of the drain rate, and
-	// drainAlpha the weight of a new sample in the moving average.
+	// drainAlpha the weight of a new sample in its exponential moving average.
 	drainInterval = 500 * time.Millisecond
 	drainAlpha    = 0.3
 	// eventInterval is the minimum time between two events about one organisation.
@@ -29,30 +29,31 @@
 
 // drainMeter measures the drain rate: how many slots are released per second.
 type drainMeter struct {
-	at    time.Time
-	count uint64
-	rate  float64
-	known bool
+	at    time.Time // of the last sample
+	count uint64    // slots released until then
+	rate  float64   // slots per second
+	known bool      // whether rate was measured
 }
 
-func (d *drainMeter) sample(now time.Time, drained uint64) {
+// sample updates the rate. released is the number of slots released so far.
+func (d *drainMeter) sample(now time.Time, released uint64) {
 	if d.at.IsZero() {
-		d.at, d.count = now, drained
+		d.at, d.count = now, released
 		return
 	}
 	elapsed := now.Sub(d.at)
 	if elapsed < drainInterval {
 		return
 	}
-	rate := float64(drained-d.count) / elapsed.Seconds()
+	rate := float64(released-d.count) / elapsed.Seconds()
 	if d.known {
 		rate = drainAlpha*rate + (1-drainAlpha)*d.rate
 	}
-	d.at, d.count, d.rate, d.known = now, drained, rate, true
+	d.at, d.count, d.rate, d.known = now, released, rate, true
 }
 
-// drainFor returns the rate at which slots become available to an organisation
-// while all waiting organisations share them by weight.
+// drainFor returns the rate, in slots per second, at which slots become available to
+// an organisation while all waiting organisations share them by weight.
 func (l *Limiter) drainFor(st *state, sh *share) float64 {
 	weights := l.waitingWeight
 	if st.waiting.Load() == 0 {
@@ -66,7 +67,7 @@
 
 // expectedWait estimates how long a new request would wait in the organisation's
 // queue. It is 0 while the drain rate is unknown, so that no request is refused
-// on a guess.
+// without a measurement.
 func (l *Limiter) expectedWait(st *state, sh *share) time.Duration {
 	l.drain.sample(l.opts.Now(), l.released.Load())
 	drain := l.drainFor(st, sh)
@@ -76,7 +77,9 @@
 	return seconds(float64(st.waiting.Load()) / drain)
 }
 
-// shed refuses a request that can't be queued. The caller holds l.mu.
+// shed refuses a request that can't be queued. The caller holds l.mu. While the
+// drain rate is unknown or 0, the Retry-After assumes one slot per second and an
+// empty queue.
 func (l *Limiter) shed(st *state, sh *share, reason string, now time.Time) *types.Refusal {
 	l.metrics.refused.WithLabelValues(reason).Inc()
 	l.drain.sample(now, l.released.Load())
@@ -94,7 +97,7 @@
 }
 
 // retryAfterWait returns the Retry-After for a request whose wait ended without a
-// slot.
+// slot. While the drain rate is unknown or 0, it assumes one slot per second.
 func (l *Limiter) retryAfterWait(st *state) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -123,20 +126,21 @@
 }
 
 // assignRetryAfter returns the Retry-After for a refused caller. The retry time is
-// at least first from now and a step after that of the previous refused caller, so
-// that callers that are refused together don't retry together. If that is later
-// than maxRetryAfter, it is a random time in the upper half of maxRetryAfter.
+// at least first from now and retrySpacing times step after that of the previous
+// refused caller, so that callers that are refused together don't retry together. If
+// that is more than maxRetryAfter from now, the Retry-After is random, between half
+// of maxRetryAfter and maxRetryAfter.
 func (st *state) assignRetryAfter(now time.Time, first, step time.Duration) time.Duration {
 	latest := now.Add(maxRetryAfter).UnixNano()
 	step = time.Duration(retrySpacing * float64(step))
 	for {
 		last := st.lastRetryAt.Load()
 		next := max(now.Add(first).UnixNano(), last+int64(step))
-		kept := min(next, latest)
-		if !st.lastRetryAt.CompareAndSwap(last, kept) {
+		assigned := min(next, latest)
+		if !st.lastRetryAt.CompareAndSwap(last, assigned) {
 			continue
 		}
-		after := time.Duration(kept - now.UnixNano())
+		after := time.Duration(assigned - now.UnixNano())
 		if next > latest {
 			after = maxRetryAfter/2 + time.Duration(rand.Float64()*float64(maxRetryAfter/2))
 		}
@@ -151,7 +155,8 @@
 	return now.UnixNano()-last >= int64(eventInterval) && st.lastEvent.CompareAndSwap(last, now.UnixNano())
 }
 
-// seconds converts s to a duration, limited so that it can't overflow.
+// seconds converts a number of seconds to a duration, limited to ten times
+// maxRetryAfter so that it can't overflow.
 func seconds(s float64) time.Duration {
 	return time.Duration(math.Min(s, maxRetryAfter.Seconds()*10) * float64(time.Second))
 }
--- a/limit/slots.go
+++ b/limit/slots.go
@@ -27,6 +27,8 @@
 	// precedence over short ones, so that a flood of short ones can't starve them.
 	longPriorityShare = 0.25
 
+	// countBits is the width of the count of one class, in bits: three fit into the
+	// word of counts.
 	countBits = 21
 	countMask = 1<<countBits - 1
 )
@@ -56,7 +58,7 @@
 }
 
 // fractionOf returns a fraction of capacity, but at least one slot.
-func fractionOf(capacity int, share float64) int { return max(1, int(float64(capacity)*share)) }
+func fractionOf(capacity int, fraction float64) int { return max(1, int(float64(capacity)*fraction)) }
 
 // slots counts the used slots of a router.
 type slots struct{ word atomic.Uint64 }
