--- a/suspect/dump.go
+++ b/suspect/dump.go
@@ -14,7 +14,7 @@
 	Entry
 	ID    string `json:"id"`
 	State State  `json:"state"`
-	Open  int    `json:"open_deaths"`
+	Open  int    `json:"open_deaths"` // as in Verdict.Deaths
 }
 
 // Dump returns the state, with the entries sorted by fingerprint.
--- a/suspect/entry.go
+++ b/suspect/entry.go
@@ -30,14 +30,14 @@
 	until   time.Time
 	changed time.Time
 	seq     uint64
-	local   bool // a change was recorded by this process, which writes and deletes the row
+	local   bool // a change was recorded by this process, which therefore writes and deletes the row
 }
 
 // quarantinePolicy determines when and for how long a fingerprint is quarantined.
 type quarantinePolicy struct {
 	limit      int           // open deaths that cause a quarantine
 	quarantine time.Duration // length of the first quarantine
-	window     time.Duration // longest quarantine
+	window     time.Duration // longest quarantine, unless the first one is longer
 }
 
 // change is how important a change of a record is to other processes.
@@ -65,6 +65,7 @@
 	return changed
 }
 
+// mergeDeath merges one death into r and returns the kind of change.
 func (r *record) mergeDeath(d Death) change {
 	old, known := r.deaths[d.ID]
 	if !known {
@@ -104,8 +105,8 @@
 	return true
 }
 
-// duration returns the length of the quarantine. It doubles with each death beyond
-// the limit, up to the window.
+// duration returns the length of the quarantine for a number of open deaths. It
+// doubles with each death beyond the limit, up to the window.
 func (p quarantinePolicy) duration(deaths int) time.Duration {
 	length := p.quarantine
 	for i := p.limit; i < deaths && length < p.window; i++ {
@@ -142,6 +143,7 @@
 	return len(r.deaths) == 0 && !r.until.After(now)
 }
 
+// toEntry returns the record as an Entry, with the deaths sorted by ID.
 func (r *record) toEntry(fp types.Fingerprint) Entry {
 	e := Entry{Fingerprint: fp, Until: r.until, Deaths: make([]Death, 0, len(r.deaths))}
 	for _, d := range r.deaths {
--- a/suspect/evidence.go
+++ b/suspect/evidence.go
@@ -8,9 +8,9 @@
 
 // ProvenTokens is the number of tokens after which a request counts as proven on
 // an engine, so that the engine's death is only weak evidence against it. A
-// request that crashes engines does so during prefill or soon after. If it has run
-// for a while, more likely another request caused the crash or the engine was
-// killed.
+// request that crashes engines does so during prefill or soon after. If a request
+// has run for a while when the engine dies, more likely another request crashed the
+// engine, or the engine was killed.
 const ProvenTokens = 8
 
 // strongWeight is the number of deaths that the ledger counts for a death with
@@ -20,8 +20,8 @@
 // Configure sets the number of engines that a request may crash and the length of
 // its first quarantine, for a ledger whose deaths are recorded by
 // RecordWeightedDeath. From then on, only suspects with strong evidence are held
-// back. Otherwise the many requests that merely ran beside the culprit would wait
-// for each other until the end of long generations. Existing quarantines keep
+// back. Otherwise the many requests that merely ran on the same engine as the one
+// that crashed it would wait for each other until the end of long generations. Existing quarantines keep
 // their end.
 func (l *Ledger) Configure(engines int, quarantine time.Duration) {
 	l.running.holdThreshold.Store(strongWeight)
--- a/suspect/gossip.go
+++ b/suspect/gossip.go
@@ -16,10 +16,12 @@
 
 const (
 	// fanout is the number of peers that a death is pushed to. Each peer that
-	// learns of it pushes it to as many, and about one in e^fanout is missed.
-	// Cleared deaths aren't urgent: they are sent with the next push or pulled.
+	// learns of it pushes it to as many. About one peer in e^fanout, or 3000, isn't
+	// reached and pulls it later. Cleared deaths aren't urgent: they are sent with
+	// the next push or pulled.
 	fanout = 8
-	// pullInterval is how often a process pulls missed changes from a random peer.
+	// pullInterval is how often a process pulls changes from a random peer, in case
+	// no push reached it.
 	pullInterval = time.Second
 	// maxConcurrentCalls bounds the concurrent rounds of calls, and the concurrent
 	// calls of a round that renews grants.
@@ -48,11 +50,11 @@
 
 	renewing chan struct{} // semaphore that serializes rounds of renew
 
-	mu        sync.Mutex                     // guards the fields below
-	pushedSeq uint64                         // sequence number up to which the ledger's changes were pushed
-	cursors   map[string]cursor              // by peer
-	held      map[types.Fingerprint]struct{} // runs to claim in the next round of renew
-	released  []types.Fingerprint            // runs to release in the next round of renew
+	mu             sync.Mutex                     // guards the fields below
+	pushedSeq      uint64                         // sequence number up to which the ledger's changes were pushed
+	cursors        map[string]cursor              // by peer
+	heldGrants     map[types.Fingerprint]struct{} // grants of this process, claimed in each round of renew
+	releasedGrants []types.Fingerprint            // grants to release in the next round of renew
 }
 
 // cursor is the position up to which a peer's ledger was pulled.
@@ -63,22 +65,22 @@
 
 // NewGossiper returns a Gossiper for a ledger. A ledger can have only one.
 func NewGossiper(ledger *Ledger, opts GossiperOptions) *Gossiper {
-	s := &Gossiper{
-		ledger:  ledger,
-		opts:    opts,
-		cursors: map[string]cursor{},
-		held:    map[types.Fingerprint]struct{}{},
+	g := &Gossiper{
+		ledger:     ledger,
+		opts:       opts,
+		cursors:    map[string]cursor{},
+		heldGrants: map[types.Fingerprint]struct{}{},
 
 		renewing: make(chan struct{}, 1),
 	}
-	release := s.release
+	release := g.release
 	ledger.releaseGrant.Store(&release)
-	return s
+	return g
 }
 
 // Run pushes and pulls changes and renews grants until ctx ends. Rounds run
 // concurrently, so that a frozen peer doesn't delay the next push.
-func (s *Gossiper) Run(ctx context.Context) error {
+func (g *Gossiper) Run(ctx context.Context) error {
 	pull := time.NewTicker(pullInterval)
 	defer pull.Stop()
 	renew := time.NewTicker(grantRenewInterval)
@@ -95,30 +97,31 @@
 		select {
 		case <-ctx.Done():
 			return calls.Wait()
-		case <-s.ledger.changed:
-			start(s.push)
-			start(s.renew)
+		case <-g.ledger.changed:
+			start(g.push)
+			start(g.renew)
 		case <-renew.C:
-			start(s.renew)
+			start(g.renew)
 		case <-pull.C:
-			start(s.pull)
+			start(g.pull)
 		}
 	}
 }
 
-// push sends new changes to a few random peers, each of which relays them once.
-func (s *Gossiper) push(ctx context.Context) {
-	s.mu.Lock()
-	entries, next := s.ledger.Deltas(s.pushedSeq)
-	s.pushedSeq = next
-	s.mu.Unlock()
+// push sends the changes since the last push to a few random peers, each of which
+// relays what is new to it in the same way.
+func (g *Gossiper) push(ctx context.Context) {
+	g.mu.Lock()
+	entries, next := g.ledger.Deltas(g.pushedSeq)
+	g.pushedSeq = next
+	g.mu.Unlock()
 	if len(entries) == 0 {
 		return
 	}
 	var group errgroup.Group
-	for _, peer := range s.randomPeers(fanout) {
+	for _, peer := range g.randomPeers(fanout) {
 		group.Go(func() error {
-			s.exchange(ctx, peer, entries, false)
+			g.exchange(ctx, peer, entries, false)
 			return nil
 		})
 	}
@@ -126,44 +129,45 @@
 }
 
 // pull fetches changes from a random peer.
-func (s *Gossiper) pull(ctx context.Context) {
-	for _, peer := range s.randomPeers(1) {
-		s.exchange(ctx, peer, nil, true)
+func (g *Gossiper) pull(ctx context.Context) {
+	for _, peer := range g.randomPeers(1) {
+		g.exchange(ctx, peer, nil, true)
 	}
 }
 
 // exchange sends entries to a peer. If pull is set, it also fetches and merges the
 // peer's changes.
-func (s *Gossiper) exchange(ctx context.Context, peer string, entries []Entry, pull bool) {
+func (g *Gossiper) exchange(ctx context.Context, peer string, entries []Entry, pull bool) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	s.mu.Lock()
-	position := s.cursors[peer]
-	s.mu.Unlock()
-	answer, err := s.opts.Dial(peer).Exchange(ctx, &suspectpb.ExchangeRequest{
-		Sender: s.opts.Self, Entries: toWire(entries), Pull: pull, Since: position.seq, Ledger: position.instance,
+	g.mu.Lock()
+	position := g.cursors[peer]
+	g.mu.Unlock()
+	answer, err := g.opts.Dial(peer).Exchange(ctx, &suspectpb.ExchangeRequest{
+		Sender: g.opts.Self, Entries: toWire(entries), Pull: pull, Since: position.seq, Ledger: position.instance,
 	})
 	if err != nil {
-		s.ledger.metrics.exchanges.WithLabelValues("failed").Inc()
-		s.ledger.opts.Recorder.Emit(eventPeer, "peer", peer, "error", err)
+		g.ledger.metrics.exchanges.WithLabelValues("failed").Inc()
+		g.ledger.opts.Recorder.Emit(eventPeer, "peer", peer, "error", err)
 		return
 	}
-	s.ledger.metrics.exchanges.WithLabelValues("done").Inc()
+	g.ledger.metrics.exchanges.WithLabelValues("done").Inc()
 	if !pull {
 		return
 	}
-	s.ledger.Merge(fromWire(answer.GetEntries()))
-	s.mu.Lock()
-	s.cursors[peer] = cursor{instance: answer.GetLedger(), seq: answer.GetNext()}
-	s.mu.Unlock()
+	g.ledger.Merge(fromWire(answer.GetEntries()))
+	g.mu.Lock()
+	g.cursors[peer] = cursor{instance: answer.GetLedger(), seq: answer.GetNext()}
+	g.mu.Unlock()
 }
 
-// randomPeers returns n distinct random peers, or all if there are fewer.
-func (s *Gossiper) randomPeers(n int) []string {
-	peers := s.opts.Peers()
+// randomPeers returns n distinct random peers without this process, or all if there
+// are fewer.
+func (g *Gossiper) randomPeers(n int) []string {
+	peers := g.opts.Peers()
 	out := make([]string, 0, n)
 	for _, i := range rand.Perm(len(peers)) {
-		if peers[i] != s.opts.Self && len(out) < n {
+		if peers[i] != g.opts.Self && len(out) < n {
 			out = append(out, peers[i])
 		}
 	}
@@ -173,8 +177,8 @@
 // rendezvousOrder returns this process and its peers, sorted by their rendezvous
 // hash with a fingerprint. The first one is the fingerprint's coordinator.
 // Processes that see the same members choose the same coordinator.
-func (s *Gossiper) rendezvousOrder(fp types.Fingerprint) []string {
-	all := append([]string{s.opts.Self}, s.opts.Peers()...)
+func (g *Gossiper) rendezvousOrder(fp types.Fingerprint) []string {
+	all := append([]string{g.opts.Self}, g.opts.Peers()...)
 	weight := make(map[string]uint64, len(all))
 	unique := all[:0]
 	for _, peer := range all {
@@ -188,15 +192,15 @@
 	return unique
 }
 
-// requestGrantFrom sends a request to the coordinator at peer.
-func (s *Gossiper) requestGrantFrom(ctx context.Context, peer string, q grantRequest) (bool, time.Duration, error) {
+// requestGrantFrom sends a request to a peer as the fingerprint's coordinator.
+func (g *Gossiper) requestGrantFrom(ctx context.Context, peer string, q grantRequest) (bool, time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, grantTimeout)
 	defer cancel()
-	answer, err := s.opts.Dial(peer).Grant(ctx, &suspectpb.GrantRequest{
+	answer, err := g.opts.Dial(peer).Grant(ctx, &suspectpb.GrantRequest{
 		Fingerprint: uint64(q.fp), Holder: q.holder, Running: q.running, Release: q.release,
 	})
 	if err != nil {
-		s.ledger.opts.Recorder.Emit(eventPeer, "peer", peer, "error", err)
+		g.ledger.opts.Recorder.Emit(eventPeer, "peer", peer, "error", err)
 		return false, 0, err
 	}
 	return answer.GetGranted(), time.Duration(answer.GetRetryAfterNano()), nil
--- a/suspect/gossip_test.go
+++ b/suspect/gossip_test.go
@@ -25,7 +25,7 @@
 	ledgers   map[string]*Ledger
 	gossipers map[string]*Gossiper
 	names     []string
-	cut       sync.Map // names of processes that are partitioned from all others
+	cut       sync.Map // names of processes that are cut off from all others
 }
 
 // call is a client that calls one process of the fleet from another.
@@ -34,10 +34,10 @@
 	from, to string
 }
 
-// latency is the latency of a call.
+// latency is how long a call takes.
 const latency = 2 * time.Millisecond
 
-// wait simulates the network: it takes hop and fails if either end is cut off.
+// wait simulates the network: it takes latency and fails if either end is cut off.
 func (c call) wait() error {
 	time.Sleep(latency)
 	_, to := c.fleet.cut.Load(c.to)
@@ -88,11 +88,11 @@
 // engine would get a copy while the second is dying.
 func TestPoisonThroughSeveralRoutersCrashesTwoEngines(t *testing.T) {
 	plain := func(l *Ledger, death string) {
-		l.RecordDeath(death, []types.Fingerprint{poison, beside(death)})
+		l.RecordDeath(death, []types.Fingerprint{poison, neighbourOn(death)})
 	}
 	weighted := func(l *Ledger, death string) { // as the daemons record deaths
 		l.RecordWeightedDeath(death, poison, false)
-		l.RecordWeightedDeath(death, beside(death), true)
+		l.RecordWeightedDeath(death, neighbourOn(death), true)
 	}
 	for _, coordinator := range []string{"reachable", "cut"} {
 		t.Run(coordinator, func(t *testing.T) {
@@ -104,8 +104,11 @@
 	}
 }
 
-// beside returns the fingerprint of a neighbour that ran on the engine that died.
-func beside(death string) types.Fingerprint { return types.FingerprintOf("neighbour", []byte(death)) }
+// neighbourOn returns the fingerprint of a request that ran on the engine of a death
+// beside the poisoned one.
+func neighbourOn(death string) types.Fingerprint {
+	return types.FingerprintOf("neighbour", []byte(death))
+}
 
 // poisonThroughRouters runs copies of the poisoned request through three routers
 // and expects that they crash two engines. If engines isn't 0, it is passed to
@@ -133,15 +136,15 @@
 	var callers sync.WaitGroup
 	// run is a router's loop for one copy: place it, crash after 400 ms, resume it.
 	run := func(router string, engine int) {
-		l, s := f.ledgers[router], f.gossipers[router]
+		l, gossiper := f.ledgers[router], f.gossipers[router]
 		for ; ; engine += 10 {
 			backend := fmt.Sprint("engine-", engine)
-			verdict, err := s.AwaitGrant(ctx, poison)
+			verdict, err := gossiper.AwaitGrant(ctx, poison)
 			if err != nil || verdict.State == Quarantined {
 				return
 			}
 			if !l.BeginRun(poison, backend) {
-				s.ReleaseGrant(poison)
+				gossiper.ReleaseGrant(poison)
 				time.Sleep(grantRetryInterval)
 				continue
 			}
@@ -161,7 +164,7 @@
 	time.Sleep(5 * time.Second)
 	for _, router := range routers {
 		g.Expect(f.ledgers[router].Verdict(poison).State).To(gomega.Equal(Quarantined))
-		g.Expect(f.ledgers[router].Verdict(beside("engine-1")).State).To(gomega.Equal(Suspect), "a neighbour")
+		g.Expect(f.ledgers[router].Verdict(neighbourOn("engine-1")).State).To(gomega.Equal(Suspect), "a neighbour")
 	}
 }
 
@@ -194,8 +197,9 @@
 	})
 }
 
-// With the table service down, a death must reach nearly all of 400 processes
-// before the coordinator grants a run, and all of them within seconds.
+// With the table service down, a death must reach 95% of 400 processes well before
+// the coordinator grants a run, and all of them within seconds. Otherwise a router
+// that doesn't know of the death would start another copy.
 func TestDeathReachesAllWithTheTableDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
@@ -291,7 +295,7 @@
 }
 
 // All processes restart while a request is quarantined. The quarantine must be
-// loaded from the table service, and its row must be deleted after it expired.
+// loaded from the table service, and its row must be deleted after it has expired.
 func TestQuarantineSurvivesARestartOfAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
--- a/suspect/grants.go
+++ b/suspect/grants.go
@@ -17,7 +17,8 @@
 	// router that already runs a copy learns of the death and reports its copy to
 	// the coordinator.
 	settleDelay = 250 * time.Millisecond
-	// grantTTL is how long a grant lasts if it isn't renewed.
+	// grantTTL is how long a grant lasts if it isn't renewed, as when its holder has
+	// died. Several renewals may fail before it expires.
 	grantTTL = 15 * time.Second
 	// grantRenewInterval is how often a holder renews its grants.
 	grantRenewInterval = 4 * time.Second
@@ -37,7 +38,7 @@
 // one holder, but several if copies were already running when the death became
 // known.
 type grant struct {
-	since   time.Time            // when the coordinator first heard of the suspect, or its last run ended
+	since   time.Time            // when the coordinator first heard of the suspect, or a run of it was last released
 	expires map[string]time.Time // expiry by holder
 }
 
@@ -45,14 +46,14 @@
 type grantRequest struct {
 	fp      types.Fingerprint
 	holder  string
-	running bool // reports a copy that is already running, which is never refused
-	release bool
+	running bool // claims the grant for a copy that is already running, which is never refused
+	release bool // releases the grant, because the run has ended
 }
 
 // handle answers a request as coordinator: whether it is granted, and if not,
-// after which time to ask again. It refuses while another holder has the run.
-// Otherwise a second copy of a poisoned request could crash a third engine while
-// the second one is still dying.
+// after which time to ask again. It refuses while another process holds a grant.
+// Otherwise, while a copy of a poisoned request is crashing the second engine and
+// that death isn't known yet, another copy could start and crash a third one.
 func (c *coordinator) handle(q grantRequest, now time.Time) (bool, time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -64,8 +65,8 @@
 	}
 	if q.release {
 		// A run that ended with its engine's death may be released before the next
-		// holder has learned of that death, and it would start a third copy. So the
-		// next grant waits for settleDelay like the first one.
+		// holder has learned of that death, and the next holder would crash one engine
+		// more. So the next grant waits for settleDelay like the first one.
 		delete(g.expires, q.holder)
 		g.since = now
 		return true, 0
@@ -82,14 +83,14 @@
 	return true, 0
 }
 
-// heldByOther reports whether a process other than holder holds the grant.
+// heldByOther reports whether a process other than holder holds a grant.
 func (g *grant) heldByOther(holder string) bool {
 	_, own := g.expires[holder]
 	return len(g.expires) > 1 || len(g.expires) == 1 && !own
 }
 
-// expire removes expired holders. A grant without holders is kept for a while, so
-// that settleDelay doesn't apply again to each run of its fingerprint.
+// expire removes expired holders. A grant without holders is kept for grantTTL, so
+// that a run requested later than settleDelay after the last one is granted at once.
 func (c *coordinator) expire(now time.Time) {
 	for fp, g := range c.grants {
 		for holder, until := range g.expires {
@@ -105,18 +106,18 @@
 
 // AwaitGrant waits until the fingerprint's coordinator grants this process a run
 // of a suspect. It returns immediately if the request is clear or quarantined, and
-// with the context's error if ctx ends first. The caller must still call BeginRun
-// for the chosen backend server.
-func (s *Gossiper) AwaitGrant(ctx context.Context, fp types.Fingerprint) (Verdict, error) {
+// with the context's error if ctx ends first. After a grant, the caller must still
+// call BeginRun for the chosen backend server, or ReleaseGrant.
+func (g *Gossiper) AwaitGrant(ctx context.Context, fp types.Fingerprint) (Verdict, error) {
 	for {
-		verdict := s.ledger.Verdict(fp)
+		verdict := g.ledger.Verdict(fp)
 		if verdict.State != Suspect {
 			return verdict, nil
 		}
-		granted, wait := s.requestGrant(ctx, grantRequest{fp: fp, holder: s.opts.Self})
+		granted, wait := g.requestGrant(ctx, grantRequest{fp: fp, holder: g.opts.Self})
 		if granted {
-			s.addHeld(fp)
-			return s.recheck(fp), nil
+			g.addHeldGrant(fp)
+			return g.recheck(fp), nil
 		}
 		if err := sleep(ctx, max(wait, time.Millisecond)); err != nil {
 			return verdict, err
@@ -127,10 +128,10 @@
 // recheck returns the current verdict, because a death may have been recorded
 // while the grant was requested. If the request is no longer a suspect, it
 // releases the grant.
-func (s *Gossiper) recheck(fp types.Fingerprint) Verdict {
-	verdict := s.ledger.Verdict(fp)
+func (g *Gossiper) recheck(fp types.Fingerprint) Verdict {
+	verdict := g.ledger.Verdict(fp)
 	if verdict.State != Suspect {
-		s.ReleaseGrant(fp)
+		g.ReleaseGrant(fp)
 	}
 	return verdict
 }
@@ -138,12 +139,12 @@
 // requestGrant sends a request to the first process in rendezvous order that
 // answers. If no peer is reachable, this process is its own coordinator, so
 // partitioned routers may run one copy each.
-func (s *Gossiper) requestGrant(ctx context.Context, q grantRequest) (bool, time.Duration) {
-	for _, peer := range s.rendezvousOrder(q.fp) {
-		if peer == s.opts.Self {
-			return s.ledger.coordinator.handle(q, s.ledger.opts.Now())
+func (g *Gossiper) requestGrant(ctx context.Context, q grantRequest) (bool, time.Duration) {
+	for _, peer := range g.rendezvousOrder(q.fp) {
+		if peer == g.opts.Self {
+			return g.ledger.coordinator.handle(q, g.ledger.opts.Now())
 		}
-		granted, wait, err := s.requestGrantFrom(ctx, peer, q)
+		granted, wait, err := g.requestGrantFrom(ctx, peer, q)
 		if err == nil {
 			return granted, wait
 		}
@@ -151,58 +152,59 @@
 			return false, grantRetryInterval
 		}
 	}
-	return s.ledger.coordinator.handle(q, s.ledger.opts.Now())
+	return g.ledger.coordinator.handle(q, g.ledger.opts.Now())
 }
 
-// addHeld records that this process holds the run of a fingerprint.
-func (s *Gossiper) addHeld(fp types.Fingerprint) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.held[fp] = struct{}{}
+// addHeldGrant records that this process holds the grant for a fingerprint.
+func (g *Gossiper) addHeldGrant(fp types.Fingerprint) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.heldGrants[fp] = struct{}{}
 }
 
-// ReleaseGrant releases a grant that wasn't followed by BeginRun.
-func (s *Gossiper) ReleaseGrant(fp types.Fingerprint) {
-	if !s.ledger.running.has(fp) {
-		s.release(fp)
+// ReleaseGrant releases a grant that wasn't followed by BeginRun. It does nothing
+// while the request runs through this process.
+func (g *Gossiper) ReleaseGrant(fp types.Fingerprint) {
+	if !g.ledger.running.has(fp) {
+		g.release(fp)
 	}
 }
 
-// release schedules the release of a run that this process holds.
-func (s *Gossiper) release(fp types.Fingerprint) {
-	s.mu.Lock()
-	_, held := s.held[fp]
-	delete(s.held, fp)
+// release schedules the release of a grant, if this process holds it.
+func (g *Gossiper) release(fp types.Fingerprint) {
+	g.mu.Lock()
+	_, held := g.heldGrants[fp]
+	delete(g.heldGrants, fp)
 	if held {
-		s.released = append(s.released, fp)
+		g.releasedGrants = append(g.releasedGrants, fp)
 	}
-	s.mu.Unlock()
+	g.mu.Unlock()
 	if held {
-		s.ledger.notifyChanged()
+		g.ledger.notifyChanged()
 	}
 }
 
 // renew reports to the coordinators the suspects that run at this process, whether
-// granted or already running when they became suspects, and releases the runs that
-// ended. Rounds don't overlap: if a release were overtaken by an earlier claim, the
-// claim would block other processes until it expires.
-func (s *Gossiper) renew(ctx context.Context) {
-	s.renewing <- struct{}{}
-	defer func() { <-s.renewing }()
-	for _, fp := range s.ledger.runningSuspects() {
-		s.addHeld(fp)
-		s.ReleaseGrant(fp) // the run may have ended since it was listed
+// granted or already running when they became suspects, and releases the grants of
+// runs that ended. Rounds don't overlap: if an earlier claim arrived after the
+// release, it would block other processes until it expires.
+func (g *Gossiper) renew(ctx context.Context) {
+	g.renewing <- struct{}{}
+	defer func() { <-g.renewing }()
+	for _, fp := range g.ledger.runningSuspects() {
+		g.addHeldGrant(fp)
+		g.ReleaseGrant(fp) // the run may have ended since it was listed
 	}
-	s.mu.Lock()
-	released := s.released
-	s.released = nil
-	claims := maps.Clone(s.held)
-	s.mu.Unlock()
+	g.mu.Lock()
+	released := g.releasedGrants
+	g.releasedGrants = nil
+	claims := maps.Clone(g.heldGrants)
+	g.mu.Unlock()
 	var calls errgroup.Group
 	calls.SetLimit(maxConcurrentCalls)
 	for fp := range claims {
 		calls.Go(func() error {
-			s.requestGrant(ctx, grantRequest{fp: fp, holder: s.opts.Self, running: true})
+			g.requestGrant(ctx, grantRequest{fp: fp, holder: g.opts.Self, running: true})
 			return nil
 		})
 	}
@@ -211,13 +213,14 @@
 			continue
 		}
 		calls.Go(func() error {
-			s.requestGrant(ctx, grantRequest{fp: fp, holder: s.opts.Self, release: true})
+			g.requestGrant(ctx, grantRequest{fp: fp, holder: g.opts.Self, release: true})
 			return nil
 		})
 	}
 	_ = calls.Wait()
 }
 
+// sleep waits for d. If ctx ends first, it returns ctx's error.
 func sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/suspect/ledger.go
+++ b/suspect/ledger.go
@@ -11,10 +11,10 @@
 
 // Defaults of Options.
 const (
-	DefaultLimit      = 2
+	DefaultLimit      = 2 // deaths
 	DefaultQuarantine = 10 * time.Minute
 	DefaultWindow     = time.Hour
-	DefaultMax        = 4096
+	DefaultMax        = 4096 // fingerprints
 )
 
 // view is the immutable part of a record that Verdict reads.
@@ -78,6 +78,8 @@
 	return v.verdict(l.opts.Now(), l.opts.Window)
 }
 
+// verdict returns the verdict at a time. Deaths that are older than window don't
+// count.
 func (v view) verdict(now time.Time, window time.Duration) Verdict {
 	open := 0
 	for _, at := range v.open {
@@ -155,7 +157,7 @@
 }
 
 // apply merges entries and publishes a new snapshot. It reports new quarantines
-// after releasing the lock. local is set if the entries come from this process. It
+// after releasing the lock. local is set if the entries were recorded by this process. It
 // returns whether anything changed.
 func (l *Ledger) apply(entries []Entry, local bool) bool {
 	now := l.opts.Now()
@@ -208,7 +210,7 @@
 	return changed, r.until.After(now) && r.until.After(before)
 }
 
-// reportQuarantine reports a new quarantine through metrics, events and
+// reportQuarantine reports a new or extended quarantine through metrics, events and
 // OnQuarantine.
 func (l *Ledger) reportQuarantine(fp types.Fingerprint) {
 	verdict := l.Verdict(fp)
--- a/suspect/ledger_test.go
+++ b/suspect/ledger_test.go
@@ -115,6 +115,8 @@
 	g.Expect(l.Verdict(poison).State).To(gomega.Equal(Quarantined))
 }
 
+// A full ledger must evict other suspects before a quarantined request, which could
+// otherwise crash more engines at once.
 func TestFullLedgerKeepsQuarantinedEntries(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l := New(Options{Max: 3})
@@ -129,7 +131,7 @@
 // Property: merging is commutative and idempotent. Ledgers that receive the same
 // entries in any order, some of them twice, are equal after they exchanged all
 // entries, and merging a ledger's own entries changes nothing.
-func TestMergeLaws(t *testing.T) {
+func TestMergeIsCommutativeAndIdempotent(t *testing.T) {
 	start := time.Now()
 	entry := rapid.Custom(func(t *rapid.T) Entry {
 		e := Entry{Fingerprint: types.Fingerprint(rapid.IntRange(1, 3).Draw(t, "fp"))}
@@ -185,7 +187,7 @@
 	})
 }
 
-func BenchmarkEnterLeave(b *testing.B) {
+func BenchmarkBeginEndRun(b *testing.B) {
 	l := New(Options{})
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
--- a/suspect/options.go
+++ b/suspect/options.go
@@ -14,7 +14,7 @@
 // Recorder, Registerer and Now are replaced by defaults.
 type Options struct {
 	Self       types.ProcessID // id of this process; not used at present
-	Limit      int             // distinct deaths that cause a quarantine
+	Limit      int             // distinct deaths that cause a quarantine; see LedgerLimit
 	Quarantine time.Duration   // length of the first quarantine
 	Window     time.Duration   // how long a death counts
 	// Probation is how long a suspect must run on an engine before another
@@ -22,7 +22,7 @@
 	Probation time.Duration
 	Max       int           // maximum number of fingerprints
 	Table     backing.Table // nil: suspicions aren't persisted
-	// OnQuarantine is called for each new quarantine, so that a running copy can
+	// OnQuarantine is called for each new or extended quarantine, so that a running copy can
 	// be cancelled before it crashes another engine.
 	OnQuarantine func(types.Fingerprint, Verdict)
 	Recorder     *event.Recorder
@@ -30,6 +30,7 @@
 	Now          func() time.Time
 }
 
+// withDefaults returns the options with defaults in place of zero values.
 func (o Options) withDefaults() Options {
 	if o.Limit <= 0 {
 		o.Limit = DefaultLimit
--- a/suspect/running.go
+++ b/suspect/running.go
@@ -8,6 +8,7 @@
 	"github.com/pearyard/pearyard/types"
 )
 
+// runningShards is the number of shards of a runTracker.
 const runningShards = 64
 
 // run counts the running copies of a fingerprint on one backend server.
@@ -21,7 +22,7 @@
 // process. It is sharded to avoid contention between requests.
 type runTracker struct {
 	admission     sync.Mutex   // serializes the admission of suspects
-	holdThreshold atomic.Int32 // number of deaths from which a suspect is held back
+	holdThreshold atomic.Int32 // number of deaths from which a suspect is held back; 0: any suspect is
 	shards        [runningShards]struct {
 		mu   sync.Mutex
 		runs map[types.Fingerprint][]run
@@ -34,6 +35,7 @@
 	}
 }
 
+// add records the start of a run.
 func (r *runTracker) add(fp types.Fingerprint, backend string, now time.Time) {
 	shard := &r.shards[uint64(fp)%runningShards]
 	shard.mu.Lock()
@@ -71,6 +73,7 @@
 	return true
 }
 
+// has reports whether a fingerprint runs on any backend server.
 func (r *runTracker) has(fp types.Fingerprint) bool {
 	shard := &r.shards[uint64(fp)%runningShards]
 	shard.mu.Lock()
@@ -83,15 +86,16 @@
 	for i := range r.shards {
 		r.shards[i].mu.Lock()
 		for fp, runs := range r.shards[i].runs {
-			for _, one := range runs {
-				visit(fp, one)
+			for _, current := range runs {
+				visit(fp, current)
 			}
 		}
 		r.shards[i].mu.Unlock()
 	}
 }
 
-// heldBack reports whether a request with this verdict is held back.
+// heldBack reports whether a request with this verdict is held back: whether it must
+// not run twice at a time, nor beside another such request.
 func (l *Ledger) heldBack(v Verdict) bool {
 	return v.State == Suspect && v.Deaths >= int(l.running.holdThreshold.Load())
 }
@@ -100,7 +104,8 @@
 // whether it may. A quarantined request may not. A suspect may not while another
 // copy of it runs through this process, nor on a backend server that runs another
 // suspect: if that server died too, an innocent request would be quarantined with
-// the one that crashes engines. Other requests always may.
+// the one that crashes engines. Other requests always may. After Configure, only
+// suspects with strong evidence are restricted.
 func (l *Ledger) BeginRun(fp types.Fingerprint, backend string) bool {
 	now := l.opts.Now()
 	verdict := l.Verdict(fp)
@@ -134,7 +139,8 @@
 	}
 }
 
-// runningSuspects lists the suspects that run through this process now.
+// runningSuspects lists the suspects that are held back and run through this process
+// now. A suspect is listed once for each backend server that it runs on.
 func (l *Ledger) runningSuspects() []types.Fingerprint {
 	if len(*l.views.Load()) == 0 {
 		return nil
@@ -154,14 +160,14 @@
 func (l *Ledger) SuspectsOn() map[string]int {
 	now := l.opts.Now()
 	out := map[string]int{}
-	l.running.forEach(func(fp types.Fingerprint, one run) {
+	l.running.forEach(func(fp types.Fingerprint, current run) {
 		if verdict := l.Verdict(fp); verdict.State != Quarantined && !l.heldBack(verdict) {
 			return
 		}
-		if l.opts.Probation > 0 && now.Sub(one.since) >= l.opts.Probation {
+		if l.opts.Probation > 0 && now.Sub(current.since) >= l.opts.Probation {
 			return
 		}
-		out[one.backend]++
+		out[current.backend]++
 	})
 	return out
 }
--- a/suspect/server.go
+++ b/suspect/server.go
@@ -73,6 +73,7 @@
 	return out
 }
 
+// toNano returns t in Unix nanoseconds, and 0 for the zero time.
 func toNano(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
@@ -80,6 +81,7 @@
 	return t.UnixNano()
 }
 
+// fromNano is the inverse of toNano.
 func fromNano(n int64) time.Time {
 	if n == 0 {
 		return time.Time{}
--- a/suspect/store.go
+++ b/suspect/store.go
@@ -12,6 +12,8 @@
 )
 
 const (
+	// tablePrefix is the prefix of the ledger's rows in the table service. The rest of
+	// the key is the fingerprint.
 	tablePrefix = "suspect/"
 	// flushInterval and maxFlushRows bound the load on the table service: at most
 	// maxFlushRows reads and one write per interval from each process.
@@ -72,7 +74,8 @@
 }
 
 // load merges the entries stored in the table service. Rows of expired entries are
-// scheduled for deletion. It reports whether the entries could be read.
+// scheduled for deletion, and rows that can't be decoded are skipped. It reports
+// whether the rows could be read.
 func (l *Ledger) load(ctx context.Context, state *tableState) bool {
 	ctx, cancel := context.WithTimeout(ctx, tableTimeout)
 	defer cancel()
@@ -161,7 +164,8 @@
 }
 
 // buildTxn builds the transaction for a batch. It merges the stored rows into the
-// ledger first, and makes each write conditional on the version that it read.
+// ledger first, and makes each write conditional on the version that it read. A
+// stored row that can't be decoded is overwritten.
 func (l *Ledger) buildTxn(ctx context.Context, b batch) (backing.Txn, batch, error) {
 	var txn backing.Txn
 	for _, fp := range b.dirty {
@@ -198,6 +202,7 @@
 	txn.Writes = append(txn.Writes, w)
 }
 
+// encodeRow returns the row of a fingerprint, and false if it has no record any more.
 func (l *Ledger) encodeRow(fp types.Fingerprint) ([]byte, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/suspect/verdict.go
+++ b/suspect/verdict.go
@@ -15,7 +15,7 @@
 // Verdict tells the router whether a request may be placed.
 type Verdict struct {
 	State  State
-	Deaths int       // distinct deaths that count against the request
+	Deaths int       // distinct deaths that count against the request; one with strong evidence counts as two
 	Until  time.Time // end of the quarantine; zero unless Quarantined
 }
 
