--- a/limit/limitbench/accuracy.go
+++ b/limit/limitbench/accuracy.go
@@ -32,7 +32,7 @@
 	concurrencyLimit  = 100
 	concurrencyHold   = 2 * time.Second // mean time that a request holds its permit
 	concurrencyQueued = 0
-	client            = types.Organisation("client")
+	organisation      = types.Organisation("client")
 )
 
 // AccuracyRun is the result of one run: how accurately the limits were enforced.
@@ -70,13 +70,13 @@
 func Accuracy(routers int, pattern Pattern, borrow bool, seed uint64) AccuracyRun {
 	run := AccuracyRun{Routers: routers, Pattern: pattern, Borrow: borrow, Seed: seed}
 	s := newAccuracySim(routers, pattern, borrow, seed, limit.OrganisationLimits{
-		Name: client, RequestsPerSecond: rateLimit, Burst: rateBurst,
+		Name: organisation, RequestsPerSecond: rateLimit, Burst: rateBurst,
 	})
 	s.send(rateLimit*offeredLoad, 0)
 	s.clock.runUntil(accuracyEnd, func() {})
 	run.Rate, run.RateMax1s, run.RateMax10s = s.rates()
 	s = newAccuracySim(routers, pattern, borrow, seed, limit.OrganisationLimits{
-		Name: client, Concurrent: concurrencyLimit, Queued: concurrencyQueued,
+		Name: organisation, Concurrent: concurrencyLimit, Queued: concurrencyQueued,
 	})
 	s.send(concurrencyLimit*offeredLoad/concurrencyHold.Seconds(), concurrencyHold)
 	s.clock.every(10*time.Millisecond, s.sample)
@@ -151,7 +151,7 @@
 // arrive sends one request, which holds its permit for an exponentially distributed
 // time with mean hold.
 func (s *accuracySim) arrive(hold time.Duration) {
-	ticket, refusal := s.router().Reserve(client, limit.Short, time.Time{})
+	ticket, refusal := s.router().Reserve(organisation, limit.Short, time.Time{})
 	if refusal != nil {
 		return
 	}
