--- a/router/answer.go
+++ b/router/answer.go
@@ -56,21 +56,21 @@
 	Usage   *usage   `json:"usage,omitempty"`
 }
 
-func (s *bodyBuilder) chunk(text string, reason *types.FinishReason) completion {
+func (b *bodyBuilder) chunk(text string, reason *types.FinishReason) completion {
 	c := choice{FinishReason: reason}
 	object, prefix := "text_completion", "cmpl-"
-	if s.req.chat {
+	if b.req.chat {
 		object, prefix = "chat.completion.chunk", "chatcmpl-"
 		c.Delta = &message{Role: "assistant", Content: text}
 	} else {
 		c.Text = &text
 	}
-	return completion{ID: prefix + s.id.String(), Object: object, Created: s.created, Model: s.req.model, Choices: []choice{c}}
+	return completion{ID: prefix + b.id.String(), Object: object, Created: b.created, Model: b.req.model, Choices: []choice{c}}
 }
 
-func (s *bodyBuilder) whole(text string, reason types.FinishReason, total int) completion {
-	body := s.chunk(text, &reason)
-	if s.req.chat {
+func (b *bodyBuilder) whole(text string, reason types.FinishReason, total int) completion {
+	body := b.chunk(text, &reason)
+	if b.req.chat {
 		body.Object = "chat.completion"
 		body.Choices[0].Message, body.Choices[0].Delta = body.Choices[0].Delta, nil
 	}
@@ -163,9 +163,9 @@
 func (a *collectedAnswer) fail(*types.Refusal) error { return nil }
 
 func newAnswer(w http.ResponseWriter, gr *generationRequest, id types.GenerationID) answerWriter {
-	s := bodyBuilder{req: gr, id: id, created: time.Now().Unix()}
+	builder := bodyBuilder{req: gr, id: id, created: time.Now().Unix()}
 	if gr.stream {
-		return &streamAnswer{bodyBuilder: s, w: w, control: http.NewResponseController(w), events: newEventEncoder(&s)}
+		return &streamAnswer{bodyBuilder: builder, w: w, control: http.NewResponseController(w), events: newEventEncoder(&builder)}
 	}
-	return &collectedAnswer{bodyBuilder: s, w: w}
+	return &collectedAnswer{bodyBuilder: builder, w: w}
 }
--- a/router/attempt.go
+++ b/router/attempt.go
@@ -33,7 +33,7 @@
 	refused     *streampb.Refused // set if a sidecar refused the attempt
 	deathID     string            // identifies the engine's death, as reported by its sidecar
 	proven      bool              // the sidecar reports that the request had run well on that engine
-	cause       string            // cause of the loss, a metric label
+	cause       string            // why the output was interrupted, one of the cause constants
 	accepted    bool              // the sidecar accepted the attempt
 	progressed  bool              // at least one new token arrived
 	lastFrameAt time.Time         // when the last frame arrived
--- a/router/call.go
+++ b/router/call.go
@@ -57,7 +57,9 @@
 	defer release()
 	answer, refusal := r.dispatchCall(ctx, adm, service, key, r.buildCall(req, body))
 	if refusal != nil && refusal.Code == types.CodeTableDown {
-		refusal = r.accountForEarlier(req, refusal) // all other refusals were made after reading the claim
+		// The table service failed, so the claim row of an earlier request may not have
+		// been read.
+		refusal = r.accountForEarlier(req, refusal)
 	}
 	if refusal != nil {
 		r.refuse(w, adm.id, refusal)
@@ -177,8 +179,8 @@
 }
 
 func (r *Router) sendCall(ctx context.Context, c *route.Candidate, adm *admittedRequest, sf *serviceFleet, call plain.Call) (*streampb.CallResponse, error) {
-	sent := c.Begin(&route.Query{})
-	defer sent.End()
+	dispatch := c.Begin(&route.Query{})
+	defer dispatch.End()
 	deadline, _ := ctx.Deadline()
 	r.opts.Recorder.Emit(eventPlaced, event.FieldRequest, adm.id, "service", sf.name, "backend_server", c.ID)
 	return r.sidecars.Call(ctx, c.Address, &streampb.CallRequest{
--- a/router/cluster_test.go
+++ b/router/cluster_test.go
@@ -118,18 +118,18 @@
 }
 
 // requests counts the requests that all engines have run.
-func (b *cluster) requests() (n uint64) {
-	for _, s := range b.backends {
-		n += s.engine.Counters().Requests
+func (c *cluster) requests() (n uint64) {
+	for _, b := range c.backends {
+		n += b.engine.Counters().Requests
 	}
 	return n
 }
 
 // crashRunning crashes every engine that runs a request.
-func (b *cluster) crashRunning() {
-	for _, s := range b.backends {
-		if s.engine.Counters().Running > 0 {
-			s.engine.Crash()
+func (c *cluster) crashRunning() {
+	for _, b := range c.backends {
+		if b.engine.Counters().Running > 0 {
+			b.engine.Crash()
 		}
 	}
 }
--- a/router/drain.go
+++ b/router/drain.go
@@ -72,8 +72,8 @@
 	if at := r.drainedAt.Load(); at != 0 {
 		drain.Since = time.Unix(0, at)
 	}
-	r.inFlight.Range(func(begun, _ any) bool {
-		drain.Longest = max(drain.Longest, time.Since(begun.(*admittedRequest).started))
+	r.inFlight.Range(func(request, _ any) bool {
+		drain.Longest = max(drain.Longest, time.Since(request.(*admittedRequest).started))
 		return true
 	})
 	return drain
--- a/router/earlier.go
+++ b/router/earlier.go
@@ -52,9 +52,9 @@
 	if !r.earlierLookups.Allow() {
 		return true
 	}
-	row, cancel := context.WithTimeout(ctx, earlierLookupTimeout)
+	readCtx, cancel := context.WithTimeout(ctx, earlierLookupTimeout)
 	defer cancel()
-	claimed, err := r.opts.Claims.Claimed(row, service, org, key)
+	claimed, err := r.opts.Claims.Claimed(readCtx, service, org, key)
 	if err == nil {
 		return claimed
 	}
@@ -68,7 +68,7 @@
 	if sf == nil {
 		return true
 	}
-	targets := *sf.members.Load()
+	targets := *sf.targets.Load()
 	if len(targets) > maxSidecarsSearched {
 		return true
 	}
--- a/router/event_encoder.go
+++ b/router/event_encoder.go
@@ -22,8 +22,8 @@
 var emptyText = []byte(`:""`)
 
 // newEventEncoder splits the event of an empty text.
-func newEventEncoder(s *bodyBuilder) eventEncoder {
-	encoded, _ := json.Marshal(s.chunk("", nil))
+func newEventEncoder(builder *bodyBuilder) eventEncoder {
+	encoded, _ := json.Marshal(builder.chunk("", nil))
 	at := bytes.LastIndex(encoded, emptyText) + 1
 	return eventEncoder{prefix: encoded[:at:at], suffix: encoded[at+2:]}
 }
@@ -31,7 +31,7 @@
 func (e *eventEncoder) append(buf []byte, id types.EventID, text string) []byte {
 	if e.idPrefix == nil || e.attempt != id.Attempt {
 		first := types.EventID{Generation: id.Generation, Attempt: id.Attempt}.String()
-		e.idPrefix = append([]byte("id: "), first[:len(first)-1]...)
+		e.idPrefix = append([]byte("id: "), first[:len(first)-1]...) // without the index, 0
 		e.attempt = id.Attempt
 	}
 	buf = append(buf, e.idPrefix...)
--- a/router/fleet.go
+++ b/router/fleet.go
@@ -39,7 +39,7 @@
 	policy  route.Policy
 	budget  *retry.Budget
 	view    atomic.Pointer[route.View]
-	members atomic.Pointer[[]target]
+	targets atomic.Pointer[[]target]
 
 	recorder   *event.Recorder
 	registerer prometheus.Registerer
@@ -116,7 +116,7 @@
 	}
 	view := route.NewView(sf.view.Load(), candidates, now)
 	sf.view.Store(view)
-	sf.members.Store(&targets)
+	sf.targets.Store(&targets)
 }
 
 // suspectedCandidates returns the targets that are suspected to be dead. A router
@@ -189,7 +189,7 @@
 
 // find returns the target of a backend server of the service.
 func (sf *serviceFleet) find(name string) (target, bool) {
-	for _, t := range *sf.members.Load() {
+	for _, t := range *sf.targets.Load() {
 		if t.name == name {
 			return t, true
 		}
--- a/router/handover.go
+++ b/router/handover.go
@@ -14,7 +14,7 @@
 	// engine takes to prefill another caller's long prompt, and shorter than
 	// callers are willing to wait.
 	stallTimeout = 1500 * time.Millisecond
-	// stallHeartbeats is stallTimeout in heartbeats without a token between them.
+	// stallHeartbeats is stallTimeout in whole heartbeats without a token between them.
 	// Heartbeats are counted instead of time because a router or sidecar that was
 	// frozen sees a jump of its clock, but no more heartbeats than were sent.
 	stallHeartbeats = int(stallTimeout / streampb.HeartbeatInterval)
--- a/router/handover_test.go
+++ b/router/handover_test.go
@@ -30,18 +30,18 @@
 	return generateResult{answer, err}
 }
 
-func (a generateResult) expectComplete(g Gomega, tokens int) {
-	g.Expect(a.err).NotTo(HaveOccurred())
-	g.Expect(a.answer.Resumes).To(BeZero())
-	g.Expect(a.answer.Texts).To(HaveLen(tokens))
-	g.Expect(standin.CheckAnswer("list the pears", a.answer.Texts)).To(Succeed())
+func (r generateResult) expectComplete(g Gomega, tokens int) {
+	g.Expect(r.err).NotTo(HaveOccurred())
+	g.Expect(r.answer.Resumes).To(BeZero())
+	g.Expect(r.answer.Texts).To(HaveLen(tokens))
+	g.Expect(standin.CheckAnswer("list the pears", r.answer.Texts)).To(Succeed())
 }
 
 // runningBackend returns the backend whose engine runs a request.
-func (b *cluster) runningBackend() *backend {
-	for _, s := range b.backends {
-		if s.engine.Counters().Running > 0 {
-			return s
+func (c *cluster) runningBackend() *backend {
+	for _, b := range c.backends {
+		if b.engine.Counters().Running > 0 {
+			return b
 		}
 	}
 	return nil
@@ -53,15 +53,15 @@
 func TestStalledGenerationContinuesOnOnlyEngine(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
-	s := newBackend(t, "a")
-	got := generate(t, newReloadableRouter(t, string(configOf([]string{s.address}))).url, 200, func(index int) {
+	b := newBackend(t, "a")
+	got := generate(t, newReloadableRouter(t, string(configOf([]string{b.address}))).url, 200, func(index int) {
 		if index == 100 {
-			s.engine.Hold()
-			time.AfterFunc(holdTime, s.engine.Release)
+			b.engine.Hold()
+			time.AfterFunc(holdTime, b.engine.Release)
 		}
 	})
 	got.expectComplete(g, 200)
-	g.Expect(s.engine.Counters().Requests).To(BeEquivalentTo(1))
+	g.Expect(b.engine.Counters().Requests).To(BeEquivalentTo(1))
 }
 
 // An engine preempts a generation while the queue of the only other engine is full. The
@@ -71,17 +71,17 @@
 	t.Parallel()
 	g := NewWithT(t)
 	cl := newCluster(t)
-	var home *backend
+	var current *backend
 	got := generate(t, cl.url, 200, func(index int) {
 		if index == 100 {
-			home = cl.runningBackend()
-			cl.otherBackend(home).fillQueue(t)
-			home.engine.Hold()
-			time.AfterFunc(holdTime, home.engine.Release)
+			current = cl.runningBackend()
+			cl.otherBackend(current).fillQueue(t)
+			current.engine.Hold()
+			time.AfterFunc(holdTime, current.engine.Release)
 		}
 	})
 	got.expectComplete(g, 200)
-	g.Expect(home.engine.Counters().Requests).To(BeEquivalentTo(1))
+	g.Expect(current.engine.Counters().Requests).To(BeEquivalentTo(1))
 }
 
 // An engine is stuck for good although it answers probes. The stream must continue from
@@ -90,21 +90,21 @@
 	t.Parallel()
 	g := NewWithT(t)
 	cl := newCluster(t)
-	var home *backend
+	var current *backend
 	var longest time.Duration
 	last := time.Now()
 	got := generate(t, cl.url, 200, func(index int) {
 		longest, last = max(longest, time.Since(last)), time.Now()
 		if index == 100 {
-			home = cl.runningBackend()
-			home.engine.Hold()
+			current = cl.runningBackend()
+			current.engine.Hold()
 		}
 	})
 	got.expectComplete(g, 200)
 	g.Expect(longest).To(BeNumerically("<", holdTime))
-	g.Expect(cl.otherBackend(home).engine.Counters().Requests).To(BeEquivalentTo(1))
-	home.engine.Release()
-	g.Eventually(func() uint64 { return home.engine.Counters().Cancelled }, "5s", "10ms").Should(BeEquivalentTo(1))
+	g.Expect(cl.otherBackend(current).engine.Counters().Requests).To(BeEquivalentTo(1))
+	current.engine.Release()
+	g.Eventually(func() uint64 { return current.engine.Counters().Cancelled }, "5s", "10ms").Should(BeEquivalentTo(1))
 }
 
 // A backend server leaves while the queue of the only other one is full. The generation
@@ -114,16 +114,16 @@
 	t.Parallel()
 	g := NewWithT(t)
 	cl := newCluster(t)
-	var home *backend
+	var current *backend
 	got := generate(t, cl.url, 1500, func(index int) {
 		if index == 100 {
-			home = cl.runningBackend()
-			cl.otherBackend(home).fillQueue(t)
-			home.sidecar.BeginDrain("test")
+			current = cl.runningBackend()
+			cl.otherBackend(current).fillQueue(t)
+			current.sidecar.BeginDrain("test")
 		}
 	})
 	got.expectComplete(g, 1500)
-	g.Expect(home.engine.Counters().Requests).To(BeEquivalentTo(1))
+	g.Expect(current.engine.Counters().Requests).To(BeEquivalentTo(1))
 }
 
 // A backend server leaves while another one is free. Its generation must continue there,
@@ -132,16 +132,16 @@
 	t.Parallel()
 	g := NewWithT(t)
 	cl := newCluster(t)
-	var home *backend
+	var current *backend
 	got := generate(t, cl.url, 1500, func(index int) {
 		if index == 100 {
-			home = cl.runningBackend()
-			home.sidecar.BeginDrain("test")
+			current = cl.runningBackend()
+			current.sidecar.BeginDrain("test")
 		}
 	})
 	got.expectComplete(g, 1500)
-	g.Expect(cl.otherBackend(home).engine.Counters().Requests).To(BeEquivalentTo(1))
-	g.Expect(home.engine.Counters().Cancelled).To(BeEquivalentTo(1))
+	g.Expect(cl.otherBackend(current).engine.Counters().Requests).To(BeEquivalentTo(1))
+	g.Expect(current.engine.Counters().Cancelled).To(BeEquivalentTo(1))
 }
 
 // All three engines get stuck. A stalled generation is offered to a second engine, then
@@ -153,23 +153,23 @@
 	cl := &cluster{backends: []*backend{newBackend(t, "a"), newBackend(t, "b"), newBackend(t, "c")}}
 	url := newRouter(t, cl.backends[0].address, cl.backends[1].address, cl.backends[2].address)
 	lose := func() {
-		home := cl.runningBackend()
-		for _, s := range cl.backends {
-			s.engine.Hold()
-			t.Cleanup(s.engine.Release)
+		current := cl.runningBackend()
+		for _, b := range cl.backends {
+			b.engine.Hold()
+			t.Cleanup(b.engine.Release)
 		}
 		for asked := 0; asked < 2; time.Sleep(time.Millisecond) {
 			asked = 0
-			for _, s := range cl.backends {
-				asked += s.engine.Counters().Queued + s.engine.Counters().Running
+			for _, b := range cl.backends {
+				asked += b.engine.Counters().Queued + b.engine.Counters().Running
 			}
 		}
-		for _, s := range cl.backends {
-			if c := s.engine.Counters(); c.Queued+c.Running == 0 {
-				s.engine.Release()
+		for _, b := range cl.backends {
+			if c := b.engine.Counters(); c.Queued+c.Running == 0 {
+				b.engine.Release()
 			}
 		}
-		home.engine.Crash()
+		current.engine.Crash()
 	}
 	got := make(chan generateResult, 1)
 	go func() {
@@ -179,15 +179,15 @@
 			}
 		})
 	}()
-	var one generateResult
-	g.Eventually(got, "10s").Should(Receive(&one))
-	one.expectComplete(g, 200)
+	var result generateResult
+	g.Eventually(got, "10s").Should(Receive(&result))
+	result.expectComplete(g, 200)
 }
 
-func (b *cluster) otherBackend(s *backend) *backend {
-	for _, one := range b.backends {
-		if one != s {
-			return one
+func (c *cluster) otherBackend(b *backend) *backend {
+	for _, other := range c.backends {
+		if other != b {
+			return other
 		}
 	}
 	return nil
@@ -195,13 +195,13 @@
 
 // fillQueue holds the engine and fills its queue, so that it refuses all requests until
 // the test ends.
-func (s *backend) fillQueue(t *testing.T) {
-	s.engine.Hold()
-	t.Cleanup(s.engine.Release)
-	for s.engine.Counters().Refused == 0 {
+func (b *backend) fillQueue(t *testing.T) {
+	b.engine.Hold()
+	t.Cleanup(b.engine.Release)
+	for b.engine.Counters().Refused == 0 {
 		go func() {
 			body := strings.NewReader(`{"model":"pear","prompt":"p","max_tokens":1}`)
-			resp, err := http.Post(s.engineURL+"/v1/generate", "application/json", body)
+			resp, err := http.Post(b.engineURL+"/v1/generate", "application/json", body)
 			if err == nil {
 				_ = resp.Body.Close()
 			}
@@ -227,6 +227,8 @@
 	time.Sleep(100 * time.Millisecond) // lets some tokens be generated
 	for round := range 2 {
 		cl.backends[0].engine.Hold()
+		// stallTimeout, after which the generations are offered, and then one or two
+		// steps of the other engine
 		time.Sleep(1500*time.Millisecond + time.Duration(60+70*round)*time.Millisecond)
 		cl.backends[0].engine.Release()
 		time.Sleep(50 * time.Millisecond)
@@ -247,7 +249,7 @@
 	cl := newCluster(t)
 	got := make(chan generateResult, others+1)
 	first := make(chan time.Duration, others)
-	var home *backend
+	var current *backend
 	send := func() {
 		begun := time.Now()
 		got <- generate(t, cl.url, tokens, func(index int) {
@@ -259,8 +261,8 @@
 	go func() {
 		got <- generate(t, cl.url, tokens, func(index int) {
 			if index == 50 {
-				home = cl.runningBackend()
-				home.engine.Hold()
+				current = cl.runningBackend()
+				current.engine.Hold()
 				for range others / 2 {
 					go send()
 				}
@@ -273,9 +275,9 @@
 		})
 	}()
 	for range others + 1 {
-		var one generateResult
-		g.Eventually(got, "12s").Should(Receive(&one))
-		one.expectComplete(g, tokens)
+		var result generateResult
+		g.Eventually(got, "12s").Should(Receive(&result))
+		result.expectComplete(g, tokens)
 	}
 	for range others {
 		g.Expect(<-first).To(BeNumerically("<", holdTime))
--- a/router/metrics.go
+++ b/router/metrics.go
@@ -5,7 +5,7 @@
 	"github.com/prometheus/client_golang/prometheus/promauto"
 )
 
-// Causes of a loss, used as labels of the resume latency.
+// Causes of an interruption of the output, used as labels of the resume latency.
 const (
 	causeEngineDied     = "engine_died"
 	causeConnection     = "connection"
--- a/router/offer.go
+++ b/router/offer.go
@@ -14,25 +14,25 @@
 
 // States of an offer.
 const (
-	// States of an offer.
-	offerOpen      int32 = iota // no token yet
-	offerWon                    // it brought a token first and has the generation
-	offerFailed                 // it was refused, or its stream broke
-	offerWithdrawn              // the current attempt goes on
+	offerOpen      int32 = iota // it has brought no token yet
+	offerWon                    // it brought a token or the end first and has the generation
+	offerFailed                 // it was refused, lost, or its backend server is leaving too
+	offerWithdrawn              // the current attempt continues the generation
 )
 
 // offer is an attempt that runs concurrently with the current attempt of its
 // generation, from the same token on. The first of the two that brings a token
 // gets the generation and the other one is cancelled. The state changes by
 // compare-and-swap, so that exactly one of them wins and no token of the other is
-// taken.
+// taken. If the generation moves because its backend server is leaving, the tokens of
+// its current attempt are held back until the offer is decided, see maxMoveHold.
 //
 // A separate goroutine reads the stream until the state is decided. Everything
 // else, including the bookkeeping, belongs to the goroutine of the run.
 type offer struct {
 	candidate  *route.Candidate
 	reader     *attemptReader
-	sent       route.Dispatch
+	dispatch   route.Dispatch
 	runCounted bool // the suspect ledger counts the offer as a run
 	openedAt   time.Time
 
@@ -54,11 +54,11 @@
 	}
 	attempt := types.NewAttemptTag()
 	lineage := g.lineage.Extend(attempt, len(g.tokens))
-	o.sent = o.candidate.Begin(query)
+	o.dispatch = o.candidate.Begin(query)
 	o.stream = g.router.openStream(ctx, o.candidate.Address, streampb.PathGenerate, g.attemptRequest(ctx, lineage, query.Suspect))
 	o.reader = &attemptReader{
-		run: g, stream: o.stream, candidate: o.candidate, address: o.candidate.Address, sent: &o.sent,
-		attempt: attempt, lineage: lineage, opened: o.openedAt,
+		run: g, stream: o.stream, candidate: o.candidate, address: o.candidate.Address, dispatch: &o.dispatch,
+		attempt: attempt, lineage: lineage, openedAt: o.openedAt,
 	}
 	go o.read(g.text.Recovery.Silence(), onWin)
 	return o
@@ -112,11 +112,11 @@
 
 // read reads frames until the offer is decided. If it has won, its stream stays
 // open with the deciding frame pushed back, for the run to read on.
-func (o *offer) read(limit time.Duration, overtake func()) {
+func (o *offer) read(limit time.Duration, onWin func()) {
 	defer close(o.done)
 	result := readFrames(o.stream, limit, o.handleFrame)
 	if result.end == endOfferWon {
-		overtake()
+		onWin()
 		return
 	}
 	o.result = result
@@ -143,7 +143,7 @@
 
 func (o *offer) won() bool { return o.state.Load() == offerWon }
 
-// failed reports that the offer was refused or its stream broke.
+// failed reports that the offer has ended and can't win any more.
 func (o *offer) failed() bool { return o.state.Load() == offerFailed }
 
 // withdraw withdraws the offer. It returns false if the offer has already won.
@@ -164,7 +164,8 @@
 	}
 }
 
-// closeOffer records the end of an offer that the run doesn't continue with.
+// closeOffer waits for the end of an offer that the run doesn't continue with and
+// records it.
 func (g *generationRun) closeOffer(o *offer) {
 	<-o.done
 	if !o.failed() {
@@ -172,14 +173,14 @@
 		o.stream.close()
 	}
 	o.result.accepted = o.reader.accepted
-	o.sent.End()
+	o.dispatch.End()
 	g.recordEnd(o.candidate, o.reader.attempt, &o.result)
 	g.endOfferRun(o)
 }
 
 // followOffer reads on from an offer that has won.
 func (g *generationRun) followOffer(o *offer) attemptResult {
-	defer o.sent.End()
+	defer o.dispatch.End()
 	g.router.opts.Recorder.Emit(eventPlaced, event.FieldRequest, g.req.requestID, "generation", g.id,
 		"backend_server", o.candidate.ID, "emitted", len(g.tokens))
 	g.runCounted = o.runCounted
--- a/router/offer_test.go
+++ b/router/offer_test.go
@@ -24,32 +24,32 @@
 	g := &generationRun{router: &Router{opts: Options{Recorder: event.Discard()}}, tokens: make([]types.Token, 3), delivered: 3}
 	ctx, cancel := context.WithCancel(context.Background())
 	o := &offer{openedAt: time.Now(), stream: &frameStream{ctx: ctx, cancel: cancel}, done: make(chan struct{}), reader: &attemptReader{run: g, attempt: 2}}
-	home := &attemptReader{run: g, attempt: 1, progressed: true}
-	home.handover.offer = o
-	return home, o
+	current := &attemptReader{run: g, attempt: 1, progressed: true}
+	current.handover.offer = o
+	return current, o
 }
 
-// The offer brings its first token while one of the stalled attempt is still on its way.
+// The offer brings its first token while one of the current attempt is still on its way.
 // Taking both would mix two attempts in one answer.
 func TestTokenAfterOfferWonIsDropped(t *testing.T) {
-	for name, moving := range map[string]bool{"stands still": false, "moves": true} {
+	for name, moving := range map[string]bool{"stalled": false, "moving": true} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			home, o := openOffer()
-			home.handover.moving = moving
+			current, o := openOffer()
+			current.handover.moving = moving
 			g.Expect(o.handleFrame(tokensFrame(2, 3)).end).To(Equal(endOfferWon))
-			result := home.handle(tokensFrame(1, 3))
+			result := current.handle(tokensFrame(1, 3))
 			if moving { // the token is held back, and the read ends next
 				g.Expect(result).To(BeNil())
 			} else {
 				g.Expect(result.end).To(Equal(endSuperseded))
 			}
-			g.Expect(home.run.tokens).To(HaveLen(3))
+			g.Expect(current.run.tokens).To(HaveLen(3))
 			close(o.done)
-			after := home.resolveHandover(attemptResult{end: endLost, cause: causeConnection})
+			after := current.resolveHandover(attemptResult{end: endLost, cause: causeConnection})
 			g.Expect(after.end).To(Equal(endSuperseded))
-			g.Expect(home.run.successor).To(BeIdenticalTo(o))
-			g.Expect(home.run.tokens).To(HaveLen(3))
+			g.Expect(current.run.successor).To(BeIdenticalTo(o))
+			g.Expect(current.run.tokens).To(HaveLen(3))
 		})
 	}
 }
--- a/router/openai_test.go
+++ b/router/openai_test.go
@@ -61,7 +61,7 @@
 		{"wrong type", `{"model":5}`, "key", "", 400, "bad_request"},
 		{"unknown model", `{"model":"plum","prompt":"p"}`, "key", "", 404, "unknown_model"},
 		{"no prompt", `{"model":"pear"}`, "key", "", 400, "bad_request"},
-		{"negative budget", `{"model":"pear","prompt":"p","max_tokens":-1}`, "key", "", 400, "bad_request"},
+		{"negative max_tokens", `{"model":"pear","prompt":"p","max_tokens":-1}`, "key", "", 400, "bad_request"},
 		{"too large", tooLarge, "key", "", 413, "body_too_large"},
 		{"no key", good, "", "", 401, "unauthorized"},
 		{"wrong key", good, "wrong", "", 401, "unauthorized"},
--- a/router/pace_test.go
+++ b/router/pace_test.go
@@ -49,7 +49,8 @@
 }
 
 // The same with a long timeout. The caller must be told within seconds that no backend
-// server resumes its answer, instead of waiting for the configured half hour.
+// server resumes its answer, instead of waiting for its timeout, which is half an hour
+// by default.
 func TestResumeGivesUpWhenAllRefuse(t *testing.T) {
 	g := NewWithT(t)
 	begun := time.Now()
--- a/router/place.go
+++ b/router/place.go
@@ -40,9 +40,9 @@
 	}
 }
 
-// paceRefusals waits once all backend servers have refused this request in a row.
-// Without it a resume would send attempts without a pause while all engines are
-// down.
+// paceRefusals waits, with a growing backoff, once this request was refused as often
+// in a row as there are backend servers. Without it a resume would send attempts
+// without a pause while all engines are down. It returns false if ctx ends first.
 func (g *generationRun) paceRefusals(ctx context.Context) bool {
 	round := g.consecutiveRefusals - g.service.view.Load().Len()
 	if round < 0 {
@@ -124,6 +124,8 @@
 	case endCompleted:
 		candidate.Stats.RecordSuccess()
 	case endCallerLeft:
+		// A caller that sent an idempotency key may reconnect with it, so its generation
+		// continues at the sidecar for a while.
 		if !g.req.explicitKey {
 			g.router.cancelAttempt(candidate.Address, g.id, attempt)
 		}
--- a/router/reader.go
+++ b/router/reader.go
@@ -15,10 +15,10 @@
 	stream     *frameStream
 	address    string           // of the sidecar
 	candidate  *route.Candidate // nil if attached to a running generation
-	sent       *route.Dispatch  // nil if attached to a running generation
+	dispatch   *route.Dispatch  // nil if attached to a running generation
 	attempt    types.AttemptTag
 	lineage    types.Lineage
-	opened     time.Time
+	openedAt   time.Time
 	accepted   bool
 	progressed bool
 	handover   handover
@@ -26,7 +26,7 @@
 
 func (a *attemptReader) handle(frame *streampb.Frame) *attemptResult {
 	a.reportLoad(frame.GetLoad())
-	if result, dealt := a.handleHandover(frame); dealt || result != nil {
+	if result, handled := a.handleHandover(frame); handled || result != nil {
 		return result
 	}
 	return a.handleFrame(frame)
@@ -95,7 +95,7 @@
 	}
 	a.progressed = true
 	if a.candidate != nil {
-		a.sent.FirstToken(time.Since(a.opened))
+		a.dispatch.FirstToken(time.Since(a.openedAt))
 		route.Learn(a.run.service.policy, a.candidate, a.run.blocks)
 	}
 }
--- a/router/reattach.go
+++ b/router/reattach.go
@@ -20,12 +20,12 @@
 	extraJournalPeers = 2
 	// maxSidecarsSearched bounds the search among all sidecars, used when the
 	// journal peers don't know the generation.
-	maxSidecarsSearched = 64
-	reserveTimeout      = 300 * time.Millisecond
-	reservePollInterval = 20 * time.Millisecond
-	searchTimeout       = 500 * time.Millisecond
-	lostRetryAfter      = time.Second
-	unsureRetryAfter    = 2 * time.Second
+	maxSidecarsSearched    = 64
+	reserveTimeout         = 300 * time.Millisecond
+	reservePollInterval    = 20 * time.Millisecond
+	searchTimeout          = 500 * time.Millisecond
+	lostRetryAfter         = time.Second
+	inconclusiveRetryAfter = 2 * time.Second
 )
 
 // findOrReserveKey reserves the caller's idempotency key for this run, or reports
@@ -81,15 +81,15 @@
 // reattach continues a generation that the caller may have received a part of. It
 // reads from the sidecar that runs it, or else resumes it from its journal.
 func (g *generationRun) reattach(ctx context.Context) (done bool, refusal *types.Refusal) {
-	want := g.lastSeenEvent()
+	lastSeen := g.lastSeenEvent()
 	g.delivered = g.tokensSeen()
 	g.gap = &gap{since: g.receivedAt, cause: causeCallerReturned}
 	g.ran = true
 	g.router.opts.Recorder.Emit(eventReturned, event.FieldRequest, g.req.requestID, "generation", g.id, "seen", g.delivered)
-	branch, err := g.router.journal.Find(ctx, want, g.searchOrder())
+	branch, err := g.router.journal.Find(ctx, lastSeen, g.searchOrder())
 	runners := g.runners(ctx, branch, err)
 	for _, addr := range runners {
-		result := g.attach(ctx, addr, want)
+		result := g.attach(ctx, addr, lastSeen)
 		if g.successor == nil && (result.end == endLost || result.end == endNotStarted) {
 			continue
 		}
@@ -130,12 +130,12 @@
 }
 
 // attach reads the answer from its beginning from a sidecar that holds it.
-func (g *generationRun) attach(ctx context.Context, addr string, want types.EventID) attemptResult {
-	req := &streampb.AttachRequest{Generation: g.id.String(), Attempt: uint32(want.Attempt), From: uint32(g.tokensSeen())}
+func (g *generationRun) attach(ctx context.Context, addr string, lastSeen types.EventID) attemptResult {
+	req := &streampb.AttachRequest{Generation: g.id.String(), Attempt: uint32(lastSeen.Attempt), From: uint32(g.tokensSeen())}
 	stream := g.router.openStream(ctx, addr, streampb.PathAttach, req)
 	earlier := g.tokens
 	g.tokens = nil
-	reader := &attachReader{attemptReader: attemptReader{run: g, stream: stream, address: addr, opened: time.Now()}, lastSeen: want}
+	reader := &attachReader{attemptReader: attemptReader{run: g, stream: stream, address: addr, openedAt: time.Now()}, lastSeen: lastSeen}
 	result := reader.resolveHandover(readStream(stream, g.text.Recovery.Silence(), reader.handle))
 	if result.end == endSuperseded {
 		g.router.cancelAttempt(addr, g.id, reader.attempt)
@@ -174,8 +174,10 @@
 	return nil
 }
 
-// resumeFromJournal continues from the tokens that journal peers hold, or returns
-// the refusal that the generation is lost.
+// resumeFromJournal continues from the tokens that journal peers hold. If nothing can
+// be found, a generation of which the caller has received nothing starts anew, and
+// another one is refused as lost. A generation that is complete in the journal is
+// answered at once, with answeredRefusal.
 func (g *generationRun) resumeFromJournal(branch tokenlog.Branch, err error) *types.Refusal {
 	if len(g.tokens) >= g.delivered && len(g.tokens) > len(branch.Tokens) {
 		return nil // an attached log broke off: resume after the tokens it brought
@@ -208,7 +210,8 @@
 	g.answer = g.newAnswer(g.id)
 }
 
-// answeredRefusal reports that the answer has already been completed.
+// answeredRefusal ends a run whose answer has been written completely. It is never sent
+// to a caller.
 var answeredRefusal = &types.Refusal{Code: "", Message: "answered"}
 
 func (g *generationRun) finishedInJournal(reason types.FinishReason) *types.Refusal {
@@ -227,7 +230,7 @@
 	refusal.Status = http.StatusGone
 	if errors.Is(cause, tokenlog.ErrInconclusive) {
 		refusal.Status = http.StatusServiceUnavailable
-		refusal.RetryAfter = unsureRetryAfter
+		refusal.RetryAfter = inconclusiveRetryAfter
 		refusal.Message = "not everybody who may hold the generation could be asked; come back with the same Last-Event-ID"
 	}
 	return refusal
--- a/router/request.go
+++ b/router/request.go
@@ -115,8 +115,9 @@
 		return refusal
 	}
 	org := types.Organisation(gr.organisation.Name)
-	// A prompt that crashes engines does so with any max_tokens, so the fingerprint
-	// leaves that out: sent again with another value, it is the same suspect.
+	// A prompt that crashes engines does so with any max_tokens. The fingerprint leaves
+	// max_tokens out, so that a prompt that is sent again with another value is still
+	// recognised as one that crashed engines.
 	gr.fingerprint = types.FingerprintOf(org, []byte(gr.model+"\x00"+gr.prompt))
 	gr.explicitKey = idempotencyKey != ""
 	gr.key = types.KeyOf(org, idempotencyKey+"\x00"+types.FingerprintOf(org, body).String())
--- a/router/router.go
+++ b/router/router.go
@@ -73,12 +73,12 @@
 		opts.Policy = route.DefaultPolicy
 	}
 	client := opts.Peer.Client()
-	calls := sidecars{http: client}
+	sidecarCalls := sidecars{http: client}
 	r := &Router{
 		opts:           opts,
 		client:         client,
-		sidecars:       calls,
-		journal:        tokenlog.NewReader(tokenlog.ReaderOptions{Client: calls}),
+		sidecars:       sidecarCalls,
+		journal:        tokenlog.NewReader(tokenlog.ReaderOptions{Client: sidecarCalls}),
 		fleet:          newFleet(opts.Peer.Self().ID, opts.Policy, opts.Recorder, opts.Registerer),
 		earlierLookups: rate.NewLimiter(earlierLookupsPerSecond, earlierLookupsPerSecond),
 		stopping:       make(chan struct{}),
@@ -139,8 +139,8 @@
 	return r.refresh()
 }
 
-// refresh requires refreshMu, which it needs to read the configuration: views of
-// an older one never replace those of a newer one.
+// refresh requires refreshMu. The configuration is read under this lock, so that the
+// views of an older configuration never replace those of a newer one.
 func (r *Router) refresh() error {
 	conf := r.opts.Text()
 	if conf == nil {
@@ -234,7 +234,7 @@
 	return out
 }
 
-// maybeAlive reports whether membership doesn't hold the sidecar at addr for dead.
+// maybeAlive returns false only if membership reports the sidecar at addr as dead.
 func (r *Router) maybeAlive(addr string) bool {
 	members := r.opts.Members()
 	if members == nil {
--- a/router/run.go
+++ b/router/run.go
@@ -21,8 +21,8 @@
 	freshPlaceTimeout  = 500 * time.Millisecond
 	placeRetryInterval = 20 * time.Millisecond
 	// maxAvoided is how many backend servers a request avoids at once.
-	maxAvoided           = 4
-	overloadedRetryAfter = time.Second
+	maxAvoided               = 4
+	unknownOutcomeRetryAfter = time.Second
 )
 
 // generationRun produces one generation from its first token to its last, over
@@ -181,7 +181,7 @@
 // only if no attempt can have run.
 func (g *generationRun) finalRefusal(code types.Code, message string) *types.Refusal {
 	if g.ran {
-		refusal := types.Unknown(code, overloadedRetryAfter, "%s", message)
+		refusal := types.Unknown(code, unknownOutcomeRetryAfter, "%s", message)
 		refusal.Status = http.StatusServiceUnavailable
 		return refusal
 	}
@@ -204,14 +204,14 @@
 	attempt := types.NewAttemptTag()
 	lineage := g.lineage.Extend(attempt, len(g.tokens))
 	query := g.query()
-	sent := candidate.Begin(query)
-	defer sent.End()
+	dispatch := candidate.Begin(query)
+	defer dispatch.End()
 	g.router.opts.Recorder.Emit(eventPlaced, event.FieldRequest, g.req.requestID, "generation", g.id,
 		"backend_server", candidate.ID, "emitted", len(g.tokens))
 	stream := g.router.openStream(ctx, candidate.Address, streampb.PathGenerate, g.attemptRequest(ctx, lineage, query.Suspect))
 	return g.followAttempt(&attemptReader{
-		run: g, stream: stream, candidate: candidate, address: candidate.Address, sent: &sent,
-		attempt: attempt, lineage: lineage, opened: time.Now(),
+		run: g, stream: stream, candidate: candidate, address: candidate.Address, dispatch: &dispatch,
+		attempt: attempt, lineage: lineage, openedAt: time.Now(),
 	})
 }
 
--- a/router/serve_test.go
+++ b/router/serve_test.go
@@ -30,49 +30,51 @@
 }
 
 func newReloadableRouter(t *testing.T, raw string) *reloadableRouter {
-	m := &reloadableRouter{}
-	m.store(t, raw)
-	m.Router = router.New(router.Options{
+	r := &reloadableRouter{}
+	r.store(t, raw)
+	r.Router = router.New(router.Options{
 		Peer:       newPeer("r1", ""),
-		Text:       m.text.Load,
+		Text:       r.text.Load,
 		Fresh:      func() bool { return true },
 		Members:    func() *membership.View { return nil },
 		Recorder:   event.Discard(),
 		Registerer: prometheus.NewRegistry(),
 	})
-	NewWithT(t).Expect(m.Refresh()).To(Succeed())
-	callers := httptest.NewServer(m.Handler())
+	NewWithT(t).Expect(r.Refresh()).To(Succeed())
+	callers := httptest.NewServer(r.Handler())
 	t.Cleanup(callers.Close)
-	m.url = callers.URL
-	return m
+	r.url = callers.URL
+	return r
 }
 
-func (m *reloadableRouter) store(t *testing.T, raw string) {
+func (r *reloadableRouter) store(t *testing.T, raw string) {
 	conf, findings := text.Parse([]byte(raw))
 	NewWithT(t).Expect(findings.HasErrors()).To(BeFalse(), "%v", findings)
-	m.text.Store(conf)
+	r.text.Store(conf)
 }
 
 // apply stores a configuration and rebuilds the views.
-func (m *reloadableRouter) apply(t *testing.T, raw string) {
-	m.store(t, raw)
-	NewWithT(t).Expect(m.Refresh()).To(Succeed())
+func (r *reloadableRouter) apply(t *testing.T, raw string) {
+	r.store(t, raw)
+	NewWithT(t).Expect(r.Refresh()).To(Succeed())
 }
 
 // configWithoutService has no service, and another organisation.
 const configWithoutService = `{"services":[],"models":[{"name":"pear","version":"1"}],"organisations":[{"name":"p","keySHA256":["0c70e12b7a0646f92279f427c7b38e7334d8e5389cff167a1dc30e73f826b683"]}]}`
 
-// An operator removes a service from the configuration and adds it again.
+// An operator removes a service from the configuration and adds it again. Its new routing
+// policy and retry budget register metrics that exist already; that must not fail, and the
+// service must be served.
 func TestServiceReaddedToConfiguration(t *testing.T) {
 	g := NewWithT(t)
-	s := newBackend(t, "a")
-	with := string(configOf([]string{s.address}))
-	m := newReloadableRouter(t, with)
+	b := newBackend(t, "a")
+	with := string(configOf([]string{b.address}))
+	r := newReloadableRouter(t, with)
 	for range 3 {
-		m.apply(t, configWithoutService)
-		m.apply(t, with)
+		r.apply(t, configWithoutService)
+		r.apply(t, with)
 	}
-	resp, err := postCompletion(m.url, "key", 5, false)
+	resp, err := postCompletion(r.url, "key", 5, false)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(resp.StatusCode).To(Equal(http.StatusOK))
 	g.Expect(bodyOf(resp)).To(ContainSubstring(`"finish_reason"`))
@@ -94,10 +96,10 @@
 			g := NewWithT(t)
 			a, b := newBackend(t, "a"), newBackend(t, "b")
 			cl := &cluster{backends: []*backend{a, b}}
-			m := newReloadableRouter(t, string(configOf([]string{a.address, b.address})))
+			r := newReloadableRouter(t, string(configOf([]string{a.address, b.address})))
 			ended := make(chan string, 1)
 			go func() {
-				resp, err := postCompletion(m.url, "key", 300, stream)
+				resp, err := postCompletion(r.url, "key", 300, stream)
 				if err != nil {
 					ended <- err.Error()
 					return
@@ -105,7 +107,7 @@
 				ended <- bodyOf(resp)
 			}()
 			g.Eventually(cl.requests, "5s", "2ms").Should(BeEquivalentTo(1))
-			m.apply(t, configWithoutService)
+			r.apply(t, configWithoutService)
 			time.Sleep(100 * time.Millisecond) // lets some tokens be generated
 			cl.crashRunning()
 			var body string
@@ -116,7 +118,7 @@
 			} else {
 				g.Expect(body).To(ContainSubstring(`"completion_tokens":300`))
 			}
-			resp, err := postCompletion(m.url, "key", 5, stream)
+			resp, err := postCompletion(r.url, "key", 5, stream)
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(resp.StatusCode).To(Equal(http.StatusUnauthorized))
 		})
@@ -130,15 +132,15 @@
 	for _, stream := range []bool{true, false} {
 		t.Run(fmt.Sprint("stream ", stream), func(t *testing.T) {
 			g := NewWithT(t)
-			s := newBackend(t, "a")
-			m := newReloadableRouter(t, string(configOf([]string{s.address})))
-			conn, err := net.Dial("tcp4", strings.TrimPrefix(m.url, "http://"))
+			b := newBackend(t, "a")
+			r := newReloadableRouter(t, string(configOf([]string{b.address})))
+			conn, err := net.Dial("tcp4", strings.TrimPrefix(r.url, "http://"))
 			g.Expect(err).NotTo(HaveOccurred())
 			defer conn.Close()
 			body := fmt.Sprintf(`{"model":"pear","prompt":"list the pears","max_tokens":300,"stream":%v}`, stream)
 			_, err = fmt.Fprintf(conn, "POST /v1/completions HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer key\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 			g.Expect(err).NotTo(HaveOccurred())
-			g.Eventually(func() uint64 { return s.engine.Counters().Requests }, "5s", "2ms").Should(BeEquivalentTo(1))
+			g.Eventually(func() uint64 { return b.engine.Counters().Requests }, "5s", "2ms").Should(BeEquivalentTo(1))
 			g.Expect(conn.(*net.TCPConn).CloseWrite()).To(Succeed())
 			_ = conn.SetReadDeadline(time.Now().Add(10 * time.Second))
 			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -158,8 +160,8 @@
 // reading the body: unknown key, path or service, or a body that is too large. Closing
 // the connection with unread data would reset it and discard the refusal.
 func TestRefusalReachesCallerWithUnreadBody(t *testing.T) {
-	s := newBackend(t, "a")
-	m := newReloadableRouter(t, string(configOf([]string{s.address})))
+	b := newBackend(t, "a")
+	r := newReloadableRouter(t, string(configOf([]string{b.address})))
 	for name, c := range map[string]struct {
 		path, key string
 		status    int
@@ -175,7 +177,7 @@
 			}
 			t.Run(fmt.Sprint(name, " ", size), func(t *testing.T) {
 				g := NewWithT(t)
-				conn, err := net.Dial("tcp4", strings.TrimPrefix(m.url, "http://"))
+				conn, err := net.Dial("tcp4", strings.TrimPrefix(r.url, "http://"))
 				g.Expect(err).NotTo(HaveOccurred())
 				defer conn.Close()
 				_ = conn.SetDeadline(time.Now().Add(20 * time.Second))
@@ -219,8 +221,8 @@
 // removes its service. The configuration in force when the request is complete decides,
 // or a revoked key would go on working for callers that send slowly.
 func TestSlowBodyIsCheckedAgainstCurrentConfiguration(t *testing.T) {
-	s := newBackend(t, "a")
-	with := string(configOf([]string{s.address}))
+	b := newBackend(t, "a")
+	with := string(configOf([]string{b.address}))
 	without := strings.Replace(configWithoutService, `"organisations":[`,
 		`"organisations":[{"name":"o","keySHA256":["2c70e12b7a0646f92279f427c7b38e7334d8e5389cff167a1dc30e73f826b683"]},`, 1)
 	revoked := strings.Replace(with, `"keySHA256":["2c`, `"keySHA256":["3c`, 1)
@@ -230,16 +232,16 @@
 	}{"key revoked": {revoked, 401}, "service gone": {without, 404}, "same": {with, 200}} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			m := newReloadableRouter(t, with)
-			conn, err := net.Dial("tcp4", strings.TrimPrefix(m.url, "http://"))
+			r := newReloadableRouter(t, with)
+			conn, err := net.Dial("tcp4", strings.TrimPrefix(r.url, "http://"))
 			g.Expect(err).NotTo(HaveOccurred())
 			defer conn.Close()
 			_ = conn.SetDeadline(time.Now().Add(10 * time.Second))
 			body := `{"model":"pear","prompt":"list the pears","max_tokens":5}`
 			_, err = fmt.Fprintf(conn, "POST /v1/completions HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer key\r\nContent-Length: %d\r\n\r\n%s", len(body), body[:10])
 			g.Expect(err).NotTo(HaveOccurred())
-			g.Eventually(m.Streams, "5s", "2ms").Should(Equal(1))
-			m.apply(t, c.text)
+			g.Eventually(r.Streams, "5s", "2ms").Should(Equal(1))
+			r.apply(t, c.text)
 			_, err = conn.Write([]byte(body[10:]))
 			g.Expect(err).NotTo(HaveOccurred())
 			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
--- a/router/sidecars.go
+++ b/router/sidecars.go
@@ -37,14 +37,15 @@
 		return nil, errors.Wrap(plain.ErrNotSent, err.Error())
 	}
 	if err == nil && resp.GetRequestId() != req.GetRequestId() {
-		return nil, errWrongRequest
+		return nil, errors.Wrapf(errWrongRequest, "call %s at %s got the response to %q", req.GetRequestId(), addr, resp.GetRequestId())
 	}
 	return resp, err
 }
 
-// errWrongRequest is returned for a response to another request. Returning it would
-// give a caller somebody else's result; the outcome of its own call is unknown.
-var errWrongRequest = errors.New("router: answer belongs to another request")
+// errWrongRequest is returned instead of a response to another request. Returning that
+// response would give a caller somebody else's result; the outcome of its own call is
+// unknown.
+var errWrongRequest = errors.New("router: response belongs to another request")
 
 // Void requests that an attempt never run.
 func (s sidecars) Void(ctx context.Context, addr string, req *streampb.VoidRequest) (*streampb.CallResponse, error) {
--- a/router/silence.go
+++ b/router/silence.go
@@ -27,8 +27,8 @@
 }
 
 // setTimeout sets the timeout of reads and what to call when it expires.
-func (s *silenceTimer) setTimeout(limit time.Duration, giveUp func()) {
-	s.limit, s.onTimeout = limit, giveUp
+func (s *silenceTimer) setTimeout(limit time.Duration, onTimeout func()) {
+	s.limit, s.onTimeout = limit, onTimeout
 	s.timer = time.AfterFunc(limit, s.timerFired)
 	s.timer.Stop()
 }
--- a/router/suspicion.go
+++ b/router/suspicion.go
@@ -32,9 +32,9 @@
 	return refusal
 }
 
-// awaitGrant waits until this router may run the request. Only a strong suspect has
-// to wait, until its coordinator grants this router the one run that it may have
-// among all routers.
+// awaitGrant waits until this router may run the request. Only a strong suspect, a
+// request against which there is strong evidence, has to wait: until its coordinator
+// grants this router the one run that it may have among all routers.
 //
 // Copies of one bad request may come through several routers, each of which learns
 // only of the engines that its own copy crashed. Without the coordinator, which
@@ -70,7 +70,8 @@
 func (g *generationRun) cancelRun(candidate *route.Candidate) { g.endRun(candidate, attemptResult{}) }
 
 // endRun records what the end of an attempt says about the request. The death is
-// reported before the run is returned, so that a copy elsewhere sees it.
+// recorded before the ledger releases the grant, so that the next router that runs a
+// copy of the request knows of the death.
 func (g *generationRun) endRun(candidate *route.Candidate, result attemptResult) {
 	if g.router.opts.Suspects == nil {
 		return
@@ -82,10 +83,10 @@
 		g.runCounted = false
 		g.router.opts.Suspects.EndRun(g.req.fingerprint, string(candidate.ID))
 	}
-	g.hasGrant = false // the ledger returns the grant of a run that ends
+	g.hasGrant = false // EndRun released it
 }
 
-// releaseGrant returns a grant that wasn't used for a run.
+// releaseGrant releases a grant that wasn't used for a run.
 func (g *generationRun) releaseGrant() {
 	if g.hasGrant {
 		g.hasGrant = false
