--- a/gate/calls.go
+++ b/gate/calls.go
@@ -30,7 +30,7 @@
 	Clock       func() time.Time
 	Recorder    *event.Recorder
 	Registerer  prometheus.Registerer
-	Leaving     func() bool // reports whether the backend server accepts no new calls
+	Leaving     func() bool // reports whether the backend server is leaving and accepts no new calls
 
 	MaxAttempts    int           // attempts remembered at once, tombstones included
 	MaxAnswerBytes int           // total size of the remembered answers
@@ -90,7 +90,9 @@
 	}
 	// The call is counted before Leaving is read. In the opposite order it could
 	// read "not leaving" just before a stop begins, the stop would see nothing in
-	// flight, and the process would exit during the call.
+	// flight, and the process would exit during the call. callRepeatable
+	// and callAtMostOnce end the count: an admitted at-most-once call stays counted
+	// until the service has answered, even if its caller leaves.
 	c.inFlight.Add(1)
 	resp := run(ctx, req)
 	resp.Incarnation = uint64(c.opts.Incarnation)
--- a/gate/calls_test.go
+++ b/gate/calls_test.go
@@ -98,9 +98,9 @@
 		svc := &fakeService{delay: time.Second}
 		c := gate.NewCalls(gate.Options{Service: svc, Incarnation: ownIncarnation})
 		deadline := time.Now().Add(10 * time.Second)
-		leaves, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
+		callerCtx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 		defer cancel()
-		expectResponse(t, c.Call(leaves, call("claim/a", 1, deadline)), running, types.CodeStillRunning)
+		expectResponse(t, c.Call(callerCtx, call("claim/a", 1, deadline)), running, types.CodeStillRunning)
 		gomega.NewWithT(t).Expect(c.InFlight()).To(gomega.Equal(1))
 		expectResponse(t, c.Void(t.Context(), void("claim/a", 1, deadline)), running, types.CodeStillRunning)
 		var callers sync.WaitGroup
@@ -150,9 +150,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := gate.NewCalls(gate.Options{Service: &fakeService{delay: 20 * time.Second}, Incarnation: ownIncarnation, Retention: time.Second})
 		deadline := time.Now().Add(2 * time.Second)
-		leaves, cancel := context.WithDeadline(t.Context(), deadline)
+		callerCtx, cancel := context.WithDeadline(t.Context(), deadline)
 		defer cancel()
-		expectResponse(t, c.Call(leaves, call("claim/a", 1, deadline)), running, types.CodeStillRunning)
+		expectResponse(t, c.Call(callerCtx, call("claim/a", 1, deadline)), running, types.CodeStillRunning)
 		time.Sleep(10 * time.Second)
 		expectResponse(t, c.Void(t.Context(), void("claim/a", 1, deadline)), running, types.CodeStillRunning)
 		time.Sleep(time.Minute)
@@ -165,7 +165,7 @@
 func TestFullMemory(t *testing.T) {
 	now := time.Unix(10000, 0)
 	svc := &fakeService{}
-	c := gate.NewCalls(gate.Options{Service: svc, Incarnation: ownIncarnation, MaxAttempts: 16, Clock: func() time.Time { return now }})
+	c := gate.NewCalls(gate.Options{Service: svc, Incarnation: ownIncarnation, MaxAttempts: 16, Clock: func() time.Time { return now }}) // one per shard
 	deadline := now.Add(10 * time.Second)
 	expectResponse(t, c.Call(t.Context(), call("claim/a", 1, deadline)), completed, "")
 	expectResponse(t, c.Call(t.Context(), call("claim/a", 2, deadline)), notRun, types.CodeOverloaded)
@@ -179,7 +179,7 @@
 // known to have completed.
 func TestAnswersAreBounded(t *testing.T) {
 	svc := &fakeService{size: 1000}
-	c := gate.NewCalls(gate.Options{Service: svc, Incarnation: ownIncarnation, MaxAnswerBytes: 16 * 2500})
+	c := gate.NewCalls(gate.Options{Service: svc, Incarnation: ownIncarnation, MaxAnswerBytes: 16 * 2500}) // two answers per shard
 	deadline := time.Now().Add(10 * time.Second)
 	for i := range 5 {
 		expectResponse(t, c.Call(t.Context(), call("claim/a", uint32(i+1), deadline)), completed, "")
--- a/gate/decide.go
+++ b/gate/decide.go
@@ -37,7 +37,7 @@
 // Verdicts on calls.
 const (
 	Admit  CallVerdict = iota // remember it as running and pass it to the service
-	Replay                    // admitted before: return the result of that, waiting for it if it still runs
+	Replay                    // admitted before: return the result of the first dispatch, waiting for it if it still runs
 	Refuse                    // this dispatch runs nothing
 )
 
--- a/gate/memory.go
+++ b/gate/memory.go
@@ -11,7 +11,8 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// shardCount is the number of shards, so that calls don't contend for one lock.
+// shardCount is the number of shards of a memory. Each has its own lock, so that calls
+// don't contend for one.
 const shardCount = 16
 
 // attemptID identifies an attempt of a claim.
@@ -60,11 +61,11 @@
 	shards     [shardCount]shard
 	maxEntries int           // per shard
 	maxBytes   int           // per shard
-	retention  time.Duration // after the deadline, if there is room
+	retention  time.Duration // how long after its deadline an attempt is remembered, if there is room
 }
 
-func newMemory(maxEntries, maxBytes int, keep time.Duration) *memory {
-	m := &memory{maxEntries: max(1, maxEntries/shardCount), maxBytes: maxBytes / shardCount, retention: keep}
+func newMemory(maxEntries, maxBytes int, retention time.Duration) *memory {
+	m := &memory{maxEntries: max(1, maxEntries/shardCount), maxBytes: maxBytes / shardCount, retention: retention}
 	for i := range m.shards {
 		m.shards[i].entries = make(map[attemptID]*entry)
 	}
--- a/gate/ran.go
+++ b/gate/ran.go
@@ -6,12 +6,12 @@
 
 // ran searches one shard by iteration. It is rarely used: only when a router can't
 // read the claim row.
-func (m *memory) ran(claim string) bool {
-	s := m.shard(attemptID{claim: claim})
+func (m *memory) ran(claimKey string) bool {
+	s := m.shard(attemptID{claim: claimKey})
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, e := range s.entries {
-		if id.claim == claim && (e.state == Running || e.state == Completed || e.state == Lost) {
+		if id.claim == claimKey && (e.state == Running || e.state == Completed || e.state == Lost) {
 			return true
 		}
 	}
--- a/gate/response.go
+++ b/gate/response.go
@@ -11,7 +11,7 @@
 }
 
 // String returns the name of the state as operators see it.
-func (m AttemptState) String() string { return stateNames[m] }
+func (s AttemptState) String() string { return stateNames[s] }
 
 func notRunResponse(code types.Code) *streampb.CallResponse {
 	return response(streampb.CallOutcome_CALL_NOT_RUN, code)
@@ -21,8 +21,8 @@
 	return &streampb.CallResponse{Outcome: outcome, Code: string(code)}
 }
 
-// responseOf returns the response for an admitted attempt. The response of a completed
-// one whose answer isn't stored any more has status 0.
+// responseOf returns the response for an attempt or call that was admitted, by its state.
+// The response of a completed one whose answer isn't stored any more has status 0.
 func responseOf(state AttemptState, answer *plain.Answer) *streampb.CallResponse {
 	switch state {
 	case NotSent:
