--- a/gate/events.go
+++ b/gate/events.go
@@ -11,5 +11,5 @@
 	EventVoided = event.Define(2352, "attempt_voided", event.Info,
 		"an attempt that had not arrived was voided at a router's request; it will be refused if it arrives", "nothing")
 	EventVoidUnknown = event.Define(2353, "void_unknown", event.Warn,
-		"a router asked about an attempt, and this sidecar can't tell whether it ran", "nothing; the code says why: an earlier incarnation of this sidecar, a lost answer, or no room for another attempt")
+		"a router asked about an attempt, and this sidecar can't tell whether it ran", "nothing; the code says why: an earlier incarnation of this sidecar, a lost answer or a forgotten attempt, or no room for another attempt")
 )
