--- a/generation/log.go
+++ b/generation/log.go
@@ -9,8 +9,8 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// ErrClosed is returned when a token is appended to a log that has ended, such as a
-// late token of an engine that was frozen or whose attempt was cancelled.
+// ErrClosed is returned when a token is appended to a log that has ended, for
+// example a late token of an engine that was frozen or whose attempt was cancelled.
 var ErrClosed = errors.New("generation: log is closed")
 
 // Phase says whether a log is running, or how it has ended.
@@ -18,10 +18,10 @@
 
 // Phases of a log. Only a Running log accepts tokens.
 const (
-	Running Phase = iota
-	Finished
-	Lost      // the engine died
-	Cancelled // the caller left, or the generation continues elsewhere
+	Running   Phase = iota
+	Finished        // the answer is complete
+	Lost            // the engine died
+	Cancelled       // the caller left, or the generation continues elsewhere
 )
 
 // String returns the phase as shown in logs and dumps.
--- a/generation/log_test.go
+++ b/generation/log_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"slices"
 	"testing"
 
 	. "github.com/onsi/gomega"
@@ -43,13 +44,20 @@
 	}
 }
 
-// Readers start at any index while tokens are appended. Each must read every token
-// exactly once and in order, and appending must not change tokens already read.
+// A reader takes snapshots between appends, each from the index after its last token. It
+// must read every token exactly once and in order, and appending must not change the
+// tokens of earlier snapshots.
 func TestReadersSeeEachTokenOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		log := newLog(rapid.IntRange(0, 5).Draw(t, "emitted"))
 		next := uint32(log.Snapshot(0).Count)
-		var read []types.Token
+		var snapshots [][]types.Token // not copied, to notice a change
+		count := 0
+		read := func() {
+			tokens := log.Snapshot(count).Tokens
+			snapshots = append(snapshots, tokens)
+			count += len(tokens)
+		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "append") {
 				if err := log.Append(types.Token{ID: next}); err != nil {
@@ -58,13 +66,13 @@
 				next++
 				continue
 			}
-			read = append(read, log.Snapshot(len(read)).Tokens...)
+			read()
 		}
-		read = append(read, log.Snapshot(len(read)).Tokens...)
-		if len(read) != int(next) {
-			t.Fatalf("read %d tokens of %d", len(read), next)
+		read()
+		if count != int(next) {
+			t.Fatalf("read %d tokens of %d", count, next)
 		}
-		for i, token := range read {
+		for i, token := range slices.Concat(snapshots...) {
 			if token.ID != uint32(i) {
 				t.Fatalf("token %d at index %d", token.ID, i)
 			}
