--- a/router/attempt.go
+++ b/router/attempt.go
@@ -75,7 +75,7 @@
 	}
 	if resp.StatusCode != http.StatusOK {
 		_ = resp.Body.Close()
-		return nil, io.ErrUnexpectedEOF
+		return nil, io.ErrUnexpectedEOF // treated like a stream that broke
 	}
 	return resp.Body, nil
 }
@@ -128,7 +128,7 @@
 	for {
 		frame, event := f.wait()
 		switch event {
-		case streamCallerGone:
+		case streamCallerLeft:
 			return attemptResult{end: endCallerLeft, lastFrameAt: lastFrameAt}
 		case streamSilent:
 			return attemptResult{end: endLost, cause: causeSilence, lastFrameAt: lastFrameAt}
@@ -148,7 +148,7 @@
 
 const (
 	frameRead streamEvent = iota
-	streamCallerGone
+	streamCallerLeft
 	streamSilent
 	streamBroken
 )
@@ -163,7 +163,7 @@
 	case err == nil:
 		return frame, frameRead
 	case f.ctx.Err() != nil:
-		return nil, streamCallerGone
+		return nil, streamCallerLeft
 	case f.expired():
 		return nil, streamSilent
 	default:
--- a/router/fleet.go
+++ b/router/fleet.go
@@ -15,9 +15,9 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// subsetSize is how many backend servers of a service one router uses. Smaller
-// services are used whole; docs/CAPACITY.md lists the sizes at which the subset
-// matters.
+// subsetSize is how many backend servers of a service one router uses. Today's
+// services are smaller and are used whole; docs/CAPACITY.md lists the sizes at which
+// the subset matters.
 const subsetSize = 160
 
 // fleet holds the candidates of each service. Requests read immutable snapshots only.
--- a/router/reattach.go
+++ b/router/reattach.go
@@ -157,6 +157,7 @@
 	if accepted := frame.GetAccepted(); accepted != nil {
 		return a.adopt(streampb.ToLineage(accepted.GetLineage()))
 	}
+	// A log that ends before the caller's last token can't be the caller's answer.
 	if end := frame.GetEnd(); end != nil && int(end.GetCount()) < a.run.delivered {
 		return &attemptResult{end: endLost, cause: causeConnection}
 	}
