--- a/router/attempt.go
+++ b/router/attempt.go
@@ -33,7 +33,7 @@
 	refused     *streampb.Refused // set if a sidecar refused the attempt
 	deathID     string            // identifies the engine's death, as reported by its sidecar
 	proven      bool              // the sidecar reports that the request had run well on that engine
-	cause       string            // cause of the loss, a metric label
+	cause       string            // why the output was interrupted, one of the cause constants
 	accepted    bool              // the sidecar accepted the attempt
 	progressed  bool              // at least one new token arrived
 	lastFrameAt time.Time         // when the last frame arrived
@@ -75,7 +75,7 @@
 	}
 	if resp.StatusCode != http.StatusOK {
 		_ = resp.Body.Close()
-		return nil, io.ErrUnexpectedEOF
+		return nil, io.ErrUnexpectedEOF // treated like a stream that broke
 	}
 	return resp.Body, nil
 }
@@ -128,7 +128,7 @@
 	for {
 		frame, event := f.wait()
 		switch event {
-		case streamCallerGone:
+		case streamCallerLeft:
 			return attemptResult{end: endCallerLeft, lastFrameAt: lastFrameAt}
 		case streamSilent:
 			return attemptResult{end: endLost, cause: causeSilence, lastFrameAt: lastFrameAt}
@@ -148,7 +148,7 @@
 
 const (
 	frameRead streamEvent = iota
-	streamCallerGone
+	streamCallerLeft
 	streamSilent
 	streamBroken
 )
@@ -163,7 +163,7 @@
 	case err == nil:
 		return frame, frameRead
 	case f.ctx.Err() != nil:
-		return nil, streamCallerGone
+		return nil, streamCallerLeft
 	case f.expired():
 		return nil, streamSilent
 	default:
