--- a/lease/keeper.go
+++ b/lease/keeper.go
@@ -16,10 +16,11 @@
 
 // Defaults of a Keeper.
 const (
+	// DefaultTerm is how long a hold lasts without a renewal.
 	DefaultTerm = 9 * time.Second
 
-	// marginDivisor: the term divided by it is the margin, by which holders count the
-	// term shorter and waiters longer, as the rates of their clocks may differ.
+	// marginDivisor divides the term to get the margin, by which holders count the
+	// term shorter and waiters longer, since the rates of their clocks may differ.
 	marginDivisor = 10
 	// stepsPerTerm is how often the row is renewed, or read by a waiter, in a term.
 	stepsPerTerm = 3
@@ -31,7 +32,7 @@
 	Name       string        // of the lease; the row is lease/<name>
 	Holder     string        // process and incarnation, shown to operators
 	Term       time.Duration
-	Candidate  func() bool // whether this process waits for the lease; nil: always. It keeps hundreds of processes from reading the row
+	Candidate  func() bool // reports whether this process waits for the lease, so that not all of hundreds of processes read the row; nil: always
 	Recorder   *event.Recorder
 	Registerer prometheus.Registerer
 }
@@ -47,9 +48,9 @@
 	held hold
 
 	// Only Run uses the fields below.
-	ownWrites     map[uint64]instant // when own writes were sent that are or may become the row, by nonce
+	ownWrites     map[uint64]instant // by nonce, when each own write was sent that is the current row or may still become it
 	nonce         uint64             // of the newest own write
-	highest       Fence              // ever read or written; after the row was deleted, numbers must not start again from 1
+	highest       Fence              // highest number ever read or written: if the row is deleted, numbers must not start again from 1
 	watched       observation
 	lapseReported bool // the end of the current hold was reported
 }
@@ -147,8 +148,9 @@
 // checkHold reports whether the row was written by this run of the keeper, and
 // records the hold, with its term counted from when the write was sent. This
 // includes writes whose response was lost. The holder's name proves nothing, since
-// an earlier run with the same name may be paused. If the row is another holder's,
-// the own hold ends.
+// an earlier run with the same name may be paused. If the row is not an own
+// write, because another process has taken over or the row was deleted, the hold
+// ends.
 func (k *Keeper) checkHold(r row) bool {
 	if started, ok := k.ownWrites[r.Nonce]; ok && r.Holder != "" {
 		k.recordHold(r, started)
@@ -161,8 +163,9 @@
 	return false
 }
 
-// mayTakeOver reports whether the lease is free: never held, released, or watched
-// by this process without a change for the term and a margin.
+// mayTakeOver reports whether the lease is free: it was never held, it was
+// released, or this process has watched the row without a change for the term and
+// the margin.
 func (k *Keeper) mayTakeOver(r row, version uint64) bool {
 	at := k.now()
 	if !k.watched.known || k.watched.version != version {
@@ -186,7 +189,7 @@
 	switch {
 	case err == nil:
 		k.recordHold(r, started)
-	case errors.Is(err, backing.ErrUnavailable), errors.Is(err, backing.ErrThrottled):
+	case errors.Is(err, backing.ErrUnavailable), errors.Is(err, backing.ErrThrottled): // the write had no effect
 		delete(k.ownWrites, r.Nonce)
 	default:
 		k.resolve(ctx, err)
@@ -222,17 +225,17 @@
 	k.setHeld(hold{fence: r.Epoch, started: started})
 }
 
-func (k *Keeper) setHeld(g hold) {
+func (k *Keeper) setHeld(h hold) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.held = g
+	k.held = h
 }
 
 // release releases the lease, so that a waiter needn't wait for the term to end.
 // Held returns false before the row is written.
 func (k *Keeper) release() {
-	g := k.held
-	if g.fence == 0 {
+	h := k.held
+	if h.fence == 0 {
 		return
 	}
 	k.setHeld(hold{})
@@ -243,7 +246,7 @@
 		return
 	}
 	if write(ctx, k.opts.Table, k.opts.Name, row{Epoch: r.Epoch}, version) == nil {
-		k.opts.Recorder.Emit(EventReleased, "lease", k.opts.Name, "fence", g.fence)
+		k.opts.Recorder.Emit(EventReleased, "lease", k.opts.Name, "fence", h.fence)
 	}
 	k.metrics.held.Set(0)
 }
--- a/lease/keeper_test.go
+++ b/lease/keeper_test.go
@@ -11,6 +11,8 @@
 	"pgregory.net/rapid"
 )
 
+// term makes the margin 0.9 s: Held returns true for 8.1 s after a write was sent,
+// and a waiter takes over after watching the row for 9.9 s.
 const term = 9 * time.Second
 
 // process runs a keeper whose table can be made unavailable.
@@ -22,11 +24,11 @@
 }
 
 func startProcess(m *memoryTable, holder string) *process {
-	v := &faultyTable{memoryTable: m}
+	table := &faultyTable{memoryTable: m}
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &process{
-		Keeper: New(Options{Table: v, Name: "orders", Holder: holder, Term: term}),
-		table:  v, stop: cancel, done: make(chan struct{}),
+		Keeper: New(Options{Table: table, Name: "orders", Holder: holder, Term: term}),
+		table:  table, stop: cancel, done: make(chan struct{}),
 	}
 	go func() {
 		_ = p.Run(ctx)
@@ -69,13 +71,13 @@
 		a.setTableDown(true)
 		for range 300 {
 			time.Sleep(100 * time.Millisecond)
-			g.Expect(a.fence() != 0 && b.fence() != 0).To(BeFalse(), "two holders at once")
+			g.Expect(a.fence() != 0 && b.fence() != 0).To(BeFalse(), "two processes hold the lease at once")
 		}
 		g.Expect(b.fence()).To(Equal(Fence(2)))
 		a.setTableDown(false)
 		time.Sleep(time.Minute)
 		g.Expect(a.fence()).To(BeZero())
-		g.Expect(a.opts.Recorder.Entries("")).To(HaveLen(3), "taken, lapsed, lost")
+		g.Expect(a.opts.Recorder.Entries("")).To(HaveLen(3), "lease_taken, lease_lapsed, lease_lost")
 	})
 }
 
@@ -117,13 +119,13 @@
 		a := startProcess(newMemoryTable(), "a")
 		defer a.stopAndWait()
 		time.Sleep(time.Second)
-		a.table.setFault(func() { a.table.loseAnswer = true })
+		a.table.setFault(func() { a.table.loseResponse = true })
 		time.Sleep(3 * time.Second)
 		g.Expect(a.fence()).To(Equal(Fence(1)))
 		_, until, _ := a.Held()
-		g.Expect(time.Until(until)).To(Equal(8100*time.Millisecond - time.Second))
+		g.Expect(time.Until(until)).To(Equal(8100*time.Millisecond - time.Second)) // sent a second ago
 
-		a.table.setFault(func() { a.table.late = 4 * time.Second }) // takes effect between two later renewals
+		a.table.setFault(func() { a.table.delay = 4 * time.Second }) // takes effect between two later renewals
 		time.Sleep(time.Minute)
 		g.Expect(a.fence()).To(Equal(Fence(1)))
 	})
@@ -135,14 +137,14 @@
 func TestLateRenewalCountsFromItsSending(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		v := &faultyTable{memoryTable: newMemoryTable()}
-		k := New(Options{Table: v, Name: "orders", Holder: "a", Term: term})
+		table := &faultyTable{memoryTable: newMemoryTable()}
+		k := New(Options{Table: table, Name: "orders", Holder: "a", Term: term})
 		k.step(t.Context())
-		v.setFault(func() { v.late = time.Second })
+		table.setFault(func() { table.delay = time.Second })
 		k.step(t.Context())
 		sent := time.Now()
 		time.Sleep(3 * time.Second)
-		v.setFault(func() { v.readOnly = true })
+		table.setFault(func() { table.readOnly = true })
 		k.step(t.Context())
 		_, until, ok := k.Held()
 		g.Expect(ok).To(BeTrue())
@@ -178,11 +180,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		m := newMemoryTable()
-		v := &faultyTable{memoryTable: m, loseAnswer: true}
-		k := New(Options{Table: v, Name: "orders", Holder: "a", Term: term})
+		table := &faultyTable{memoryTable: m, loseResponse: true}
+		k := New(Options{Table: table, Name: "orders", Holder: "a", Term: term})
 		k.step(t.Context())
 		g.Expect(k.Dump().Fence).To(Equal(Fence(1)))
-		fence, err := ReadFence(t.Context(), v, "orders")
+		fence, err := ReadFence(t.Context(), table, "orders")
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(fence).To(Equal(Fence(1)))
 	})
@@ -231,9 +233,9 @@
 	})
 }
 
-// Three processes with random faults: a disconnected table, lost and late writes,
-// restarts. At no time may two of them hold the lease, and each change of holder
-// must have a larger number.
+// Three processes with random faults: a disconnected table, commits whose response
+// is lost or that take effect late, restarts. At no time may two of them hold the
+// lease, and a holder must not have a smaller number than an earlier one.
 func TestNeverTwoHolders(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		type act struct{ who, what, wait int }
@@ -253,9 +255,9 @@
 				case 1:
 					p.setTableDown(false)
 				case 2:
-					p.table.setFault(func() { p.table.loseAnswer = true })
+					p.table.setFault(func() { p.table.loseResponse = true })
 				case 3:
-					p.table.setFault(func() { p.table.late = time.Duration(a.wait) * time.Millisecond })
+					p.table.setFault(func() { p.table.delay = time.Duration(a.wait) * time.Millisecond })
 				case 4:
 					p.stopAndWait()
 					ps[a.who] = startProcess(m, "again")
@@ -267,13 +269,13 @@
 						if f := p.fence(); f != 0 {
 							holders++
 							if f < last {
-								once.Do(func() { rt.Errorf("fence %d after %d", f, last) })
+								once.Do(func() { rt.Errorf("fence %d is held after fence %d", f, last) })
 							}
 							last = max(last, f)
 						}
 					}
 					if holders > 1 {
-						once.Do(func() { rt.Errorf("%d holders at once", holders) })
+						once.Do(func() { rt.Errorf("%d processes hold the lease at once", holders) })
 					}
 				}
 			}
--- a/lease/table_test.go
+++ b/lease/table_test.go
@@ -21,66 +21,66 @@
 // faultyTable is one process's access to the table, with its own faults.
 type faultyTable struct {
 	*memoryTable
-	down       bool          // all operations fail
-	readOnly   bool          // commits fail
-	loseAnswer bool          // the next commit takes effect but its response is lost
-	late       time.Duration // the next commit takes effect only after this, and its response is lost
+	down         bool          // all operations fail
+	readOnly     bool          // commits fail
+	loseResponse bool          // the next commit takes effect but its response is lost
+	delay        time.Duration // the next commit takes effect only after this delay, and its response is lost
 }
 
-func (v *faultyTable) Get(_ context.Context, key string) (backing.Row, error) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if v.down {
+func (f *faultyTable) Get(_ context.Context, key string) (backing.Row, error) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.down {
 		return backing.Row{}, backing.ErrUnavailable
 	}
-	r, ok := v.rows[key]
+	r, ok := f.rows[key]
 	if !ok {
 		return backing.Row{}, backing.ErrNotFound
 	}
 	return r, nil
 }
 
-func (v *faultyTable) List(context.Context, string, int) ([]backing.Row, error) { return nil, nil }
+func (f *faultyTable) List(context.Context, string, int) ([]backing.Row, error) { return nil, nil }
 
-func (v *faultyTable) Commit(_ context.Context, txn backing.Txn) error {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if v.down || v.readOnly {
+func (f *faultyTable) Commit(_ context.Context, txn backing.Txn) error {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.down || f.readOnly {
 		return backing.ErrUnavailable
 	}
-	if v.late > 0 {
-		late := v.late
-		v.late = 0
-		time.AfterFunc(late, func() {
-			v.mu.Lock()
-			defer v.mu.Unlock()
-			_ = v.apply(txn)
+	if f.delay > 0 {
+		delay := f.delay
+		f.delay = 0
+		time.AfterFunc(delay, func() {
+			f.mu.Lock()
+			defer f.mu.Unlock()
+			_ = f.apply(txn)
 		})
 		return backing.ErrAmbiguous
 	}
-	err := v.apply(txn)
-	if v.loseAnswer {
-		v.loseAnswer = false
+	err := f.apply(txn)
+	if f.loseResponse {
+		f.loseResponse = false
 		return backing.ErrAmbiguous
 	}
 	return err
 }
 
-func (v *faultyTable) apply(txn backing.Txn) error {
+func (f *faultyTable) apply(txn backing.Txn) error {
 	for _, c := range txn.If {
-		if v.rows[c.Key].Version != c.Version {
+		if f.rows[c.Key].Version != c.Version {
 			return &backing.ConflictError{Keys: []string{c.Key}}
 		}
 	}
 	for _, w := range txn.Writes {
-		v.version += 3
-		v.rows[w.Key] = backing.Row{Key: w.Key, Value: w.Value, Version: v.version}
+		f.version += 3
+		f.rows[w.Key] = backing.Row{Key: w.Key, Value: w.Value, Version: f.version}
 	}
 	return nil
 }
 
-func (v *faultyTable) setFault(fault func()) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
+func (f *faultyTable) setFault(fault func()) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	fault()
 }
