--- a/order/doc.go
+++ b/order/doc.go
@@ -1,7 +1,7 @@
 // Package order makes engines serve what the operators' configuration asks for. A
-// Reconciler on the router that holds the lease compares the two and sends
-// orders; a Guard on each sidecar passes only the orders of the newest lease
-// holder to the engine.
+// Reconciler on the router that holds the lease compares what each engine has
+// loaded with the configuration and sends orders for the difference; a Guard on
+// each sidecar passes only the orders of the newest lease holder to the engine.
 //
 // # Guards against orders of a replaced holder
 //
--- a/order/dump.go
+++ b/order/dump.go
@@ -59,8 +59,11 @@
 	r.metrics.unreachable.Set(float64(unreachable))
 }
 
+// describe returns an order as it is shown in events and dumps.
 func describe(o engine.Order) string { return fmt.Sprintf("%s %s@%s", o.Kind, o.Name, o.Version) }
 
+// fingerprint returns a string that is equal for targets that want the same
+// artefacts in the same sequence.
 func fingerprint(t Target) string {
 	var b strings.Builder
 	for _, a := range t.Want {
--- a/order/fake_test.go
+++ b/order/fake_test.go
@@ -131,10 +131,10 @@
 	return l.fence, l.until, l.fence != 0 && time.Now().Before(l.until)
 }
 
-// fakeWeights is a weight store that has everything except what lacks names.
+// fakeWeights is a weight store that has every version except those in lacks.
 type fakeWeights struct {
 	mu       sync.Mutex
-	lacks    map[string]bool
+	lacks    map[string]bool // by name@version
 	requests int
 }
 
--- a/order/guard.go
+++ b/order/guard.go
@@ -48,8 +48,8 @@
 	executing chan struct{} // semaphore, held while the engine executes an order
 
 	mu           sync.Mutex // protects highestFence and fenceRead
-	highestFence uint64
-	fenceRead    bool // the lease row was read
+	highestFence uint64     // of the orders admitted and the lease row
+	fenceRead    bool       // the lease row was read since this sidecar started
 }
 
 // NewGuard returns a guard that has not seen any fencing number yet.
@@ -161,6 +161,8 @@
 	return GuardDump{HighestFence: g.highestFence, Known: g.fenceRead}
 }
 
+// resultOf returns the value of the label "result" for an order that ended with
+// err.
 func resultOf(err error) string {
 	switch {
 	case err == nil:
--- a/order/guard_test.go
+++ b/order/guard_test.go
@@ -81,6 +81,8 @@
 	})
 }
 
+// The client must return the guard's errors, since a Reconciler ends its pass after
+// ErrStaleFence.
 func TestErrorsAreKeptOverRPC(t *testing.T) {
 	g := NewWithT(t)
 	var tableErr error
--- a/order/pass.go
+++ b/order/pass.go
@@ -14,12 +14,13 @@
 type pass struct {
 	*Reconciler
 	ctx       context.Context
-	capacity  map[string]int
-	available map[Artefact]bool
+	capacity  map[string]int    // by service: how many more backend servers may start to load
+	available map[Artefact]bool // whether the weight store has them, as asked in this pass
 }
 
 // sendOrders sends the orders for a server. It returns false to end the pass if
-// this process no longer holds the lease.
+// this process no longer holds the lease. After any other error, the server's
+// remaining orders are left to the next pass.
 func (p *pass) sendOrders(s *serverState) bool {
 	if len(s.orders) == 0 || p.isLoading(s.target.Address) {
 		return true
--- a/order/reconciler.go
+++ b/order/reconciler.go
@@ -28,7 +28,8 @@
 	Loaded(ctx context.Context, addr string) ([]engine.Loaded, error)
 }
 
-// Lease tells whether this process holds the lease. *lease.Keeper implements it.
+// Lease tells whether this process holds the lease, with which fencing number and
+// until when. *lease.Keeper implements it.
 type Lease interface {
 	Held() (fence uint64, until time.Time, ok bool)
 }
@@ -41,7 +42,7 @@
 	Desired      func() []Target // required; targets of the current configuration
 	Interval     time.Duration   // between passes
 	CallTimeout  time.Duration   // of one call to a sidecar or the weight store
-	LoadTimeout  time.Duration   // after which an order without visible effect is sent again
+	LoadTimeout  time.Duration   // after which a load that the engine doesn't report as loaded is ordered again
 	LoadingShare float64         // share of a service's reachable backend servers that may load at once; at least one may
 	Recorder     *event.Recorder
 	Registerer   prometheus.Registerer
@@ -75,9 +76,9 @@
 	wake    chan struct{}
 
 	fence          uint64               // of the hold that the fields below belong to
-	loading        map[string]time.Time // by address: when the load was ordered that isn't visible yet
+	loading        map[string]time.Time // by address: when a load was ordered that the engine doesn't report as loaded yet
 	reached        map[string]string    // by address: fingerprint of the target that was reached
-	reportedAbsent map[Artefact]bool    // reported as unavailable already
+	reportedAbsent map[Artefact]bool    // EventArtefactUnavailable was emitted, and the store hasn't had it since
 	dump           snapshot
 }
 
--- a/order/reconciler_test.go
+++ b/order/reconciler_test.go
@@ -206,6 +206,8 @@
 	})
 }
 
+// The model is ordered before its adapter, and the old version is unloaded only
+// after both are loaded. An empty target unloads nothing.
 func TestPlanGoesByStages(t *testing.T) {
 	g := NewWithT(t)
 	target := Target{Want: []Artefact{
--- a/order/search_test.go
+++ b/order/search_test.go
@@ -80,19 +80,21 @@
 	guards    guards
 	engine    *gatedEngine
 	guard     *Guard
-	row       uint64
-	leaseHeld [3]bool
+	rowFence  uint64  // the fencing number in the lease row
+	leaseHeld [3]bool // by fencing number: result of the holder's check
 }
 
 func newSimulation(enabled guards) *simulation {
 	s := &simulation{guards: enabled, engine: &gatedEngine{gates: map[uint64]chan struct{}{1: make(chan struct{}), 2: make(chan struct{})}}}
-	s.restart(false)
+	s.startGuard(false)
 	return s
 }
 
-func (s *simulation) restart(again bool) {
-	s.guard = NewGuard(GuardOptions{Engine: s.engine, ReadFence: func(context.Context) (uint64, error) { return s.row, nil }})
-	s.guard.fenceRead = again && !s.guards.readRow
+// startGuard starts the sidecar's guard. Without the guard readRow, a restarted one
+// doesn't read the lease row.
+func (s *simulation) startGuard(isRestart bool) {
+	s.guard = NewGuard(GuardOptions{Engine: s.engine, ReadFence: func(context.Context) (uint64, error) { return s.rowFence, nil }})
+	s.guard.fenceRead = isRestart && !s.guards.readRow
 	if !s.guards.oneAtATime {
 		s.guard.executing = make(chan struct{}, 2)
 	}
@@ -101,9 +103,9 @@
 func (s *simulation) step(fence uint64, step int) {
 	switch step {
 	case stepTake:
-		s.row = fence
+		s.rowFence = fence
 	case stepCheck:
-		s.leaseHeld[fence] = s.row == fence
+		s.leaseHeld[fence] = s.rowFence == fence
 	case stepArrive:
 		if s.leaseHeld[fence] {
 			go s.arrive(s.guard, fence)
@@ -114,6 +116,8 @@
 	synctest.Wait()
 }
 
+// arrive delivers an order to the sidecar. Without the guard checkNumber, the
+// sidecar has forgotten all earlier numbers.
 func (s *simulation) arrive(g *Guard, fence uint64) {
 	if !s.guards.checkNumber {
 		g.mu.Lock()
@@ -129,7 +133,7 @@
 	next := map[rune]int{}
 	for _, who := range schedule {
 		if who == 'r' {
-			s.restart(true)
+			s.startGuard(true)
 			continue
 		}
 		s.step(uint64(who-'a')+1, next[who])
@@ -162,6 +166,7 @@
 	return out
 }
 
+// search runs every schedule, and returns those in which a stale order takes effect.
 func search(t *testing.T, enabled guards, restart bool) (violations []string, runs int) {
 	all := schedules(restart)
 	for _, schedule := range all {
--- a/order/servers.go
+++ b/order/servers.go
@@ -68,19 +68,19 @@
 // loadCapacity returns how many more backend servers of each service may start to
 // load.
 func (r *Reconciler) loadCapacity(servers []serverState) map[string]int {
-	reachable, busy := map[string]int{}, map[string]int{}
+	reachable, loading := map[string]int{}, map[string]int{}
 	for _, s := range servers {
 		if !s.reachable {
 			continue
 		}
 		reachable[s.target.Service]++
 		if r.isLoading(s.target.Address) {
-			busy[s.target.Service]++
+			loading[s.target.Service]++
 		}
 	}
 	capacity := make(map[string]int, len(reachable))
 	for service, n := range reachable {
-		capacity[service] = max(1, int(r.opts.LoadingShare*float64(n))) - busy[service]
+		capacity[service] = max(1, int(r.opts.LoadingShare*float64(n))) - loading[service]
 	}
 	return capacity
 }
--- a/order/wire.go
+++ b/order/wire.go
@@ -61,7 +61,7 @@
 func (c client) Order(ctx context.Context, addr string, o engine.Order) error {
 	reply, err := c.connect(addr).Take(ctx, &orderpb.Order{Kind: string(o.Kind), Name: o.Name, Version: o.Version, Fence: o.Fence})
 	if err != nil {
-		return errors.Wrapf(err, "order to %s", addr)
+		return errors.Wrapf(err, "send order %q to %s", describe(o), addr)
 	}
 	switch reply.GetStatus() {
 	case orderpb.OrderStatus_ORDER_TAKEN:
