--- a/claim/batch.go
+++ b/claim/batch.go
@@ -21,16 +21,16 @@
 // pendingWrite is a conditional write of a claim row, queued for a transaction.
 type pendingWrite struct {
 	key     string
-	version uint64
+	version uint64 // that the row must have; 0: no row
 	value   []byte
 	index   string // key of the index row written in the same transaction; empty: none
 	done    chan Result
 }
 
-// batcher groups writes into transactions, because the table service accepts
+// batcher groups writes into transactions, because the table service accepts only
 // several hundred transactions a second, however many rows each of them has.
 type batcher struct {
-	kind        string // value of the label "kind" in metrics
+	kind        string // "claim" or "save", the label "kind" in metrics
 	delay       time.Duration
 	opts        Options
 	metrics     *metrics
@@ -220,6 +220,8 @@
 	return txn
 }
 
+// rejectConflicts ends the writes of the failed keys with ResultConflict and
+// returns the others.
 func rejectConflicts(batch []*pendingWrite, failed []string) []*pendingWrite {
 	conflicting := make(map[string]bool, len(failed))
 	for _, key := range failed {
@@ -242,6 +244,8 @@
 	}
 }
 
+// indexKey returns the key of a claim's index row. The row's value is the claim's
+// key.
 func indexKey(key string, deadline time.Time) string {
 	return bucketPrefix(deadline) + key[len(KeyPrefix):]
 }
--- a/claim/coordinator.go
+++ b/claim/coordinator.go
@@ -42,19 +42,19 @@
 
 // Options configures a Coordinator. Zero durations and counts take the defaults.
 type Options struct {
-	Table      backing.Table
-	Router     types.ProcessID
-	Sidecar    SidecarClient
+	Table      backing.Table   // required
+	Router     types.ProcessID // written into claims
+	Sidecar    SidecarClient   // required
 	Recorder   *event.Recorder
 	Registerer prometheus.Registerer
 
-	MaxBatch       int           // maximum number of claims in one transaction
+	MaxBatch       int           // maximum number of claims or outcomes in one transaction
 	MaxBatchDelay  time.Duration // how long a claim waits for others to share its transaction
 	SaveBatchDelay time.Duration // the same for a final outcome; longer, since no caller waits for it
-	MaxCommits     int           // maximum number of concurrent transactions
+	MaxCommits     int           // maximum number of concurrent transactions of claims, and of outcomes
 	CommitTimeout  time.Duration // after which a commit counts as ambiguous
-	ReadTimeout    time.Duration
-	VoidTimeout    time.Duration
+	ReadTimeout    time.Duration // of a read of a claim row
+	VoidTimeout    time.Duration // of a void request to a sidecar
 	CallTimeout    time.Duration // of a call without a deadline
 	MaxDeadline    time.Duration // from now; later deadlines are reduced to this
 	Retention      time.Duration // how long a claim is kept after its deadline
@@ -74,9 +74,8 @@
 	Deadline     time.Time // zero: CallTimeout from now
 }
 
-// Pick selects the target of a call. avoid names the backend servers that are
-// known not to have run it and are skipped. Pick reports false if no target is
-// left.
+// Pick selects the target of a call. It skips the backend servers in avoid, which
+// are known not to have run the call, and reports false if no target is left.
 type Pick func(avoid []string) (Target, bool)
 
 // Coordinator runs the calls of one router at most once.
@@ -111,17 +110,19 @@
 func (c *Coordinator) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	saving, saved := context.WithCancel(context.WithoutCancel(ctx))
-	defer saved()
-	defer context.AfterFunc(ctx, func() { time.AfterFunc(shutdownSaveTimeout, saved) })()
+	// saveCtx ends when the queued outcomes are saved, or shutdownSaveTimeout after
+	// ctx.
+	saveCtx, stopSaving := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopSaving()
+	defer context.AfterFunc(ctx, func() { time.AfterFunc(shutdownSaveTimeout, stopSaving) })()
 	var group run.Group
 	add := func(actor func() error) { group.Add(actor, func(error) { cancel() }) }
 	add(func() error { return c.claims.run(ctx) })
 	add(func() error { return c.sweeper.run(ctx) })
-	add(func() error { return c.saves.run(saving) })
+	add(func() error { return c.saves.run(saveCtx) })
 	add(func() error {
-		defer saved()
-		return c.outcomes.run(ctx, saving)
+		defer stopSaving()
+		return c.outcomes.run(ctx, saveCtx)
 	})
 	return group.Run()
 }
--- a/claim/decide.go
+++ b/claim/decide.go
@@ -15,6 +15,7 @@
 	// sidecar in one request.
 	MaxUnansweredVoids = 3
 
+	// Times after which a refused caller may retry.
 	retryAfterTableUnavailable = 2 * time.Second
 	retryAfterNotRun           = time.Second
 	retryAfterRunning          = time.Second
@@ -152,7 +153,7 @@
 		return s, answer(types.OutcomeCompleted, "", 0)
 	case ResultNotRun:
 		s.ProvenNotRun = s.Row.Attempt
-		if s.Row.Version == 0 {
+		if s.Row.Version == 0 { // this request's own claim after a lost answer; its row's version isn't known
 			return read(s)
 		}
 		return claimAt(s, s.Row.Version, o.NewTag)
@@ -217,8 +218,8 @@
 }
 
 // expired answers a request whose deadline has passed or whose caller has left.
-// In PhaseVoid the attempt of another request may be running, and in
-// PhaseDispatch this request's own.
+// In PhaseDispatch this request's attempt may be running, and in PhaseVoid the
+// attempt to be voided, which is this request's own or that of another one.
 func expired(s State) Action {
 	if s.Phase == PhaseVoid || s.Phase == PhaseDispatch {
 		return answer(types.OutcomeUnknown, types.CodeStillRunning, retryAfterRunning)
@@ -227,7 +228,8 @@
 }
 
 // tableUnavailable answers a request that dispatched nothing, or whose attempts
-// are all proven not to run.
+// are all proven not to run. If another claim of the key was found, the outcome is
+// unknown for the reason given at notRun.
 func tableUnavailable(s State) Action {
 	if s.OtherClaim {
 		return answer(types.OutcomeUnknown, types.CodeTableDown, retryAfterTableUnavailable)
@@ -239,7 +241,7 @@
 // was found, an earlier request of the caller may have run, and the outcome is
 // unknown: a caller that is told "not run" may do the work by hand.
 func notRun(s State, code types.Code) Action {
-	if code == "" {
+	if code == "" { // the sidecar gave no reason
 		code = types.CodeOverloaded
 	}
 	if s.OtherClaim {
--- a/claim/doc.go
+++ b/claim/doc.go
@@ -8,9 +8,10 @@
 // only with the proof that the attempt never ran and never will. Without this
 // proof the outcome is unknown and stays so.
 //
-// Three words are kept apart: a call is the work under one idempotency key, a
-// request is one Do of a caller for it, and an attempt is what a request claims
-// and dispatches at most once.
+// A call is the work under one idempotency key, a request is one invocation of
+// Coordinator.Do for that call, and an attempt is what a request claims and
+// dispatches at most once. A request may claim several attempts, one after another,
+// and a call may have several requests.
 //
 // Next decides which action follows an observation. It does no I/O, so that the
 // model checker in the tests searches the production code. Package gate is the
--- a/claim/failure_test.go
+++ b/claim/failure_test.go
@@ -19,18 +19,18 @@
 
 // A caller repeats an answered call with the same key through another router. It
 // gets the saved answer although the sidecar is unreachable; the call runs once.
-func TestSecondTryGetsTheSavedAnswer(t *testing.T) {
-	withFixture(t, func(s *fixture) {
+func TestSecondRequestGetsTheSavedAnswer(t *testing.T) {
+	withFixture(t, func(f *fixture) {
 		g := gomega.NewWithT(t)
-		first, refusal := s.router("r1").Do(s.ctx, newCall("k", "lorry 7"), s.pick)
+		first, refusal := f.router("r1").Do(f.ctx, newCall("k", "lorry 7"), f.pick)
 		g.Expect(refusal).To(gomega.BeNil())
 		time.Sleep(time.Second) // virtual: the outcome is saved in the background
-		g.Expect(s.table.claims()).To(gomega.ConsistOf(gomega.HaveField("State", claim.RecordCompleted)))
-		s.net.setCut("a", true)
-		second, refusal := s.router("r2").Do(s.ctx, newCall("k", "lorry 7"), s.pick)
+		g.Expect(f.table.claims()).To(gomega.ConsistOf(gomega.HaveField("State", claim.RecordCompleted)))
+		f.net.setCut("a", true)
+		second, refusal := f.router("r2").Do(f.ctx, newCall("k", "lorry 7"), f.pick)
 		g.Expect(refusal).To(gomega.BeNil())
 		g.Expect(second.Body).To(gomega.Equal(first.Body))
-		g.Expect(s.service.runCount("lorry 7")).To(gomega.Equal(1))
+		g.Expect(f.service.runCount("lorry 7")).To(gomega.Equal(1))
 	})
 }
 
@@ -38,17 +38,17 @@
 // without effect. The row is read back and the call runs once.
 func TestAmbiguousCommitIsReadBack(t *testing.T) {
 	for _, effect := range []bool{true, false} {
-		withFixture(t, func(s *fixture) {
+		withFixture(t, func(f *fixture) {
 			g := gomega.NewWithT(t)
-			s.table.fault = func(n int) (error, bool) {
+			f.table.fault = func(n int) (error, bool) {
 				if n == 1 {
 					return backing.ErrAmbiguous, effect
 				}
 				return nil, false
 			}
-			_, refusal := s.router("r1").Do(s.ctx, newCall("k", "lorry 7"), s.pick)
+			_, refusal := f.router("r1").Do(f.ctx, newCall("k", "lorry 7"), f.pick)
 			g.Expect(refusal).To(gomega.BeNil())
-			g.Expect(s.service.runCount("lorry 7")).To(gomega.Equal(1))
+			g.Expect(f.service.runCount("lorry 7")).To(gomega.Equal(1))
 		})
 	}
 }
@@ -57,42 +57,42 @@
 // claimed. The conflict must not fail the others, which share transactions; the
 // one gets the first answer.
 func TestConflictInABatchKeepsTheOthers(t *testing.T) {
-	withFixture(t, func(s *fixture) {
+	withFixture(t, func(f *fixture) {
 		g := gomega.NewWithT(t)
-		r := s.router("r1")
-		_, refusal := r.Do(s.ctx, newCall("0", "0"), s.pick)
+		r := f.router("r1")
+		_, refusal := r.Do(f.ctx, newCall("0", "0"), f.pick)
 		g.Expect(refusal).To(gomega.BeNil())
-		before := s.table.commits.Load()
-		var kiosks sync.WaitGroup
+		before := f.table.commits.Load()
+		var callers sync.WaitGroup
 		for i := range 30 {
-			kiosks.Go(func() {
+			callers.Go(func() {
 				body := strconv.Itoa(i)
-				answer, refusal := r.Do(s.ctx, newCall(body, body), s.pick)
+				answer, refusal := r.Do(f.ctx, newCall(body, body), f.pick)
 				g.Expect(refusal).To(gomega.BeNil())
 				g.Expect(string(answer.Body)).To(gomega.Equal("done " + body))
 			})
 		}
-		kiosks.Wait()
+		callers.Wait()
 		for i := range 30 {
-			g.Expect(s.service.runCount(strconv.Itoa(i))).To(gomega.Equal(1))
+			g.Expect(f.service.runCount(strconv.Itoa(i))).To(gomega.Equal(1))
 		}
-		g.Expect(s.table.commits.Load() - before).To(gomega.BeNumerically("<=", 10))
+		g.Expect(f.table.commits.Load()-before).To(gomega.BeNumerically("<=", 10), "transactions for 30 claims and their outcomes")
 	})
 }
 
 // The table service is unavailable. The call is refused at once with a time for
 // a retry, and nothing is sent.
 func TestTableDownRefusesAtOnce(t *testing.T) {
-	withFixture(t, func(s *fixture) {
+	withFixture(t, func(f *fixture) {
 		g := gomega.NewWithT(t)
-		s.table.set(true, nil)
+		f.table.setFaults(true, nil)
 		start := time.Now()
-		_, refusal := s.router("r1").Do(s.ctx, newCall("k", "lorry 7"), s.pick)
+		_, refusal := f.router("r1").Do(f.ctx, newCall("k", "lorry 7"), f.pick)
 		g.Expect(refusal.Code).To(gomega.Equal(types.CodeTableDown))
 		g.Expect(refusal.Outcome).To(gomega.Equal(types.OutcomeNotRun))
 		g.Expect(refusal.RetryAfter).NotTo(gomega.BeZero())
 		g.Expect(time.Since(start)).To(gomega.BeNumerically("<", 100*time.Millisecond))
-		g.Expect(s.net.arrived).To(gomega.BeZero())
+		g.Expect(f.net.arrived).To(gomega.BeZero())
 	})
 }
 
@@ -100,16 +100,16 @@
 // after it reported that the key is claimed. The caller must be told "unknown", as
 // "not run" could make it do the work again by hand.
 func TestKnownEarlierRequestIsNotDenied(t *testing.T) {
-	withFixture(t, func(s *fixture) {
+	withFixture(t, func(f *fixture) {
 		g := gomega.NewWithT(t)
-		r := s.router("r1")
-		_, refusal := r.Do(s.ctx, newCall("k", "lorry 7"), s.pick)
+		r := f.router("r1")
+		_, refusal := r.Do(f.ctx, newCall("k", "lorry 7"), f.pick)
 		g.Expect(refusal).To(gomega.BeNil())
-		s.table.set(false, func(int) (error, bool) {
-			s.table.down = true
+		f.table.setFaults(false, func(int) (error, bool) {
+			f.table.down = true
 			return nil, false
 		})
-		_, refusal = r.Do(s.ctx, newCall("k", "lorry 7"), s.pick)
+		_, refusal = r.Do(f.ctx, newCall("k", "lorry 7"), f.pick)
 		g.Expect(refusal.Outcome).To(gomega.Equal(types.OutcomeUnknown))
 		g.Expect(refusal.RetryAfter).NotTo(gomega.BeZero())
 	})
@@ -119,21 +119,21 @@
 // unavailable: the caller is told "not run". The next request finds the orphan
 // claim, has its attempt voided and runs the call.
 func TestOrphanClaimIsVoided(t *testing.T) {
-	withFixture(t, func(s *fixture) {
+	withFixture(t, func(f *fixture) {
 		g := gomega.NewWithT(t)
-		s.table.fault = func(int) (error, bool) {
-			s.table.down = true
+		f.table.fault = func(int) (error, bool) {
+			f.table.down = true
 			return backing.ErrAmbiguous, true
 		}
-		r := s.router("r1")
-		_, refusal := r.Do(s.ctx, newCall("k", "lorry 7"), s.pick)
+		r := f.router("r1")
+		_, refusal := r.Do(f.ctx, newCall("k", "lorry 7"), f.pick)
 		g.Expect(refusal.Outcome).To(gomega.Equal(types.OutcomeNotRun))
-		g.Expect(s.service.runCount("lorry 7")).To(gomega.BeZero())
-		s.table.set(false, nil)
-		s.only = "a" // a voided attempt does not exclude its backend server
-		_, refusal = r.Do(s.ctx, newCall("k", "lorry 7"), s.pick)
+		g.Expect(f.service.runCount("lorry 7")).To(gomega.BeZero())
+		f.table.setFaults(false, nil)
+		f.only = "a" // a voided attempt does not exclude its backend server
+		_, refusal = r.Do(f.ctx, newCall("k", "lorry 7"), f.pick)
 		g.Expect(refusal).To(gomega.BeNil())
-		g.Expect(s.service.runCount("lorry 7")).To(gomega.Equal(1))
+		g.Expect(f.service.runCount("lorry 7")).To(gomega.Equal(1))
 	})
 }
 
@@ -141,37 +141,37 @@
 // so that no tombstone can be written. The caller is told "unknown" and may
 // retry; the claim stays open.
 func TestFullSidecarIsAskedAgain(t *testing.T) {
-	withFixture(t, func(s *fixture) {
+	withFixture(t, func(f *fixture) {
 		g := gomega.NewWithT(t)
-		full := gate.NewCalls(gate.Options{Service: s.service, Incarnation: 1, MaxAttempts: 1})
-		s.net.gates["a"], s.only = full, "a"
-		s.table.fault = func(int) (error, bool) {
-			s.table.down = true
+		full := gate.NewCalls(gate.Options{Service: f.service, Incarnation: 1, MaxAttempts: 1})
+		f.net.gates["a"], f.only = full, "a"
+		f.table.fault = func(int) (error, bool) {
+			f.table.down = true
 			return backing.ErrAmbiguous, true
 		}
-		r := s.router("r1")
-		_, _ = r.Do(s.ctx, newCall("k", "lorry 7"), s.pick)
-		s.table.set(false, nil)
+		r := f.router("r1")
+		_, _ = r.Do(f.ctx, newCall("k", "lorry 7"), f.pick)
+		f.table.setFaults(false, nil)
 		ref := claim.Ref{Key: claim.Key("depot-apps", "inch", "k"), Deadline: time.Now().Add(time.Minute)}
-		full.Void(s.ctx, &streampb.VoidRequest{Claim: ref.String(), Attempt: 1, Incarnation: 1})
-		_, refusal := r.Do(s.ctx, newCall("k", "lorry 7"), s.pick)
+		full.Void(f.ctx, &streampb.VoidRequest{Claim: ref.String(), Attempt: 1, Incarnation: 1})
+		_, refusal := r.Do(f.ctx, newCall("k", "lorry 7"), f.pick)
 		g.Expect(refusal.Outcome).To(gomega.Equal(types.OutcomeUnknown))
 		g.Expect(refusal.RetryAfter).NotTo(gomega.BeZero())
-		g.Expect(s.table.claims()).To(gomega.ConsistOf(gomega.HaveField("State", claim.RecordClaimed)))
-		g.Expect(s.service.runCount("lorry 7")).To(gomega.BeZero())
+		g.Expect(f.table.claims()).To(gomega.ConsistOf(gomega.HaveField("State", claim.RecordClaimed)))
+		g.Expect(f.service.runCount("lorry 7")).To(gomega.BeZero())
 	})
 }
 
 // A call runs and its answer is lost between sidecar and router. The router asks
 // the sidecar, which remembers the answer, and the caller gets it.
 func TestLostAnswerIsFetched(t *testing.T) {
-	withFixture(t, func(s *fixture) {
+	withFixture(t, func(f *fixture) {
 		g := gomega.NewWithT(t)
-		s.net.lostAnswers = 1
-		answer, refusal := s.router("r1").Do(s.ctx, newCall("k", "lorry 7"), s.pick)
+		f.net.lostAnswers = 1
+		answer, refusal := f.router("r1").Do(f.ctx, newCall("k", "lorry 7"), f.pick)
 		g.Expect(refusal).To(gomega.BeNil())
 		g.Expect(string(answer.Body)).To(gomega.Equal("done lorry 7"))
-		g.Expect(s.service.runCount("lorry 7")).To(gomega.Equal(1))
+		g.Expect(f.service.runCount("lorry 7")).To(gomega.Equal(1))
 	})
 }
 
@@ -179,22 +179,22 @@
 // retries through another router, which has the attempt voided and runs the call.
 // The first router's late dispatch is refused and it returns the same answer.
 func TestPausedRouterDispatchesLate(t *testing.T) {
-	withFixture(t, func(s *fixture) {
+	withFixture(t, func(f *fixture) {
 		g := gomega.NewWithT(t)
-		wake := make(chan struct{})
-		s.net.hold = wake
+		resume := make(chan struct{})
+		f.net.hold = resume
 		var first sync.WaitGroup
 		first.Go(func() {
-			answer, refusal := s.router("r1").Do(s.ctx, newCall("k", "lorry 7"), s.pick)
+			answer, refusal := f.router("r1").Do(f.ctx, newCall("k", "lorry 7"), f.pick)
 			g.Expect(refusal).To(gomega.BeNil())
 			g.Expect(string(answer.Body)).To(gomega.Equal("done lorry 7"))
 		})
 		time.Sleep(100 * time.Millisecond)
-		_, refusal := s.router("r2").Do(s.ctx, newCall("k", "lorry 7"), s.pick)
+		_, refusal := f.router("r2").Do(f.ctx, newCall("k", "lorry 7"), f.pick)
 		g.Expect(refusal).To(gomega.BeNil())
-		close(wake)
+		close(resume)
 		first.Wait()
-		g.Expect(s.service.runCount("lorry 7")).To(gomega.Equal(1))
+		g.Expect(f.service.runCount("lorry 7")).To(gomega.Equal(1))
 	})
 }
 
@@ -202,77 +202,77 @@
 // call ran can no longer be found out: every later request gets "unknown"
 // without a time for a retry.
 func TestRestartedSidecarLeavesUnknown(t *testing.T) {
-	withFixture(t, func(s *fixture) {
+	withFixture(t, func(f *fixture) {
 		g := gomega.NewWithT(t)
-		s.service.delay = time.Second
-		ctx, die := context.WithTimeout(s.ctx, 100*time.Millisecond)
-		defer die()
-		_, refusal := s.router("r1").Do(ctx, newCall("k", "lorry 7"), s.pick)
+		f.service.delay = time.Second
+		ctx, leave := context.WithTimeout(f.ctx, 100*time.Millisecond)
+		defer leave()
+		_, refusal := f.router("r1").Do(ctx, newCall("k", "lorry 7"), f.pick)
 		g.Expect(refusal.Code).To(gomega.Equal(types.CodeStillRunning))
-		s.start("a")
+		f.start("a")
 		for range 2 { // from the sidecar, then from the saved row
-			_, refusal = s.router("r2").Do(s.ctx, newCall("k", "lorry 7"), s.pick)
+			_, refusal = f.router("r2").Do(f.ctx, newCall("k", "lorry 7"), f.pick)
 			g.Expect(refusal.Outcome).To(gomega.Equal(types.OutcomeUnknown))
 			g.Expect(refusal.RetryAfter).To(gomega.BeZero())
 		}
-		g.Expect(s.service.runCount("lorry 7")).To(gomega.Equal(1))
+		g.Expect(f.service.runCount("lorry 7")).To(gomega.Equal(1))
 	})
 }
 
 // The sidecar that may have run a call is cut off by a network partition. The
 // caller is told "unknown" and may retry; after the partition it gets its answer.
 func TestUnreachableSidecar(t *testing.T) {
-	withFixture(t, func(s *fixture) {
+	withFixture(t, func(f *fixture) {
 		g := gomega.NewWithT(t)
-		s.service.delay = time.Second
-		ctx, leave := context.WithTimeout(s.ctx, 100*time.Millisecond)
+		f.service.delay = time.Second
+		ctx, leave := context.WithTimeout(f.ctx, 100*time.Millisecond)
 		defer leave()
-		_, _ = s.router("r1").Do(ctx, newCall("k", "lorry 7"), s.pick)
-		s.net.setCut("a", true)
-		r := s.router("r2")
-		_, refusal := r.Do(s.ctx, newCall("k", "lorry 7"), s.pick)
+		_, _ = f.router("r1").Do(ctx, newCall("k", "lorry 7"), f.pick)
+		f.net.setCut("a", true)
+		r := f.router("r2")
+		_, refusal := r.Do(f.ctx, newCall("k", "lorry 7"), f.pick)
 		g.Expect(refusal.Outcome).To(gomega.Equal(types.OutcomeUnknown))
 		g.Expect(refusal.RetryAfter).NotTo(gomega.BeZero())
-		s.net.setCut("a", false)
-		_, refusal = r.Do(s.ctx, newCall("k", "lorry 7"), s.pick)
+		f.net.setCut("a", false)
+		_, refusal = r.Do(f.ctx, newCall("k", "lorry 7"), f.pick)
 		g.Expect(refusal).To(gomega.BeNil())
-		g.Expect(s.service.runCount("lorry 7")).To(gomega.Equal(1))
+		g.Expect(f.service.runCount("lorry 7")).To(gomega.Equal(1))
 	})
 }
 
 // A caller disconnects while its call is running and retries at once. The call
 // continues, and the second request waits for its answer.
 func TestCallerDisconnectsAndRetries(t *testing.T) {
-	withFixture(t, func(s *fixture) {
+	withFixture(t, func(f *fixture) {
 		g := gomega.NewWithT(t)
-		s.service.delay = 2 * time.Second
-		r := s.router("r1")
-		ctx, leave := context.WithTimeout(s.ctx, 100*time.Millisecond)
+		f.service.delay = 2 * time.Second
+		r := f.router("r1")
+		ctx, leave := context.WithTimeout(f.ctx, 100*time.Millisecond)
 		defer leave()
-		_, refusal := r.Do(ctx, newCall("k", "lorry 7"), s.pick)
+		_, refusal := r.Do(ctx, newCall("k", "lorry 7"), f.pick)
 		g.Expect(refusal.Code).To(gomega.Equal(types.CodeStillRunning))
-		answer, refusal := r.Do(s.ctx, newCall("k", "lorry 7"), s.pick)
+		answer, refusal := r.Do(f.ctx, newCall("k", "lorry 7"), f.pick)
 		g.Expect(refusal).To(gomega.BeNil())
 		g.Expect(string(answer.Body)).To(gomega.Equal("done lorry 7"))
-		g.Expect(s.service.runCount("lorry 7")).To(gomega.Equal(1))
+		g.Expect(f.service.runCount("lorry 7")).To(gomega.Equal(1))
 	})
 }
 
 // A key is reused for a call with another body or path. That call is refused and
 // doesn't run.
 func TestKeyReusedForAnotherCall(t *testing.T) {
-	withFixture(t, func(s *fixture) {
+	withFixture(t, func(f *fixture) {
 		g := gomega.NewWithT(t)
-		r := s.router("r1")
-		_, refusal := r.Do(s.ctx, newCall("k", "lorry 7"), s.pick)
+		r := f.router("r1")
+		_, refusal := r.Do(f.ctx, newCall("k", "lorry 7"), f.pick)
 		g.Expect(refusal).To(gomega.BeNil())
-		_, refusal = r.Do(s.ctx, newCall("k", "lorry 8"), s.pick)
+		_, refusal = r.Do(f.ctx, newCall("k", "lorry 8"), f.pick)
 		g.Expect(refusal.Code).To(gomega.Equal(types.CodeKeyReused))
 		other := newCall("k", "lorry 7")
 		other.Path = "/receipts"
-		_, refusal = r.Do(s.ctx, other, s.pick)
+		_, refusal = r.Do(f.ctx, other, f.pick)
 		g.Expect(refusal.Code).To(gomega.Equal(types.CodeKeyReused))
-		g.Expect(s.service.runCount("lorry 8")).To(gomega.BeZero())
+		g.Expect(f.service.runCount("lorry 8")).To(gomega.BeZero())
 	})
 }
 
@@ -280,30 +280,30 @@
 // that the call is claimed again and runs on the second. If that one is
 // unreachable too, the call is refused as not run.
 func TestNotSentGoesElsewhere(t *testing.T) {
-	withFixture(t, func(s *fixture) {
+	withFixture(t, func(f *fixture) {
 		g := gomega.NewWithT(t)
-		s.net.setCut("a", true)
-		_, refusal := s.router("r1").Do(s.ctx, newCall("k", "lorry 7"), s.pick)
+		f.net.setCut("a", true)
+		_, refusal := f.router("r1").Do(f.ctx, newCall("k", "lorry 7"), f.pick)
 		g.Expect(refusal).To(gomega.BeNil())
-		s.net.setCut("b", true)
-		_, refusal = s.router("r1").Do(s.ctx, newCall("k2", "lorry 8"), s.pick)
+		f.net.setCut("b", true)
+		_, refusal = f.router("r1").Do(f.ctx, newCall("k2", "lorry 8"), f.pick)
 		g.Expect(refusal.Code).To(gomega.Equal(types.CodeNoBackend))
 		g.Expect(refusal.Outcome).To(gomega.Equal(types.OutcomeNotRun))
-		g.Expect(s.service.runCount("lorry 8")).To(gomega.BeZero())
+		g.Expect(f.service.runCount("lorry 8")).To(gomega.BeZero())
 	})
 }
 
 // Claims are kept for their retention time and then deleted, so that the table
 // doesn't grow without bound.
 func TestOldClaimsAreDeleted(t *testing.T) {
-	withFixture(t, func(s *fixture) {
+	withFixture(t, func(f *fixture) {
 		g := gomega.NewWithT(t)
-		_, refusal := s.router("r1").Do(s.ctx, newCall("k", "lorry 7"), s.pick)
+		_, refusal := f.router("r1").Do(f.ctx, newCall("k", "lorry 7"), f.pick)
 		g.Expect(refusal).To(gomega.BeNil())
 		time.Sleep(claim.DefaultRetention - time.Minute)
-		g.Expect(s.table.claims()).To(gomega.HaveLen(1))
+		g.Expect(f.table.claims()).To(gomega.HaveLen(1))
 		time.Sleep(24 * time.Hour)
 		synctest.Wait()
-		g.Expect(s.table.claims()).To(gomega.BeEmpty())
+		g.Expect(f.table.claims()).To(gomega.BeEmpty())
 	})
 }
--- a/claim/fakes_test.go
+++ b/claim/fakes_test.go
@@ -29,7 +29,7 @@
 	version       uint64
 	commits       atomic.Int64
 	commitLatency time.Duration
-	down          bool
+	down          bool // Get and Commit fail
 	fault         func(n int) (err error, effect bool)
 	beforeCheck   func(txn backing.Txn) // runs before a transaction's conditions are checked
 	duplicates    int                   // conditions on a row that the transaction had already named
@@ -37,7 +37,7 @@
 
 func newFakeTable() *fakeTable { return &fakeTable{rows: map[string]backing.Row{}} }
 
-func (f *fakeTable) set(down bool, fault func(int) (error, bool)) {
+func (f *fakeTable) setFaults(down bool, fault func(int) (error, bool)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.down, f.fault = down, fault
@@ -134,7 +134,7 @@
 	mu      sync.Mutex
 	runs    map[string]int
 	delay   time.Duration
-	err     error
+	err     error  // returned with each answer
 	onRun   func() // called after each run, before the answer
 	padding int    // number of bytes appended to each answer
 }
@@ -166,10 +166,10 @@
 type fakeNet struct {
 	mu          sync.Mutex
 	gates       map[string]*gate.Calls
-	cut         map[string]bool
-	lostAnswers int           // number of answers still to be lost
-	hold        chan struct{} // if set, the next call waits for it before it is delivered
-	arrived     int
+	cut         map[string]bool // by address: nothing is delivered
+	lostAnswers int             // number of answers still to be lost
+	hold        chan struct{}   // if set, the next call waits for it before it is delivered
+	arrived     int             // number of calls delivered
 }
 
 func (n *fakeNet) setCut(addr string, cut bool) {
@@ -182,14 +182,14 @@
 
 func (n *fakeNet) Call(ctx context.Context, addr string, req *streampb.CallRequest) (*streampb.CallResponse, error) {
 	n.mu.Lock()
-	g, cut, frozen := n.gates[addr], n.cut[addr], n.hold
+	g, cut, hold := n.gates[addr], n.cut[addr], n.hold
 	n.hold = nil
 	n.mu.Unlock()
 	if cut {
 		return nil, plain.ErrNotSent
 	}
-	if frozen != nil {
-		<-frozen
+	if hold != nil {
+		<-hold
 	}
 	resp := g.Call(ctx, req)
 	n.mu.Lock()
@@ -215,40 +215,40 @@
 // fixture is one table, one service behind the sidecars a and b, and any number
 // of routers.
 type fixture struct {
-	t       *testing.T
-	ctx     context.Context
-	table   *fakeTable
-	service *fakeService
-	net     *fakeNet
-	inc     types.Incarnation
-	only    string // if set, the only sidecar that may be picked
+	t               *testing.T
+	ctx             context.Context
+	table           *fakeTable
+	service         *fakeService
+	net             *fakeNet
+	lastIncarnation types.Incarnation
+	only            string // if set, the only sidecar that may be picked
 }
 
 // withFixture runs a test in virtual time.
-func withFixture(t *testing.T, test func(s *fixture)) {
+func withFixture(t *testing.T, test func(f *fixture)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		s := &fixture{
-			t: t, ctx: ctx, table: newFakeTable(), inc: 1,
+		f := &fixture{
+			t: t, ctx: ctx, table: newFakeTable(), lastIncarnation: 1,
 			service: &fakeService{runs: map[string]int{}, delay: 50 * time.Millisecond},
 			net:     &fakeNet{gates: map[string]*gate.Calls{}, cut: map[string]bool{}},
 		}
-		s.start("a")
-		s.start("b")
-		test(s)
+		f.start("a")
+		f.start("b")
+		test(f)
 		time.Sleep(time.Minute) // until the calls in progress have ended
 		cancel()
-		gomega.NewWithT(t).Expect(s.table.duplicates).To(gomega.BeZero())
+		gomega.NewWithT(t).Expect(f.table.duplicates).To(gomega.BeZero())
 	})
 }
 
 // put writes a claim row directly into the table. The caller must not hold
 // table.mu.
-func (s *fixture) put(key string, record claim.Record) {
+func (f *fixture) put(key string, record claim.Record) {
 	value, _ := record.Encode()
-	s.table.mu.Lock()
-	defer s.table.mu.Unlock()
-	s.table.putLocked(claim.Key("depot-apps", "inch", key), value)
+	f.table.mu.Lock()
+	defer f.table.mu.Unlock()
+	f.table.putLocked(claim.Key("depot-apps", "inch", key), value)
 }
 
 func (f *fakeTable) putLocked(key string, value []byte) {
@@ -257,28 +257,28 @@
 }
 
 // start starts or restarts the sidecar at addr with a new incarnation.
-func (s *fixture) start(addr string) {
-	s.inc++
-	g := gate.NewCalls(gate.Options{Service: s.service, Incarnation: s.inc})
-	s.net.mu.Lock()
-	defer s.net.mu.Unlock()
-	s.net.gates[addr] = g
+func (f *fixture) start(addr string) {
+	f.lastIncarnation++
+	g := gate.NewCalls(gate.Options{Service: f.service, Incarnation: f.lastIncarnation})
+	f.net.mu.Lock()
+	defer f.net.mu.Unlock()
+	f.net.gates[addr] = g
 }
 
-func (s *fixture) router(name string) *claim.Coordinator {
-	c := claim.New(claim.Options{Table: s.table, Router: types.ProcessID(name), Sidecar: s.net})
-	go func() { _ = c.Run(s.ctx) }()
+func (f *fixture) router(name string) *claim.Coordinator {
+	c := claim.New(claim.Options{Table: f.table, Router: types.ProcessID(name), Sidecar: f.net})
+	go func() { _ = c.Run(f.ctx) }()
 	return c
 }
 
-// pick prefers a over b.
-func (s *fixture) pick(avoid []string) (claim.Target, bool) {
+// pick prefers the sidecar a over b.
+func (f *fixture) pick(avoid []string) (claim.Target, bool) {
 	for _, addr := range []string{"a", "b"} {
-		if s.only != "" && addr != s.only {
+		if f.only != "" && addr != f.only {
 			continue
 		}
 		if !strings.Contains(strings.Join(avoid, " "), addr) {
-			inc := types.Incarnation(s.net.gates[addr].Dump().(gate.Dump).Incarnation)
+			inc := types.Incarnation(f.net.gates[addr].Dump().(gate.Dump).Incarnation)
 			return claim.Target{BackendServer: addr, Process: types.ProcessID(addr), Address: addr, Incarnation: inc}, true
 		}
 	}
--- a/claim/metrics.go
+++ b/claim/metrics.go
@@ -14,7 +14,7 @@
 }
 
 // String returns the name of the result in metrics and events.
-func (s Result) String() string { return resultNames[s] }
+func (r Result) String() string { return resultNames[r] }
 
 type metrics struct {
 	answers        *prometheus.CounterVec
--- a/claim/model_answers_test.go
+++ b/claim/model_answers_test.go
@@ -28,6 +28,8 @@
 	}
 }
 
+// rememberedResult returns the result that a sidecar reports for an attempt which it
+// remembers.
 func rememberedResult(memory gate.AttemptState) (claim.Result, bool) {
 	switch memory {
 	case gate.Completed:
@@ -55,6 +57,7 @@
 	}
 }
 
+// void delivers a void request for attempt a to its sidecar.
 func (m *modelState) void(b bounds, a uint8, at attempt, full bool) claim.Result {
 	v := m.view(at, full)
 	v.State = m.sidecars[at.target].memory[a]
@@ -103,7 +106,7 @@
 
 // observe passes an observation to claim.Next and applies the decision.
 func (m modelState) observe(b bounds, i int, o claim.Observation, name string, yield func(string, modelState)) {
-	if b.disabled == resendOff && m.requests[i].state.Phase == claim.PhaseDispatch && o.Result == claim.ResultAnswerLost {
+	if b.disabled == sameAttemptOff && m.requests[i].state.Phase == claim.PhaseDispatch && o.Result == claim.ResultAnswerLost {
 		n := m
 		n.requests[i].waiting, n.requests[i].step = false, claim.StepDispatch
 		yield("call sent again", n)
@@ -129,11 +132,14 @@
 	yield(name, n)
 }
 
+// weakenRequest changes the observation given to claim.Next so that the disabled
+// guard has no effect: an ambiguous write counts as committed, or an attempt whose
+// answer was lost as not run.
 func weakenRequest(off guard, st claim.State, o claim.Observation) claim.Observation {
 	switch {
 	case off == readBackOff && o.Result == claim.ResultAmbiguous:
 		o.Result = claim.ResultCommitted
-	case off == noResendOff && st.Phase == claim.PhaseDispatch && o.Result == claim.ResultAnswerLost:
+	case off == newAttemptOff && st.Phase == claim.PhaseDispatch && o.Result == claim.ResultAnswerLost:
 		o.Result = claim.ResultNotRun
 	}
 	return o
--- a/claim/model_test.go
+++ b/claim/model_test.go
@@ -36,17 +36,18 @@
 	fullOff         guard = "full memory"
 	casOff          guard = "compare-and-swap"
 	readBackOff     guard = "read-back"
-	noResendOff     guard = "no resend"
-	resendOff       guard = "no resend of the same attempt"
+	newAttemptOff   guard = "no resend as a new attempt"
+	sameAttemptOff  guard = "no resend of the same attempt"
 	oneTagOff       guard = "one write per tag"
 	savedAttemptOff guard = "attempt checked when an outcome is saved"
 )
 
-// modelState is one state of the model. It is comparable.
+// modelState is one state of the model. It is comparable. An attempt's tag is its
+// index in attempts; 0 is no attempt.
 type modelState struct {
-	now      uint8
-	nextTag  uint8
-	restarts uint8
+	now      uint8 // in ticks
+	nextTag  uint8 // index in attempts of the next one to be written
+	restarts uint8 // of sidecars so far
 	row      row
 	attempts [maxTags + 1]attempt
 	sidecars [maxSidecars]sidecar
@@ -63,21 +64,21 @@
 // attempt holds what is fixed when an attempt is claimed, and the progress of its
 // call and of the save of its outcome.
 type attempt struct {
-	target   uint8
-	inc      uint8
+	target   uint8 // index of its sidecar
+	inc      uint8 // incarnation of the sidecar that the claim names
 	deadline uint8
-	late     bool  // its ambiguous write may still take effect,
-	lateAt   uint8 // on this version of the row
-	sent     bool  // its call is in transit
-	refused  bool  // its call was refused and the answer is in transit
-	runs     uint8
+	late     bool              // its ambiguous write may still take effect
+	lateAt   uint8             // the row version on which that write is conditional
+	sent     bool              // its call is in transit
+	refused  bool              // its call was refused and the answer is in transit
+	runs     uint8             // how often the service ran it
 	save     claim.RecordState // the outcome that some router is about to save
 }
 
 type sidecar struct {
-	inc       uint8
+	inc       uint8 // incarnation
 	memory    [maxTags + 1]gate.AttemptState
-	forgotten uint8
+	forgotten uint8 // latest deadline of the forgotten attempts; 0: none
 }
 
 type request struct {
@@ -180,6 +181,8 @@
 	}
 }
 
+// weakenCall changes the inputs of gate.DecideCall so that the disabled guard has no
+// effect.
 func weakenCall(off guard, v *gate.View) {
 	switch off {
 	case callIncOff:
--- a/claim/outcomes.go
+++ b/claim/outcomes.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	saveQueueSize   = 4096 // maximum number of queued outcomes; further ones are dropped
-	saveWorkers     = 64   // concurrent reads and writes: enough for a full transaction
-	maxSaveAttempts = 3
-	saveRetryDelay  = 200 * time.Millisecond
+	saveQueueSize  = 4096 // maximum number of queued outcomes; further ones are dropped
+	saveWorkers    = 64   // concurrent saves: as many as DefaultMaxBatch, since each waits for its transaction
+	maxSaveTries   = 3    // of one outcome; after that, later requests ask the sidecar
+	saveRetryDelay = 200 * time.Millisecond
 	// shutdownSaveTimeout limits how long a router that shuts down still saves
 	// outcomes: several times what one takes, which is DefaultSaveBatchDelay and a
 	// commit.
@@ -42,64 +42,68 @@
 	return &outcomeWriter{opts: opts, batcher: b, metrics: m, queue: make(chan outcome, saveQueueSize)}
 }
 
-func (f *outcomeWriter) save(key string, record Record) {
+// save queues an outcome. It doesn't block: if the queue is full, the outcome is
+// dropped.
+func (w *outcomeWriter) save(key string, record Record) {
 	select {
-	case f.queue <- outcome{key: key, record: record}:
+	case w.queue <- outcome{key: key, record: record}:
 	default:
-		f.metrics.saves.WithLabelValues("dropped").Inc()
+		w.metrics.saves.WithLabelValues("dropped").Inc()
 	}
 }
 
-// run saves outcomes until ctx ends, and then those still queued, until saving
+// run saves outcomes until ctx ends, and then those still queued, until saveCtx
 // ends. Without a saved outcome, an answered call would be reported as unknown
 // once the sidecar that remembers the answer has stopped, too.
-func (f *outcomeWriter) run(ctx, saving context.Context) error {
+func (w *outcomeWriter) run(ctx, saveCtx context.Context) error {
 	var workers sync.WaitGroup
 	for range saveWorkers {
-		workers.Go(func() { f.work(ctx, saving) })
+		workers.Go(func() { w.work(ctx, saveCtx) })
 	}
 	workers.Wait()
 	return ctx.Err()
 }
 
-func (f *outcomeWriter) work(ctx, saving context.Context) {
+func (w *outcomeWriter) work(ctx, saveCtx context.Context) {
 	for {
 		select {
-		case o := <-f.queue:
-			f.writeWithRetry(saving, o)
+		case o := <-w.queue:
+			w.writeWithRetry(saveCtx, o)
 		case <-ctx.Done():
-			f.drain(saving)
+			w.drain(saveCtx)
 			return
 		}
 	}
 }
 
 // drain saves the queued outcomes.
-func (f *outcomeWriter) drain(saving context.Context) {
-	for saving.Err() == nil {
+func (w *outcomeWriter) drain(saveCtx context.Context) {
+	for saveCtx.Err() == nil {
 		select {
-		case o := <-f.queue:
-			f.writeWithRetry(saving, o)
+		case o := <-w.queue:
+			w.writeWithRetry(saveCtx, o)
 		default:
 			return
 		}
 	}
 }
 
-func (f *outcomeWriter) writeWithRetry(ctx context.Context, o outcome) {
-	for range maxSaveAttempts {
-		result := f.write(ctx, o)
-		f.metrics.saves.WithLabelValues(result.String()).Inc()
+// writeWithRetry saves an outcome, or gives up after a conflict: then the row has a
+// newer claim or a final state.
+func (w *outcomeWriter) writeWithRetry(saveCtx context.Context, o outcome) {
+	for range maxSaveTries {
+		result := w.write(saveCtx, o)
+		w.metrics.saves.WithLabelValues(result.String()).Inc()
 		if result == ResultCommitted || result == ResultConflict {
 			return
 		}
 		select {
 		case <-time.After(saveRetryDelay):
-		case <-ctx.Done():
+		case <-saveCtx.Done():
 			return
 		}
 	}
-	f.opts.Recorder.Emit(EventOutcomeNotSaved, "key", o.key, "state", o.record.State, "attempt", o.record.Attempt)
+	w.opts.Recorder.Emit(EventOutcomeNotSaved, "key", o.key, "state", o.record.State, "attempt", o.record.Attempt)
 }
 
 // write replaces the claim by its outcome if the row still holds that claim.
@@ -108,10 +112,10 @@
 // the retention time, the row is deleted, a new call claims the key, and the old
 // answer overwrites that claim. The row must name this attempt as claimed, and
 // must not change between the read and the write.
-func (f *outcomeWriter) write(ctx context.Context, o outcome) Result {
-	readCtx, cancel := context.WithTimeout(ctx, f.opts.ReadTimeout)
+func (w *outcomeWriter) write(ctx context.Context, o outcome) Result {
+	readCtx, cancel := context.WithTimeout(ctx, w.opts.ReadTimeout)
 	defer cancel()
-	row, err := f.opts.Table.Get(readCtx, o.key)
+	row, err := w.opts.Table.Get(readCtx, o.key)
 	if errors.Is(err, backing.ErrNotFound) {
 		return ResultConflict
 	}
@@ -126,5 +130,5 @@
 	if err != nil {
 		return ResultConflict
 	}
-	return f.batcher.submit(ctx, &pendingWrite{key: o.key, version: row.Version, value: value})
+	return w.batcher.submit(ctx, &pendingWrite{key: o.key, version: row.Version, value: value})
 }
--- a/claim/record.go
+++ b/claim/record.go
@@ -23,7 +23,8 @@
 	// key. A collision would give one caller another's answer; 16 bytes make it
 	// negligibly unlikely.
 	keyHashBytes = 16
-	// MaxSavedBody is the largest answer body kept in a claim row.
+	// MaxSavedBody is the largest size, in bytes, of an answer's body that is kept
+	// in a claim row.
 	MaxSavedBody = 16 << 10
 )
 
@@ -37,7 +38,7 @@
 
 // States of a claim row.
 const (
-	RecordClaimed   RecordState = "claimed"   // may have been dispatched; the sidecar knows
+	RecordClaimed   RecordState = "claimed"   // may have been dispatched; only its target can tell whether it ran
 	RecordCompleted RecordState = "completed" // ran; the answer is saved, unless it was too large
 	RecordVoided    RecordState = "voided"    // proven never to have run and never to run
 	RecordUnknown   RecordState = "unknown"   // may have run; this can no longer be found out
@@ -56,7 +57,7 @@
 	Format      int               `json:"format"`
 	State       RecordState       `json:"state"`
 	Attempt     types.AttemptTag  `json:"attempt"`
-	Router      types.ProcessID   `json:"router"`
+	Router      types.ProcessID   `json:"router"` // that claimed the attempt
 	Target      Target            `json:"target"`
 	Deadline    time.Time         `json:"deadline"`
 	Fingerprint types.Fingerprint `json:"fingerprint"`
@@ -82,7 +83,8 @@
 	return r, nil
 }
 
-// finished returns the record of the same attempt in a final state.
+// withOutcome returns the record of the same attempt in a final state. It omits an
+// answer whose body is larger than MaxSavedBody.
 func (r Record) withOutcome(state RecordState, answer *plain.Answer) Record {
 	r.State = state
 	r.Answer = nil
--- a/claim/ref.go
+++ b/claim/ref.go
@@ -25,15 +25,15 @@
 	return r.Key + "@" + strconv.FormatInt(r.Deadline.UnixMilli(), 10)
 }
 
-// ParseRef is the inverse of Ref.String.
+// ParseRef is the inverse of Ref.String. Its errors wrap ErrMalformedRef.
 func ParseRef(s string) (Ref, error) {
 	at := strings.LastIndexByte(s, '@')
 	if at <= 0 {
-		return Ref{}, ErrMalformedRef
+		return Ref{}, errors.Wrapf(ErrMalformedRef, "parse %q", s)
 	}
 	ms, err := strconv.ParseInt(s[at+1:], 10, 64)
 	if err != nil || ms <= 0 {
-		return Ref{}, ErrMalformedRef
+		return Ref{}, errors.Wrapf(ErrMalformedRef, "parse %q", s)
 	}
 	return Ref{Key: s[:at], Deadline: time.UnixMilli(ms)}, nil
 }
--- a/claim/request.go
+++ b/claim/request.go
@@ -15,12 +15,13 @@
 	"github.com/pearyard/pearyard/types"
 )
 
+// Delays between the void requests for an attempt; each is twice the one before.
 const (
 	minVoidDelay = 20 * time.Millisecond
 	maxVoidDelay = time.Second
 )
 
-// request is one call of Do. It performs the steps that Next decides on.
+// request is one invocation of Do. It performs the steps that Next decides on.
 type request struct {
 	c        *Coordinator
 	call     Call
@@ -29,11 +30,11 @@
 	deadline time.Time
 
 	state     State
-	claim     Record // this request's newest claim
-	row       Record // the claim that the sidecar is asked about: last read or dispatched
-	answer    *plain.Answer
-	excluded  []string
-	voidDelay time.Duration
+	claim     Record        // this request's newest claim
+	row       Record        // the claim that the sidecar is asked about: last read or dispatched
+	answer    *plain.Answer // of the attempt in row; nil: unknown, or too large for the row
+	excluded  []string      // backend servers known not to have run the call
+	voidDelay time.Duration // before the next StepDelayedVoid
 }
 
 func newRequest(c *Coordinator, call Call, pick Pick) *request {
@@ -47,6 +48,8 @@
 	}
 }
 
+// effectiveDeadline applies CallTimeout and MaxDeadline, and truncates to the
+// precision of Ref.Deadline.
 func effectiveDeadline(call Call, opts Options, now time.Time) time.Time {
 	latest := now.Add(opts.MaxDeadline)
 	deadline := call.Deadline
@@ -114,7 +117,8 @@
 
 // markVoided saves that claims never run, so that later requests needn't ask the
 // sidecar: the claim that was proven not to run, and this request's own if it was
-// not dispatched. The request ends here, and no other one dispatches its attempt.
+// not dispatched. The own one never runs, since the request ends here and no other
+// request dispatches its attempt.
 func (req *request) markVoided() {
 	if req.state.ProvenNotRun != 0 && req.state.ProvenNotRun == req.row.Attempt {
 		req.c.outcomes.save(req.key, req.row.withOutcome(RecordVoided, nil))
@@ -155,7 +159,7 @@
 // continues after that, so that its outcome is known and saved.
 func (req *request) dispatch(ctx context.Context) Observation {
 	req.row = req.claim
-	if ctx.Err() != nil {
+	if ctx.Err() != nil { // nothing was sent; after ResultExpired the call would count as possibly running
 		return Observation{Result: ResultNotRun, Code: types.CodeDeadline}
 	}
 	done := make(chan reply, 1)
@@ -163,6 +167,8 @@
 	go func() { done <- req.c.sendCall(context.WithoutCancel(ctx), req.key, claim, callReq) }()
 	select {
 	case r := <-done:
+		// A tombstone means that another request voided the attempt; the backend
+		// server itself accepts calls.
 		if r.result == ResultNotRun && r.code != types.CodeTombstone {
 			req.excluded = append(req.excluded, req.claim.Target.BackendServer)
 		}
@@ -188,7 +194,8 @@
 	}
 }
 
-// observe turns a sidecar's reply about req.row into an observation.
+// observe keeps the answer in a sidecar's reply about req.row and returns the reply
+// as an observation.
 func (req *request) observe(r reply) Observation {
 	req.answer = r.answer
 	return Observation{Result: r.result, Code: r.code}
@@ -216,6 +223,7 @@
 	return req.observe(r)
 }
 
+// conclude returns the caller's answer or refusal.
 func (req *request) conclude(ctx context.Context, a Action) (plain.Answer, *types.Refusal) {
 	if a.Outcome == types.OutcomeCompleted {
 		return req.completedAnswer(ctx)
--- a/claim/rows_test.go
+++ b/claim/rows_test.go
@@ -19,18 +19,18 @@
 // Three concurrent requests with one key go through one router. The call runs
 // once, all three get its answer, and no transaction names a row twice.
 func TestConcurrentRequestsWithOneKey(t *testing.T) {
-	withFixture(t, func(s *fixture) {
+	withFixture(t, func(f *fixture) {
 		g := gomega.NewWithT(t)
-		r := s.router("r1")
-		var tries sync.WaitGroup
+		r := f.router("r1")
+		var requests sync.WaitGroup
 		for range 3 {
-			tries.Go(func() {
-				_, refusal := r.Do(s.ctx, newCall("k", "lorry 7"), s.pick)
+			requests.Go(func() {
+				_, refusal := r.Do(f.ctx, newCall("k", "lorry 7"), f.pick)
 				g.Expect(refusal).To(gomega.BeNil())
 			})
 		}
-		tries.Wait()
-		g.Expect(s.service.runCount("lorry 7")).To(gomega.Equal(1))
+		requests.Wait()
+		g.Expect(f.service.runCount("lorry 7")).To(gomega.Equal(1))
 	})
 }
 
@@ -41,18 +41,18 @@
 		func(r claim.Record) claim.Record { r.Attempt++; return r },
 		func(r claim.Record) claim.Record { r.State = claim.RecordUnknown; return r },
 	} {
-		withFixture(t, func(s *fixture) {
+		withFixture(t, func(f *fixture) {
 			g := gomega.NewWithT(t)
-			s.service.onRun = func() { s.table.set(true, nil) }
-			_, refusal := s.router("r1").Do(s.ctx, newCall("k", "lorry 7"), s.pick)
+			f.service.onRun = func() { f.table.setFaults(true, nil) }
+			_, refusal := f.router("r1").Do(f.ctx, newCall("k", "lorry 7"), f.pick)
 			g.Expect(refusal).To(gomega.BeNil())
 			time.Sleep(50 * time.Millisecond)
-			want := newer(s.table.claims()[0])
-			s.put("k", want)
-			s.table.set(false, nil)
+			want := newer(f.table.claims()[0])
+			f.put("k", want)
+			f.table.setFaults(false, nil)
 			time.Sleep(2 * time.Second)
-			g.Expect(s.table.claims()).To(gomega.HaveLen(1))
-			g.Expect(s.table.claims()[0].State).To(gomega.Equal(want.State))
+			g.Expect(f.table.claims()).To(gomega.HaveLen(1))
+			g.Expect(f.table.claims()[0].State).To(gomega.Equal(want.State))
 		})
 	}
 }
@@ -60,33 +60,33 @@
 // A caller disconnects before its call has ended. The outcome is saved
 // nevertheless.
 func TestOutcomeIsSavedWithoutItsCaller(t *testing.T) {
-	withFixture(t, func(s *fixture) {
-		s.service.delay = 2 * time.Second
-		ctx, leave := context.WithTimeout(s.ctx, 100*time.Millisecond)
+	withFixture(t, func(f *fixture) {
+		f.service.delay = 2 * time.Second
+		ctx, leave := context.WithTimeout(f.ctx, 100*time.Millisecond)
 		defer leave()
-		_, _ = s.router("r1").Do(ctx, newCall("k", "lorry 7"), s.pick)
+		_, _ = f.router("r1").Do(ctx, newCall("k", "lorry 7"), f.pick)
 		time.Sleep(5 * time.Second)
-		gomega.NewWithT(t).Expect(s.table.claims()).To(gomega.ConsistOf(gomega.HaveField("State", claim.RecordCompleted)))
+		gomega.NewWithT(t).Expect(f.table.claims()).To(gomega.ConsistOf(gomega.HaveField("State", claim.RecordCompleted)))
 	})
 }
 
 // An answer is too large for the row. A second request gets it from the sidecar;
 // once that has restarted, a request is still told that the call ran.
 func TestLargeAnswer(t *testing.T) {
-	withFixture(t, func(s *fixture) {
+	withFixture(t, func(f *fixture) {
 		g := gomega.NewWithT(t)
-		s.service.padding = claim.MaxSavedBody
-		r := s.router("r1")
-		first, _ := r.Do(s.ctx, newCall("k", "sheet"), s.pick)
+		f.service.padding = claim.MaxSavedBody
+		r := f.router("r1")
+		first, _ := r.Do(f.ctx, newCall("k", "sheet"), f.pick)
 		time.Sleep(time.Second)
-		g.Expect(s.table.claims()[0].Answer).To(gomega.BeNil())
-		second, refusal := r.Do(s.ctx, newCall("k", "sheet"), s.pick)
+		g.Expect(f.table.claims()[0].Answer).To(gomega.BeNil())
+		second, refusal := r.Do(f.ctx, newCall("k", "sheet"), f.pick)
 		g.Expect(refusal).To(gomega.BeNil())
 		g.Expect(second.Body).To(gomega.Equal(first.Body))
-		s.start("a")
-		_, refusal = r.Do(s.ctx, newCall("k", "sheet"), s.pick)
+		f.start("a")
+		_, refusal = r.Do(f.ctx, newCall("k", "sheet"), f.pick)
 		g.Expect(refusal.Outcome).To(gomega.Equal(types.OutcomeCompleted))
-		g.Expect(s.service.runCount("sheet")).To(gomega.Equal(1))
+		g.Expect(f.service.runCount("sheet")).To(gomega.Equal(1))
 	})
 }
 
@@ -94,10 +94,10 @@
 // keep it. The caller must be told that the call ran, and not get an empty
 // answer.
 func TestAnswerNotKept(t *testing.T) {
-	withFixture(t, func(s *fixture) {
-		s.net.gates["a"] = gate.NewCalls(gate.Options{Service: s.service, Incarnation: 1, MaxAnswerBytes: 16})
-		s.net.lostAnswers = 1
-		_, refusal := s.router("r1").Do(s.ctx, newCall("k", "lorry 7"), s.pick)
+	withFixture(t, func(f *fixture) {
+		f.net.gates["a"] = gate.NewCalls(gate.Options{Service: f.service, Incarnation: 1, MaxAnswerBytes: 16})
+		f.net.lostAnswers = 1
+		_, refusal := f.router("r1").Do(f.ctx, newCall("k", "lorry 7"), f.pick)
 		gomega.NewWithT(t).Expect(refusal.Outcome).To(gomega.Equal(types.OutcomeCompleted))
 	})
 }
@@ -105,11 +105,11 @@
 // A call has a deadline in a day. The claim's deadline is limited, so that
 // sidecars can forget the attempt.
 func TestDeadlineIsBounded(t *testing.T) {
-	withFixture(t, func(s *fixture) {
+	withFixture(t, func(f *fixture) {
 		call := newCall("k", "lorry 7")
 		call.Deadline = time.Now().Add(24 * time.Hour)
-		_, _ = s.router("r1").Do(s.ctx, call, s.pick)
-		gomega.NewWithT(t).Expect(time.Until(s.table.claims()[0].Deadline)).To(gomega.BeNumerically("<=", claim.DefaultMaxDeadline))
+		_, _ = f.router("r1").Do(f.ctx, call, f.pick)
+		gomega.NewWithT(t).Expect(time.Until(f.table.claims()[0].Deadline)).To(gomega.BeNumerically("<=", claim.DefaultMaxDeadline))
 	})
 }
 
@@ -117,49 +117,49 @@
 // later. The retention time counts from the second claim: a third request 20
 // hours after it still gets the answer.
 func TestRenewedClaimIsKept(t *testing.T) {
-	withFixture(t, func(s *fixture) {
+	withFixture(t, func(f *fixture) {
 		g := gomega.NewWithT(t)
-		s.table.fault = func(int) (error, bool) {
-			s.table.down = true
+		f.table.fault = func(int) (error, bool) {
+			f.table.down = true
 			return backing.ErrAmbiguous, true
 		}
-		r := s.router("r1")
-		_, _ = r.Do(s.ctx, newCall("k", "lorry 7"), s.pick)
-		s.table.set(false, nil)
+		r := f.router("r1")
+		_, _ = r.Do(f.ctx, newCall("k", "lorry 7"), f.pick)
+		f.table.setFaults(false, nil)
 		time.Sleep(20 * time.Hour)
-		_, refusal := r.Do(s.ctx, newCall("k", "lorry 7"), s.pick)
+		_, refusal := r.Do(f.ctx, newCall("k", "lorry 7"), f.pick)
 		g.Expect(refusal).To(gomega.BeNil())
 		time.Sleep(20 * time.Hour)
-		_, refusal = r.Do(s.ctx, newCall("k", "lorry 7"), s.pick)
+		_, refusal = r.Do(f.ctx, newCall("k", "lorry 7"), f.pick)
 		g.Expect(refusal).To(gomega.BeNil())
-		g.Expect(s.service.runCount("lorry 7")).To(gomega.Equal(1))
+		g.Expect(f.service.runCount("lorry 7")).To(gomega.Equal(1))
 		time.Sleep(24 * time.Hour)
-		g.Expect(s.table.claims()).To(gomega.BeEmpty())
+		g.Expect(f.table.claims()).To(gomega.BeEmpty())
 	})
 }
 
 // A claim is renewed after a sweeper has found it expired and before it deletes
 // the row. The renewed row must stay.
 func TestClaimRenewedDuringSweep(t *testing.T) {
-	withFixture(t, func(s *fixture) {
+	withFixture(t, func(f *fixture) {
 		g := gomega.NewWithT(t)
-		_, _ = s.router("r1").Do(s.ctx, newCall("k", "lorry 7"), s.pick)
+		_, _ = f.router("r1").Do(f.ctx, newCall("k", "lorry 7"), f.pick)
 		time.Sleep(time.Second)
 		var renewed atomic.Bool
-		s.table.mu.Lock()
-		s.table.beforeCheck = func(txn backing.Txn) {
+		f.table.mu.Lock()
+		f.table.beforeCheck = func(txn backing.Txn) {
 			for _, w := range txn.Writes {
 				if w.Delete && strings.HasPrefix(w.Key, claim.KeyPrefix) && renewed.CompareAndSwap(false, true) {
-					record, _ := claim.Decode(s.table.rows[w.Key].Value)
+					record, _ := claim.Decode(f.table.rows[w.Key].Value)
 					record.Deadline = time.Now().Add(time.Hour)
 					value, _ := record.Encode()
-					s.table.putLocked(w.Key, value)
+					f.table.putLocked(w.Key, value)
 				}
 			}
 		}
-		s.table.mu.Unlock()
+		f.table.mu.Unlock()
 		time.Sleep(40 * time.Hour)
 		g.Expect(renewed.Load()).To(gomega.BeTrue())
-		g.Expect(s.table.claims()).To(gomega.HaveLen(1))
+		g.Expect(f.table.claims()).To(gomega.HaveLen(1))
 	})
 }
--- a/claim/search_test.go
+++ b/claim/search_test.go
@@ -11,7 +11,7 @@
 	"github.com/onsi/gomega"
 )
 
-// deep adds searches that take minutes.
+// deep adds searches with larger bounds, which take minutes.
 var deep = flag.Bool("deep", false, "search larger worlds, for minutes")
 
 // search visits every reachable state of the model, depth first.
@@ -87,7 +87,7 @@
 func TestEachGuardIsNeeded(t *testing.T) {
 	for _, off := range []guard{
 		tombstoneOff, callIncOff, voidIncOff, deadlineOff, forgottenOff, forgottenCall,
-		fullOff, casOff, readBackOff, noResendOff, resendOff, oneTagOff, savedAttemptOff,
+		fullOff, casOff, readBackOff, newAttemptOff, sameAttemptOff, oneTagOff, savedAttemptOff,
 	} {
 		t.Run(string(off), func(t *testing.T) {
 			t.Parallel()
--- a/claim/sidecar.go
+++ b/claim/sidecar.go
@@ -66,7 +66,8 @@
 }
 
 // save queues a final outcome to be saved in the claim row. The row of an attempt
-// that did not run is left as it is, because this router claims it again next.
+// that did not run is left as it is: the request claims it again next, or calls
+// markVoided if it ends.
 func (c *Coordinator) save(key string, claim Record, r reply) {
 	switch r.result {
 	case ResultCompleted:
--- a/claim/state.go
+++ b/claim/state.go
@@ -34,7 +34,7 @@
 	Version         uint64           // that the row must have for the claim to be written; 0: no row
 	ProvenNotRun    types.AttemptTag // newest attempt proven never to run
 	Row             View             // the claim to be voided, in PhaseVoid
-	OtherClaim      bool             // another claim of the key was found and, as far as is known, may have run
+	OtherClaim      bool             // a conflict showed another claim of the key, which may have run as far as is known
 	RowRead         bool             // the row was read or found to be absent
 	Attempts        uint8            // claimed so far; at most MaxAttempts
 	Reads           uint8            // of the row so far; at most MaxReads
@@ -50,7 +50,7 @@
 	ResultConflict                       // the row has another version
 	ResultAmbiguous                      // the claim may have been written or may be later
 	ResultTableUnavailable               // the table service did not accept the operation
-	ResultUnreadable                     // the row has the format of a newer release
+	ResultUnreadable                     // the row has a format that this release can't read
 	ResultRow                            // the row was read
 	ResultNoRow                          // there is no row
 	ResultCompleted                      // the sidecar: the attempt ran, this is its answer
@@ -58,7 +58,7 @@
 	ResultUnknown                        // the sidecar can no longer tell whether the attempt ran
 	ResultRunning                        // the sidecar: the attempt is running
 	ResultAnswerLost                     // no answer to the dispatch, of which bytes may have been sent
-	ResultUnreachable                    // no answer to the void request
+	ResultUnreachable                    // no answer to the void request, or the sidecar can't tell yet
 	ResultExpired                        // the request's deadline passed or its caller left
 	ResultNoTarget                       // nothing was written: no backend server accepts calls
 )
@@ -68,7 +68,7 @@
 	Result Result
 	Row    View             // for ResultRow
 	NewTag types.AttemptTag // a new tag, in case a new attempt follows
-	Code   types.Code       // the sidecar's reason for ResultNotRun
+	Code   types.Code       // the reason for ResultNotRun
 }
 
 // Step is what a request does next.
--- a/claim/stop_test.go
+++ b/claim/stop_test.go
@@ -18,33 +18,33 @@
 // remembers the answer stops, too. If the router had not saved the outcome, a
 // retry of the call would be answered "unknown".
 func TestOutcomeIsSavedBeforeShutdown(t *testing.T) {
-	withFixture(t, func(s *fixture) {
+	withFixture(t, func(f *fixture) {
 		g := gomega.NewWithT(t)
-		c := claim.New(claim.Options{Table: s.table, Router: "r1", Sidecar: s.net})
-		ctx, stop := context.WithCancel(s.ctx)
+		c := claim.New(claim.Options{Table: f.table, Router: "r1", Sidecar: f.net})
+		ctx, stop := context.WithCancel(f.ctx)
 		ended := make(chan error, 1)
 		go func() { ended <- c.Run(ctx) }()
-		first, refusal := c.Do(s.ctx, newCall("k", "lorry 7"), s.pick)
+		first, refusal := c.Do(f.ctx, newCall("k", "lorry 7"), f.pick)
 		g.Expect(refusal).To(gomega.BeNil())
 		stop()
 		<-ended
-		s.net.setCut("a", true)
-		g.Expect(s.table.claims()).To(gomega.ConsistOf(gomega.HaveField("State", claim.RecordCompleted)))
-		second, refusal := s.router("r2").Do(s.ctx, newCall("k", "lorry 7"), s.pick)
+		f.net.setCut("a", true)
+		g.Expect(f.table.claims()).To(gomega.ConsistOf(gomega.HaveField("State", claim.RecordCompleted)))
+		second, refusal := f.router("r2").Do(f.ctx, newCall("k", "lorry 7"), f.pick)
 		g.Expect(refusal).To(gomega.BeNil())
 		g.Expect(second.Body).To(gomega.Equal(first.Body))
 	})
 }
 
-// The same with more outcomes than are written concurrently, and with slow reads
-// of the table.
+// A router shuts down with more queued outcomes than are saved concurrently, and
+// reads of the table are slow. All of them must be saved.
 func TestAllOutcomesAreSavedBeforeShutdown(t *testing.T) {
-	withFixture(t, func(s *fixture) {
+	withFixture(t, func(f *fixture) {
 		g := gomega.NewWithT(t)
-		_, shutDown := burst(s, &silentTable{fakeTable: s.table, readLatency: 150 * time.Millisecond})
+		_, shutDown := burst(f, &silentTable{fakeTable: f.table, readLatency: 150 * time.Millisecond})
 		shutDown()
-		g.Expect(s.table.claims()).To(gomega.HaveLen(burstSize))
-		g.Expect(s.table.claims()).To(gomega.HaveEach(gomega.HaveField("State", claim.RecordCompleted)))
+		g.Expect(f.table.claims()).To(gomega.HaveLen(burstSize))
+		g.Expect(f.table.claims()).To(gomega.HaveEach(gomega.HaveField("State", claim.RecordCompleted)))
 	})
 }
 
@@ -52,16 +52,16 @@
 
 // burst runs burstSize concurrent calls through a router. sinceCalls returns the
 // time since they ended; shutDown stops the router and waits for it.
-func burst(s *fixture, table backing.Table) (sinceCalls func() time.Duration, shutDown func()) {
-	c := claim.New(claim.Options{Table: table, Router: "r1", Sidecar: s.net})
-	ctx, stop := context.WithCancel(s.ctx)
+func burst(f *fixture, table backing.Table) (sinceCalls func() time.Duration, shutDown func()) {
+	c := claim.New(claim.Options{Table: table, Router: "r1", Sidecar: f.net})
+	ctx, stop := context.WithCancel(f.ctx)
 	ended := make(chan error, 1)
 	go func() { ended <- c.Run(ctx) }()
 	var calls sync.WaitGroup
 	for i := range burstSize {
 		calls.Go(func() {
-			if _, refusal := c.Do(s.ctx, newCall(strconv.Itoa(i), strconv.Itoa(i)), s.pick); refusal != nil {
-				s.t.Error(refusal)
+			if _, refusal := c.Do(f.ctx, newCall(strconv.Itoa(i), strconv.Itoa(i)), f.pick); refusal != nil {
+				f.t.Error(refusal)
 			}
 		})
 	}
@@ -95,11 +95,11 @@
 }
 
 // The table service stops responding when a router shuts down. The queued
-// outcomes must not delay the shutdown beyond its limit.
+// outcomes must not delay the shutdown for longer than shutdownSaveTimeout (2 s).
 func TestUnresponsiveTableDoesNotDelayShutdown(t *testing.T) {
-	withFixture(t, func(s *fixture) {
-		table := &silentTable{fakeTable: s.table}
-		sinceCalls, shutDown := burst(s, table)
+	withFixture(t, func(f *fixture) {
+		table := &silentTable{fakeTable: f.table}
+		sinceCalls, shutDown := burst(f, table)
 		table.silent.Store(true)
 		shutDown()
 		gomega.NewWithT(t).Expect(sinceCalls()).To(gomega.BeNumerically("<=", 2500*time.Millisecond))
--- a/claim/sweep.go
+++ b/claim/sweep.go
@@ -13,7 +13,7 @@
 const (
 	sweepPageSize = 64 // index rows in one transaction
 	maxSweepPages = 16 // maximum number of transactions in one round
-	sweepBuckets  = 48 // number of hourly buckets of expired claims that are searched, one in a round
+	sweepBuckets  = 48 // number of hourly buckets, back from the end of the retention time, of which each round searches one
 	// sweepRow limits the rounds of all routers together: it holds the time of
 	// the last one. Its key sorts before every bucket.
 	sweepRow = indexPrefix + "!last"
@@ -55,6 +55,7 @@
 	if !s.acquireRound(ctx, now) {
 		return
 	}
+	// With an offset of at least one bucket, Retention is over for the whole bucket.
 	offset := time.Duration(1+rand.IntN(sweepBuckets)) * indexBucket
 	prefix := bucketPrefix(now.Add(-s.opts.Retention - offset))
 	for range maxSweepPages {
@@ -97,8 +98,8 @@
 }
 
 // deletion returns the transaction that deletes index rows and their expired
-// claims. If a claim was renewed, only the index row is deleted: the newer claim
-// has its own.
+// claims, and the number of these claims. If a claim was renewed, only the index
+// row is deleted: the newer claim has its own.
 func (s *sweeper) deletion(ctx context.Context, index []backing.Row, now time.Time) (backing.Txn, int) {
 	var txn backing.Txn
 	deleted := 0
