--- a/lease/events.go
+++ b/lease/events.go
@@ -7,7 +7,7 @@
 	EventAcquired = event.Define(3101, "lease_taken", event.Info,
 		"this process holds the lease, with the fencing number given", "nothing")
 	EventLost = event.Define(3102, "lease_lost", event.Warn,
-		"another process has taken over the lease", "nothing; if the holder changes often, check the table service's latency")
+		"another process has taken over the lease, or the lease row was deleted", "nothing; if the holder changes often, check the table service's latency")
 	EventLapsed = event.Define(3103, "lease_lapsed", event.Warn,
 		"the term ended without a renewal: the table service didn't answer in time, or this process was paused; "+
 			"it stops acting as the holder at once and tries to renew the lease",
--- a/order/events.go
+++ b/order/events.go
@@ -19,7 +19,7 @@
 		"the configuration asks for a version that the weight store doesn't have; engines keep serving what they have loaded",
 		"put the version into the weight store or correct the configuration")
 	EventOvertaken = event.Define(3126, "order_overtaken", event.Warn,
-		"what is loaded, read back, shows that another order came after this process's; the lease holder with the larger fencing number corrects it",
+		"what is loaded, read back, shows that another order came after this process's, or that the engine has restarted; the lease holder with the largest fencing number corrects it",
 		"nothing; if it repeats with the same names, something sends orders to the engine without its sidecar")
 	EventLeaseLost = event.Define(3127, "order_lease_gone", event.Info,
 		"the lease was lost just before an order would have been sent; the order was not sent", "nothing")
