--- a/membership/health.go
+++ b/membership/health.go
@@ -28,16 +28,17 @@
 	epoch    int // incremented after a freeze; probes begun in an earlier epoch are discarded
 }
 
-func (h *health) record(failed bool) {
+func (h *health) addOutcome(failed bool) {
 	h.failures[h.outcomes%longWindow] = failed
 	h.outcomes++
 }
 
-// reliable reports whether this process may suspect others. To a process that is
-// cut off or on the smaller side of a partition nearly all others look dead, and
-// its suspicions would take them out of use everywhere once the partition heals. A
-// process most of whose latest probes failed therefore suspects nobody. On the
-// larger side few probes fail, so dead members are still found there.
+// reliable reports whether this process may suspect others and declare suspects
+// dead. To a process that is cut off or on the smaller side of a partition nearly
+// all others look dead, and its suspicions would take them out of use everywhere
+// once the partition heals. A process most of whose latest probes failed therefore
+// suspects nobody. On the larger side few probes fail, so dead members are still
+// found there.
 func (h *health) reliable() bool {
 	for _, window := range []int{shortWindow, middleWindow, longWindow} {
 		if h.failuresAmong(window) > window/2 {
--- a/membership/join_test.go
+++ b/membership/join_test.go
@@ -36,7 +36,7 @@
 		for i := range 8 {
 			joining := n.start(100+i, types.Incarnation(100+i), seeds)
 			n.within(time.Second, "joined", joining.hasJoined)
-			time.Sleep(2 * time.Second) // before the first comparison after the join
+			time.Sleep(2 * time.Second) // ends before the first comparison after the join
 			g.Expect(n.syncPeers(joining.addr)).To(gomega.Equal(1))
 		}
 	})
@@ -47,7 +47,7 @@
 // of asking again.
 func TestJoinAcceptsLateSeed(t *testing.T) {
 	inVirtualTime(t, func(g *gomega.WithT, n *network) {
-		const late = 2800 * time.Millisecond
+		const late = 2800 * time.Millisecond // just below syncTimeout
 		seeds := func(o *Options) { o.Seeds = []string{address(1)} }
 		seed := n.startAll(2, seeds)[0]
 		seed.freeze()
--- a/membership/memberbench/measure.go
+++ b/membership/memberbench/measure.go
@@ -20,11 +20,15 @@
 	// packetsPerConnection counts three packets to open and four to close a
 	// connection.
 	packetsPerConnection = 7
-	propagationTimeout   = time.Minute
-	startTimeout         = 3 * time.Minute
-	// settleTimeout: after a mass start each change is retransmitted for a while.
+	// propagationTimeout is how long a change may take until all members know it.
+	propagationTimeout = time.Minute
+	// startTimeout is how long a site may take until all members know each other.
+	startTimeout = 3 * time.Minute
+	// settleTimeout limits the wait after a mass start until no member has changes
+	// left to send: each change is retransmitted for a while.
 	settleTimeout = 90 * time.Second
-	dumpInterval  = 2 * time.Second
+	// dumpInterval is the time between two checks during that wait.
+	dumpInterval = 2 * time.Second
 )
 
 // Options configures a benchmark run.
@@ -61,8 +65,8 @@
 	// StartBytes is what a member sent and received on average until all members
 	// knew each other.
 	StartBytes float64 `json:"start_bytes"`
-	// Refutations counts refuted false suspicions of all members until all knew
-	// each other.
+	// Refutations counts the false suspicions that members refuted until all knew
+	// each other, summed over all members.
 	Refutations int `json:"start_refutations"`
 	// TotalRefutations also includes later ones; none of them is due to an
 	// injected fault.
@@ -174,7 +178,8 @@
 		if err := s.measureRevision(uint64(round+1), &r.Revision); err != nil {
 			return err
 		}
-		// Members with adjacent numbers are not adjacent on the hash ring.
+		// The member that leaves and the one that dies have adjacent numbers, but
+		// are not adjacent on the hash ring.
 		if err := s.measureLeaving(ctx, s.processes[len(s.processes)-1-2*round], &r.Leaving); err != nil {
 			return err
 		}
@@ -197,7 +202,7 @@
 func (s *site) measureLeaving(ctx context.Context, p *process, times *Times) error {
 	begin := time.Now()
 	if err := p.Leave(ctx); err != nil {
-		return err
+		return errors.Wrapf(err, "%s: announce leaving", p.id)
 	}
 	_, err := s.wait(propagationTimeout, s.alive(), hasState(p.id, membership.StateLeaving))
 	times.add(time.Since(begin))
--- a/membership/memberbench/site.go
+++ b/membership/memberbench/site.go
@@ -20,16 +20,17 @@
 )
 
 const (
-	seedCount     = 3
-	startWave     = 20                    // members started at once
-	startInterval = 50 * time.Millisecond // between two groups of startWave members
-	pollInterval  = 10 * time.Millisecond
+	seedCount      = 3
+	startGroupSize = 20                    // members started at once
+	startInterval  = 50 * time.Millisecond // between two such groups
+	pollInterval   = 10 * time.Millisecond
 	// idleTimeout is when idle connections of the members are closed. Package peer
 	// keeps them longer, which would exceed the limit on open files with hundreds
 	// of members in one process. The shorter timeout costs bytes, since more
 	// connections are opened.
 	idleTimeout = time.Second
-	// sidecarsPerRouter is the ratio at the target size.
+	// sidecarsPerRouter is the ratio at the target size of a site: 400 routers and
+	// 1,600 sidecars.
 	sidecarsPerRouter = 4
 )
 
@@ -89,8 +90,8 @@
 	unresponsive atomic.Bool // killed: accepts connections but never responds
 	peer         *peer.Peer
 	server       *http.Server
-	cancel       context.CancelFunc
-	done         chan struct{}
+	cancel       context.CancelFunc // stops Run
+	done         chan struct{}      // closed when Run has returned
 }
 
 // site is a set of members that find each other by seeds.
@@ -182,7 +183,7 @@
 		if err := s.startProcess(i); err != nil {
 			return s, err
 		}
-		if (i+1)%startWave == 0 {
+		if (i+1)%startGroupSize == 0 {
 			time.Sleep(startInterval)
 		}
 	}
@@ -193,6 +194,7 @@
 	return s, errors.Wrap(err, "wait until all members know each other")
 }
 
+// closeIdle closes the idle connections of the process every idleTimeout.
 func (p *process) closeIdle(stopped <-chan struct{}) {
 	ticker := time.NewTicker(idleTimeout)
 	defer ticker.Stop()
@@ -222,6 +224,7 @@
 	wg.Wait()
 }
 
+// alive returns the processes that have not been killed.
 func (s *site) alive() []*process {
 	var out []*process
 	for _, p := range s.processes {
@@ -240,6 +243,7 @@
 	return s.poll(pollInterval, bound, processes, holds)
 }
 
+// poll is wait with the given interval between two checks.
 func (s *site) poll(interval, bound time.Duration, processes []*process, holds func(*process) bool) (time.Duration, error) {
 	begin := time.Now()
 	ticker := time.NewTicker(interval)
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -14,8 +14,9 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// publishInterval is the minimum time between two rebuilds of the view while many
-// changes arrive: at 2,000 members a rebuild takes a good part of a millisecond.
+// publishInterval limits how often incoming messages rebuild the view: at 2,000
+// members a rebuild takes a good part of a millisecond. A change that arrives
+// sooner after the last rebuild is published by the next tick at the latest.
 const publishInterval = 50 * time.Millisecond
 
 // Membership tracks the other processes of the site and makes this process known
@@ -35,21 +36,21 @@
 	rng              *rand.Rand
 	ring             probeRing
 	health           health
-	rounds           int // probe rounds so far
-	changed          chan struct{}
-	published        time.Time
-	cutOff           bool
+	rounds           int               // probe rounds so far
+	changed          chan struct{}     // closed when the next view is published
+	published        time.Time         // when the view was last published
+	cutOff           bool              // the last tick did not see more than half of the members alive
 	laterSelf        types.Incarnation // highest later incarnation of the own ID reported so far
 	revision         types.Revision    // last announced value of opts.Revision
 	joined           bool
-	lastSyncDiffered bool // the last list comparison found differences
-	converged        bool // some list comparison has found no differences
-	burst            tokenBucket
-	vmMatches        map[string]vmMatch
-	vmListDown       bool
-	unjoined         []string // VM list addresses without a known member
-	aloneReported    bool
-	newerRevisions   []newerRevision // passed to OnRevision after the lock is released
+	lastSyncDiffered bool               // the last list comparison found differences
+	converged        bool               // some list comparison has found no differences
+	burstBudget      tokenBucket        // limits the messages sent for urgent changes
+	vmMatches        map[string]vmMatch // by VM ID and address
+	vmListDown       bool               // the last poll of the VM list failed
+	unjoined         []string           // VM list addresses without a known member
+	aloneReported    bool               // eventAlone has been emitted
+	newerRevisions   []newerRevision    // passed to OnRevision after the lock is released
 }
 
 // newerRevision is a revision, later than that of this process, which the process
@@ -70,13 +71,13 @@
 	self.Leaving = false
 	self.Revision = opts.Revision()
 	m := &Membership{
-		opts:      opts,
-		metrics:   newMetrics(opts.Registerer),
-		table:     newTable(self, opts.SuspectTimeout, now),
-		rng:       rand.New(rand.NewPCG(xxhash.Sum64String(string(self.ID)), uint64(self.Incarnation))),
-		changed:   make(chan struct{}),
-		burst:     tokenBucket{count: burstTokens, refilled: now},
-		vmMatches: map[string]vmMatch{},
+		opts:        opts,
+		metrics:     newMetrics(opts.Registerer),
+		table:       newTable(self, opts.SuspectTimeout, now),
+		rng:         rand.New(rand.NewPCG(xxhash.Sum64String(string(self.ID)), uint64(self.Incarnation))),
+		changed:     make(chan struct{}),
+		burstBudget: tokenBucket{count: burstTokens, refilled: now},
+		vmMatches:   map[string]vmMatch{},
 	}
 	m.table.transitions = nil
 	m.revision = self.Revision
@@ -104,8 +105,9 @@
 }
 
 // Leave announces that this process is shutting down. It returns nil once another
-// member has received the announcement or if there is no other member, and ctx's
-// error otherwise; the mark itself is set at once and never removed.
+// member has received the announcement or if this process sees no other member
+// alive, and ctx's error otherwise; the mark itself is set at once and never
+// removed.
 func (m *Membership) Leave(ctx context.Context) error {
 	m.MarkLeaving(m.opts.Self.ID)
 	for {
@@ -121,8 +123,8 @@
 	}
 }
 
-// MarkLeaving marks a member's current incarnation as leaving, because of an
-// operator's stop request or the VM list, and spreads this at once. It reports
+// MarkLeaving marks a member's current incarnation as leaving, for example after
+// an operator's stop request. The next tick begins to spread the mark. It reports
 // whether the member is known.
 func (m *Membership) MarkLeaving(id types.ProcessID) bool {
 	m.lock()
@@ -160,8 +162,9 @@
 	}
 }
 
-// AnnounceRevision spreads a newly applied configuration revision without waiting
-// for the next tick.
+// AnnounceRevision records a newly applied configuration revision as an urgent
+// change, which the next tick sends to a few members. Without this call, that tick
+// would notice the revision itself.
 func (m *Membership) AnnounceRevision() {
 	m.lock()
 	defer m.unlock()
@@ -175,16 +178,16 @@
 	defer wg.Wait()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	l := newSchedule(m, &wg)
+	s := newSchedule(m, &wg)
 	ticker := time.NewTicker(m.opts.Period / ticksPerPeriod)
 	defer ticker.Stop()
-	l.tick(ctx)
+	s.tick(ctx)
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-ticker.C:
-			l.tick(ctx)
+			s.tick(ctx)
 		}
 	}
 }
@@ -207,11 +210,11 @@
 	newer := m.newerRevisions
 	m.newerRevisions = nil
 	m.mu.Unlock()
-	for _, a := range newer {
-		m.opts.OnRevision(a.address, a.revision)
+	for _, n := range newer {
+		m.opts.OnRevision(n.address, n.revision)
 	}
-	for _, r := range events {
-		m.opts.Recorder.Emit(r.kind, r.fields...)
+	for _, e := range events {
+		m.opts.Recorder.Emit(e.kind, e.fields...)
 	}
 }
 
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -38,7 +38,7 @@
 			}
 			return true
 		})
-		took := n.within(8*time.Second, "death known", func() bool { return holds(nodes, nodes[7], StateDead) })
+		took := n.within(8*time.Second, "death known", func() bool { return allSee(nodes, nodes[7], StateDead) })
 		t.Logf("no new work after %s, known to all after %s", excluded, excluded+took)
 		g.Expect(nodes[0].countEvents(eventDead)).To(gomega.Equal(1))
 	})
@@ -66,7 +66,7 @@
 		time.Sleep(time.Minute)
 		g.Expect(alive()).To(gomega.BeTrue())
 		for _, nd := range nodes[:8] {
-			g.Expect(holds(nodes[8:], nd, StateDead)).To(gomega.BeTrue())
+			g.Expect(allSee(nodes[8:], nd, StateDead)).To(gomega.BeTrue())
 		}
 	})
 }
@@ -79,15 +79,15 @@
 		nodes := n.startAll(12)
 		leaver := nodes[5]
 		g.Expect(leaver.Leave(n.t.Context())).To(gomega.Succeed())
-		took := n.within(2*time.Second, "leaving known", func() bool { return holds(nodes, leaver, StateLeaving) })
+		took := n.within(2*time.Second, "leaving known", func() bool { return allSee(nodes, leaver, StateLeaving) })
 		t.Logf("known to all after %s", took)
 		leaver.freeze()
-		n.within(10*time.Second, "death known", func() bool { return holds(nodes, leaver, StateDead) })
+		n.within(10*time.Second, "death known", func() bool { return allSee(nodes, leaver, StateDead) })
 		leaver.thaw()
-		n.within(10*time.Second, "still leaving", func() bool { return holds(nodes, leaver, StateLeaving) })
+		n.within(10*time.Second, "still leaving", func() bool { return allSee(nodes, leaver, StateLeaving) })
 		g.Expect(leaver.Snapshot().Self().State).To(gomega.Equal(StateLeaving))
 		time.Sleep(time.Minute)
-		g.Expect(holds(nodes, leaver, StateLeaving)).To(gomega.BeTrue())
+		g.Expect(allSee(nodes, leaver, StateLeaving)).To(gomega.BeTrue())
 	})
 }
 
@@ -122,11 +122,11 @@
 		nodes := n.startAll(16)
 		frozen := nodes[3]
 		frozen.freeze()
-		n.within(8*time.Second, "death known", func() bool { return holds(nodes, frozen, StateDead) })
+		n.within(8*time.Second, "death known", func() bool { return allSee(nodes, frozen, StateDead) })
 		time.Sleep(30 * time.Second)
 		before := n.callCount()
 		frozen.thaw()
-		took := n.within(4*time.Second, "back", func() bool { return holds(nodes, frozen, StateAlive) })
+		took := n.within(4*time.Second, "back", func() bool { return allSee(nodes, frozen, StateAlive) })
 		time.Sleep(10*time.Second - took)
 		perSecond := float64(n.callCount()-before) / 10 / 16
 		t.Logf("back after %s, %.1f messages a second and member in 10 s", took, perSecond)
@@ -148,7 +148,7 @@
 		n.partition(small, large, true)
 		n.within(30*time.Second, "larger side knows", func() bool {
 			for _, nd := range small {
-				if !holds(large, nd, StateDead) {
+				if !allSee(large, nd, StateDead) {
 					return false
 				}
 			}
@@ -166,7 +166,7 @@
 		n.partition(small, large, false)
 		took := n.within(15*time.Second, "partition healed", func() bool {
 			for _, nd := range nodes {
-				if !holds(nodes, nd, StateAlive) {
+				if !allSee(nodes, nd, StateAlive) {
 					return false
 				}
 			}
@@ -185,19 +185,19 @@
 		nodes := n.startAll(8)
 		old := nodes[6]
 		old.kill()
-		successor := n.start(7, 100, func(o *Options) { o.Self.ID = "m7-successor" })
+		replacement := n.start(7, 100, func(o *Options) { o.Self.ID = "m7-replacement" })
 		others := append(append([]*node{}, nodes[:6]...), nodes[7])
 		n.within(4*time.Second, "replacement known", func() bool {
-			return holds(others, old, StateDead) && holds(others, successor, StateAlive)
+			return allSee(others, old, StateDead) && allSee(others, replacement, StateAlive)
 		})
 		m, _ := nodes[0].Snapshot().ByAddress(old.addr)
-		g.Expect(m.ID).To(gomega.Equal(types.ProcessID("m7-successor")))
+		g.Expect(m.ID).To(gomega.Equal(types.ProcessID("m7-replacement")))
 		// A restart at the same address: same ID, later incarnation.
-		successor.kill()
-		again := n.start(7, 200, func(o *Options) { o.Self.ID = "m7-successor" })
+		replacement.kill()
+		again := n.start(7, 200, func(o *Options) { o.Self.ID = "m7-replacement" })
 		n.within(4*time.Second, "restart known", func() bool {
 			for _, nd := range others {
-				if m, _ := nd.Snapshot().ByID("m7-successor"); m.Incarnation != 200 || m.State != StateAlive {
+				if m, _ := nd.Snapshot().ByID("m7-replacement"); m.Incarnation != 200 || m.State != StateAlive {
 					return false
 				}
 			}
@@ -228,12 +228,12 @@
 		g.Expect(nodes[0].countEvents(eventVMListDown)).To(gomega.Equal(1))
 
 		nodes[2].kill()
-		successor := n.start(3, 500, func(o *Options) { o.VMList = list; o.Seeds = nil })
+		replacement := n.start(3, 500, func(o *Options) { o.VMList = list; o.Seeds = nil })
 		list.set(false, vm("v1", 1, false), vm("v2", 2, true), vm("v3", 3, true))
-		n.within(20*time.Second, "v2 leaving", func() bool { return holds(nodes[:2], nodes[1], StateLeaving) })
+		n.within(20*time.Second, "v2 leaving", func() bool { return allSee(nodes[:2], nodes[1], StateLeaving) })
 		list.set(false, vm("v1", 1, false), vm("v2", 2, true), vm("v3-new", 3, false))
 		time.Sleep(time.Minute)
-		g.Expect(holds(nodes[:2], successor, StateAlive)).To(gomega.BeTrue())
+		g.Expect(allSee(nodes[:2], replacement, StateAlive)).To(gomega.BeTrue())
 	})
 }
 
@@ -246,7 +246,7 @@
 		n.cut(nodes[1], nodes[4], true)
 		time.Sleep(2 * time.Minute)
 		g.Expect(nodes[4].countEvents(eventSelfAccused)).To(gomega.BeZero())
-		g.Expect(holds(nodes, nodes[4], StateAlive)).To(gomega.BeTrue())
+		g.Expect(allSee(nodes, nodes[4], StateAlive)).To(gomega.BeTrue())
 	})
 }
 
@@ -260,10 +260,10 @@
 			n.cut(nodes[1], nodes[other], true)
 		}
 		n.within(10*time.Second, "suspect", func() bool {
-			return holds(nodes[:1], nodes[1], StateSuspect) || holds(nodes[:1], nodes[1], StateAlive) && nodes[0].countEvents(eventSuspect) > 0
+			return allSee(nodes[:1], nodes[1], StateSuspect) || allSee(nodes[:1], nodes[1], StateAlive) && nodes[0].countEvents(eventSuspect) > 0
 		})
 		nodes[0].Observe(Member{ID: "m2", Role: types.RoleSidecar, Address: address(2), Incarnation: 2, State: StateAlive})
-		n.within(100*time.Millisecond, "cleared", func() bool { return holds(nodes[:1], nodes[1], StateAlive) })
+		n.within(100*time.Millisecond, "cleared", func() bool { return allSee(nodes[:1], nodes[1], StateAlive) })
 	})
 }
 
--- a/membership/network_test.go
+++ b/membership/network_test.go
@@ -24,9 +24,9 @@
 type network struct {
 	t     *testing.T
 	mu    sync.Mutex
-	nodes map[string]*node // by address
-	cuts  map[[2]string]bool
-	calls int
+	nodes map[string]*node           // by address
+	cuts  map[[2]string]bool         // from and to address
+	calls int                        // counts each request and each response
 	syncs map[string]map[string]bool // addresses with which each address has compared its list
 }
 
@@ -233,8 +233,9 @@
 	}
 }
 
-// holds reports whether every node sees the member in that state.
-func holds(nodes []*node, of *node, state State) bool {
+// allSee reports whether all nodes other than the member itself see it in the
+// given state.
+func allSee(nodes []*node, of *node, state State) bool {
 	for _, nd := range nodes {
 		if nd == of {
 			continue
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -61,6 +61,7 @@
 		m.recordOutcome(target, epoch, false)
 		return
 	}
+	// A target that is a suspect already is not suspected again: no self-check.
 	selfCheck := make(chan bool, 1)
 	go func() { selfCheck <- target.Condition != conditionAlive || m.checkSelf(ctx, target, epoch) }()
 	answered := m.probeIndirect(ctx, target)
@@ -93,6 +94,8 @@
 	return int(failures.Load()) <= allowed
 }
 
+// probeTargets returns the member to probe in this round, if there is one (ok),
+// the epoch in which the round begins, and the suspects to probe again.
 func (m *Membership) probeTargets() (target record, epoch int, suspects []record, ok bool) {
 	m.lock()
 	defer m.unlock()
@@ -130,21 +133,21 @@
 	m.lock()
 	defer m.unlock()
 	if m.isValid(target, epoch) {
-		m.health.record(failed)
+		m.health.addOutcome(failed)
 	}
 }
 
-// isValid reports whether a result of probing target, begun in epoch, can be used.
-// It cannot if this process was frozen meanwhile or if the probed incarnation is
-// no longer current.
+// isValid reports whether the result of a probe of target that began in epoch can
+// be used. It cannot if this process was frozen meanwhile or if the probed
+// incarnation is no longer current.
 func (m *Membership) isValid(target record, epoch int) bool {
 	e := m.table.entries[target.ID]
 	return e != nil && e.Incarnation == target.Incarnation && epoch == m.health.epoch &&
 		time.Since(m.health.lastTick) <= m.freezeThreshold()
 }
 
-// suspect makes a member that did not answer a suspect, unless the fault may be on
-// this side.
+// suspect marks a member that did not answer as suspect, unless the fault may be
+// on this side.
 func (m *Membership) suspect(target record, epoch int) {
 	m.lock()
 	defer m.unlock()
--- a/membership/queue.go
+++ b/membership/queue.go
@@ -42,8 +42,8 @@
 	q.pending[id] = &pendingChange{id: id, serial: q.serial}
 }
 
-// backlogSize is the number of pending changes from which on received duplicates count
-// as sends.
+// backlogSize is the number of pending changes at and above which received
+// duplicates count as sends.
 const backlogSize = 4 * maxUpdates
 
 // recordDuplicate counts a change that was received although it was already known
--- a/membership/record.go
+++ b/membership/record.go
@@ -4,8 +4,8 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// condition is the result of probing a member; at equal counters the higher one
-// wins.
+// condition is the part of a member's state that probes determine. Of two records
+// with equal counters, the one with the higher condition wins.
 type condition uint8
 
 const (
@@ -23,8 +23,8 @@
 	Address       string
 	Zone          types.Zone
 	BackendServer string
-	Incarnation   types.Incarnation // a later incarnation replaces all that was known
-	Counter       uint32            // incremented by the member itself to refute a suspicion
+	Incarnation   types.Incarnation // one run of the process; a later one replaces all that was known
+	Counter       uint32            // incremented by the member itself to refute a suspicion; SWIM's incarnation number
 	Condition     condition
 	Leaving       bool
 	Revision      types.Revision
@@ -48,6 +48,8 @@
 	}
 	out.Leaving = a.Leaving || b.Leaving
 	out.Revision = max(a.Revision, b.Revision)
+	// Short records lack the fields below. max keeps the values that are known and
+	// does not depend on the order.
 	out.Role = max(a.Role, b.Role)
 	out.Address = max(a.Address, b.Address)
 	out.Zone = max(a.Zone, b.Zone)
@@ -72,7 +74,8 @@
 	return a.ID > b.ID
 }
 
-// covers reports whether a process that holds known learns nothing from update.
+// covers reports whether a process that holds known learns nothing from update,
+// revisions aside.
 func covers(known, update record) bool {
 	if known.Incarnation != update.Incarnation {
 		return known.Incarnation > update.Incarnation
@@ -82,7 +85,7 @@
 
 // equalExceptRevision reports whether two records differ in nothing that is worth
 // spreading. A changed revision alone is not: it is part of every message, and
-// 2,000 members applying a new one would use up the send budget.
+// 2,000 members applying a new one would displace other changes from the messages.
 func equalExceptRevision(a, b record) bool {
 	a.Revision, b.Revision = 0, 0
 	return a == b
--- a/membership/record_test.go
+++ b/membership/record_test.go
@@ -38,7 +38,7 @@
 			t.Fatalf("not associative: %+v, %+v", merge(merge(a, b), c), merge(a, merge(b, c)))
 		}
 		if merge(a, a) != a || merge(merge(a, b), b) != merge(a, b) {
-			t.Fatalf("not idempotent")
+			t.Fatalf("not idempotent: %+v, %+v", a, b)
 		}
 		if covers(a, b) && !equalExceptRevision(short(merge(a, b)), short(a)) {
 			t.Fatalf("covers reports that %+v adds nothing to %+v, but merging changes it", b, a)
--- a/membership/report.go
+++ b/membership/report.go
@@ -10,10 +10,12 @@
 	fields []any
 }
 
+// takeEvents handles the transitions since the last call and returns the events to
+// emit for them.
 func (m *Membership) takeEvents() []pendingEvent {
 	var out []pendingEvent
 	for _, t := range m.table.transitions {
-		out = append(out, m.eventsOf(t)...)
+		out = append(out, m.handleTransition(t)...)
 	}
 	m.table.transitions = nil
 	if m.table.laterSelf > m.laterSelf {
@@ -24,7 +26,9 @@
 	return out
 }
 
-func (m *Membership) eventsOf(t transition) []pendingEvent {
+// handleTransition updates the probe ring and the metrics and returns the events
+// to emit.
+func (m *Membership) handleTransition(t transition) []pendingEvent {
 	m.updateRing(t)
 	var out []pendingEvent
 	add := func(kind event.Kind, keyvals ...any) {
--- a/membership/schedule.go
+++ b/membership/schedule.go
@@ -24,13 +24,14 @@
 	// jitterShare is the relative jitter of periodic work; it spreads the work of
 	// members that were started together.
 	jitterShare = 0.1
-	// burstTokens and burstRate limit the extra messages for urgent changes, so
-	// that the sudden loss of a zone does not multiply traffic by its size.
+	// burstTokens and burstRate are the size and the refill rate of the token
+	// bucket for the extra messages about urgent changes, so that the sudden loss
+	// of a zone does not multiply traffic by its size.
 	burstTokens = 6.0
 	burstRate   = 2.0 // per period
-	// burstFanout is the number of members that are sent urgent changes at once. A
-	// fan-out of 3 reaches 94 of 100 members within log3(n) hops; regular probes
-	// reach the rest.
+	// burstFanout is the maximum number of members to which one tick sends urgent
+	// changes. A fan-out of 3 reaches 94 of 100 members within log3(n) hops;
+	// regular probes reach the rest.
 	burstFanout = 3
 	// vmPollPerMember is multiplied by the size of the site to get the poll
 	// interval of the VM list, so that all members together poll twice a second;
@@ -52,9 +53,9 @@
 
 func newSchedule(m *Membership, wg *sync.WaitGroup) *schedule {
 	now := time.Now()
-	l := &schedule{m: m, wg: wg, nextProbe: now, nextRecontact: now, nextVMPoll: now}
-	l.nextSync = now.Add(l.m.jitter(firstSyncPeriods * m.opts.Period))
-	return l
+	s := &schedule{m: m, wg: wg, nextProbe: now, nextRecontact: now, nextVMPoll: now}
+	s.nextSync = now.Add(s.m.jitter(firstSyncPeriods * m.opts.Period))
+	return s
 }
 
 func (m *Membership) jitter(d time.Duration) time.Duration {
@@ -64,38 +65,38 @@
 }
 
 // tick starts the work that is due.
-func (l *schedule) tick(ctx context.Context) {
-	m := l.m
+func (s *schedule) tick(ctx context.Context) {
+	m := s.m
 	frozen := m.housekeeping()
 	now := time.Now()
-	if !now.Before(l.nextProbe) {
-		l.nextProbe = now.Add(m.jitter(m.opts.Period))
-		l.start(nil, func() { m.probeRound(ctx) })
+	if !now.Before(s.nextProbe) {
+		s.nextProbe = now.Add(m.jitter(m.opts.Period))
+		s.start(nil, func() { m.probeRound(ctx) })
 	}
-	if !now.Before(l.nextRecontact) {
-		l.nextRecontact = now.Add(m.recontactInterval())
-		l.start(&l.recontacting, func() { m.recontact(ctx) })
+	if !now.Before(s.nextRecontact) {
+		s.nextRecontact = now.Add(m.recontactInterval())
+		s.start(&s.recontacting, func() { m.recontact(ctx) })
 	}
-	if frozen || !now.Before(l.nextSync) {
-		l.nextSync = now.Add(m.jitter(m.syncInterval()))
-		l.start(&l.syncing, func() { m.syncRandom(ctx) })
+	if frozen || !now.Before(s.nextSync) {
+		s.nextSync = now.Add(m.jitter(m.syncInterval()))
+		s.start(&s.syncing, func() { m.syncRandom(ctx) })
 	}
-	if m.opts.VMList != nil && !now.Before(l.nextVMPoll) {
-		l.nextVMPoll = now.Add(m.jitter(m.vmPollInterval()))
-		l.start(&l.polling, func() { m.pollVMs(ctx) })
+	if m.opts.VMList != nil && !now.Before(s.nextVMPoll) {
+		s.nextVMPoll = now.Add(m.jitter(m.vmPollInterval()))
+		s.start(&s.polling, func() { m.pollVMs(ctx) })
 	}
-	l.burst(ctx)
+	s.burst(ctx)
 }
 
 // start runs work in a goroutine. If busy is not nil, work is skipped while the
 // previous work with the same flag is running.
-func (l *schedule) start(busy *atomic.Bool, work func()) {
+func (s *schedule) start(busy *atomic.Bool, work func()) {
 	if busy != nil && !busy.CompareAndSwap(false, true) {
 		return
 	}
-	l.wg.Add(1)
+	s.wg.Add(1)
 	go func() {
-		defer l.wg.Done()
+		defer s.wg.Done()
 		if busy != nil {
 			defer busy.Store(false)
 		}
@@ -103,19 +104,20 @@
 	}()
 }
 
-// burst sends urgent changes to a few members at once.
-func (l *schedule) burst(ctx context.Context) {
-	m := l.m
+// burst sends urgent changes to a few members without waiting for their turn in
+// the round robin.
+func (s *schedule) burst(ctx context.Context) {
+	m := s.m
 	targets := m.burstTargets()
 	if len(targets) == 0 {
 		return
 	}
-	l.start(nil, func() { m.notify(ctx, targets) })
+	s.start(nil, func() { m.notify(ctx, targets) })
 }
 
 // burstTargets returns the members to send urgent changes to. It returns none if
-// there are no such changes or the budget is used up; the changes then stay marked
-// as urgent.
+// there are no such changes or burstBudget is used up; the changes then stay
+// urgent.
 func (m *Membership) burstTargets() []record {
 	m.lock()
 	defer m.unlock()
@@ -124,7 +126,7 @@
 	}
 	rate := burstRate / m.opts.Period.Seconds()
 	n := 0
-	for n < burstFanout && m.burst.take(time.Now(), rate, burstTokens) {
+	for n < burstFanout && m.burstBudget.take(time.Now(), rate, burstTokens) {
 		n++
 	}
 	if n == 0 {
--- a/membership/suspicion.go
+++ b/membership/suspicion.go
@@ -20,7 +20,8 @@
 
 // expire declares suspects dead whose deadline has passed and removes members that
 // have been dead for long. The deadline is extended instead for a member contacted
-// since, and for all while the failed probes of this process are not reliable.
+// since, and for all while the failed probes of this process are not reliable or
+// it sees no majority of the members alive.
 func (t *table) expire(now time.Time, reliable bool) {
 	for id, e := range t.entries {
 		switch {
@@ -53,6 +54,7 @@
 }
 
 // majority reports whether this process sees more than half of the members alive.
+// Leaving members and deaths older than deathWindow do not count.
 // Without this check, the smaller side of a partition, or a single process that is
 // cut off, would declare all others dead; once the partition heals, that would
 // take the whole site's backend servers out of use until each had refuted it.
@@ -71,7 +73,7 @@
 	return alive > lost
 }
 
-// restartSuspicions gives every suspicion a new deadline.
+// restartSuspicions gives every suspicion its full time again.
 func (t *table) restartSuspicions(now time.Time) {
 	for _, e := range t.entries {
 		e.deadline = now.Add(t.suspectTimeout)
--- a/membership/sync.go
+++ b/membership/sync.go
@@ -53,9 +53,10 @@
 // address is asked when one fails, or concurrently when one has not answered for
 // nextCandidateDelay.
 //
-// Asking one after the other made a starting process wait out each seed that was
-// gone and whose address dropped its calls: it knew no other member for three
-// seconds per such seed. As long as seeds answer, only one is asked.
+// If each address were asked only after the previous one has failed, every seed
+// that is gone and whose address drops calls would cost a starting process three
+// seconds (syncTimeout) in which it knows no other member. As long as seeds
+// answer, only one is asked.
 func (m *Membership) join(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -85,6 +86,8 @@
 	m.reportAlone()
 }
 
+// reportAlone emits eventAlone once, if no candidate has answered although there
+// are seeds.
 func (m *Membership) reportAlone() {
 	m.lock()
 	defer m.unlock()
@@ -116,24 +119,25 @@
 // pickUnreachable returns a random dead member or address without a known member;
 // the latter has no ID.
 func (m *Membership) pickUnreachable() (record, bool) {
-	var lost []record
+	var targets []record
 	for _, addr := range m.candidates() {
-		lost = append(lost, record{Address: addr})
+		targets = append(targets, record{Address: addr})
 	}
 	m.lock()
 	defer m.unlock()
 	for id, e := range m.table.entries {
 		if e.Condition == conditionDead && m.table.byAddress[e.Address] == id {
-			lost = append(lost, e.record)
+			targets = append(targets, e.record)
 		}
 	}
-	if len(lost) == 0 {
+	if len(targets) == 0 {
 		return record{}, false
 	}
-	return lost[m.rng.IntN(len(lost))], true
+	return targets[m.rng.IntN(len(targets))], true
 }
 
-// recontactInterval is shorter until the first member is found.
+// recontactInterval returns the time until the next recontact; it is shorter until
+// the first member is found.
 func (m *Membership) recontactInterval() time.Duration {
 	if m.hasJoined() {
 		return m.jitter(recontactPeriods * m.opts.Period)
@@ -141,6 +145,7 @@
 	return m.jitter(m.opts.Period)
 }
 
+// syncInterval returns the time until the next comparison of the list.
 func (m *Membership) syncInterval() time.Duration {
 	m.lock()
 	defer m.unlock()
@@ -230,6 +235,8 @@
 	m.table.transitions = nil
 }
 
+// recordsToPush returns the records in buckets that the other side, whose records
+// are remote, lacks or holds in an older form; at most maxSyncRecords.
 func (m *Membership) recordsToPush(buckets []uint32, remote map[types.ProcessID]record) []record {
 	var out []record
 	for _, r := range m.table.records(buckets, 0) {
--- a/membership/table.go
+++ b/membership/table.go
@@ -12,7 +12,7 @@
 	// deadRetention is how long a dead member is remembered, so that outdated
 	// records do not bring it back and a healed partition is noticed.
 	deadRetention = 24 * time.Hour
-	// deathWindow is how long a death counts in table.majority.
+	// deathWindow is how long a dead member counts as lost in table.majority.
 	deathWindow = 5 * time.Minute
 )
 
@@ -22,7 +22,7 @@
 	record
 	since         time.Time // when the record last changed condition, counter or incarnation here
 	lastContact   time.Time // last direct contact; not sent to others
-	deadline      time.Time // of the suspicion
+	deadline      time.Time // when an unrefuted suspicion becomes a death
 	hash          uint64    // position on the hash ring
 	suspectedHere bool      // this process raised the suspicion and keeps probing the member
 }
@@ -59,7 +59,7 @@
 	digests        digests
 
 	dirty       bool              // the published view is out of date
-	urgent      bool              // there are changes to send at once
+	urgent      bool              // there are changes to send with the next tick
 	laterSelf   types.Incarnation // highest later incarnation seen under the own ID; 0: none
 	transitions []transition      // not yet reported
 }
@@ -78,7 +78,8 @@
 
 func (t *table) own() *entry { return t.entries[t.self] }
 
-// apply merges one record and reports whether it contained a change.
+// apply merges one record and reports whether it changed what is known of another
+// member, revisions aside.
 func (t *table) apply(now time.Time, r record) bool {
 	if r.ID == "" || r.Incarnation == 0 {
 		return false
@@ -109,6 +110,8 @@
 // or nil.
 func (t *table) canMerge(e *entry, r record) bool {
 	if e == nil {
+		// A dead member that is not known may have been forgotten after
+		// deadRetention.
 		return r.Address != "" && r.Condition != conditionDead
 	}
 	// A short record of an incarnation that is not known here is incomplete; the
@@ -237,28 +240,29 @@
 }
 
 // mustInform reports whether a member should receive its own record: it is
-// suspect, dead or leaving, or the record has a later incarnation than run, the
-// one that the member has sent (0: not known).
-func (t *table) mustInform(e *entry, run types.Incarnation) bool {
-	return e.Condition != conditionAlive || e.Leaving || run != 0 && e.Incarnation > run
+// suspect, dead or leaving, or the record has a later incarnation than inc, the
+// one that the member has just sent (0: it has sent none).
+func (t *table) mustInform(e *entry, inc types.Incarnation) bool {
+	return e.Condition != conditionAlive || e.Leaving || inc != 0 && e.Incarnation > inc
 }
 
 // updates returns the changes to piggyback on a message to a member: first the
 // record of that member itself, if the member has to respond to it, then queued
-// changes. received holds the records that the member has just sent.
-func (t *table) updates(to types.ProcessID, run types.Incarnation, received map[types.ProcessID]record) []record {
+// changes. In a response, inc is the incarnation of the member and received holds
+// the records that it has just sent; in a request they are 0 and nil.
+func (t *table) updates(to types.ProcessID, inc types.Incarnation, received map[types.ProcessID]record) []record {
 	skip := func(id types.ProcessID) bool {
 		r, ok := received[id]
 		return id == to || ok && covers(r, t.entries[id].record)
 	}
 	var out []record
-	if e := t.entries[to]; e != nil && to != t.self && t.mustInform(e, run) {
+	if e := t.entries[to]; e != nil && to != t.self && t.mustInform(e, inc) {
 		out = append(out, e.record)
 	}
 	limit := retransmitLimit(len(t.entries))
 	if received == nil && to == t.successor() {
-		// It is probed every other period: counting these sends would use up half
-		// of a change's sends on one member.
+		// The successor is probed every other period: counting these sends would
+		// use up half of a change's sends on one member.
 		limit = uncounted
 	}
 	for _, id := range t.queue.take(maxUpdates-len(out), limit, skip) {
--- a/membership/vmlist.go
+++ b/membership/vmlist.go
@@ -9,6 +9,7 @@
 	"github.com/pearyard/pearyard/types"
 )
 
+// vmListTimeout is the timeout of one poll of the VM list.
 const vmListTimeout = 5 * time.Second
 
 // vmMatch records since when an entry of the VM list and an incarnation of a
@@ -65,7 +66,7 @@
 }
 
 // applyVM marks the member at addr as leaving if the VM is, and reports whether
-// there is such a member.
+// there is such a member that is not dead.
 //
 // The list lags: it may still show the old VM as leaving when its replacement has
 // already joined at the same address. Leaving is never revoked, so the new member
@@ -88,6 +89,7 @@
 	return true
 }
 
+// addressesOf returns the addresses at which a member may run on a VM.
 func (m *Membership) addressesOf(vm backing.VM) []string {
 	if _, _, err := net.SplitHostPort(vm.Address); err == nil {
 		return []string{vm.Address}
--- a/membership/wire.go
+++ b/membership/wire.go
@@ -44,6 +44,8 @@
 	return out
 }
 
+// decode converts a record from its wire format. A condition that this version
+// does not know is taken as dead.
 func decode(p *memberpb.Record) record {
 	cond := condition(conditionDead)
 	if c := p.GetCondition(); c >= 0 && c <= memberpb.Condition_DEAD {
