--- a/route/affinity.go
+++ b/route/affinity.go
@@ -37,7 +37,8 @@
 	return p.orLastResort(p.pickZoneFirst(selectLeastLoaded))
 }
 
-// pool returns the candidates for a prompt without a holder.
+// pool returns the candidates to choose from where no holder is picked: those of
+// the router's own zone with Tuning.ZoneFirst, otherwise all.
 func (a *affinity) pool(p *pick) []*Candidate {
 	if local := p.v.zones[p.q.Zone]; a.tuning.ZoneFirst && len(local) > 0 {
 		return local
@@ -125,6 +126,8 @@
 // initialDepth is the number of blocks recorded of an unknown prompt.
 const initialDepth = 8
 
+// knownDepth returns the number of leading blocks up to the last one that has a
+// known holder.
 func (a *affinity) knownDepth(blocks []uint64, oldest uint32) int {
 	for i := len(blocks); i > 0; i-- {
 		if a.prefixes.has(blocks[i-1], oldest) {
@@ -152,4 +155,5 @@
 	}
 }
 
+// oldestStamp returns the stamp before which entries have expired.
 func (a *affinity) oldestStamp(now int64) uint32 { return stampOf(now - int64(a.tuning.PrefixTTL)) }
--- a/route/bench_test.go
+++ b/route/bench_test.go
@@ -23,8 +23,8 @@
 					q := &Query{Blocks: blocks, Zone: "zone-1"}
 					for pb.Next() {
 						c, _ := p.Pick(q, v)
-						s := c.Begin(q)
-						s.End()
+						d := c.Begin(q)
+						d.End()
 					}
 				})
 			})
--- a/route/blocks.go
+++ b/route/blocks.go
@@ -38,7 +38,8 @@
 	return dst
 }
 
-// depthInFineBlocks returns the length of a prompt's first n blocks in units of BlockBytes.
+// depthInFineBlocks returns the length of a prompt's first n blocks in units of
+// BlockBytes.
 func depthInFineBlocks(n int) int {
 	if n <= FineBlocks {
 		return n
--- a/route/candidate.go
+++ b/route/candidate.go
@@ -35,7 +35,7 @@
 	candidates []*Candidate
 	zones      map[types.Zone][]*Candidate // sub-slices of candidates
 	handles    map[uint32]*Candidate
-	sum        summary
+	summary    summary
 }
 
 // NewView builds a view of members. Statistics of a candidate with the same ID and
@@ -60,7 +60,7 @@
 	for _, c := range v.candidates {
 		v.handles[c.handle] = c
 	}
-	v.sum.steps = make([]int64, 0, len(members))
+	v.summary.steps = make([]int64, 0, len(members))
 	return v
 }
 
@@ -117,7 +117,7 @@
 // Load returns the mean load of the candidates that are not slow, relative to
 // their effective capacity, as of the last refresh by a policy. At 1 and above,
 // requests wait. It is the argument of retry.RetryAfter.
-func (v *View) Load() float64 { return v.sum.score.load() }
+func (v *View) Load() float64 { return v.summary.score.load() }
 
 // Subset returns size of the members, selected by rendezvous hashing with the
 // router's name. The result depends only on the arguments, changes by at most one
@@ -154,7 +154,7 @@
 }
 
 // summary holds what policies need to know about the view as a whole. It is
-// refreshed from time to time by one of the picks, which holds summary.refreshing.
+// refreshed from time to time by one of the picks, which sets refreshing meanwhile.
 type summary struct {
 	nextRefresh atomic.Int64 // when the next refresh is due, in Unix nanoseconds
 	picks       atomic.Int64 // picks since the last refresh
--- a/route/helpers_test.go
+++ b/route/helpers_test.go
@@ -37,8 +37,8 @@
 	if !ok {
 		return nil
 	}
-	s := c.Begin(q)
-	s.FirstToken(time.Millisecond)
+	d := c.Begin(q)
+	d.FirstToken(time.Millisecond)
 	return c
 }
 
--- a/route/load.go
+++ b/route/load.go
@@ -6,9 +6,9 @@
 )
 
 // score returns the load of a candidate relative to its effective capacity,
-// including the request to be placed.
+// including the request to be placed, times the penalty for recent failures.
 func (p *pick) score(c *Candidate) float64 {
-	return p.base.score(c, p.v.sum.otherRouters.load(), p.now)
+	return p.base.score(c, p.v.summary.otherRouters.load(), p.now)
 }
 
 // bound returns the score up to which a candidate may be picked for a reason other
@@ -17,15 +17,15 @@
 // never below BoundFloor, because spreading the requests of an idle service only
 // costs cache hits.
 func (p *pick) bound() float64 {
-	mean := p.v.sum.score.load()
+	mean := p.v.summary.score.load()
 	t := &p.tuning
 	return max(t.BoundFloor, min(t.BoundFactor*mean, max(mean, t.BoundCeiling)))
 }
 
 func (b *base) score(c *Candidate, meanOthers float64, now int64) float64 {
 	load := b.load(c, meanOthers, now)
-	share := float64(c.Capacity) * b.slowStartFactor(c.Stats, now)
-	return (load + 1) / share * b.penalty(c.Stats, now)
+	effectiveCapacity := float64(c.Capacity) * b.slowStartFactor(c.Stats, now)
+	return (load + 1) / effectiveCapacity * b.penalty(c.Stats, now)
 }
 
 // load estimates the requests at c. The router's own are known exactly; those that
@@ -73,9 +73,11 @@
 	return min(1, b.tuning.SlowStartFloor+(1-b.tuning.SlowStartFloor)*part)
 }
 
-// maxCountedFailures limits the penalty for failures.
+// maxCountedFailures is the number of consecutive failures above which the penalty
+// does not rise further.
 const maxCountedFailures = 8
 
+// penalty returns the factor by which recent failures raise a candidate's score.
 func (b *base) penalty(s *Stats, now int64) float64 {
 	fails := s.failures.Load()
 	if fails == 0 || now-s.failedAt.Load() > int64(b.tuning.FailPenalty) {
@@ -84,25 +86,27 @@
 	return float64(1 + min(fails, maxCountedFailures))
 }
 
-// refresh updates the view's means if that is due: after Tuning.Renew, or after as
-// many picks as there are candidates. One pick does it while concurrent ones use
-// the old means.
+// refresh updates the view's means, and which candidates are slow, if that is due:
+// after Tuning.Renew, or after as many picks as there are candidates. One pick
+// does it while concurrent ones use the old values.
 func (b *base) refresh(v *View, now int64) {
-	picks := v.sum.picks.Add(1)
-	if now < v.sum.nextRefresh.Load() && picks < int64(v.Len()) {
+	picks := v.summary.picks.Add(1)
+	if now < v.summary.nextRefresh.Load() && picks < int64(v.Len()) {
 		return
 	}
-	if !v.sum.refreshing.CompareAndSwap(false, true) {
+	if !v.summary.refreshing.CompareAndSwap(false, true) {
 		return
 	}
-	defer v.sum.refreshing.Store(false)
-	v.sum.nextRefresh.Store(now + int64(b.tuning.Renew))
-	v.sum.picks.Store(0)
+	defer v.summary.refreshing.Store(false)
+	v.summary.nextRefresh.Store(now + int64(b.tuning.Renew))
+	v.summary.picks.Store(0)
 	b.refreshOthers(v, now)
 	b.refreshSlow(v)
 	b.refreshScore(v, now)
 }
 
+// refreshOthers updates the mean number of requests of other routers, weighted by
+// the age of the reports.
 func (b *base) refreshOthers(v *View, now int64) {
 	var sum, weights float64
 	for _, c := range v.candidates {
@@ -115,22 +119,24 @@
 		weights += weight
 	}
 	if weights > 0 {
-		v.sum.otherRouters.store(sum / weights)
+		v.summary.otherRouters.store(sum / weights)
 	}
 }
 
+// refreshScore updates the mean score of the candidates that are not slow, without
+// the penalty for failures.
 func (b *base) refreshScore(v *View, now int64) {
-	others := v.sum.otherRouters.load()
-	var load, share float64
+	others := v.summary.otherRouters.load()
+	var load, effectiveCapacity float64
 	for _, c := range v.candidates {
 		if c.Stats.slow.Load() {
 			continue
 		}
 		load += b.load(c, others, now) + 1
-		share += float64(c.Capacity) * b.slowStartFactor(c.Stats, now)
+		effectiveCapacity += float64(c.Capacity) * b.slowStartFactor(c.Stats, now)
 	}
-	if share > 0 {
-		v.sum.score.store(load / share)
+	if effectiveCapacity > 0 {
+		v.summary.score.store(load / effectiveCapacity)
 	}
 }
 
@@ -146,7 +152,7 @@
 // nothing else: it would keep its share of requests and hold each of them ten
 // times longer.
 func (b *base) refreshSlow(v *View) {
-	steps := v.sum.steps[:0]
+	steps := v.summary.steps[:0]
 	for _, c := range v.candidates {
 		if step := c.Stats.step.load(); step > 0 {
 			steps = append(steps, int64(step))
@@ -157,17 +163,19 @@
 	}
 	slices.Sort(steps)
 	median := steps[len(steps)/2]
-	v.sum.median.Store(median)
+	v.summary.median.Store(median)
 	var slow int64
 	for _, c := range v.candidates {
 		if b.updateSlow(c, float64(median)) {
 			slow++
 		}
 	}
-	v.sum.slow.Store(slow)
+	v.summary.slow.Store(slow)
 	b.metrics.slow.Set(float64(slow))
 }
 
+// updateSlow decides whether c is slow, emits an event if that has changed, and
+// reports whether c is slow. A candidate without step times is not.
 func (b *base) updateSlow(c *Candidate, median float64) bool {
 	step := c.Stats.step.load()
 	limit := b.tuning.SlowFactor * median
--- a/route/metrics.go
+++ b/route/metrics.go
@@ -9,14 +9,14 @@
 type reason int
 
 const (
-	reasonHolder reason = iota
-	reasonHome
-	reasonZone
-	reasonLoad
-	reasonProbe
-	reasonSuspect
-	reasonLastResort
-	reasonCount
+	reasonHolder     reason = iota // holds a prefix of the prompt
+	reasonHome                     // first in the rendezvous order of the prompt's first block
+	reasonZone                     // selected by load in the router's own zone
+	reasonLoad                     // selected by load in the whole view, or in turn
+	reasonProbe                    // slow and due for a probe
+	reasonSuspect                  // selected for a suspect request
+	reasonLastResort               // slow, but there is no other
+	reasonCount                    // number of reasons
 )
 
 var reasonNames = [reasonCount]string{"holder", "home", "zone", "load", "probe", "suspect", "last_resort"}
--- a/route/pick.go
+++ b/route/pick.go
@@ -34,32 +34,34 @@
 	selectBetterOfTwo
 )
 
-func (p *pick) selectFrom(r selector, pool []*Candidate) *Candidate {
-	if r == selectBetterOfTwo {
+func (p *pick) selectFrom(sel selector, pool []*Candidate) *Candidate {
+	if sel == selectBetterOfTwo {
 		return p.betterOfTwo(pool)
 	}
 	return p.leastLoaded(pool)
 }
 
-// pickZoneFirst selects from the router's own zone, or from the whole view if the
-// zone has no candidate or only one above the bound.
-func (p *pick) pickZoneFirst(r selector) *Candidate {
+// pickZoneFirst selects from the router's own zone. If that gives no candidate, or
+// one above the bound, it also selects from the whole view and picks the one with
+// the lower score.
+func (p *pick) pickZoneFirst(sel selector) *Candidate {
 	local := p.v.zones[p.q.Zone]
-	c := p.selectFrom(r, local)
+	c := p.selectFrom(sel, local)
 	if c != nil && p.score(c) <= p.bound() {
 		return p.count(c, reasonZone)
 	}
 	if len(local) == p.v.Len() {
 		return p.count(c, reasonLoad)
 	}
-	other := p.selectFrom(r, p.v.candidates)
+	other := p.selectFrom(sel, p.v.candidates)
 	if c == nil || other != nil && p.score(other) < p.score(c) {
 		c = other
 	}
 	return p.count(c, reasonLoad)
 }
 
-// orLastResort returns c, or a slow candidate if c is nil and there is no other.
+// orLastResort returns c. If c is nil, because all candidates outside Query.Avoid
+// are slow, it returns the slow one with the lowest score.
 func (p *pick) orLastResort(c *Candidate) (*Candidate, bool) {
 	if c != nil {
 		return c, true
@@ -80,7 +82,8 @@
 	return len(p.q.Avoid) > 0 && slices.Contains(p.q.Avoid, c.ID)
 }
 
-// usable reports whether c may be picked normally.
+// usable reports whether c may be picked other than as a probe, for a suspect or
+// as a last resort.
 func (p *pick) usable(c *Candidate) bool { return !c.Stats.slow.Load() && !p.avoided(c) }
 
 // leastLoaded returns the usable candidate with the lowest score. Among equals the
@@ -108,7 +111,8 @@
 // maxPairDraws limits the random draws in search of two usable candidates.
 const maxPairDraws = 8
 
-// betterOfTwo returns the less loaded of two randomly drawn usable candidates.
+// betterOfTwo returns the less loaded of two randomly drawn usable candidates. If
+// the draws do not find two, it returns the least loaded candidate of the pool.
 func (p *pick) betterOfTwo(pool []*Candidate) *Candidate {
 	if len(pool) == 0 {
 		return nil
@@ -183,16 +187,16 @@
 // time. A candidate that still has requests is being measured and needs no probe,
 // which would only be delayed there.
 func (p *pick) pickProbe() *Candidate {
-	slow := p.v.sum.slow.Load()
+	slow := p.v.summary.slow.Load()
 	if slow == 0 || p.q.Long {
 		return nil
 	}
-	due := p.v.sum.nextProbe.Load()
+	due := p.v.summary.nextProbe.Load()
 	next := p.now + int64(p.tuning.ProbeEvery)/slow
-	if p.now < due || !p.v.sum.nextProbe.CompareAndSwap(due, next) {
+	if p.now < due || !p.v.summary.nextProbe.CompareAndSwap(due, next) {
 		return nil
 	}
-	skip := int64(p.v.sum.probeCount.Add(1)) % slow
+	skip := int64(p.v.summary.probeCount.Add(1)) % slow
 	for _, c := range p.v.candidates {
 		if !c.Stats.slow.Load() {
 			continue
@@ -209,6 +213,7 @@
 	return c.Stats.inFlight.Load() == 0 && c.Stats.reported.Load() == 0
 }
 
+// count counts the pick of c under its reason and returns c, which may be nil.
 func (p *pick) count(c *Candidate, r reason) *Candidate {
 	if c != nil {
 		p.metrics.picks[r].Inc()
@@ -216,6 +221,7 @@
 	return c
 }
 
+// wrap returns i modulo n, for i less than 2n.
 func wrap(i, n int) int {
 	if i >= n {
 		return i - n
--- a/route/policies.go
+++ b/route/policies.go
@@ -28,7 +28,8 @@
 	return p.orLastResort(nil)
 }
 
-// leastLoad picks the lowest score in the zone, or among all.
+// leastLoad picks the candidate with the lowest score in the router's own zone, or
+// in the whole view (see pickZoneFirst).
 type leastLoad struct{ base }
 
 // Pick implements Policy.
@@ -41,7 +42,7 @@
 }
 
 // powerOfTwo draws two candidates at random and picks the one with the lower
-// score.
+// score, in the router's own zone first like leastLoad.
 type powerOfTwo struct{ base }
 
 // Pick implements Policy.
--- a/route/policy_test.go
+++ b/route/policy_test.go
@@ -51,8 +51,8 @@
 				t.Fatalf("picked avoided %s", c.ID)
 			}
 			if ok {
-				s := c.Begin(q)
-				s.FirstToken(time.Millisecond)
+				d := c.Begin(q)
+				d.FirstToken(time.Millisecond)
 				Learn(p, c, q.Blocks)
 			}
 		}
@@ -104,7 +104,7 @@
 }
 
 // Guards against an occasional slow first token for a popular prompt: cache events
-// name a runner as holder of the prefix, the runner is full, and a router that
+// name a backend server as holder of the prefix, it is full, and a router that
 // relies on the events alone sends the request into its queue.
 func TestCacheEventsAloneDoNotDecide(t *testing.T) {
 	g := NewWithT(t)
@@ -239,12 +239,12 @@
 				for range 500 {
 					q := &Query{Blocks: blocks, Zone: "zone-2"}
 					c, _ := p.Pick(q, v)
-					s := c.Begin(q)
-					s.FirstToken(time.Millisecond)
+					d := c.Begin(q)
+					d.FirstToken(time.Millisecond)
 					c.Stats.Report(types.Load{Running: i, StepMicros: 30_000 * (i + 1), At: time.Now()})
 					Learn(p, c, blocks)
 					CacheEvents(p, c, evicted(1, blocks[4:]))
-					s.End()
+					d.End()
 				}
 			})
 		}
@@ -267,9 +267,9 @@
 		Learn(p, c, q.Blocks)
 		allocs := testing.AllocsPerRun(1000, func() {
 			c, _ := p.Pick(q, v)
-			s := c.Begin(q)
+			d := c.Begin(q)
 			Learn(p, c, q.Blocks)
-			s.End()
+			d.End()
 		})
 		g.Expect(allocs).To(BeZero(), name)
 	}
--- a/route/prefixmap.go
+++ b/route/prefixmap.go
@@ -31,12 +31,12 @@
 	return &prefixMap{buckets: make([]bucket, n), mask: uint64(n - 1)}
 }
 
-// stampUnit is the resolution of stamps: 2^26 ns, about 67 ms.
-const stampUnit = 26
+// stampShift gives the resolution of stamps: 2^26 ns, about 67 ms.
+const stampShift = 26
 
 // stampOf reduces a time in Unix nanoseconds to 32 bits; it wraps around after
 // nine years.
-func stampOf(now int64) uint32 { return uint32(now >> stampUnit) }
+func stampOf(now int64) uint32 { return uint32(now >> stampShift) }
 
 // before compares stamps across wraparound.
 func before(a, b uint32) bool { return int32(a-b) < 0 }
--- a/route/routebench/cases.go
+++ b/route/routebench/cases.go
@@ -8,10 +8,12 @@
 	"github.com/pearyard/pearyard/route"
 )
 
-// Rates of new requests per second and runner.
 const (
+	// steadyRate is the default rate of new requests per second and runner.
 	steadyRate = 1.0
-	fullRate   = 1.5 // multiple of steadyRate: about the maximum that the runners can serve
+	// fullRateFactor times the rate is the rate of the cases under full load; at
+	// steadyRate that is about the maximum that the runners can serve.
+	fullRateFactor = 1.5
 )
 
 // variant is a policy with its parameters under one fault.
@@ -22,13 +24,17 @@
 
 // Values that effectively disable a mechanism.
 const (
-	noSlowStart     = time.Nanosecond
-	noSlowFactor    = 1e9
-	noReportDecay   = 1000 * time.Hour
-	disabled        = 1e-9
+	noSlowStart   = time.Nanosecond
+	noSlowFactor  = 1e9
+	noReportDecay = 1000 * time.Hour
+	disabled      = 1e-9 // 0 would select the default
+	noBound       = 1e9
+)
+
+// Report intervals other than reportInterval.
+const (
 	frequentReports = 250 * time.Millisecond
 	rareReports     = 10 * time.Second
-	noBound         = 1e9
 )
 
 // cases returns the variants to measure.
@@ -75,13 +81,13 @@
 	tuned("affinity; wait weight 6", func(t *route.Tuning) { t.WaitWeight = 6 })
 	tuned("affinity; report age ignored", func(t *route.Tuning) { t.ReportTau = noReportDecay })
 	add("least load; wait weight 0", noFault, func(o *simOptions) { o.policy = route.LeastLoad; o.tuning.WaitWeight = disabled })
-	late := func(o *simOptions) { o.reportEvery = rareReports }
+	rare := func(o *simOptions) { o.reportEvery = rareReports }
 	add("affinity; reports each 250 ms", noFault, func(o *simOptions) { o.reportEvery = frequentReports })
-	add("affinity; reports each 10 s", noFault, late)
-	add("the same, age ignored", noFault, func(o *simOptions) { late(o); o.tuning.ReportTau = noReportDecay })
-	add("least load; reports each 10 s", noFault, func(o *simOptions) { late(o); o.policy = route.LeastLoad })
+	add("affinity; reports each 10 s", noFault, rare)
+	add("the same, age ignored", noFault, func(o *simOptions) { rare(o); o.tuning.ReportTau = noReportDecay })
+	add("least load; reports each 10 s", noFault, func(o *simOptions) { rare(o); o.policy = route.LeastLoad })
 	add("the same, age ignored", noFault, func(o *simOptions) {
-		late(o)
+		rare(o)
 		o.policy = route.LeastLoad
 		o.tuning.ReportTau = noReportDecay
 	})
@@ -91,32 +97,32 @@
 	add("affinity; slow not avoided", oneSlow, func(o *simOptions) { o.tuning.SlowFactor = noSlowFactor })
 	add("affinity; slow factor 2", oneSlow, func(o *simOptions) { o.tuning.SlowFactor = 2 })
 
-	policies(oneStarted, rate)
-	add("affinity; no slow start", oneStarted, func(o *simOptions) { o.tuning.SlowStart = noSlowStart })
-	add("least load; no slow start", oneStarted, func(o *simOptions) {
+	policies(oneReplaced, rate)
+	add("affinity; no slow start", oneReplaced, func(o *simOptions) { o.tuning.SlowStart = noSlowStart })
+	add("least load; no slow start", oneReplaced, func(o *simOptions) {
 		o.policy = route.LeastLoad
 		o.tuning.SlowStart = noSlowStart
 	})
 
-	policies(zoneGone, rate)
 	policies(zoneLost, rate)
-	directories(zoneLost, rate)
-	add("affinity; no slow start", zoneLost, func(o *simOptions) { o.tuning.SlowStart = noSlowStart })
-	add("affinity; slow start 20 s", zoneLost, func(o *simOptions) { o.tuning.SlowStart = 20 * time.Second })
-	add("affinity; slow start 10 s", zoneLost, func(o *simOptions) { o.tuning.SlowStart = 10 * time.Second })
+	policies(zoneReturned, rate)
+	directories(zoneReturned, rate)
+	add("affinity; no slow start", zoneReturned, func(o *simOptions) { o.tuning.SlowStart = noSlowStart })
+	add("affinity; slow start 20 s", zoneReturned, func(o *simOptions) { o.tuning.SlowStart = 20 * time.Second })
+	add("affinity; slow start 10 s", zoneReturned, func(o *simOptions) { o.tuning.SlowStart = 10 * time.Second })
 
-	policies(tenthDies, rate*fullRate)
-	directories(tenthDies, rate*fullRate)
-	add("affinity; retries without budget", tenthDies, func(o *simOptions) { o.noRetryBudget = true; o.rate = rate * fullRate })
+	policies(tenthDies, rate*fullRateFactor)
+	directories(tenthDies, rate*fullRateFactor)
+	add("affinity; retries without budget", tenthDies, func(o *simOptions) { o.noRetryBudget = true; o.rate = rate * fullRateFactor })
 	add("two; retries without budget", tenthDies, func(o *simOptions) {
 		o.noRetryBudget = true
 		o.policy = route.PowerOfTwo
-		o.rate = rate * fullRate
+		o.rate = rate * fullRateFactor
 	})
 	return out
 }
 
-// summarise returns the minimum, median and maximum of each figure.
+// summarise returns the minimum, median and maximum of each figure over the runs.
 func summarise(all []figures) (least, median, most figures) {
 	fields := reflect.TypeFor[figures]().NumField()
 	for i := range fields {
--- a/route/routebench/command.go
+++ b/route/routebench/command.go
@@ -91,9 +91,9 @@
 		})
 	}
 	wg.Wait()
-	for _, err := range failed {
+	for i, err := range failed {
 		if err != nil {
-			return row{}, err
+			return row{}, errors.Wrapf(err, "variant %q, seed %d", c.name, i+1)
 		}
 	}
 	r := row{Runners: c.options.runners, Case: string(c.options.fault), Variant: c.name}
@@ -124,6 +124,6 @@
 		fmt.Fprintf(w, "%-34s %.3f %.3f-%.3f %9.0f %6.0f %6.0f %4.0f-%4.0f %6.0f %4.0f-%4.0f %6.0f %5.2f %7.4f %6.2f %6.3f %6.0f %6.0f\n",
 			r.Variant, m.HitRate, lo.HitRate, hi.HitRate, m.PrefilledTokens/1000, m.FirstP50,
 			m.FirstP95, lo.FirstP95, hi.FirstP95, m.FirstP99, lo.FirstP99, hi.FirstP99,
-			m.GapP99, m.Spread, m.AffectedShare, m.AffectedPeak, m.SentPerAsked, m.Shed, m.Done)
+			m.GapP99, m.MaxOverMean, m.AffectedShare, m.AffectedPeak, m.SentPerRequest, m.Shed, m.Done)
 	}
 }
--- a/route/routebench/directory.go
+++ b/route/routebench/directory.go
@@ -12,8 +12,8 @@
 // Model of entry VMs that exchange their load.
 const (
 	loadExchangeInterval = 20 * time.Millisecond
-	loadExchangeDelay    = time.Millisecond
-	service              = "models"
+	loadExchangeDelay    = time.Millisecond // one way
+	service              = "models"         // the only service
 )
 
 // directoryPolicy selects servers with package directory, as entry VMs on the
@@ -32,7 +32,7 @@
 }
 
 // apply replaces the members with those that are alive.
-func (l *directoryPolicy) apply(members []route.Candidate) {
+func (d *directoryPolicy) apply(members []route.Candidate) {
 	entries := make([]directory.Listing, len(members))
 	for i, m := range members {
 		entries[i] = directory.Listing{
@@ -40,27 +40,27 @@
 			Zone: string(m.Zone), Slots: batchSize,
 		}
 	}
-	l.position++
-	l.directory.Apply(l.position, entries, false, l.now())
+	d.position++
+	d.directory.Apply(d.position, entries, false, d.now())
 }
 
 // Pick implements route.Policy.
-func (l *directoryPolicy) Pick(q *route.Query, v *route.View) (*route.Candidate, bool) {
+func (d *directoryPolicy) Pick(q *route.Query, v *route.View) (*route.Candidate, bool) {
 	avoid := make(map[directory.Start]bool, len(q.Avoid))
 	for _, id := range q.Avoid {
-		if s := l.server(id); s != nil {
+		if s := d.server(id); s != nil {
 			avoid[s.Start] = true
 		}
 	}
-	s := l.directory.Pick(directory.Query{Service: service, Zone: string(l.zone), Exclude: avoid, Prompt: l.promptTokens}, l.now())
+	s := d.directory.Pick(directory.Query{Service: service, Zone: string(d.zone), Exclude: avoid, Prompt: d.promptTokens}, d.now())
 	if s == nil {
 		return nil, false
 	}
 	return v.Find(types.ProcessID(s.ID))
 }
 
-func (l *directoryPolicy) server(id types.ProcessID) *directory.Server {
-	for _, s := range l.directory.View().Service(service) {
+func (d *directoryPolicy) server(id types.ProcessID) *directory.Server {
+	for _, s := range d.directory.View().Service(service) {
 		if s.ID == string(id) {
 			return s
 		}
@@ -70,25 +70,27 @@
 
 // begin counts a request on a server. It may be called on nil, like the methods of
 // serverLoad.
-func (l *directoryPolicy) begin(id types.ProcessID, q *request) *serverLoad {
-	if l == nil {
+func (d *directoryPolicy) begin(id types.ProcessID, q *request) *serverLoad {
+	if d == nil {
 		return nil
 	}
-	s := l.server(id)
+	s := d.server(id)
 	if s == nil {
 		return nil
 	}
-	return &serverLoad{policy: l, server: s, running: s.BeginStream(len(q.allBlocks()) * tokensPerBlock)}
+	return &serverLoad{policy: d, server: s, running: s.BeginStream(len(q.allBlocks()) * tokensPerBlock)}
 }
 
-// serverLoad is a request's share of a server's load; nil counts nothing.
+// serverLoad is a request's share of a server's load. Its methods do nothing on
+// nil.
 type serverLoad struct {
 	policy  *directoryPolicy
 	server  *directory.Server
 	running *directory.StreamLoad
 }
 
-func (l *serverLoad) read() {
+// promptRead records that the server has read the prompt.
+func (l *serverLoad) promptRead() {
 	if l != nil {
 		l.running.PromptRead()
 	}
@@ -100,6 +102,7 @@
 	}
 }
 
+// lost ends the request's share and marks the server as lost.
 func (l *serverLoad) lost() {
 	if l != nil {
 		l.running.End()
--- a/route/routebench/fault.go
+++ b/route/routebench/fault.go
@@ -8,27 +8,31 @@
 const (
 	noFault      fault = "steady"
 	oneSlow      fault = "one runner ten times slower"
-	oneStarted   fault = "one runner replaced"
-	zoneLost     fault = "zone lost and returned"
-	zoneGone     fault = "zone lost"
+	oneReplaced  fault = "one runner replaced"
+	zoneReturned fault = "zone lost and returned" // measured after the return
+	zoneLost     fault = "zone lost"              // the same fault, measured before the return
 	tenthDies    fault = "a tenth of the runners dies under full load"
-	slowdown           = 10
-	zoneOfRunner       = "zone-0"
 )
 
+const (
+	slowdown = 10       // factor by which the steps of the slow runner are longer
+	lostZone = "zone-0" // the zone of zoneReturned and zoneLost
+)
+
+// schedule schedules the start of the fault and, if it ends, its end.
 func (f fault) schedule(s *sim) {
 	switch f {
 	case oneSlow:
 		s.clock.after(faultAt, func() { s.runners[0].slowdown = slowdown })
 		s.clock.after(returnAt, func() { s.runners[0].slowdown = 1 })
-	case oneStarted:
+	case oneReplaced:
 		s.clock.after(faultAt, func() {
 			s.runners[0].die()
 			s.runners[0].start()
 			s.membershipChanged()
 		})
-	case zoneLost, zoneGone:
-		s.clock.after(faultAt, func() { s.kill(func(r *runner) bool { return r.zone == zoneOfRunner }) })
+	case zoneReturned, zoneLost:
+		s.clock.after(faultAt, func() { s.kill(func(r *runner) bool { return r.zone == lostZone }) })
 		s.clock.after(returnAt, s.restartDead)
 	case tenthDies:
 		s.clock.after(faultAt, func() { s.kill(func(r *runner) bool { return r.index%10 == 0 }) })
@@ -56,10 +60,10 @@
 // affects reports whether the fault concerns r.
 func (f fault) affects(r *runner) bool {
 	switch f {
-	case oneSlow, oneStarted:
+	case oneSlow, oneReplaced:
 		return r.index == 0
-	case zoneLost, zoneGone:
-		return r.zone == zoneOfRunner
+	case zoneReturned, zoneLost:
+		return r.zone == lostZone
 	case tenthDies:
 		return r.index%10 == 0
 	}
@@ -69,11 +73,11 @@
 // window returns the start and end of the time over which a run is measured.
 func (f fault) window() (time.Duration, time.Duration) {
 	switch f {
-	case oneSlow, zoneGone:
+	case oneSlow, zoneLost:
 		return faultAt, returnAt
-	case oneStarted, tenthDies:
+	case oneReplaced, tenthDies:
 		return faultAt, faultAt + 40*time.Second
-	case zoneLost:
+	case zoneReturned:
 		return returnAt, returnAt + 40*time.Second
 	}
 	return warmUp, runFor
--- a/route/routebench/result.go
+++ b/route/routebench/result.go
@@ -5,18 +5,25 @@
 	"time"
 )
 
-// result collects the figures of one run; those that depend on time only within
-// the window.
+// result collects the figures of one run. All but the first counts are limited to
+// the window of the fault.
 type result struct {
-	arrived, requests, sent, shed, gaveUp, resumed, done int
+	// Counts over the whole run.
+	arrived  int // requests that callers sent, without their retries
+	requests int // requests that routers received, with the callers' retries
+	sent     int // attempts sent to runners
+	shed     int // requests refused by routers, each time counted
+	gaveUp   int // requests that their callers gave up
+	resumed  int // attempts lost with their runner
+	done     int // requests answered
 
-	blocks, hits   int
-	first          []time.Duration
-	spread         []float64
-	affectedPeak   float64 // maximum load of a runner affected by the fault, relative to the mean of the others
-	toAffected     int
-	dispatched     int
-	countsAtStart  [2]int // values of requests and sent at the start of the window
+	blocks, hits   int             // blocks of admitted requests, and those found in a prefix cache
+	firstTokens    []time.Duration // times from arrival to first token
+	maxOverMean    []float64       // samples of the maximum load of a runner relative to the mean
+	affectedPeak   float64         // maximum load of a runner affected by the fault, relative to the mean of the others
+	toAffected     int             // attempts accepted by affected runners
+	dispatched     int             // attempts accepted by runners
+	countsAtStart  [2]int          // values of requests and sent at the start of the window
 	windowRequests int
 	windowSent     int
 	windowShed     int
@@ -42,7 +49,7 @@
 func (r *result) recordFirstToken(s *sim, q *request, took time.Duration) {
 	from, to := s.opts.fault.window()
 	if q.arrivedAt >= from && q.arrivedAt < to {
-		r.first = append(r.first, took)
+		r.firstTokens = append(r.firstTokens, took)
 		r.measured = append(r.measured, q)
 	}
 }
@@ -83,7 +90,7 @@
 		otherSum, others = otherSum+runner.load(), others+1
 	}
 	if sum > 0 {
-		r.spread = append(r.spread, float64(top)*float64(n)/float64(sum))
+		r.maxOverMean = append(r.maxOverMean, float64(top)*float64(n)/float64(sum))
 	}
 	if otherSum > 0 {
 		r.affectedPeak = max(r.affectedPeak, float64(affectedTop)*float64(others)/float64(otherSum))
@@ -98,28 +105,28 @@
 	FirstP95        float64 `json:"first_token_p95_ms"`
 	FirstP99        float64 `json:"first_token_p99_ms"`
 	GapP99          float64 `json:"token_gap_p99_ms"`
-	Spread          float64 `json:"load_max_over_mean"`
+	MaxOverMean     float64 `json:"load_max_over_mean"`
 	AffectedShare   float64 `json:"share_sent_to_affected"`
 	AffectedPeak    float64 `json:"affected_peak_over_mean"`
-	SentPerAsked    float64 `json:"sent_per_asked"`
+	SentPerRequest  float64 `json:"sent_per_asked"`
 	Shed            float64 `json:"shed"`
 	Done            float64 `json:"done"`
 	GaveUp          float64 `json:"gave_up"`
 }
 
 func (r *result) figures() figures {
-	slices.Sort(r.first)
+	slices.Sort(r.firstTokens)
 	return figures{
 		HitRate:         ratio(r.hits, r.blocks),
 		PrefilledTokens: float64((r.blocks - r.hits) * tokensPerBlock),
-		FirstP50:        quantile(r.first, 0.50),
-		FirstP95:        quantile(r.first, 0.95),
-		FirstP99:        quantile(r.first, 0.99),
+		FirstP50:        quantile(r.firstTokens, 0.50),
+		FirstP95:        quantile(r.firstTokens, 0.95),
+		FirstP99:        quantile(r.firstTokens, 0.99),
 		GapP99:          quantile(r.gaps(), 0.99),
-		Spread:          mean(r.spread),
+		MaxOverMean:     mean(r.maxOverMean),
 		AffectedShare:   ratio(r.toAffected, r.dispatched),
 		AffectedPeak:    r.affectedPeak,
-		SentPerAsked:    ratio(r.windowSent, r.windowRequests),
+		SentPerRequest:  ratio(r.windowSent, r.windowRequests),
 		Shed:            float64(r.windowShed),
 		Done:            float64(r.windowDone),
 		GaveUp:          float64(r.gaveUp),
--- a/route/routebench/router.go
+++ b/route/routebench/router.go
@@ -12,15 +12,15 @@
 
 // Model of the network between routers and runners.
 const (
-	zoneDelay        = time.Millisecond // one-way delay between zones
-	reportInterval   = time.Second
-	reportDelay      = 300 * time.Millisecond
-	eventsInterval   = time.Second
-	eventsDelay      = 2 * time.Second
-	eventLossRate    = 0.1 // share of lost batches
-	viewDelay        = 1500 * time.Millisecond
-	maxRetries       = 4 // attempts after the first one since the caller last arrived
-	maxCallerRetries = 5
+	zoneDelay        = time.Millisecond        // one-way delay between zones
+	reportInterval   = time.Second             // between two load reports of a runner
+	reportDelay      = 300 * time.Millisecond  // from the runner to the routers
+	eventsInterval   = time.Second             // between two batches of cache events
+	eventsDelay      = 2 * time.Second         // from the runner to the routers
+	eventLossRate    = 0.1                     // share of lost batches
+	viewDelay        = 1500 * time.Millisecond // until the routers' views show a change of membership
+	maxRetries       = 4                       // attempts after the first one since the caller last arrived
+	maxCallerRetries = 5                       // refusals after which the caller still returns
 )
 
 // router is one router with its own view; it runs the real policy code.
@@ -39,8 +39,8 @@
 type attempt struct {
 	route.Dispatch
 	candidate *route.Candidate
-	at        time.Duration
-	load      *serverLoad
+	arrivedAt time.Duration // when the request reached the runner
+	load      *serverLoad   // nil unless package directory is used
 }
 
 // rebuild builds the view from the runners that membership reports as alive.
@@ -65,7 +65,7 @@
 	return r.circuits[id]
 }
 
-// receive accepts a request from its caller.
+// receive takes a request from its caller.
 func (r *router) receive(q *request) {
 	q.router, q.retries = r, 0
 	r.sim.result.requests++
@@ -99,10 +99,12 @@
 	r.sim.clock.after(hop, func() { r.arrive(q, sent, query.Avoid) })
 }
 
+// arrive handles the arrival of an attempt at its runner. If the runner refuses
+// it, another candidate is tried after a backoff.
 func (r *router) arrive(q *request, sent *attempt, avoid []types.ProcessID) {
 	c := sent.candidate
 	runner := r.sim.byID[c.ID]
-	sent.at = r.sim.clock.now
+	sent.arrivedAt = r.sim.clock.now
 	q.attempt = sent
 	if runner.incarnation == c.Incarnation && runner.accept(q) {
 		r.sim.result.recordDispatch(r.sim, runner)
@@ -137,7 +139,8 @@
 	r.sim.clock.after(wait, func() { r.sim.randomRouter().receive(q) })
 }
 
-// token handles a token emitted by a runner.
+// token handles a token emitted by a runner. Every eighth one of a request updates
+// the candidate's step time.
 func (r *router) token(q *request, runner *runner) {
 	c := q.attempt.candidate
 	q.lastTokenAt = r.sim.clock.now
@@ -148,9 +151,9 @@
 		return
 	}
 	q.gotFirstToken = true
-	q.attempt.load.read()
+	q.attempt.load.promptRead()
 	took := r.sim.clock.now - q.arrivedAt
-	q.attempt.FirstToken(r.sim.clock.now - q.attempt.at)
+	q.attempt.FirstToken(r.sim.clock.now - q.attempt.arrivedAt)
 	c.Stats.RecordSuccess()
 	r.circuit(c.ID).Success()
 	if q.emitted == 1 {
--- a/route/routebench/runner.go
+++ b/route/routebench/runner.go
@@ -18,7 +18,7 @@
 	prefillBlock   = 5400 * time.Microsecond // time to prefill one block
 	prefillChunk   = 8                       // maximum number of blocks prefilled in one step
 	cacheBlocks    = 1000                    // blocks in the prefix cache
-	tokensPerBlock = 128
+	tokensPerBlock = 128                     // tokens of a block
 )
 
 // runner simulates an engine with continuous batching, one step at a time.
@@ -51,6 +51,7 @@
 	return true
 }
 
+// wake starts the next step if none is running and there are requests.
 func (r *runner) wake() {
 	if !r.stepping && r.alive && len(r.batch)+len(r.queue) > 0 {
 		r.stepping = true
@@ -58,6 +59,7 @@
 	}
 }
 
+// load returns the number of running and queued requests.
 func (r *runner) load() int { return len(r.batch) + len(r.queue) }
 
 // step admits waiting requests, prefills a chunk and decodes one token per
@@ -79,6 +81,7 @@
 	})
 }
 
+// admit moves queued requests into free slots of the batch.
 func (r *runner) admit() {
 	for len(r.batch) < batchSize && len(r.queue) > 0 {
 		q := r.queue[0]
@@ -97,6 +100,7 @@
 	r.events = append(r.events, engine.CacheEvent{Sequence: r.sequence, Block: block, Evicted: evicted})
 }
 
+// prefill prefills up to prefillChunk blocks of the batch and returns their number.
 func (r *runner) prefill() int {
 	left := prefillChunk
 	for _, q := range r.batch {
@@ -107,6 +111,7 @@
 	return prefillChunk - left
 }
 
+// decode emits one token for each request of the batch that is prefilled.
 func (r *runner) decode() {
 	var ended []*request
 	for _, q := range r.batch {
@@ -166,20 +171,21 @@
 }
 
 // insert marks blocks as used, in reverse order so that a prefix outlives its
-// tail.
-func (p *prefixCache) insert(blocks []uint64, note func(block uint64, evicted bool)) {
+// tail, and evicts the least recently used ones beyond cacheBlocks. It passes each
+// insertion and eviction to record.
+func (p *prefixCache) insert(blocks []uint64, record func(block uint64, evicted bool)) {
 	for _, b := range slices.Backward(blocks) {
 		if e := p.elements[b]; e != nil {
 			p.order.MoveToFront(e)
 			continue
 		}
 		p.elements[b] = p.order.PushFront(b)
-		note(b, false)
+		record(b, false)
 	}
 	for p.order.Len() > cacheBlocks {
 		last := p.order.Back()
 		b, _ := p.order.Remove(last).(uint64)
 		delete(p.elements, b)
-		note(b, true)
+		record(b, true)
 	}
 }
--- a/route/routebench/sim.go
+++ b/route/routebench/sim.go
@@ -11,15 +11,18 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// Phases of a run.
+// Phases of a run, in virtual time since its start.
 const (
-	warmUp   = 40 * time.Second
-	runFor   = 180 * time.Second
-	zones    = 4
-	faultAt  = 80 * time.Second
-	returnAt = 120 * time.Second
+	warmUp   = 40 * time.Second  // start of the measurement without a fault
+	faultAt  = 80 * time.Second  // start of the fault
+	returnAt = 120 * time.Second // end of a fault that ends
+	runFor   = 180 * time.Second // end of the run
 )
 
+// zones is the number of availability zones, over which routers and runners are
+// spread evenly.
+const zones = 4
+
 // simOptions configure one run.
 type simOptions struct {
 	runners       int
@@ -33,9 +36,9 @@
 	directory     bool // use package directory instead of a policy
 	ownLoadOnly   bool // with directory: routers do not exchange their load
 	fault         fault
-	reportEvery   time.Duration
-	subset        int // candidates in a router's view; 0: all
-	groups        int // number of router groups with a common subset; 0: a separate subset for each router
+	reportEvery   time.Duration // time between two load reports of a runner
+	subset        int           // candidates in a router's view; 0: all
+	groups        int           // number of router groups with a common subset; 0: a separate subset for each router
 	organisations int
 	seed          uint64
 	until         time.Duration // 0: runFor
@@ -109,7 +112,8 @@
 	return nil
 }
 
-// arrive generates a Poisson process of new requests.
+// arrive sends a new request to a random router and schedules the next one, as a
+// Poisson process.
 func (s *sim) arrive() {
 	q := s.workload.newRequest()
 	q.arrivedAt = s.clock.now
@@ -119,6 +123,8 @@
 	s.clock.after(time.Duration(s.rand.ExpFloat64()/rate*float64(time.Second)), s.arrive)
 }
 
+// followUp schedules a request that continues an answered one, for followUpShare
+// of the answers.
 func (s *sim) followUp(done *request) {
 	if s.rand.Float64() >= followUpShare {
 		return
@@ -133,6 +139,7 @@
 
 func (s *sim) randomRouter() *router { return s.routers[s.rand.IntN(len(s.routers))] }
 
+// sendReports sends the load of each runner to all routers.
 func (s *sim) sendReports() {
 	for _, r := range s.runners {
 		if !r.alive {
@@ -148,6 +155,8 @@
 	}
 }
 
+// sendCacheEvents sends each runner's cache events since the last call to all
+// routers, except for the batches that are lost.
 func (s *sim) sendCacheEvents() {
 	for _, r := range s.runners {
 		events := r.events
--- a/route/routebench/workload.go
+++ b/route/routebench/workload.go
@@ -8,31 +8,32 @@
 
 // Model of the callers.
 const (
-	templates       = 40 // per organisation
-	preambleBlocks  = 4  // shared by all of an organisation's prompts
-	templateBlocks  = 16
-	tailBlocks      = 8    // mean length of the unique tail
-	documentBlocks  = 60   // length of a long unique tail
-	documentShare   = 0.1  // share of requests with such a tail
-	followUpShare   = 0.25 // share of answers that the caller continues
-	followUpDelay   = 10 * time.Second
-	shortOutput     = 120 // tokens, median
-	longOutput      = 2500
-	longShare       = 0.04
-	organisationExp = 1.2 // Zipf exponents
-	templateExp     = 1.0
+	templates       = 40               // per organisation
+	preambleBlocks  = 4                // shared by all of an organisation's prompts
+	templateBlocks  = 16               // shared by all prompts of a template
+	tailBlocks      = 8                // mean length of the unique tail
+	documentBlocks  = 60               // length of a long unique tail
+	documentShare   = 0.1              // share of requests with such a tail
+	followUpShare   = 0.25             // share of answers that the caller continues
+	followUpDelay   = 10 * time.Second // mean time until then
+	shortOutput     = 120              // median length of a short output, in tokens
+	shortOutputDev  = 0.6              // standard deviation of the logarithm of that length
+	longOutput      = 2500             // length of a long output, in tokens
+	longShare       = 0.04             // share of requests with a long output
+	organisationExp = 1.2              // Zipf exponent of the requests per organisation
+	templateExp     = 1.0              // Zipf exponent of the requests per template
 )
 
 // request is one caller's request in progress.
 type request struct {
 	router        *router
-	blocks        []uint64
-	output        int // tokens to emit
-	arrivedAt     time.Duration
-	callerRetries int // how often the caller was refused and has returned
-	retries       int // attempts after the first one since the caller last arrived
-	emitted       int
-	toPrefill     int
+	blocks        []uint64      // of the prompt
+	output        int           // tokens to emit
+	arrivedAt     time.Duration // when the caller first sent it
+	callerRetries int           // how often the caller was refused and has returned
+	retries       int           // attempts after the first one since the caller last arrived
+	emitted       int           // tokens emitted so far, over all attempts
+	toPrefill     int           // blocks that the runner still has to prefill
 	firstTokenAt  time.Duration // when the first token arrived
 	lastTokenAt   time.Duration // when the last token arrived
 	gotFirstToken bool          // the first token of the current attempt has arrived
@@ -75,6 +76,7 @@
 	return out
 }
 
+// draw returns a random rank, from 0, of a cumulative distribution.
 func (w *workload) draw(cdf []float64) uint64 {
 	x := w.rand.Float64()
 	for i, p := range cdf {
@@ -97,6 +99,7 @@
 	return &request{blocks: w.tail(q.allBlocks()), output: w.length()}
 }
 
+// tail appends a unique tail to blocks.
 func (w *workload) tail(blocks []uint64) []uint64 {
 	n := 1 + int(w.rand.ExpFloat64()*tailBlocks)
 	if w.rand.Float64() < documentShare {
@@ -106,11 +109,12 @@
 	return extend(blocks, w.lastTail<<20, n)
 }
 
+// length draws the number of tokens of an output: log-normal, or longOutput.
 func (w *workload) length() int {
 	if w.rand.Float64() < longShare {
 		return longOutput
 	}
-	return 1 + int(shortOutput*math.Exp(0.6*w.rand.NormFloat64()))
+	return 1 + int(shortOutput*math.Exp(shortOutputDev*w.rand.NormFloat64()))
 }
 
 // extend appends n keys that depend on all previous keys and on seed.
--- a/route/stats.go
+++ b/route/stats.go
@@ -90,7 +90,8 @@
 // InFlight returns the number of this router's requests at the candidate.
 func (s *Stats) InFlight() int { return int(s.inFlight.Load()) }
 
-// Suspects returns how many of them may have crashed an engine.
+// Suspects returns the number of this router's requests at the candidate that may
+// have crashed an engine.
 func (s *Stats) Suspects() int { return int(s.suspects.Load()) }
 
 // Slow reports whether the candidate is avoided because of its step time.
@@ -130,7 +131,8 @@
 
 func micros(f float64) time.Duration { return time.Duration(f) * time.Microsecond }
 
-// atomicFloat is a float64 with atomic access; its zero value is 0.
+// atomicFloat is a float64 with atomic access; its zero value is 0, which update
+// takes as "no sample yet".
 type atomicFloat struct{ bits atomic.Uint64 }
 
 func (f *atomicFloat) load() float64   { return math.Float64frombits(f.bits.Load()) }
--- a/route/time_test.go
+++ b/route/time_test.go
@@ -11,10 +11,10 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// Guards against overload of a returning zone: its runners have empty caches and
-// no load, so every router prefers them at once. They would be flooded with
-// prefills, callers would wait many seconds for a first token, and the zone would
-// be lost again.
+// Guards against overload of a returning zone: its backend servers have empty
+// caches and no load, so every router prefers them at once. They would be flooded
+// with prefills, callers would wait many seconds for a first token, and the zone
+// would be lost again.
 func TestSlowStartAfterReturn(t *testing.T) {
 	for _, name := range []string{LeastLoad, PowerOfTwo, PrefixAffinity} {
 		t.Run(name, func(t *testing.T) {
@@ -50,9 +50,10 @@
 	}
 }
 
-// Guards against a runner that is alive and answers probes but decodes ten times
-// slower, which would delay every token of its callers. Once fast again it must
-// return to service, which only requests can show.
+// Guards against a backend server that is alive and answers probes but decodes ten
+// times slower, which would delay every token of its callers. It may get only
+// occasional probe requests. Once fast again it must return to service, which only
+// requests can show.
 func TestSlowCandidateGetsOnlyProbes(t *testing.T) {
 	for _, name := range Names() {
 		t.Run(name, func(t *testing.T) {
@@ -92,12 +93,14 @@
 		if got == c {
 			count++
 		}
-		s := got.Begin(q)
-		s.End()
+		d := got.Begin(q)
+		d.End()
 	}
 	return count
 }
 
+// Guards against a request of minutes that is used as a probe: it would be held up
+// at a backend server that decodes much slower.
 func TestLongRequestIsNoProbe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -113,8 +116,8 @@
 	})
 }
 
-// Guards against a runner whose reports stop after one that said it was idle: all
-// new requests would go there, because the other runners report their load.
+// Guards against a backend server whose reports stop after one that said it was
+// idle: all new requests would go there, because the others report their load.
 func TestStaleReportDoesNotAttractAllRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
--- a/route/view_test.go
+++ b/route/view_test.go
@@ -88,7 +88,7 @@
 }
 
 // Guards against a bucket that keeps only one holder of a popular prefix, so that
-// callers wait for prefills although several runners hold it: stamps wrapped
+// callers wait for prefills although several backend servers hold it: stamps wrapped
 // around, the stamp of an empty entry lay in the future, and each new entry
 // replaced the previous one.
 func TestPrefixMapNamesAllHolders(t *testing.T) {
