--- a/membership/health.go
+++ b/membership/health.go
@@ -23,9 +23,9 @@
 // process are evidence against the probed members.
 type health struct {
 	failures [longWindow]bool
-	outcomes int // number of outcomes recorded; the latest longWindow are kept in failures
-	lastTick time.Time
-	epoch    int // incremented after a freeze; probes begun in an earlier epoch are discarded
+	outcomes int       // number of outcomes recorded; the latest longWindow are kept in failures
+	lastTick time.Time // a long gap since then shows that this process was frozen
+	epoch    int       // incremented after a freeze; probes begun in an earlier epoch are discarded
 }
 
 func (h *health) addOutcome(failed bool) {
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -236,6 +236,7 @@
 	return false
 }
 
+// probeThrough asks helper to probe target and reports whether target answered it.
 func (m *Membership) probeThrough(ctx context.Context, helper, target record) bool {
 	resp, err := m.client(helper.Address).ProbeIndirect(ctx, m.indirectRequest(target))
 	if err != nil {
--- a/membership/ring.go
+++ b/membership/ring.go
@@ -67,6 +67,8 @@
 	refilled time.Time
 }
 
+// take removes a token if there is one and reports whether there was. rate is in
+// tokens per second; size is the maximum number of tokens.
 func (b *tokenBucket) take(now time.Time, rate, size float64) bool {
 	b.count = min(size, b.count+rate*now.Sub(b.refilled).Seconds())
 	b.refilled = now
--- a/membership/schedule.go
+++ b/membership/schedule.go
@@ -46,9 +46,9 @@
 	m  *Membership
 	wg *sync.WaitGroup
 
-	nextProbe, nextRecontact, nextSync, nextVMPoll time.Time
+	nextProbe, nextRecontact, nextSync, nextVMPoll time.Time // when each is due
 
-	recontacting, syncing, polling atomic.Bool
+	recontacting, syncing, polling atomic.Bool // set while that work is running
 }
 
 func newSchedule(m *Membership, wg *sync.WaitGroup) *schedule {
@@ -58,6 +58,7 @@
 	return s
 }
 
+// jitter returns d, randomly changed by up to jitterShare.
 func (m *Membership) jitter(d time.Duration) time.Duration {
 	m.lock()
 	defer m.unlock()
@@ -180,6 +181,7 @@
 	return m.opts.Period/ticksPerPeriod + m.opts.ProbeTimeout
 }
 
+// updateCutOff emits an event when this process loses or regains the majority.
 func (m *Membership) updateCutOff(now time.Time) {
 	cutOff := !m.table.majority(now)
 	if cutOff == m.cutOff {
