--- a/membership/health.go
+++ b/membership/health.go
@@ -23,21 +23,22 @@
 // process are evidence against the probed members.
 type health struct {
 	failures [longWindow]bool
-	outcomes int // number of outcomes recorded; the latest longWindow are kept in failures
-	lastTick time.Time
-	epoch    int // incremented after a freeze; probes begun in an earlier epoch are discarded
+	outcomes int       // number of outcomes recorded; the latest longWindow are kept in failures
+	lastTick time.Time // a long gap since then shows that this process was frozen
+	epoch    int       // incremented after a freeze; probes begun in an earlier epoch are discarded
 }
 
-func (h *health) record(failed bool) {
+func (h *health) addOutcome(failed bool) {
 	h.failures[h.outcomes%longWindow] = failed
 	h.outcomes++
 }
 
-// reliable reports whether this process may suspect others. To a process that is
-// cut off or on the smaller side of a partition nearly all others look dead, and
-// its suspicions would take them out of use everywhere once the partition heals. A
-// process most of whose latest probes failed therefore suspects nobody. On the
-// larger side few probes fail, so dead members are still found there.
+// reliable reports whether this process may suspect others and declare suspects
+// dead. To a process that is cut off or on the smaller side of a partition nearly
+// all others look dead, and its suspicions would take them out of use everywhere
+// once the partition heals. A process most of whose latest probes failed therefore
+// suspects nobody. On the larger side few probes fail, so dead members are still
+// found there.
 func (h *health) reliable() bool {
 	for _, window := range []int{shortWindow, middleWindow, longWindow} {
 		if h.failuresAmong(window) > window/2 {
