--- a/tokenlog/append.go
+++ b/tokenlog/append.go
@@ -11,13 +11,14 @@
 type verdict int
 
 const (
-	taken verdict = iota
-	missing
-	refused
+	taken   verdict = iota
+	missing         // tokens before the record's first one are not held
+	refused         // the record is malformed or contradicts the tokens held
 )
 
-// Append applies a batch of records and returns the generations for which earlier tokens
-// are missing; their writers send those again from the start.
+// Append applies a batch of records. It returns the generations whose records were not
+// taken, because earlier tokens are missing or the record was refused; their writers send
+// those generations again from the start.
 func (s *Store) Append(in *streampb.JournalAppend) *streampb.JournalAppended {
 	out := &streampb.JournalAppended{}
 	s.mu.Lock()
@@ -91,7 +92,7 @@
 		return
 	}
 	b.log = donor.log.prefix(n)
-	e.drop(func(old *branch) bool { return supersedes(b, old) })
+	e.removeIf(func(old *branch) bool { return supersedes(b, old) })
 }
 
 // extend appends the tokens whose first index is first. Tokens that are already held must
@@ -138,7 +139,7 @@
 		e.remove(b)
 	}
 	silentSince := time.Now().Add(-writerSilenceTimeout)
-	e.drop(func(b *branch) bool { return b.lastSeen.Before(silentSince) })
+	e.removeIf(func(b *branch) bool { return b.lastSeen.Before(silentSince) })
 	if len(e.branches) == 0 {
 		s.drop(e)
 		return
--- a/tokenlog/bench_test.go
+++ b/tokenlog/bench_test.go
@@ -127,7 +127,8 @@
 	return &streampb.JournalAppended{}, nil
 }
 
-// TestWireCost limits the network cost of journalling, in virtual time: 30 generations
+// TestWireCost measures the network cost of journalling in virtual time, and fails if a
+// token and copy cost more than 20 bytes at the default batch interval. 30 generations run
 // beside one sidecar, each producing a token every 44 ms, with two copies, either all on
 // the same two peers (a small site) or each on its own two (a large site).
 func TestWireCost(t *testing.T) {
@@ -143,7 +144,7 @@
 					}
 					h := w.Start(GenerationInfo{ID: types.NewGenerationID(types.Key(g)), Lineage: lineage(1, 0), Peers: peers})
 					go func() {
-						time.Sleep(time.Duration(g) * 1400 * time.Microsecond)
+						time.Sleep(time.Duration(g) * 1400 * time.Microsecond) // spreads the starts over one token interval
 						for i := range seconds * 1000 / 44 {
 							h.Append(types.Token{ID: uint32(30_000 + i), Text: " pear"})
 							time.Sleep(44 * time.Millisecond)
@@ -154,7 +155,7 @@
 				w.Close()
 				perToken := float64(c.bytes) / float64(c.tokens)
 				if batch == 500 && perToken > 20 {
-					t.Errorf("%.1f bytes per token and copy at the default batch interval", perToken)
+					t.Errorf("%.1f bytes per token and copy at the default batch interval, want at most 20", perToken)
 				}
 				t.Logf("spread=%v batch=%4dms: %6.1f bytes/token and copy, %4.1f tokens/append, %6.0f appends/s",
 					spread, batch, perToken, float64(c.tokens)/float64(c.appends), float64(c.appends)/float64(seconds))
--- a/tokenlog/branch.go
+++ b/tokenlog/branch.go
@@ -12,10 +12,10 @@
 type branch struct {
 	lineage     types.Lineage
 	log         tokenBuffer
-	runner      string
+	runner      string // address of the sidecar that runs the attempt; empty if unknown
 	finish      types.FinishReason
-	totalTokens int // tokens in the complete answer, valid once finish is set
-	lastSeen    time.Time
+	totalTokens int       // tokens in the complete answer, valid once finish is set
+	lastSeen    time.Time // when the last record arrived
 }
 
 // isComplete reports whether the branch holds the complete answer.
@@ -29,7 +29,7 @@
 	lastChanged    time.Time
 	element        *list.Element // in Store.byState[state]
 	state          state
-	accountedBytes int
+	accountedBytes int // size when the store last accounted for the entry
 }
 
 // state determines the order of eviction: the lowest state goes first.
@@ -70,7 +70,8 @@
 	return n
 }
 
-// find returns the branch that has exactly this lineage.
+// find returns the branch that has exactly this lineage. No valid lineage has a segment
+// beyond maxIndex, so all segments are compared.
 func (e *entry) find(l types.Lineage) *branch {
 	for _, b := range e.branches {
 		if len(b.lineage) == len(l) && sameUpTo(b.lineage, l, maxIndex+1) {
@@ -95,23 +96,24 @@
 func (e *entry) add(b *branch) {
 	e.branches = append(e.branches, b)
 	if len(e.branches) > maxBranches {
-		e.remove(e.oldest())
+		e.remove(e.leastRecentlySeen())
 	}
 }
 
-// drop removes the branches for which gone returns true.
-func (e *entry) drop(gone func(*branch) bool) {
-	e.branches = slices.DeleteFunc(e.branches, gone)
+// removeIf removes the branches for which match returns true.
+func (e *entry) removeIf(match func(*branch) bool) {
+	e.branches = slices.DeleteFunc(e.branches, match)
 }
 
 // supersedes reports whether every token of old is also in b, so that old is of no more
-// use to a reader.
+// use to a reader. A branch without tokens, which may name a runner, and a finished one
+// are never superseded.
 func supersedes(b, old *branch) bool {
 	n := old.log.len()
 	return old != b && n > 0 && old.finish == "" && n <= b.log.len() && sameUpTo(b.lineage, old.lineage, n)
 }
 
-func (e *entry) oldest() *branch {
+func (e *entry) leastRecentlySeen() *branch {
 	oldest := e.branches[0]
 	for _, b := range e.branches {
 		if b.lastSeen.Before(oldest.lastSeen) {
@@ -121,6 +123,6 @@
 	return oldest
 }
 
-func (e *entry) remove(gone *branch) {
-	e.drop(func(b *branch) bool { return b == gone })
+func (e *entry) remove(removed *branch) {
+	e.removeIf(func(b *branch) bool { return b == removed })
 }
--- a/tokenlog/dump.go
+++ b/tokenlog/dump.go
@@ -33,7 +33,8 @@
 // maxDumped limits the number of entries in a dump.
 const maxDumped = 100
 
-// Dump returns the store's totals and its most recently changed entries.
+// Dump returns the store's totals and up to maxDumped entries: running generations first,
+// then reservations, then finished generations, each with the most recently changed first.
 func (s *Store) Dump() StoreDump {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/tokenlog/fake_test.go
+++ b/tokenlog/fake_test.go
@@ -13,7 +13,7 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-var errCut = errors.New("connection refused")
+var errUnreachable = errors.New("connection refused")
 
 // cluster is a set of stores behind a simulated network that can be cut, slow, or lose the
 // reply of an append that took effect.
@@ -48,7 +48,7 @@
 	c.cut[addr] = cut
 }
 
-func (c *cluster) count() int {
+func (c *cluster) appendCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.appends
@@ -59,7 +59,7 @@
 	store, cut, delay := c.stores[addr], c.cut[addr], c.delay[addr]
 	c.mu.Unlock()
 	if cut || store == nil {
-		return nil, errCut
+		return nil, errUnreachable
 	}
 	select {
 	case <-ctx.Done():
@@ -80,7 +80,7 @@
 	c.appends++
 	if c.loseReply[addr] > 0 {
 		c.loseReply[addr]--
-		return nil, errCut
+		return nil, errUnreachable
 	}
 	return out, nil
 }
@@ -115,6 +115,7 @@
 	return out
 }
 
+// producer returns the attempt that produced the token at index i.
 func producer(l types.Lineage, i int) types.AttemptTag {
 	tag := types.AttemptTag(0)
 	for _, s := range l {
@@ -125,6 +126,8 @@
 	return tag
 }
 
+// record returns a journal record with the n tokens of a lineage's answer from index first
+// on.
 func record(id types.GenerationID, l types.Lineage, first, n int) *streampb.JournalRecord {
 	r := &streampb.JournalRecord{Generation: id.String(), Lineage: lineageToWire(l), First: uint32(first), Runner: "runner"}
 	for i := first; i < first+n; i++ {
@@ -134,10 +137,13 @@
 	return r
 }
 
+// send appends records to a store and returns the generations that the store reports as
+// missing.
 func send(s *Store, records ...*streampb.JournalRecord) []string {
 	return s.Append(&streampb.JournalAppend{From: "w", Records: records}).GetMissing()
 }
 
+// lineage returns a lineage of segments, each given as an attempt and its start index.
 func lineage(segments ...int) types.Lineage {
 	var l types.Lineage
 	for i := 0; i < len(segments); i += 2 {
@@ -146,6 +152,8 @@
 	return l
 }
 
+// seenUpTo returns the event ID of a caller whose last token is that of attempt a at index
+// i.
 func seenUpTo(id types.GenerationID, a types.AttemptTag, i int) types.EventID {
 	return types.EventID{Generation: id, Attempt: a, Index: i}
 }
--- a/tokenlog/handle.go
+++ b/tokenlog/handle.go
@@ -14,16 +14,16 @@
 type Handle struct {
 	writer      *Writer
 	gen         GenerationInfo
-	name        string
+	name        string // the generation's ID as text
 	started     time.Time
 	minAgeTimer *time.Timer // wakes the links once the generation reaches its minimum age
 
 	mu           sync.Mutex // guards all fields below
 	log          tokenBuffer
 	finish       types.FinishReason
-	forget       bool
-	closed       bool
-	overflow     bool
+	forget       bool            // Forget was called
+	closed       bool            // Close was called
+	overflow     bool            // the writer's memory limit ended journalling
 	excluded     map[string]bool // peers that lacked the memory for this generation
 	cursors      []*cursor
 	lastAssigned time.Time // when assignPeers last ran
@@ -34,8 +34,8 @@
 type cursor struct {
 	handle     *Handle
 	link       *link
-	sent       int // tokens acknowledged
-	registered bool
+	sent       int  // tokens acknowledged
+	registered bool // the peer has acknowledged a record that names the runner
 	finished   bool // finish acknowledged
 	resends    int  // consecutive times that the peer had lost the generation
 	detached   bool // the peer was replaced, or has everything
@@ -113,7 +113,7 @@
 	h.writer.opts.Recorder.Emit(EventWriterFull, "generation", h.name, "max_bytes", h.writer.opts.MaxBytes)
 }
 
-// release frees the buffered tokens.
+// release frees the buffered tokens and stops the timer. Callers must hold h.mu.
 func (h *Handle) release() {
 	if h.minAgeTimer != nil {
 		h.minAgeTimer.Stop()
@@ -135,7 +135,7 @@
 }
 
 // assignPeers assigns the generation to the next available peers in rendezvous order until
-// it has the configured number of copies.
+// it has the configured number of copies. Callers must hold h.mu.
 func (h *Handle) assignPeers() {
 	h.lastAssigned = time.Now()
 	for _, addr := range h.gen.Peers {
@@ -165,7 +165,8 @@
 }
 
 // replace moves the generation from a failed peer to the next one, which is sent all of it
-// from the start. If avoid is set, the failed peer isn't assigned this generation again.
+// from the start. If avoid is set, the failed peer isn't assigned this generation again. A
+// handle that has ended, or that no longer journals, gets no new peer.
 func (h *Handle) replace(c *cursor, avoid bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -228,7 +229,8 @@
 // fillRecord adds tokens and the finish reason. When a resumed attempt is registered
 // without tokens, the record names the index that it continues from, so that a peer which
 // holds the earlier attempt copies the tokens up to there instead of having them sent
-// again.
+// again. If the generation finishes before it is old enough, its tokens are not sent: the
+// record has only the finish reason and, as its index, the length of the answer.
 func (h *Handle) fillRecord(r *streampb.JournalRecord, c *cursor, limit int) {
 	r.First = uint32(c.sent)
 	if h.oldEnough() {
@@ -260,7 +262,7 @@
 		c.resends = 0 // the peer still had the earlier tokens
 	}
 	if h.closed {
-		c.link.signal()
+		c.link.signal() // nextRecord detaches the cursor if nothing is left to send
 	}
 	if r.GetFinish() != "" {
 		c.finished = true
--- a/tokenlog/link.go
+++ b/tokenlog/link.go
@@ -11,7 +11,7 @@
 )
 
 // link sends appends to one peer, one at a time, each with everything that accumulated
-// since the last. It ends when it has no generations left.
+// since the last, up to maxAppendBytes. It ends when it has no generations left.
 type link struct {
 	writer *Writer
 	addr   string
@@ -57,7 +57,7 @@
 // run sends an append when woken, at most one per batch interval. It uses no ticker, so an
 // idle link costs nothing.
 func (l *link) run() {
-	defer l.writer.done.Done()
+	defer l.writer.running.Done()
 	for {
 		select {
 		case <-l.writer.ctx.Done():
@@ -117,9 +117,10 @@
 	}
 }
 
-func (l *link) buildBatch() (*streampb.JournalAppend, []*cursor, bool) {
-	batch := &streampb.JournalAppend{From: l.writer.opts.Self}
-	var cursors []*cursor
+// buildBatch returns the pending records and the cursor of each. more reports that the
+// size limit was reached, so that further records may be pending.
+func (l *link) buildBatch() (batch *streampb.JournalAppend, cursors []*cursor, more bool) {
+	batch = &streampb.JournalAppend{From: l.writer.opts.Self}
 	remaining := maxAppendBytes
 	for _, c := range l.snapshot() {
 		if remaining <= 0 {
@@ -154,8 +155,8 @@
 		tokens += len(r.Tokens)
 	}
 	l.writer.metrics.appends.WithLabelValues(result).Inc()
-	l.writer.metrics.tokens.Add(float64(tokens))
-	l.writer.metrics.wire.Add(float64(proto.Size(batch)))
+	l.writer.metrics.sentTokens.Add(float64(tokens))
+	l.writer.metrics.sentBytes.Add(float64(proto.Size(batch)))
 }
 
 // handleFailure has the first failure retried; after maxFailures it reassigns the peer's
@@ -188,7 +189,7 @@
 	for _, name := range reply.GetMissing() {
 		missing[name] = true
 	}
-	var exhausted []*cursor
+	var exhausted []*cursor // restarted too often with this peer
 	for i, c := range cursors {
 		if !missing[batch.Records[i].GetGeneration()] {
 			c.handle.acknowledge(c, batch.Records[i])
--- a/tokenlog/metrics.go
+++ b/tokenlog/metrics.go
@@ -8,7 +8,7 @@
 )
 
 type storeMetrics struct {
-	bytes     prometheus.Gauge
+	heldBytes prometheus.Gauge
 	entries   [numStates]prometheus.Gauge
 	evictions *prometheus.CounterVec
 	records   [len(verdictNames)]prometheus.Counter
@@ -20,7 +20,7 @@
 	records := prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "pearyard_journal_records_total", Help: "Records received, by what became of them."}, []string{"verdict"})
 	m := &storeMetrics{
-		bytes: prometheus.NewGauge(prometheus.GaugeOpts{
+		heldBytes: prometheus.NewGauge(prometheus.GaugeOpts{
 			Name: "pearyard_journal_held_bytes", Help: "Bytes that the token journal holds for other sidecars."}),
 		evictions: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "pearyard_journal_evictions_total", Help: "Generations dropped for want of room, by state."}, []string{"state"}),
@@ -31,39 +31,39 @@
 	for v, name := range verdictNames {
 		m.records[v] = records.WithLabelValues(name)
 	}
-	register(reg, m.bytes, entries, m.evictions, records)
+	register(reg, m.heldBytes, entries, m.evictions, records)
 	return m
 }
 
 func (s *Store) updateGauges() {
-	s.metrics.bytes.Set(float64(s.bytes))
-	for st, ages := range s.byState {
-		s.metrics.entries[st].Set(float64(ages.Len()))
+	s.metrics.heldBytes.Set(float64(s.bytes))
+	for st, entries := range s.byState {
+		s.metrics.entries[st].Set(float64(entries.Len()))
 	}
 }
 
 type writerMetrics struct {
-	appends  *prometheus.CounterVec
-	tokens   prometheus.Counter
-	wire     prometheus.Counter
-	replaced prometheus.Counter
-	held     prometheus.Gauge
+	appends    *prometheus.CounterVec
+	sentTokens prometheus.Counter
+	sentBytes  prometheus.Counter
+	replaced   prometheus.Counter
+	heldBytes  prometheus.Gauge
 }
 
 func newWriterMetrics(reg prometheus.Registerer) *writerMetrics {
 	m := &writerMetrics{
 		appends: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "pearyard_journal_appends_total", Help: "Batches sent to journal peers, by result."}, []string{"result"}),
-		tokens: prometheus.NewCounter(prometheus.CounterOpts{
+		sentTokens: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "pearyard_journal_sent_tokens_total", Help: "Tokens sent to journal peers, copies and resends counted."}),
-		wire: prometheus.NewCounter(prometheus.CounterOpts{
+		sentBytes: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "pearyard_journal_sent_bytes_total", Help: "Encoded bytes of batches sent, without HTTP."}),
 		replaced: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "pearyard_journal_peers_replaced_total", Help: "Generations moved to another journal peer."}),
-		held: prometheus.NewGauge(prometheus.GaugeOpts{
+		heldBytes: prometheus.NewGauge(prometheus.GaugeOpts{
 			Name: "pearyard_journal_writer_bytes", Help: "Bytes of own generations kept to journal them."}),
 	}
-	register(reg, m.appends, m.tokens, m.wire, m.replaced, m.held)
+	register(reg, m.appends, m.sentTokens, m.sentBytes, m.replaced, m.heldBytes)
 	return m
 }
 
--- a/tokenlog/place.go
+++ b/tokenlog/place.go
@@ -39,8 +39,8 @@
 		order = deprioritizeZone(order, members, exclude)
 	}
 	out := make([]string, 0, n)
-	for _, p := range order[:min(n, len(order))] {
-		out = append(out, p.Address)
+	for _, c := range order[:min(n, len(order))] {
+		out = append(out, c.Address)
 	}
 	return out
 }
@@ -49,13 +49,13 @@
 func deprioritizeZone(order []candidate, members []Site, runner string) []candidate {
 	zone := zoneOf(members, runner)
 	var otherZones, sameZone []candidate
-	for _, p := range order {
+	for _, c := range order {
 		switch {
-		case p.Address == runner:
-		case p.Zone == zone:
-			sameZone = append(sameZone, p)
+		case c.Address == runner:
+		case c.Zone == zone:
+			sameZone = append(sameZone, c)
 		default:
-			otherZones = append(otherZones, p)
+			otherZones = append(otherZones, c)
 		}
 	}
 	return append(otherZones, sameZone...)
@@ -74,20 +74,22 @@
 func topPerZone(key types.Key, members []Site, want int) map[types.Zone][]candidate {
 	zones := make(map[types.Zone][]candidate)
 	for _, m := range members {
-		p := candidate{Site: m, score: score(key, m.Address)}
-		zones[m.Zone] = insertRanked(zones[m.Zone], p, want)
+		c := candidate{Site: m, score: score(key, m.Address)}
+		zones[m.Zone] = insertRanked(zones[m.Zone], c, want)
 	}
 	return zones
 }
 
-func insertRanked(best []candidate, p candidate, limit int) []candidate {
-	if len(best) == limit && !ranksBefore(p, best[limit-1]) {
+// insertRanked inserts c into best, which is in descending order, and keeps at most limit
+// candidates.
+func insertRanked(best []candidate, c candidate, limit int) []candidate {
+	if len(best) == limit && !ranksBefore(c, best[limit-1]) {
 		return best
 	}
-	at := sort.Search(len(best), func(i int) bool { return ranksBefore(p, best[i]) })
+	at := sort.Search(len(best), func(i int) bool { return ranksBefore(c, best[i]) })
 	best = append(best, candidate{})
 	copy(best[at+1:], best[at:])
-	best[at] = p
+	best[at] = c
 	if len(best) > limit {
 		best = best[:limit]
 	}
@@ -117,6 +119,8 @@
 	return out
 }
 
+// ranksBefore orders candidates by descending score. The address decides between equal
+// scores, so that all processes compute the same order.
 func ranksBefore(a, b candidate) bool {
 	if a.score != b.score {
 		return a.score > b.score
--- a/tokenlog/place_test.go
+++ b/tokenlog/place_test.go
@@ -18,6 +18,10 @@
 	return out
 }
 
+// Journal peers must be in as many zones as possible and, while there are others, not in
+// the runner's zone. Routers and sidecars list the members in different orders and must
+// compute the same peers; a router doesn't know the runner, and must find all peers by
+// asking for one more.
 func TestPlaceSpreadsOverZonesAndIgnoresOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
@@ -54,7 +58,7 @@
 func TestOneMemberLessMovesLittle(t *testing.T) {
 	g := NewWithT(t)
 	members := sites(1600, 21)
-	const keys, copies = 4000, 2
+	const keys, copies = 4000, 2 // on average 5 placements per member
 	moved, load := 0, map[string]int{}
 	for k := range types.Key(keys) {
 		before := Place(k*0x9e3779b97f4a7c15, members, copies, "")
--- a/tokenlog/read.go
+++ b/tokenlog/read.go
@@ -19,12 +19,12 @@
 	// ErrDiverged means that no branch held contains the caller's last token; continuing
 	// any of them would mix two attempts in one answer.
 	ErrDiverged = errors.New("journal: no branch continues what the caller has seen")
-	// ErrInconclusive means that not all peers could be asked, so the generation may still be
-	// held by one of them.
+	// ErrInconclusive means that not all peers could be asked, so the generation may still
+	// be held by one of them.
 	ErrInconclusive = errors.New("journal: peers unreachable, absence not proved")
 )
 
-// Branch is one attempt's answer so far.
+// Branch is one attempt's answer as far as the journal holds it.
 type Branch struct {
 	Generation types.GenerationID
 	Lineage    types.Lineage
@@ -156,7 +156,7 @@
 func (s *Store) reserve(in *streampb.LookupRequest) (*streampb.LookupResponse, error) {
 	id, err := types.ParseGenerationID(in.GetReserve())
 	if err != nil || id.Key != types.Key(in.GetKey()) {
-		return nil, fmt.Errorf("journal lookup: cannot note %q for key %016x", in.GetReserve(), in.GetKey())
+		return nil, fmt.Errorf("journal lookup: cannot reserve key %016x for generation %q", in.GetKey(), in.GetReserve())
 	}
 	e := s.getOrCreate(id)
 	s.touch(e)
--- a/tokenlog/reader.go
+++ b/tokenlog/reader.go
@@ -52,8 +52,8 @@
 }
 
 // FindError reports why no branch was found. It unwraps to ErrNotHeld, ErrTooShort,
-// ErrDiverged or ErrInconclusive. Best still names a runner if any peer knew one: a runner that
-// is alive holds more than its journal.
+// ErrDiverged or ErrInconclusive. Best still names a runner if any peer knew one: a runner
+// that is alive holds more than its journal.
 type FindError struct {
 	Reason      error
 	Best        Branch
@@ -71,20 +71,21 @@
 // Unwrap returns the reason.
 func (e *FindError) Unwrap() error { return e.Reason }
 
-// answer is the result of querying one peer.
-type answer struct {
+// reply is the result of querying one peer.
+type reply struct {
 	addr string
 	resp *journalpb.ReadResponse
 	err  error
 }
 
-// Find returns the longest branch held by peers that continues what the caller has seen:
-// want is its last token, with Attempt 0 if it has seen none.
+// Find returns the branch held by peers that continues what the caller has seen: a
+// complete answer if there is one, otherwise the longest. want is the caller's last token,
+// with Attempt 0 if it has seen none. The error is a *FindError.
 func (r *Reader) Find(ctx context.Context, want types.EventID, peers []string) (Branch, error) {
 	s := search{want: want}
 	first, rest := splitPeers(peers, r.opts.FirstWave)
 	for _, wave := range [][]string{first, rest} {
-		r.ask(ctx, wave, &s)
+		r.queryWave(ctx, wave, &s)
 		if s.found {
 			return s.best, nil
 		}
@@ -97,25 +98,25 @@
 	return peers[:n], peers[n:]
 }
 
-// ask queries all peers of a wave in parallel. It returns when all have answered, on
+// queryWave queries all peers of a wave in parallel. It returns when all have replied, on
 // timeout, or when the wait for slower peers after the first hit has run out.
-func (r *Reader) ask(ctx context.Context, wave []string, s *search) {
+func (r *Reader) queryWave(ctx context.Context, wave []string, s *search) {
 	ctx, cancel := context.WithTimeout(ctx, r.opts.Timeout)
 	defer cancel()
-	answers := make(chan answer, len(wave))
+	replies := make(chan reply, len(wave))
 	for _, addr := range wave {
 		go func() {
 			resp, err := r.opts.Client.Read(ctx, addr, s.request())
-			answers <- answer{addr: addr, resp: resp, err: err}
+			replies <- reply{addr: addr, resp: resp, err: err}
 		}()
 	}
 	var stragglerTimeout <-chan time.Time
 	waiting := append([]string(nil), wave...)
 	for len(waiting) > 0 {
 		select {
-		case a := <-answers:
+		case a := <-replies:
 			waiting = without(waiting, a.addr)
-			s.recordAnswer(a)
+			s.recordReply(a)
 		case <-ctx.Done():
 			s.unreachable = append(s.unreachable, waiting...)
 			return
@@ -128,17 +129,18 @@
 	}
 }
 
-func without(list []string, gone string) []string {
+// without removes an address from list in place.
+func without(list []string, removed string) []string {
 	out := list[:0]
 	for _, s := range list {
-		if s != gone {
+		if s != removed {
 			out = append(out, s)
 		}
 	}
 	return out
 }
 
-// search accumulates the answers of all waves.
+// search accumulates the replies of all waves.
 type search struct {
 	want        types.EventID
 	best        Branch // the longest if found, otherwise the most informative miss
@@ -153,7 +155,7 @@
 	}
 }
 
-func (s *search) recordAnswer(a answer) {
+func (s *search) recordReply(a reply) {
 	if a.err != nil {
 		s.unreachable = append(s.unreachable, a.addr)
 		return
@@ -176,8 +178,8 @@
 	}
 }
 
-// accept keeps the longer branch. It verifies the store's answer: a branch that lacks the
-// caller's last token is never used, whichever peer sent it.
+// accept keeps a complete answer or else the longest branch. It verifies the store's
+// reply: a branch that lacks the caller's last token is never used, whichever peer sent it.
 func (s *search) accept(b Branch) {
 	if len(b.Tokens) < tokensSeen(s.want) || (s.want.Attempt != 0 && !b.Lineage.Produced(s.want.Attempt, s.want.Index)) {
 		s.recordMiss(ErrDiverged, Branch{})
@@ -259,21 +261,21 @@
 		i    int
 		resp *streampb.LookupResponse
 	}
-	answers := make(chan indexed, len(peers))
+	replies := make(chan indexed, len(peers))
 	for i, addr := range peers {
 		go func() {
 			resp, err := r.opts.Client.Lookup(ctx, addr, in)
 			if err != nil {
 				resp = nil
 			}
-			answers <- indexed{i: i, resp: resp}
+			replies <- indexed{i: i, resp: resp}
 		}()
 	}
 	out := make([]*streampb.LookupResponse, len(peers))
 	var stragglerTimeout <-chan time.Time
 	for range peers {
 		select {
-		case a := <-answers:
+		case a := <-replies:
 			out[a.i] = a.resp
 			if a.resp != nil && stragglerTimeout == nil {
 				stragglerTimeout = time.After(r.opts.StragglerTimeout)
--- a/tokenlog/store.go
+++ b/tokenlog/store.go
@@ -69,9 +69,9 @@
 	mu      sync.Mutex // guards all fields below; not taken on a token's path to its caller
 	entries map[types.GenerationID]*entry
 	byKey   map[types.Key]types.GenerationID
-	retain  time.Duration
+	retain  time.Duration         // how long finished generations are kept
 	byState [numStates]*list.List // of *entry, least recently changed first
-	bytes   int
+	bytes   int                   // sum of the entries' accountedBytes
 }
 
 // NewStore returns an empty store.
@@ -89,7 +89,8 @@
 	return s
 }
 
-// SetRetention applies a new value of retainMillis.
+// SetRetention changes how long finished generations are kept, as the configuration's
+// retainMillis requires.
 func (s *Store) SetRetention(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/tokenlog/store_test.go
+++ b/tokenlog/store_test.go
@@ -159,22 +159,22 @@
 	g := NewWithT(t)
 	reg := prometheus.NewRegistry()
 	s := NewStore(StoreOptions{MaxEntries: 3, Registerer: reg, Recorder: event.Discard()})
-	run := func(key types.Key, finish string) types.GenerationID {
+	add := func(key types.Key, finish string) types.GenerationID {
 		id := types.NewGenerationID(key)
 		r := record(id, lineage(1, 0), 0, 4)
 		r.Finish = finish
 		send(s, r)
 		return id
 	}
-	first := run(1, "")
-	done := run(2, "stop")
-	run(3, "")
-	run(4, "")
+	first := add(1, "")
+	done := add(2, "stop")
+	add(3, "")
+	add(4, "")
 	_, err := s.Tokens(types.EventID{Generation: done})
 	g.Expect(err).To(MatchError(ErrNotHeld))
 	g.Expect(s.opts.Recorder.Entries("")).To(BeEmpty())
 
-	run(5, "")
+	add(5, "")
 	_, err = s.Tokens(types.EventID{Generation: first})
 	g.Expect(err).To(MatchError(ErrNotHeld), "the least recently updated")
 	events := s.opts.Recorder.Entries("")
--- a/tokenlog/tokenbuffer.go
+++ b/tokenlog/tokenbuffer.go
@@ -16,46 +16,46 @@
 // bytesPerToken is the memory of a token besides its text.
 const bytesPerToken = 8
 
-func (p *tokenBuffer) len() int   { return len(p.ids) }
-func (p *tokenBuffer) bytes() int { return bytesPerToken*len(p.ids) + len(p.text) }
+func (b *tokenBuffer) len() int   { return len(b.ids) }
+func (b *tokenBuffer) bytes() int { return bytesPerToken*len(b.ids) + len(b.text) }
 
-func (p *tokenBuffer) add(id uint32, text string) {
-	p.ids = append(p.ids, id)
-	p.text = append(p.text, text...)
-	p.ends = append(p.ends, uint32(len(p.text)))
+func (b *tokenBuffer) add(id uint32, text string) {
+	b.ids = append(b.ids, id)
+	b.text = append(b.text, text...)
+	b.ends = append(b.ends, uint32(len(b.text)))
 }
 
-func (p *tokenBuffer) at(i int) (id uint32, text []byte) {
+func (b *tokenBuffer) at(i int) (id uint32, text []byte) {
 	start := uint32(0)
 	if i > 0 {
-		start = p.ends[i-1]
+		start = b.ends[i-1]
 	}
-	return p.ids[i], p.text[start:p.ends[i]]
+	return b.ids[i], b.text[start:b.ends[i]]
 }
 
-func (p *tokenBuffer) matches(i int, id uint32, text string) bool {
-	heldID, heldText := p.at(i)
+func (b *tokenBuffer) matches(i int, id uint32, text string) bool {
+	heldID, heldText := b.at(i)
 	return heldID == id && string(heldText) == text
 }
 
 // prefix returns a copy of the first n tokens.
-func (p *tokenBuffer) prefix(n int) tokenBuffer {
+func (b *tokenBuffer) prefix(n int) tokenBuffer {
 	if n == 0 {
 		return tokenBuffer{}
 	}
 	return tokenBuffer{
-		ids:  append([]uint32(nil), p.ids[:n]...),
-		ends: append([]uint32(nil), p.ends[:n]...),
-		text: append([]byte(nil), p.text[:p.ends[n-1]]...),
+		ids:  append([]uint32(nil), b.ids[:n]...),
+		ends: append([]uint32(nil), b.ends[:n]...),
+		text: append([]byte(nil), b.text[:b.ends[n-1]]...),
 	}
 }
 
 // toWire returns the tokens from index from on, limited to limit bytes but at least one
 // token.
-func (p *tokenBuffer) toWire(from, limit int) []*streampb.Token {
+func (b *tokenBuffer) toWire(from, limit int) []*streampb.Token {
 	var out []*streampb.Token
-	for i := from; i < p.len(); i++ {
-		id, text := p.at(i)
+	for i := from; i < b.len(); i++ {
+		id, text := b.at(i)
 		limit -= len(text) + bytesPerToken
 		if limit < 0 && len(out) > 0 {
 			break
@@ -65,10 +65,10 @@
 	return out
 }
 
-func (p *tokenBuffer) tokens() []types.Token {
-	out := make([]types.Token, p.len())
+func (b *tokenBuffer) tokens() []types.Token {
+	out := make([]types.Token, b.len())
 	for i := range out {
-		id, text := p.at(i)
+		id, text := b.at(i)
 		out[i] = types.Token{ID: id, Text: string(text)}
 	}
 	return out
--- a/tokenlog/writer.go
+++ b/tokenlog/writer.go
@@ -92,8 +92,8 @@
 	metrics    *writerMetrics
 	ctx        context.Context
 	cancel     context.CancelFunc
-	done       sync.WaitGroup
-	batchNanos atomic.Int64 // set by SetBatchInterval; 0: the option's value
+	running    sync.WaitGroup // the links' goroutines
+	batchNanos atomic.Int64   // set by SetBatchInterval; 0: the option's value
 
 	mu        sync.Mutex // guards links, downUntil, heldBytes and the cancelling of ctx
 	links     map[string]*link
@@ -111,8 +111,9 @@
 	}
 }
 
-// SetBatchInterval changes how long tokens accumulate before an append, when a new revision of the
-// configuration changes journalBatchMillis.
+// SetBatchInterval changes how long tokens accumulate before an append, also for the
+// generations that already run, as the configuration's journalBatchMillis requires. Zero
+// and negative values are ignored.
 func (w *Writer) SetBatchInterval(d time.Duration) {
 	if d > 0 {
 		w.batchNanos.Store(int64(d))
@@ -131,7 +132,7 @@
 	w.mu.Lock()
 	w.cancel()
 	w.mu.Unlock()
-	w.done.Wait()
+	w.running.Wait()
 }
 
 // GenerationInfo describes an attempt that starts on this sidecar.
@@ -175,12 +176,12 @@
 	return h
 }
 
-// account adds n to the buffered bytes and reports whether they are within the limit.
+// account adds n, which may be negative, to the buffered bytes and reports whether they are within the limit.
 func (w *Writer) account(n int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.heldBytes += n
-	w.metrics.held.Set(float64(w.heldBytes))
+	w.metrics.heldBytes.Set(float64(w.heldBytes))
 	return w.heldBytes <= w.opts.MaxBytes
 }
 
@@ -196,7 +197,7 @@
 	if l == nil {
 		l = &link{writer: w, addr: addr, wake: make(chan struct{}, 1), cursors: make(map[*cursor]struct{})}
 		w.links[addr] = l
-		w.done.Add(1)
+		w.running.Add(1)
 		go l.run()
 	}
 	c.link = l
--- a/tokenlog/writer_test.go
+++ b/tokenlog/writer_test.go
@@ -21,8 +21,8 @@
 	}
 }
 
-func newWriter(t *testing.T, c *cluster, after time.Duration) *Writer {
-	w := NewWriter(WriterOptions{Self: "self", Sender: c, BatchInterval: 100 * time.Millisecond, MinAge: after})
+func newWriter(t *testing.T, c *cluster, minAge time.Duration) *Writer {
+	w := NewWriter(WriterOptions{Self: "self", Sender: c, BatchInterval: 100 * time.Millisecond, MinAge: minAge})
 	t.Cleanup(w.Close)
 	return w
 }
@@ -32,6 +32,7 @@
 	return w.Start(GenerationInfo{ID: id, Lineage: lineage(1, 0), Peers: peers}), id
 }
 
+// heldBy returns the number of tokens of a generation that the store at addr holds.
 func heldBy(c *cluster, addr string, id types.GenerationID) int {
 	b, _ := c.stores[addr].Tokens(types.EventID{Generation: id})
 	return b.Held
@@ -106,7 +107,7 @@
 
 // The reply to an append is lost after the append took effect. The writer sends the same
 // tokens again, and the peer must hold them once.
-func TestLostAnswerToAnAppend(t *testing.T) {
+func TestLostReplyToAppend(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		c := newCluster("a", "b")
@@ -169,7 +170,7 @@
 
 // The writer's memory limit is reached: later tokens aren't journalled, the generation
 // itself continues, and what the peers hold remains a valid prefix.
-func TestWriterBoundStopsJournallingNotTheGeneration(t *testing.T) {
+func TestWriterLimitStopsJournallingNotTheGeneration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		c := newCluster("a", "b")
@@ -213,23 +214,26 @@
 		h, id := start(w, "a", "b")
 		w.SetBatchInterval(time.Second)
 		off := w.Start(GenerationInfo{ID: types.NewGenerationID(2), Lineage: lineage(1, 0), Copies: -1, Peers: []string{"a", "b"}})
-		named := GenerationInfo{ID: types.NewGenerationID(3), Lineage: lineage(1, 0), MinAge: neverJournal, Peers: []string{"a", "b"}}
-		named.Emitted = expectedTokens(named.Lineage, 5)
-		w.Start(named).Close()
+		registeredOnly := GenerationInfo{ID: types.NewGenerationID(3), Lineage: lineage(1, 0), MinAge: neverJournal, Peers: []string{"a", "b"}}
+		registeredOnly.Emitted = expectedTokens(registeredOnly.Lineage, 5)
+		w.Start(registeredOnly).Close()
 		appendTokens(off, 0, 50)
-		before := c.count()
+		before := c.appendCount()
 		appendTokens(h, 0, 50)
 		time.Sleep(2 * time.Second)
 		g.Expect(heldBy(c, "b", id)).To(Equal(50))
-		g.Expect(c.count()-before).To(BeNumerically("<=", 8), "two peers, one append per second")
+		g.Expect(c.appendCount()-before).To(BeNumerically("<=", 8), "two peers, one append per second")
 		g.Expect(c.stores["a"].Dump().Entries).To(Equal(2))
-		g.Expect(heldBy(c, "a", named.ID)).To(BeZero(), "only its runner is registered")
+		g.Expect(heldBy(c, "a", registeredOnly.ID)).To(BeZero(), "only its runner is registered")
 		h.Forget()
 		off.Forget()
 		g.Expect(w.opts.Recorder.Entries("")).To(BeEmpty())
 	})
 }
 
+// A caller reconnects, and the journal peers hold nothing, too few tokens or another
+// attempt's tokens, or can't all be asked. Find must report which of these it is: while a
+// peer is unreachable, it must not report that the generation isn't held.
 func TestFindReportsWhatIsProved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
