--- a/sidecar/attempt.go
+++ b/sidecar/attempt.go
@@ -16,6 +16,8 @@
 )
 
 const (
+	// refusedRetryAfter is when a router may try again here after a refusal whose reason
+	// is expected to pass: the engine doesn't respond, or another suspect runs.
 	refusedRetryAfter = 500 * time.Millisecond
 	// maxEnginePriority and minEnginePriority limit the priority that a configuration can
 	// request from an engine.
@@ -52,6 +54,7 @@
 	return s.admit(id, lineage, req)
 }
 
+// checkAdmission returns the reason to refuse a new attempt, or nil if there is none.
 func (s *Sidecar) checkAdmission(req *streampb.GenerateRequest) *refusal {
 	if s.opts.Engine == nil {
 		return &refusal{code: types.CodeUnknownModel, message: "no engine here"}
@@ -68,11 +71,12 @@
 	return s.checkSuspect(types.Fingerprint(req.GetFingerprint()), req.GetSuspect())
 }
 
-// checkSuspect keeps two suspects of the same crash from running together. Otherwise both
-// would be running at the next engine death, and the innocent one would be suspected again
-// and quarantined along with the guilty one.
-func (s *Sidecar) checkSuspect(fp types.Fingerprint, toldSuspect bool) *refusal {
-	isSuspect := toldSuspect
+// checkSuspect refuses a quarantined request, and keeps two suspects of the same crash from
+// running together. Otherwise both would be running at the next engine death, and the
+// innocent one would be suspected again and quarantined along with the guilty one. A
+// request is a suspect if its router reports that, or if the evidence known here suffices.
+func (s *Sidecar) checkSuspect(fp types.Fingerprint, reportedSuspect bool) *refusal {
+	isSuspect := reportedSuspect
 	if s.opts.Suspects != nil {
 		verdict := s.opts.Suspects.Verdict(fp)
 		if verdict.State == suspect.Quarantined {
@@ -147,6 +151,7 @@
 	s.finish(r, handle, result, err, len(emitted) > 0)
 }
 
+// finish records how an attempt ended in its log and its journal.
 func (s *Sidecar) finish(r *run, handle journalHandle, result engine.Result, err error, resumed bool) {
 	s.countPrefill(result, resumed)
 	switch {
@@ -168,7 +173,7 @@
 func (s *Sidecar) countPrefill(result engine.Result, resumed bool) {
 	s.metrics.prefilled.Add(float64(result.PrefilledTokens))
 	if resumed {
-		s.metrics.reprefill.Add(float64(result.PrefilledTokens))
+		s.metrics.prefilledForResume.Add(float64(result.PrefilledTokens))
 	}
 }
 
--- a/sidecar/drain.go
+++ b/sidecar/drain.go
@@ -10,8 +10,8 @@
 )
 
 // BeginDrain stops accepting new work. Running work is finished; generations that still
-// run after the drain time are asked to move to another backend server. It may be called
-// repeatedly.
+// run after RecoverySettings.MoveAfter are asked to move to another backend server. Only
+// the first call has an effect.
 func (s *Sidecar) BeginDrain(reason string) {
 	if !s.admission.drain() {
 		return
--- a/sidecar/metrics.go
+++ b/sidecar/metrics.go
@@ -8,12 +8,12 @@
 // metrics are the sidecar's Prometheus metrics. They include the extra work at the engine
 // that resuming causes.
 type metrics struct {
-	generated  prometheus.Counter
-	prefilled  prometheus.Counter
-	reprefill  prometheus.Counter
-	orphaned   prometheus.Counter
-	refused    *prometheus.CounterVec
-	engineDied prometheus.Counter
+	generated          prometheus.Counter
+	prefilled          prometheus.Counter
+	prefilledForResume prometheus.Counter
+	orphaned           prometheus.Counter
+	refused            *prometheus.CounterVec
+	engineDeaths       prometheus.Counter
 }
 
 func newMetrics(reg prometheus.Registerer) *metrics {
@@ -22,11 +22,11 @@
 		return f.NewCounter(prometheus.CounterOpts{Namespace: "pearyard", Subsystem: "sidecar", Name: name, Help: help})
 	}
 	return &metrics{
-		generated:  counter("tokens_generated_total", "Tokens taken from the engine."),
-		prefilled:  counter("tokens_prefilled_total", "Prompt and emitted tokens that the engine prefilled uncached."),
-		reprefill:  counter("tokens_prefilled_for_resume_total", "The part of the prefilled tokens that a resume caused."),
-		orphaned:   counter("generations_orphaned_total", "Generations stopped since no router read them."),
-		engineDied: counter("engine_deaths_total", "Deaths of the engine seen."),
+		generated:          counter("tokens_generated_total", "Tokens taken from the engine."),
+		prefilled:          counter("tokens_prefilled_total", "Prompt and emitted tokens that the engine prefilled uncached."),
+		prefilledForResume: counter("tokens_prefilled_for_resume_total", "The part of the prefilled tokens that a resume caused."),
+		orphaned:           counter("generations_orphaned_total", "Generations stopped since no router read them."),
+		engineDeaths:       counter("engine_deaths_total", "Deaths of the engine seen."),
 		refused: f.NewCounterVec(prometheus.CounterOpts{Namespace: "pearyard", Subsystem: "sidecar",
 			Name: "refused_total", Help: "Attempts refused before anything of them ran."}, []string{"code"}),
 	}
--- a/sidecar/monitor.go
+++ b/sidecar/monitor.go
@@ -11,9 +11,12 @@
 )
 
 const (
-	probeInterval    = 150 * time.Millisecond
-	probeTimeout     = 400 * time.Millisecond
+	probeInterval = 150 * time.Millisecond
+	probeTimeout  = 400 * time.Millisecond
+	// maxProbeFailures is the number of consecutive failed probes after which the backend
+	// server counts as dead.
 	maxProbeFailures = 2
+	// loadReportMaxAge is the age from which on a load report isn't passed on.
 	loadReportMaxAge = 5 * time.Second
 	// stallTimeout is how long a generation that has begun to answer may produce no token,
 	// although its engine responds to probes, before that is reported. A generation
@@ -21,32 +24,32 @@
 	stallTimeout = 3 * time.Second
 )
 
-// healthMonitor tracks whether the backend server responds. A frozen engine keeps its
+// healthMonitor tracks whether the backend server is alive. A frozen engine keeps its
 // connections open and sends nothing, so only a probe with a timeout detects it.
 type healthMonitor struct {
-	process    types.ProcessID
+	process    types.ProcessID // sidecar and incarnation, part of the ID of a death
 	probe      func(context.Context) error
 	readLoad   func(context.Context) (types.Load, error)
 	onDeath    func(death)
 	onRecovery func()
-	onCheck    func()
+	onCheck    func() // called after each probe
 
-	load atomic.Pointer[types.Load]
+	load atomic.Pointer[types.Load] // the newest report; nil: none yet
 
 	mu       sync.Mutex // guards all fields below
 	down     bool
-	deaths   int
-	failures int
-	running  int
+	deaths   int // number of deaths so far
+	failures int // consecutive failed probes
+	running  int // number of requests that ran at the last death; 0 if a probe found it
 }
 
-func (w *healthMonitor) run(ctx context.Context) error {
+func (m *healthMonitor) run(ctx context.Context) error {
 	ticker := time.NewTicker(probeInterval)
 	defer ticker.Stop()
 	for {
-		w.check(ctx)
-		if w.onCheck != nil {
-			w.onCheck()
+		m.check(ctx)
+		if m.onCheck != nil {
+			m.onCheck()
 		}
 		select {
 		case <-ctx.Done():
@@ -56,70 +59,71 @@
 	}
 }
 
-func (w *healthMonitor) check(ctx context.Context) {
+func (m *healthMonitor) check(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	if err := w.probe(ctx); err != nil {
-		w.recordFailure()
+	if err := m.probe(ctx); err != nil {
+		m.recordFailure()
 		return
 	}
-	w.recordSuccess()
-	if load, err := w.readLoad(ctx); err == nil {
+	m.recordSuccess()
+	if load, err := m.readLoad(ctx); err == nil {
 		load.At = time.Now()
-		w.load.Store(&load)
+		m.load.Store(&load)
 	}
 }
 
-func (w *healthMonitor) recordFailure() {
-	w.mu.Lock()
-	w.failures++
-	dead := w.failures >= maxProbeFailures && !w.down
-	w.mu.Unlock()
+func (m *healthMonitor) recordFailure() {
+	m.mu.Lock()
+	m.failures++
+	dead := m.failures >= maxProbeFailures && !m.down
+	m.mu.Unlock()
 	if dead {
-		w.markDied(0)
+		m.markDied(0)
 	}
 }
 
-func (w *healthMonitor) recordSuccess() {
-	w.mu.Lock()
-	back := w.down
-	w.down = false
-	w.failures = 0
-	w.mu.Unlock()
-	if back && w.onRecovery != nil {
-		w.onRecovery()
+func (m *healthMonitor) recordSuccess() {
+	m.mu.Lock()
+	back := m.down
+	m.down = false
+	m.failures = 0
+	m.mu.Unlock()
+	if back && m.onRecovery != nil {
+		m.onRecovery()
 	}
 }
 
 // markDied records that the engine is gone. All runs that it ended share one death, so
 // that the same loss reported by several broken streams isn't counted several times.
-// running is the number of requests that ran there; the first reporter's count is kept.
-func (w *healthMonitor) markDied(running int) death {
-	w.mu.Lock()
-	first := !w.down
+// running is the number of requests that ran there, 0 if the caller doesn't know it; the
+// first reporter's count is kept.
+func (m *healthMonitor) markDied(running int) death {
+	m.mu.Lock()
+	first := !m.down
 	if first {
-		w.down = true
-		w.deaths++
-		w.running = running
+		m.down = true
+		m.deaths++
+		m.running = running
 	}
-	d := death{id: fmt.Sprintf("%s/%d", w.process, w.deaths), running: w.running}
-	w.mu.Unlock()
-	if first && w.onDeath != nil {
-		w.onDeath(d)
+	d := death{id: fmt.Sprintf("%s/%d", m.process, m.deaths), running: m.running}
+	m.mu.Unlock()
+	if first && m.onDeath != nil {
+		m.onDeath(d)
 	}
 	return d
 }
 
-func (w *healthMonitor) isDown() bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.down
+func (m *healthMonitor) isDown() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.down
 }
 
 // lastLoad returns the newest load report and its age. It returns false if there is none
 // that is recent enough to be useful.
-func (w *healthMonitor) lastLoad() (types.Load, time.Duration, bool) {
-	load := w.load.Load()
+func (m *healthMonitor) lastLoad() (types.Load, time.Duration, bool) {
+	load := m.load.Load()
 	if load == nil {
 		return types.Load{}, 0, false
 	}
--- a/sidecar/runs.go
+++ b/sidecar/runs.go
@@ -22,16 +22,16 @@
 	log         *generation.Log
 	request     types.RequestID
 	fingerprint types.Fingerprint
-	suspect     bool
-	emitted     int // tokens that the attempt continues from
+	suspect     bool // as reported by the router
+	emitted     int  // number of tokens that the attempt continues from
 	started     time.Time
 	cancel      context.CancelFunc
-	death       death // set before the log is marked lost
-	prefilled   int   // set before the log is finished
 
 	mu        sync.Mutex           // guards all fields below
+	death     death                // set before the log is marked lost
+	prefilled int                  // set before the log is finished
 	stalledAt int                  // token count at the last reported stall
-	grace     *time.Timer          // runs while nobody reads
+	grace     *time.Timer          // runs while no router reads
 	readers   map[*reader]struct{} // connections that currently read the log
 }
 
@@ -44,7 +44,7 @@
 func (r *run) removeReadersOf(router types.ProcessID) (wanted bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	maps.DeleteFunc(r.readers, func(held *reader, _ struct{}) bool { return held.router == router })
+	maps.DeleteFunc(r.readers, func(rd *reader, _ struct{}) bool { return rd.router == router })
 	return len(r.readers) > 0
 }
 
@@ -105,7 +105,7 @@
 // death identifies one death of the engine, shared by all runs that it ended.
 type death struct {
 	id      string
-	running int
+	running int // number of requests that ran on the engine; 0: unknown
 }
 
 // runs holds the attempts that run here and, during the retention time, those that have
@@ -113,57 +113,57 @@
 type runs struct {
 	mu     sync.Mutex
 	byID   map[types.GenerationID]map[types.AttemptTag]*run
-	active int
+	active int // attempts that use the engine
 }
 
 func newRuns() *runs { return &runs{byID: map[types.GenerationID]map[types.AttemptTag]*run{}} }
 
 // add stores r unless its attempt is already present. It returns the stored run.
-func (s *runs) add(r *run) (stored *run, added bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	attempts := s.byID[r.log.ID()]
+func (rs *runs) add(r *run) (stored *run, added bool) {
+	rs.mu.Lock()
+	defer rs.mu.Unlock()
+	attempts := rs.byID[r.log.ID()]
 	if attempts == nil {
 		attempts = map[types.AttemptTag]*run{}
-		s.byID[r.log.ID()] = attempts
+		rs.byID[r.log.ID()] = attempts
 	}
 	tag := r.log.Lineage().Last()
 	if old := attempts[tag]; old != nil {
 		return old, false
 	}
 	attempts[tag] = r
-	s.active++
+	rs.active++
 	return r, true
 }
 
 // recordEnd records that an attempt no longer uses the engine.
-func (s *runs) recordEnd() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.active--
+func (rs *runs) recordEnd() {
+	rs.mu.Lock()
+	defer rs.mu.Unlock()
+	rs.active--
 }
 
-func (s *runs) activeCount() int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.active
+func (rs *runs) activeCount() int {
+	rs.mu.Lock()
+	defer rs.mu.Unlock()
+	return rs.active
 }
 
-func (s *runs) get(key runKey) *run {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.byID[key.generation][key.attempt]
+func (rs *runs) get(key runKey) *run {
+	rs.mu.Lock()
+	defer rs.mu.Unlock()
+	return rs.byID[key.generation][key.attempt]
 }
 
 // bestAttempt returns the attempt that a reader should follow: one that includes the last
 // token that the reader has seen (produced by attempt seen at index from-1; seen is 0 if
 // it has seen none). Running and finished attempts are preferred to lost and cancelled
 // ones, then the longest.
-func (s *runs) bestAttempt(id types.GenerationID, seen types.AttemptTag, from int) *run {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (rs *runs) bestAttempt(id types.GenerationID, seen types.AttemptTag, from int) *run {
+	rs.mu.Lock()
+	defer rs.mu.Unlock()
 	var found *run
-	for _, r := range s.byID[id] {
+	for _, r := range rs.byID[id] {
 		if seen != 0 && from > 0 && !r.log.Lineage().Produced(seen, from-1) {
 			continue
 		}
@@ -174,6 +174,7 @@
 	return found
 }
 
+// preferredOver reports whether a reader should follow a rather than b.
 func preferredOver(a, b generation.State) bool {
 	usable := func(s generation.State) bool { return s.Phase == generation.Running || s.Phase == generation.Finished }
 	if usable(a) != usable(b) {
@@ -182,21 +183,21 @@
 	return a.Count > b.Count
 }
 
-func (s *runs) remove(key runKey) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	attempts := s.byID[key.generation]
+func (rs *runs) remove(key runKey) {
+	rs.mu.Lock()
+	defer rs.mu.Unlock()
+	attempts := rs.byID[key.generation]
 	delete(attempts, key.attempt)
 	if len(attempts) == 0 {
-		delete(s.byID, key.generation)
+		delete(rs.byID, key.generation)
 	}
 }
 
-func (s *runs) all() []*run {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (rs *runs) all() []*run {
+	rs.mu.Lock()
+	defer rs.mu.Unlock()
 	var out []*run
-	for _, attempts := range s.byID {
+	for _, attempts := range rs.byID {
 		for _, r := range attempts {
 			out = append(out, r)
 		}
--- a/sidecar/service.go
+++ b/sidecar/service.go
@@ -69,9 +69,9 @@
 	if r.removeReadersOf(router) {
 		return &streampb.CancelResponse{}
 	}
-	was := r.log.Cancel()
+	wasRunning := r.log.Cancel()
 	r.cancel()
-	return &streampb.CancelResponse{WasRunning: was}
+	return &streampb.CancelResponse{WasRunning: wasRunning}
 }
 
 // Append stores tokens of generations that run elsewhere.
@@ -147,6 +147,7 @@
 	}
 }
 
+// notRun returns the response to a call that did not run here.
 func notRun(code types.Code, message string) *streampb.CallResponse {
 	return &streampb.CallResponse{Outcome: streampb.CallOutcome_CALL_NOT_RUN, Code: string(code), Message: message}
 }
--- a/sidecar/set_aside_test.go
+++ b/sidecar/set_aside_test.go
@@ -36,8 +36,9 @@
 // A healthy engine preempts a generation for four seconds because it has run out of
 // memory, and responds to probes all the while. The generation was given up after three
 // seconds, before anyone had checked whether another engine could continue it: the sidecar
-// treated the pause as a death. PY3010 was logged at the third second, followed by the
-// router's PY2100, which named the same backend server again.
+// treated the pause as a death. PY3010 (generation_stalled) was logged at the third second,
+// followed by the router's PY2100 (attempt_placed), which named the same backend server
+// again.
 func TestGenerationThatIsSetAsideIsNotGivenUpForNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -21,8 +21,8 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// RecoverySettings holds the recovery settings that a sidecar uses. They are read again for each
-// generation, so a new revision takes effect at once.
+// RecoverySettings holds the recovery settings that a sidecar uses. They are read again
+// whenever one is needed, so a new revision takes effect at once.
 type RecoverySettings struct {
 	RouterGrace time.Duration // how long a generation continues without a reader
 	Retention   time.Duration // how long an ended generation can still be read
@@ -141,8 +141,9 @@
 // for a request.
 var errStalled = errors.New("sidecar: generation stands still")
 
-// checkStalled reports generations that have stalled, and gives up those that nobody waits
-// for.
+// checkStalled reports generations that have stalled, and gives up those that no router
+// reads or may come back to read. A generation without a new token yet is not checked: it
+// may be queued or in prefill.
 //
 // It guards against an engine whose own loop is stuck, or whose connection is cut in one
 // direction, and which still responds to probes: its generations would occupy it forever.
@@ -167,6 +168,8 @@
 	}
 }
 
+// markLost marks a run as lost to a death of the engine and records the death against the
+// run's request. It returns false if the run had already ended.
 func (s *Sidecar) markLost(r *run, d death) bool {
 	if r.log.Snapshot(0).Phase != generation.Running {
 		return false
--- a/sidecar/sidecar_test.go
+++ b/sidecar/sidecar_test.go
@@ -104,17 +104,14 @@
 	r, refused := s.start(request(id, 5))
 	g.Expect(refused).To(BeNil())
 	defer r.cancel()
-	stays := r.addReader("router-1")
+	first := r.addReader("router-1")
 	r.addReader("router-2")
-	cancelBy := func(router types.ProcessID) bool {
-		resp := s.cancel(r, router)
-		return resp.GetWasRunning()
-	}
+	cancelBy := func(router types.ProcessID) bool { return s.cancel(r, router).GetWasRunning() }
 	g.Expect(cancelBy("router-1")).To(BeFalse())
 	g.Expect(r.log.Snapshot(0).Phase).To(Equal(generation.Running))
 	g.Expect(cancelBy("router-2")).To(BeTrue())
 	// Noticing the ended connection later must change nothing.
-	r.removeReader(stays, time.Hour, func() {})
+	r.removeReader(first, time.Hour, func() {})
 	g.Expect(r.hasNoReader()).To(BeTrue())
 }
 
@@ -136,9 +133,9 @@
 	g.Expect(r.hasNoReader()).To(BeFalse())
 }
 
-// An engine responds to probes while its loop is stuck, so a caller's stream stops after
-// one token and never ends. The sidecar must give the attempt up, so that the router can
-// resume it elsewhere.
+// An engine responds to probes while its loop is stuck, so a generation stops after one
+// token and never ends. No router reads it any more: the sidecar must give it up, or it
+// would occupy the engine forever.
 func TestStalledGenerationIsGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
--- a/sidecar/stream.go
+++ b/sidecar/stream.go
@@ -54,8 +54,8 @@
 // follow writes a run's frames, starting at token index from, until the run ends or the
 // reader disconnects.
 func (s *Sidecar) follow(ctx context.Context, out *frameWriter, r *run, from int) {
-	self := r.addReader(peer.Sender(ctx).ID)
-	defer r.removeReader(self, s.opts.Recovery().RouterGrace, func() { s.cancelOrphan(r) })
+	added := r.addReader(peer.Sender(ctx).ID)
+	defer r.removeReader(added, s.opts.Recovery().RouterGrace, func() { s.cancelOrphan(r) })
 	accepted := &streampb.Accepted{Lineage: streampb.FromLineage(r.log.Lineage()), Incarnation: uint64(s.opts.Peer.Self().Incarnation)}
 	if out.write(&streampb.Frame{Body: &streampb.Frame_Accepted{Accepted: accepted}, Load: s.loadFrame()}) != nil {
 		return
@@ -102,6 +102,7 @@
 	}}})
 }
 
+// lastFrame returns the frame that ends the stream of a run that is no longer running.
 func (s *Sidecar) lastFrame(r *run, state generation.State) *streampb.Frame {
 	frame := &streampb.Frame{Load: s.loadFrame()}
 	if state.Phase == generation.Finished {
@@ -127,6 +128,7 @@
 	return &streampb.Frame{Body: &streampb.Frame_Heartbeat{Heartbeat: beat}, Load: s.loadFrame()}
 }
 
+// loadFrame returns the newest load report, or nil if there is none that is recent enough.
 func (s *Sidecar) loadFrame() *streampb.Load {
 	load, age, ok := s.monitor.lastLoad()
 	if !ok {
