--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -22,13 +22,13 @@
 
 // Exit codes of the daemons.
 const (
-	ExitFailed   = 1
-	ExitFindings = 3
+	ExitFailed   = 1 // the daemon could not start, or ended with an error
+	ExitFindings = 3 // the settings have errors
 )
 
 const (
-	flagSettings = "settings"
-	flagPrint    = "print-settings"
+	flagSettings      = "settings"
+	flagPrintSettings = "print-settings"
 	// staleCheckDisabled is the value of node.Common.StaleAfter that disables the check.
 	staleCheckDisabled = -1
 )
@@ -49,11 +49,11 @@
 	code := 0
 	flags := append(settings.Flags(spec.Defaults),
 		&cli.StringFlag{Name: flagSettings, Usage: "JSON file with settings", EnvVars: []string{settings.EnvPrefix + "SETTINGS"}},
-		&cli.BoolFlag{Name: flagPrint, Usage: "print the settings in force, secrets masked, and exit"})
+		&cli.BoolFlag{Name: flagPrintSettings, Usage: "print the settings in force, secrets masked, and exit"})
 	app := &cli.App{Name: spec.Name, Usage: spec.Usage, Flags: flags, Writer: stdout, ErrWriter: stderr, Action: func(c *cli.Context) error {
 		sources := settings.Sources{File: c.String(flagSettings), Env: os.LookupEnv, Flags: c}
 		loaded, found, serve := spec.Start(sources)
-		if c.Bool(flagPrint) {
+		if c.Bool(flagPrintSettings) {
 			_, _ = stdout.Write(settings.Print(loaded))
 		}
 		if len(found) > 0 {
@@ -63,7 +63,7 @@
 			code = ExitFindings
 			return nil
 		}
-		if c.Bool(flagPrint) {
+		if c.Bool(flagPrintSettings) {
 			return nil
 		}
 		return runUntilSignal(func(ctx context.Context) error { return serve(ctx, newLogger(stderr, spec.Level(loaded))) })
@@ -80,16 +80,16 @@
 func runUntilSignal(serve func(context.Context) error) error {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	served := make(chan error, 1)
-	go func() { served <- serve(ctx) }()
+	ended := make(chan error, 1)
+	go func() { ended <- serve(ctx) }()
 	for first := true; ; first = false {
-		var group run.Group
+		var group run.Group // the handler ends with its first signal, so each signal takes a group
 		group.Add(run.SignalHandler(context.Background(), os.Interrupt, syscall.SIGTERM))
 		done := make(chan struct{})
 		var err error
 		group.Add(func() error {
 			select {
-			case err = <-served:
+			case err = <-ended:
 				return nil
 			case <-done:
 				return nil
@@ -105,9 +105,11 @@
 	}
 }
 
-func newLogger(w io.Writer, name string) log.Logger {
+// newLogger returns a logger for entries of the named level and above, or of level info and
+// above if there is no such level.
+func newLogger(w io.Writer, levelName string) log.Logger {
 	logger := log.NewLogfmtLogger(log.NewSyncWriter(w))
-	return level.NewFilter(logger, level.Allow(level.ParseDefault(name, level.InfoValue())))
+	return level.NewFilter(logger, level.Allow(level.ParseDefault(levelName, level.InfoValue())))
 }
 
 // Listen opens a TCP listener on an ip:port; port 0 selects a free one.
@@ -116,7 +118,8 @@
 	return listener, errors.Wrapf(err, "listen on %s", address)
 }
 
-// Common builds the options that routers and sidecars share.
+// Common builds the options that routers and sidecars share, and opens the listener for
+// other processes.
 func Common(s settings.Common, logger log.Logger) (node.Common, error) {
 	peers, err := Listen(s.PeerListen)
 	if err != nil {
--- a/daemon/router.go
+++ b/daemon/router.go
@@ -37,21 +37,21 @@
 	if err != nil {
 		return err
 	}
-	var operators net.Listener
+	var adminListener net.Listener
 	if s.AdminListen != "" {
-		if operators, err = Listen(s.AdminListen); err != nil {
+		if adminListener, err = Listen(s.AdminListen); err != nil {
 			return err
 		}
 	}
 	router, err := node.NewRouter(node.RouterOptions{
-		Common: common, Callers: callers, Admin: operators, AdminToken: s.AdminToken, Policy: s.Policy,
+		Common: common, Callers: callers, Admin: adminListener, AdminToken: s.AdminToken, Policy: s.Policy,
 	})
 	if err != nil {
 		return err
 	}
 	fmt.Fprintf(stdout, "listening callers=%s peers=%s", callers.Addr(), common.Peers.Addr())
-	if operators != nil {
-		fmt.Fprintf(stdout, " admin=%s", operators.Addr())
+	if adminListener != nil {
+		fmt.Fprintf(stdout, " admin=%s", adminListener.Addr())
 	}
 	fmt.Fprintln(stdout)
 	return router.Run(ctx)
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -21,7 +21,7 @@
 	dialTimeout         = 700 * time.Millisecond
 	idleConnTimeout     = 90 * time.Second
 	maxIdleConnsPerPeer = 64
-	stampFields         = 4
+	stampFields         = 4 // number of fields of a stamp in its wire form
 )
 
 // ErrMalformedStamp is returned for a stamp that ParseStamp can't parse.
@@ -38,9 +38,9 @@
 type Stamp struct {
 	Identity
 	Revision types.Revision
-	// AsOf is the time at which the call was begun, by this process's clock; the stamp on
-	// its response was written no earlier. It is zero for the stamp of a request, which
-	// may have waited here for any length of time.
+	// AsOf is set for the stamp of a response: the time at which this process began the
+	// call, by its own clock. The stamp was written no earlier. It is zero for the stamp of
+	// a request, which may have waited here for any length of time.
 	AsOf time.Time
 }
 
@@ -67,8 +67,8 @@
 	return Stamp{Identity: identity, Revision: types.Revision(revision)}, nil
 }
 
-// Options configures a Peer. Revision and OnStamp are called for every message, so they must
-// not block.
+// Options configures a Peer. Revision and OnStamp are called for every message, so they
+// must not block.
 type Options struct {
 	Self     Identity
 	Revision func() types.Revision // returns the configuration revision in force here
@@ -97,7 +97,7 @@
 }
 
 // SetOnStamp replaces the function that receives the stamps of other processes.
-func (p *Peer) SetOnStamp(seen func(Stamp)) { p.onStamp.Store(&seen) }
+func (p *Peer) SetOnStamp(onStamp func(Stamp)) { p.onStamp.Store(&onStamp) }
 
 // Self returns the identity that this process stamps its messages with.
 func (p *Peer) Self() Identity { return p.opts.Self }
@@ -135,9 +135,11 @@
 	return Stamp{Identity: p.opts.Self, Revision: p.opts.Revision()}.String()
 }
 
+// readStamp passes the stamp in a message's headers, if there is a valid one, to the OnStamp
+// function.
 func (p *Peer) readStamp(h http.Header, asOf time.Time) {
-	seen := p.onStamp.Load()
-	if seen == nil {
+	onStamp := p.onStamp.Load()
+	if onStamp == nil {
 		return
 	}
 	stamp, err := ParseStamp(h.Get(HeaderStamp))
@@ -145,7 +147,7 @@
 		return
 	}
 	stamp.AsOf = asOf
-	(*seen)(stamp)
+	(*onStamp)(stamp)
 }
 
 type roundTripper struct{ p *Peer }
@@ -155,11 +157,11 @@
 	r = r.Clone(r.Context())
 	r.Header.Set(HeaderStamp, t.p.stamp())
 	allowReplay(r)
-	begun := time.Now()
+	started := time.Now()
 	resp, err := t.p.transport.RoundTrip(r)
 	if err != nil {
 		return nil, err
 	}
-	t.p.readStamp(resp.Header, begun)
+	t.p.readStamp(resp.Header, started)
 	return resp, nil
 }
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -13,10 +13,10 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-func newPeer(id types.ProcessID, revision types.Revision, seen func(peer.Stamp)) *peer.Peer {
+func newPeer(id types.ProcessID, revision types.Revision, onStamp func(peer.Stamp)) *peer.Peer {
 	return peer.New(peer.Options{
 		Self:     peer.Identity{ID: id, Incarnation: 7, Address: "127.0.0.1:1"},
-		Revision: func() types.Revision { return revision }, OnStamp: seen,
+		Revision: func() types.Revision { return revision }, OnStamp: onStamp,
 	})
 }
 
--- a/peer/repeatable_test.go
+++ b/peer/repeatable_test.go
@@ -22,8 +22,8 @@
 		mark  func(context.Context) context.Context
 		calls int32
 	}{
-		"question": {peer.Repeatable, 3},
-		"command":  {func(ctx context.Context) context.Context { return ctx }, 2},
+		"query":   {peer.Repeatable, 3},
+		"command": {func(ctx context.Context) context.Context { return ctx }, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
--- a/peer/sent.go
+++ b/peer/sent.go
@@ -15,7 +15,7 @@
 
 // errConnectionClosed means that a reused connection was found closed before a call was
 // sent on it.
-var errConnectionClosed = errors.New("peer: the kept connection had ended before the call")
+var errConnectionClosed = errors.New("peer: the reused connection was closed before the call was sent")
 
 // SentGuard records whether any byte of a call may have been sent. It prevents a call from
 // being reported as not run, or sent again, after a failure at which the other process may
--- a/peer/sent_test.go
+++ b/peer/sent_test.go
@@ -30,7 +30,7 @@
 // the next request before its transport has noticed. The caller was told that the outcome
 // is unknown although nobody can have run the request. It must be told that it was not
 // run, and nothing more may be written for that request.
-func TestCallOnConnectionEndedBeforeHasNotLeft(t *testing.T) {
+func TestCallOnClosedConnectionIsNotSent(t *testing.T) {
 	for name, end := range map[string]func(net.Conn){
 		"closed": func(c net.Conn) { _ = c.Close() },
 		"reset":  func(c net.Conn) { _ = c.(*net.TCPConn).SetLinger(0); _ = c.Close() },
@@ -54,7 +54,7 @@
 
 // With a connection that is alive, or that ends after the call's first byte, the other
 // process may have received the call.
-func TestCallOnLivingConnectionMayHaveLeft(t *testing.T) {
+func TestCallOnOpenConnectionMayHaveBeenSent(t *testing.T) {
 	g := NewWithT(t)
 	client, server := connect(t)
 	var guard SentGuard
@@ -68,7 +68,7 @@
 
 // Checking a connection must not wait for a pending read: the transport always has one on
 // an idle connection.
-func TestCallGoesOutBesidePendingRead(t *testing.T) {
+func TestCallIsSentDespitePendingRead(t *testing.T) {
 	g := NewWithT(t)
 	client, server := connect(t)
 	go func() { _, _ = client.Read(make([]byte, 1)) }()
