--- a/node/admin.go
+++ b/node/admin.go
@@ -29,7 +29,7 @@
 	}
 	server, err := admin.New(admin.Options{
 		Token: r.opts.AdminToken, Process: r.opts.ID, Store: configStore{r},
-		InForce: r.inForce, Members: r.adminMembers, Quarantines: r.quarantines,
+		InForce: r.configInForce, Members: r.adminMembers, Quarantines: r.quarantines,
 		Backends: r.backends, Stopper: stopper{r}, Recorder: r.recorder, Registerer: r.registry, HTTP: r.peer.Client(),
 	})
 	r.admin = server
@@ -40,25 +40,27 @@
 type configStore struct{ r *Router }
 
 // Accept commits a configuration, applies it here and pushes it to all members.
-func (t configStore) Accept(ctx context.Context, change admin.Change) (types.Revision, findings.List, error) {
-	rev, found, err := t.r.store.Accept(ctx, change.Base, change.Raw, change.Who, change.Note)
+func (c configStore) Accept(ctx context.Context, change admin.Change) (types.Revision, findings.List, error) {
+	rev, found, err := c.r.store.Accept(ctx, change.Base, change.Raw, change.Who, change.Note)
 	if err != nil {
-		return 0, found, t.translateError(ctx, err)
+		return 0, found, c.translateError(ctx, err)
 	}
 	// The configuration is committed whatever happens from here on: returning an error
 	// would tell the operator that it isn't. The holder logs what it can't apply.
-	_, _ = t.r.holder.Offer(rev, change.Raw)
-	go t.r.pushText()
+	_, _ = c.r.holder.Offer(rev, change.Raw)
+	go c.r.pushConfig()
 	return rev, found, nil
 }
 
-func (r *Router) pushText() {
+// pushConfig pushes the configuration in force to all other members.
+func (r *Router) pushConfig() {
 	ctx, cancel := context.WithTimeout(context.Background(), pushTimeout)
 	defer cancel()
 	r.pusher.Push(ctx, r.peerAddresses())
 }
 
-func (t configStore) translateError(ctx context.Context, err error) error {
+// translateError returns the error of package admin for an error of the store.
+func (c configStore) translateError(ctx context.Context, err error) error {
 	var race *config.RaceError
 	if errors.As(err, &race) {
 		winner := admin.ConfigRevision{Revision: race.Winner, Who: race.By, Note: race.Note}
@@ -72,8 +74,8 @@
 }
 
 // Load returns one committed configuration.
-func (t configStore) Load(ctx context.Context, revision types.Revision) (admin.ConfigRevision, error) {
-	raw, err := t.r.store.Load(ctx, revision)
+func (c configStore) Load(ctx context.Context, revision types.Revision) (admin.ConfigRevision, error) {
+	raw, err := c.r.store.Load(ctx, revision)
 	if errors.Is(err, backing.ErrNotFound) {
 		return admin.ConfigRevision{}, admin.ErrNoRevision
 	}
@@ -81,19 +83,19 @@
 		return admin.ConfigRevision{}, err
 	}
 	out := admin.ConfigRevision{Revision: revision, Raw: raw}
-	if e, err := t.r.store.Entry(ctx, revision); err == nil { // the text is useful even without its metadata
+	if e, err := c.r.store.Entry(ctx, revision); err == nil { // the configuration is useful even without its metadata
 		out.Base, out.Who, out.Note, out.At = e.Base, e.By, e.Note, e.At
 	}
 	return out, nil
 }
 
 // History returns the committed configurations without their contents, newest first.
-func (t configStore) History(ctx context.Context, limit int) ([]admin.ConfigRevision, error) {
-	entries, err := t.r.store.History(ctx, limit)
+func (c configStore) History(ctx context.Context, limit int) ([]admin.ConfigRevision, error) {
+	entries, err := c.r.store.History(ctx, limit)
 	if err != nil {
 		return nil, err
 	}
-	if err := t.checkHistory(entries); err != nil {
+	if err := c.checkHistory(entries); err != nil {
 		return nil, err
 	}
 	out := make([]admin.ConfigRevision, 0, len(entries))
@@ -108,18 +110,18 @@
 // It guards against a store that answers from an outdated copy: an operator would be shown
 // an older configuration, or none, as the newest. A caller who asked for the newest one
 // gets the one in force instead.
-func (t configStore) checkHistory(entries []config.Entry) error {
+func (c configStore) checkHistory(entries []config.Entry) error {
 	var newest types.Revision
 	if len(entries) > 0 {
 		newest = entries[0].Revision
 	}
-	if known := t.r.holder.Revision(); newest < known {
+	if known := c.r.holder.Revision(); newest < known {
 		return &config.BehindError{Answered: newest, Known: known}
 	}
 	return nil
 }
 
-func (r *Router) inForce() admin.ConfigRevision {
+func (r *Router) configInForce() admin.ConfigRevision {
 	snapshot := r.holder.Current()
 	if snapshot == nil {
 		return admin.ConfigRevision{}
@@ -138,8 +140,8 @@
 		if m.ID == r.opts.ID {
 			member.InFlight = r.router.Streams()
 		}
-		if load, own, ok := r.router.LoadOf(m.BackendServer); ok {
-			member.InFlight, member.Load = own, load
+		if load, inFlight, ok := r.router.LoadOf(m.BackendServer); ok {
+			member.InFlight, member.Load = inFlight, load
 		}
 		out = append(out, member)
 	}
@@ -149,13 +151,13 @@
 // backends lists the backend servers of the configuration in force, so that one whose
 // sidecar was never heard of is reported as absent.
 func (r *Router) backends() []admin.Backend {
-	in := r.text()
-	if in == nil {
+	cfg := r.currentConfig()
+	if cfg == nil {
 		return nil
 	}
 	var out []admin.Backend
-	for i := range in.Services {
-		for _, b := range in.Services[i].BackendServers {
+	for i := range cfg.Services {
+		for _, b := range cfg.Services[i].BackendServers {
 			out = append(out, admin.Backend{Name: b.Name, Zone: types.Zone(b.Zone), Address: b.Sidecar})
 		}
 	}
@@ -198,13 +200,13 @@
 
 // desiredArtefacts lists what the configuration in force requires of each engine.
 func (r *Router) desiredArtefacts() []order.Target {
-	in := r.text()
-	if in == nil {
+	cfg := r.currentConfig()
+	if cfg == nil {
 		return nil
 	}
 	var out []order.Target
-	for i := range in.Services {
-		s := &in.Services[i]
+	for i := range cfg.Services {
+		s := &cfg.Services[i]
 		if s.Kind != text.KindModel {
 			continue
 		}
@@ -216,6 +218,7 @@
 	return out
 }
 
+// artefacts returns the models and adapters that a service depends on.
 func artefacts(s *text.Service) []order.Artefact {
 	var out []order.Artefact
 	for _, d := range s.DependsOn {
--- a/node/common.go
+++ b/node/common.go
@@ -28,9 +28,10 @@
 )
 
 const (
+	// defaultStaleAfter is the default of Common.StaleAfter.
 	defaultStaleAfter = 4 * time.Second
-	// initialTextTimeout limits the wait at startup for the configuration of peers.
-	initialTextTimeout = 2 * time.Second
+	// initialConfigTimeout limits the wait at startup for the configuration of peers.
+	initialConfigTimeout = 2 * time.Second
 	// leaveTimeout limits the announcement that this process is leaving.
 	leaveTimeout      = time.Second
 	readHeaderTimeout = 10 * time.Second
@@ -40,8 +41,9 @@
 	// responseDrainTimeout limits how long responses may take to be sent once all requests
 	// have run. The largest, 8 MB, takes 6.4 s on a 10 Mbit/s link.
 	responseDrainTimeout = time.Minute
-	routerPollInterval   = time.Second
-	sidecarPollInterval  = 20 * time.Second
+	// routerPollInterval and sidecarPollInterval are the defaults of Common.Poll.
+	routerPollInterval  = time.Second
+	sidecarPollInterval = 20 * time.Second
 )
 
 // Platform holds the services that the platform provides to a process. Any of them may be
@@ -189,10 +191,10 @@
 	b.members.Observe(m)
 }
 
-// followText returns an actor that calls apply with the configuration in force and with
+// followConfig returns an actor that calls apply with the configuration in force and with
 // each later one. The channel is obtained before the configuration, so that no change is
 // missed.
-func (b *base) followText(apply func(*config.Snapshot)) func(context.Context) error {
+func (b *base) followConfig(apply func(*config.Snapshot)) func(context.Context) error {
 	return func(ctx context.Context) error {
 		for {
 			changed := b.holder.Changed()
@@ -208,19 +210,22 @@
 	}
 }
 
-// text returns the configuration in force, or nil if there is none.
-func (b *base) text() *text.Config {
+// currentConfig returns the configuration in force, or nil if there is none.
+func (b *base) currentConfig() *text.Config {
 	if snapshot := b.holder.Current(); snapshot != nil {
 		return snapshot.Config
 	}
 	return nil
 }
 
+// isFresh reports whether the configuration in force has been confirmed recently enough to
+// accept new work.
 func (b *base) isFresh() bool {
 	return b.opts.StaleAfter < 0 || b.holder.Freshness() < b.opts.StaleAfter
 }
 
-// drainContext applies the limit on a planned stop, if there is one, to ctx.
+// drainContext applies the limit on a planned stop, if there is one, to ctx, and sets the
+// deadline that responseTimeout observes.
 func (b *base) drainContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	if b.opts.Drain <= 0 {
 		return ctx, func() {}
@@ -230,7 +235,8 @@
 	return context.WithDeadline(ctx, end)
 }
 
-// responseTimeout returns how long responses may still take to be sent.
+// responseTimeout returns how long responses may still take to be sent: until the deadline
+// of a limited planned stop, but at least shutdownTimeout and at most responseDrainTimeout.
 func (b *base) responseTimeout() time.Duration {
 	end := b.drainDeadline.Load()
 	if end == nil {
@@ -261,10 +267,10 @@
 	addActor(group, b.members.Run)
 	addActor(group, b.suspects.Run)
 	addActor(group, b.gossiper.Run)
-	addActor(group, b.followText(b.applySuspicionLimits))
+	addActor(group, b.followConfig(b.applySuspicionLimits))
 	addActor(group, func(ctx context.Context) error {
-		askCtx, cancel := context.WithTimeout(ctx, initialTextTimeout)
-		b.syncer.FetchNewest(askCtx, b.opts.Seeds)
+		fetchCtx, cancel := context.WithTimeout(ctx, initialConfigTimeout)
+		b.syncer.FetchNewest(fetchCtx, b.opts.Seeds)
 		cancel()
 		return b.syncer.Run(ctx)
 	})
@@ -303,12 +309,12 @@
 			return nil
 		}
 		return errors.Wrapf(err, "node: serve %s", listener.Addr())
-	}, func(ended error) {
-		bound := shutdownTimeout
-		if ended == nil {
-			bound = timeout()
+	}, func(cause error) {
+		limit := shutdownTimeout
+		if cause == nil {
+			limit = timeout()
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), bound)
+		ctx, cancel := context.WithTimeout(context.Background(), limit)
 		defer cancel()
 		if clients.Finish(ctx, server) != nil {
 			_ = server.Close()
--- a/node/journal_test.go
+++ b/node/journal_test.go
@@ -18,7 +18,8 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// appendRecorder is a tokenlog.Sender that records the addresses it sends to.
+// appendRecorder is a tokenlog.Sender that records the addresses it sends to, as far as its
+// buffer has space.
 type appendRecorder chan string
 
 // Append implements tokenlog.Sender.
@@ -33,7 +34,7 @@
 // A sidecar has just started and gets a generation before it has fetched the
 // configuration. The generation was never journalled, however long it ran: when its VM and
 // its router died it was lost, and its idempotency key was unknown everywhere.
-func TestGenerationBeforeTheTextIsJournalled(t *testing.T) {
+func TestGenerationBeforeTheConfigurationIsJournalled(t *testing.T) {
 	g := NewWithT(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -57,7 +58,7 @@
 		"backendServers": []any{map[string]any{"name": "b", "zone": "z2", "sidecar": "127.0.0.1:8"}},
 	}}, "recovery": map[string]any{"journalAfterMillis": 0}})
 	g.Expect(err).NotTo(HaveOccurred())
-	time.AfterFunc(firstTextTimeout/4, func() { _, _ = s.holder.Offer(1, raw) })
+	time.AfterFunc(firstConfigTimeout/4, func() { _, _ = s.holder.Offer(1, raw) })
 	var handle *tokenlog.Handle
 	g.Eventually(opened, "5s").Should(Receive(&handle))
 	g.Expect(handle).NotTo(BeNil())
--- a/node/leave_test.go
+++ b/node/leave_test.go
@@ -19,6 +19,7 @@
 	"github.com/pearyard/pearyard/standin"
 )
 
+// listenLoopback opens a listener on the loopback interface and closes it after the test.
 func listenLoopback(t *testing.T) net.Listener {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/node/router.go
+++ b/node/router.go
@@ -75,7 +75,7 @@
 	})
 	r.router = router.New(router.Options{
 		Peer: r.peer, Zone: r.opts.Zone, Policy: r.opts.Policy,
-		Text: r.text, Fresh: r.isFresh, Members: r.members.Snapshot, Changed: r.viewChanges,
+		Text: r.currentConfig, Fresh: r.isFresh, Members: r.members.Snapshot, Changed: r.viewChanges,
 		MarkLeaving: func(id types.ProcessID) { r.members.MarkLeaving(id) },
 		Limiter:     r.limiter, Claims: r.claims, Suspects: r.suspects, Grants: r.gossiper,
 		Recorder: r.recorder, Registerer: r.registry,
@@ -140,7 +140,7 @@
 	addActor(&group, r.leaseKeeper.Run)
 	addActor(&group, r.orders.Run)
 	addActor(&group, r.exchangeUsage)
-	addActor(&group, r.followText(r.applyText))
+	addActor(&group, r.followConfig(r.applyConfig))
 	addActor(&group, func(actorCtx context.Context) error { return r.waitDrained(ctx, actorCtx) })
 	return group.Run()
 }
@@ -169,8 +169,8 @@
 	r.announceLeave()
 }
 
-// applyText passes a new configuration to the parts that keep data derived from it.
-func (r *Router) applyText(snapshot *config.Snapshot) {
+// applyConfig passes a new configuration to the parts that keep data derived from it.
+func (r *Router) applyConfig(snapshot *config.Snapshot) {
 	limits := make([]limit.OrganisationLimits, 0, len(snapshot.Config.Organisations))
 	for i := range snapshot.Config.Organisations {
 		o := &snapshot.Config.Organisations[i]
@@ -192,11 +192,11 @@
 
 // queueLimit converts the limit of a configuration, where 0 means none is set, to that of
 // the limiter, where 0 means no queue.
-func queueLimit(bound int) int {
-	if bound == 0 {
+func queueLimit(configured int) int {
+	if configured == 0 {
 		return defaultQueueLimit
 	}
-	return bound
+	return configured
 }
 
 // routerService implements streampb.Router.
--- a/node/sidecar.go
+++ b/node/sidecar.go
@@ -37,14 +37,14 @@
 	// drainLinger is how long a drained sidecar continues to respond, so that routers can
 	// read the ends of their streams.
 	drainLinger = 300 * time.Millisecond
-	// firstTextTimeout is how long a generation waits for the first configuration, which
+	// firstConfigTimeout is how long a generation waits for the first configuration, which
 	// is fetched at once from the router that sent the request, as the stamp on the
 	// request names its revision.
-	firstTextTimeout = 300 * time.Millisecond
+	firstConfigTimeout = 300 * time.Millisecond
 	// minJournalBatch replaces a batch interval of 0 in a configuration.
 	minJournalBatch = time.Millisecond
-	// neverJournalAge is an age that no generation reaches, so that its tokens aren't
-	// journalled.
+	// neverJournalAge is a minimum age that no generation reaches, so that its tokens aren't
+	// journalled: 146 years in nanoseconds.
 	neverJournalAge = 1 << 62
 )
 
@@ -65,7 +65,7 @@
 	sidecar   *sidecar.Sidecar
 	journal   *tokenlog.Store
 	createdAt time.Time
-	writer    atomic.Pointer[tokenlog.Writer]
+	writer    atomic.Pointer[tokenlog.Writer] // set by Run
 }
 
 // NewSidecar assembles a sidecar; Run starts it.
@@ -96,6 +96,8 @@
 	return s, nil
 }
 
+// newOrderGuard returns the guard that checks orders to the engine, or nil if there is no
+// engine or no table service.
 func (s *Sidecar) newOrderGuard() *order.Guard {
 	if s.opts.Engine == nil || s.opts.Platform.Table == nil {
 		return nil
@@ -109,6 +111,8 @@
 	})
 }
 
+// newCallGate returns the function that builds the gate of plain calls, or nil if the
+// backend server is an engine.
 func (s *Sidecar) newCallGate() func(func() bool) sidecar.Calls {
 	if s.opts.Plain == nil {
 		return nil
@@ -125,23 +129,24 @@
 
 func (s *Sidecar) recoverySettings() sidecar.RecoverySettings {
 	recovery := text.DefaultRecovery()
-	if in := s.text(); in != nil {
-		recovery = in.Recovery
+	if cfg := s.currentConfig(); cfg != nil {
+		recovery = cfg.Recovery
 	}
 	return sidecar.RecoverySettings{RouterGrace: recovery.RouterGrace(), Retention: recovery.Retain(), MoveAfter: moveDelay}
 }
 
 // openJournal starts the journal of one attempt with the recovery settings in force.
 func (s *Sidecar) openJournal(gen tokenlog.GenerationInfo) *tokenlog.Handle {
-	in, recovery := s.waitFirstText()
-	sites := router.JournalSites(s.members.Snapshot(), in, time.Since(s.createdAt))
+	cfg, recovery := s.waitFirstConfig()
+	sites := router.JournalSites(s.members.Snapshot(), cfg, time.Since(s.createdAt))
 	gen.Peers = tokenlog.Place(gen.ID.Key, sites, recovery.JournalPeers+spareJournalPeers, s.peer.Self().Address)
 	gen.MinAge, gen.Copies = recovery.JournalAfter(), recovery.JournalPeers
 	if gen.MinAge == 0 {
 		gen.MinAge = -1 // at once
 	}
 	if gen.Copies == 0 {
-		gen.Copies, gen.MinAge = 1, neverJournalAge // one peer still records the runner
+		// No journal is configured, but one peer still records the runner.
+		gen.Copies, gen.MinAge = 1, neverJournalAge
 	}
 	writer := s.writer.Load()
 	// For the writer a batch interval of 0 means unset, and it would use its default of
@@ -150,19 +155,19 @@
 	return writer.Start(gen)
 }
 
-// waitFirstText returns the configuration and its recovery settings. It waits for the
-// first configuration for up to firstTextTimeout, and then returns the default settings.
+// waitFirstConfig returns the configuration and its recovery settings. It waits for the
+// first configuration for up to firstConfigTimeout, and then returns the default settings.
 //
 // It guards against a sidecar that has just started, gets a generation before it has
 // fetched the configuration, and runs it to the end without a journal. The effect is
 // generation_lost when the VM and the router die, or a second run for one idempotency key.
-func (s *Sidecar) waitFirstText() (*text.Config, text.Recovery) {
-	timer := time.NewTimer(firstTextTimeout)
+func (s *Sidecar) waitFirstConfig() (*text.Config, text.Recovery) {
+	timer := time.NewTimer(firstConfigTimeout)
 	defer timer.Stop()
 	for {
 		changed := s.holder.Changed()
-		if in := s.text(); in != nil {
-			return in, in.Recovery
+		if cfg := s.currentConfig(); cfg != nil {
+			return cfg, cfg.Recovery
 		}
 		select {
 		case <-changed:
@@ -187,7 +192,7 @@
 	s.addActors(&group)
 	addActor(&group, s.sidecar.Run)
 	addActor(&group, s.journal.Run)
-	addActor(&group, s.followText(s.applyText))
+	addActor(&group, s.followConfig(s.applyConfig))
 	addActor(&group, func(actorCtx context.Context) error { return s.waitDrained(ctx, actorCtx) })
 	return group.Run()
 }
@@ -215,8 +220,8 @@
 	return nil
 }
 
-// applyText passes a new configuration to the parts that keep data derived from it.
-func (s *Sidecar) applyText(snapshot *config.Snapshot) {
+// applyConfig passes a new configuration to the parts that keep data derived from it.
+func (s *Sidecar) applyConfig(snapshot *config.Snapshot) {
 	s.journal.SetRetention(snapshot.Config.Recovery.Retain())
 }
 
--- a/node/stop_test.go
+++ b/node/stop_test.go
@@ -38,7 +38,7 @@
 	once   sync.Once
 }
 
-func newLink(rate int) *slowLink {
+func newSlowLink(rate int) *slowLink {
 	return &slowLink{rate: rate, accept: make(chan net.Conn), closed: make(chan struct{})}
 }
 
@@ -131,6 +131,7 @@
 	return out
 }
 
+// pump sends the buffered bytes to the client at the given rate, in bytes per second.
 func (s *slowConn) pump(rate int) {
 	defer func() { _ = s.Conn.Close() }()
 	for part := s.nextSegment(); len(part) > 0; part = s.nextSegment() {
@@ -144,7 +145,7 @@
 // largeAnswers is a plain service whose answers have the maximum size.
 type largeAnswers struct{ ran chan struct{} }
 
-const largeAnswer = 8 << 20
+const largeAnswer = 8 << 20 // bytes
 
 func (largeAnswers) Healthy(context.Context) error { return nil }
 
@@ -155,12 +156,12 @@
 
 // A backend server is stopped as planned while an 8 MB response to a call that may run at
 // most once is being sent to the router over a 10 Mbit/s link. The call stopped counting
-// towards the drain when it had run; 2.3 s later the process closed the connection, and
-// the caller didn't know the outcome.
+// towards the drain when it had run; 2.3 s later (drainLinger and shutdownTimeout) the
+// process closed the connection, and the caller didn't know the outcome.
 func TestPlannedStopOfASidecarLetsALargeAnswerOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		peers, service := newLink(linkRate), largeAnswers{make(chan struct{})}
+		peers, service := newSlowLink(linkRate), largeAnswers{make(chan struct{})}
 		s, err := NewSidecar(SidecarOptions{
 			Common:        Common{ID: "s", Zone: "z1", Peers: peers, Logger: log.NewNopLogger()},
 			BackendServer: "a", Plain: service,
@@ -184,12 +185,12 @@
 // The reader of a response has frozen. It must not keep a process from ending: an operator
 // has limited the stop to five seconds, and without a limit a minute is enough.
 func TestFrozenReaderDoesNotKeepASidecarFromEnding(t *testing.T) {
-	for bound, want := range map[time.Duration]time.Duration{5 * time.Second: 7 * time.Second, 0: responseDrainTimeout + shutdownTimeout} {
+	for limit, want := range map[time.Duration]time.Duration{5 * time.Second: 7 * time.Second, 0: responseDrainTimeout + shutdownTimeout} {
 		synctest.Test(t, func(t *testing.T) {
 			g := NewWithT(t)
-			peers, service := newLink(segmentSize), largeAnswers{make(chan struct{})}
+			peers, service := newSlowLink(segmentSize), largeAnswers{make(chan struct{})}
 			s, err := NewSidecar(SidecarOptions{
-				Common:        Common{ID: "s", Zone: "z1", Peers: peers, Logger: log.NewNopLogger(), Drain: bound},
+				Common:        Common{ID: "s", Zone: "z1", Peers: peers, Logger: log.NewNopLogger(), Drain: limit},
 				BackendServer: "a", Plain: service,
 			})
 			g.Expect(err).NotTo(HaveOccurred())
@@ -216,13 +217,14 @@
 // still holds up to 4 KB of the response, which for some sizes wait for space in the
 // kernel's buffer. Two seconds later the connection was closed without sending them.
 func TestPlannedStopOfARouterLetsTheLastBytesOut(t *testing.T) {
-	const leastAnswer, sizes, step, rate = 512 << 10, 90, 1 << 10, 30_000
+	// Answers of 512 KB and more, in steps of 1 KB. The rate is in bytes per second.
+	const minAnswer, sizes, step, rate = 512 << 10, 90, 1 << 10, 30_000
 	for i := range sizes {
 		synctest.Test(t, func(t *testing.T) {
 			g := NewWithT(t)
-			answer := make([]byte, leastAnswer+i*step)
+			answer := make([]byte, minAnswer+i*step)
 			var group run.Group
-			callers, handled := newLink(rate), make(chan struct{})
+			callers, handled := newSlowLink(rate), make(chan struct{})
 			addServer(&group, callers, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 				defer close(handled)
 				_, _ = io.Copy(struct{ io.Writer }{w}, struct{ io.Reader }{bytes.NewReader(answer)})
--- a/node/suspicion.go
+++ b/node/suspicion.go
@@ -51,7 +51,7 @@
 	for _, m := range view.Alive(types.RoleRouter) {
 		out = append(out, m.Address)
 	}
-	for _, site := range router.JournalSites(view, b.text(), time.Since(b.startedAt)) {
+	for _, site := range router.JournalSites(view, b.currentConfig(), time.Since(b.startedAt)) {
 		out = append(out, site.Address)
 	}
 	return slices.DeleteFunc(out, func(addr string) bool { return addr == b.opts.Advertise })
--- a/node/unread_test.go
+++ b/node/unread_test.go
@@ -57,7 +57,8 @@
 	return l.Listener.Close()
 }
 
-func (l *stalledListener) unread() bool {
+// hasUnreadData reports whether the process has unread data on its newest connection.
+func (l *stalledListener) hasUnreadData() bool {
 	conn := l.accepted.Load()
 	return conn != nil && httpconn.HasUnreadData(*conn)
 }
@@ -168,7 +169,7 @@
 	end, ended := startServer(t, l, writeWhole)
 	conn := dial(t, l)
 	sendRequest(conn)
-	g.Eventually(l.unread).Should(BeTrue())
+	g.Eventually(l.hasUnreadData).Should(BeTrue())
 	end()
 	g.Consistently(ended, "100ms").ShouldNot(BeClosed())
 	close(l.release)
@@ -186,7 +187,7 @@
 	end, ended := startServer(t, l, writeWhole)
 	client := &http.Client{}
 	ctx, cancel := context.WithCancel(t.Context())
-	var asked atomic.Int64
+	var requests atomic.Int64
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -196,11 +197,11 @@
 				_, _ = io.Copy(io.Discard, resp.Body)
 				_ = resp.Body.Close()
 			}
-			asked.Add(1)
+			requests.Add(1)
 			time.Sleep(20 * time.Millisecond)
 		}
 	}()
-	g.Eventually(asked.Load).Should(BeNumerically(">", 2))
+	g.Eventually(requests.Load).Should(BeNumerically(">", 2))
 	end()
 	g.Eventually(ended, "5s").Should(BeClosed())
 	cancel()
--- a/node/usage.go
+++ b/node/usage.go
@@ -84,7 +84,7 @@
 	for {
 		own := r.limiter.Usage(maxReportedOrganisations)
 		r.usage.ownReport.Store(&own)
-		r.limiter.AddReports(r.fetchUsage(ctx, r.usageSample()))
+		r.limiter.AddReports(r.fetchUsage(ctx, r.sampleRouters()))
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -93,7 +93,8 @@
 	}
 }
 
-func (r *Router) usageSample() []membership.Member {
+// sampleRouters returns up to maxUsagePeers other routers, chosen at random.
+func (r *Router) sampleRouters() []membership.Member {
 	var others []membership.Member
 	for _, m := range r.routers() {
 		if m.ID != r.opts.ID {
@@ -104,6 +105,7 @@
 	return others[:min(len(others), maxUsagePeers)]
 }
 
+// fetchUsage returns the reports of the members that respond within usageTimeout.
 func (r *Router) fetchUsage(ctx context.Context, members []membership.Member) []limit.Report {
 	ctx, cancel := context.WithTimeout(ctx, usageTimeout)
 	defer cancel()
