--- a/peer/repeatable.go
+++ b/peer/repeatable.go
@@ -12,9 +12,9 @@
 // before any byte of a response was received.
 //
 // It guards against a process that ends, or closes a connection after a response, just as
-// the next call is sent on that connection. The caller would treat a live peer as
-// unreachable: a caller that reconnects would be told that not all peers could be asked,
-// or a member would be missing from a status.
+// the next call is sent on that connection. The calling process would treat a live peer as
+// unreachable: a caller that reconnects to a router would be told that not all peers could
+// be asked, or a member would be missing from a status.
 func Repeatable(ctx context.Context) context.Context {
 	return context.WithValue(ctx, repeatableKey{}, true)
 }
--- a/tokenlog/append.go
+++ b/tokenlog/append.go
@@ -12,7 +12,7 @@
 
 const (
 	taken   verdict = iota
-	missing         // tokens before the record's first one are not held
+	missing         // the store lacks tokens that the record follows
 	refused         // the record is malformed or contradicts the tokens held
 )
 
