--- a/findings/locate.go
+++ b/findings/locate.go
@@ -87,6 +87,8 @@
 	}
 }
 
+// newDecoder returns a decoder that accepts duplicate names. It would otherwise fail at
+// the first one, whereas Syntax reports each with its position.
 func newDecoder(raw []byte) *jsontext.Decoder {
 	return jsontext.NewDecoder(bytes.NewBuffer(raw), jsontext.AllowDuplicateNames(true))
 }
@@ -95,7 +97,7 @@
 
 // isName reports whether the token just read is the name of an object's member.
 func isName(dec *jsontext.Decoder, token jsontext.Token) bool {
-	kind, length := dec.StackIndex(dec.StackDepth())
+	kind, length := dec.StackIndex(dec.StackDepth()) // length counts names and values
 	return token.Kind() == '"' && kind == '{' && length%2 == 1
 }
 
--- a/findings/syntax.go
+++ b/findings/syntax.go
@@ -8,8 +8,9 @@
 	"github.com/pkg/errors"
 )
 
-// Syntax checks that a document is a single JSON value and that no object has a
-// duplicate name, of which decoders would silently use the last one.
+// Syntax checks that a document is a single JSON value and that no object has two
+// members of the same name: decoders would silently use the last one. Its findings
+// have a line and column.
 func Syntax(raw []byte) List {
 	var list List
 	lines := newLineIndex(raw)
