--- a/settings/load.go
+++ b/settings/load.go
@@ -121,7 +121,7 @@
 	}
 	l.failed[f.name] = true
 	message := err.Error()
-	if f.secret {
+	if f.secret { // the error quotes the value
 		message = "not " + f.typeName()
 	}
 	l.list.Errorf(findings.Pointer(f.name), "%s%s", message, originSuffix(origin))
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -41,7 +41,7 @@
 	// Advertise is the address under which other processes reach this one;
 	// default: PeerListen.
 	Advertise string `json:"advertise" usage:"ip:port under which other processes reach this one; default: peerListen"`
-	// AdminListen is the address of the administration API; default: none.
+	// AdminListen is the address to listen on for the administration API; default: none.
 	AdminListen string `json:"adminListen" usage:"ip:port to listen on for administration; empty: none"`
 	// AdminToken is the bearer token of the administration API. Required with AdminListen.
 	AdminToken string `json:"adminToken" usage:"bearer token of the administration API" secret:"true"`
@@ -60,8 +60,9 @@
 	// PollSeconds is the time between polls of the table service for a newer
 	// configuration; default 1 for a router, 20 for a sidecar.
 	PollSeconds int `json:"pollSeconds" usage:"seconds between polls for a newer text"`
-	// VMListLagSeconds is how far the platform's VM list may lag: for that long it
-	// may still show this VM's predecessor as leaving.
+	// VMListLagSeconds is how far the platform's VM list may lag; default 30. For that
+	// long, the list may still show as leaving a VM that was replaced at the same
+	// address, so its mark is ignored for a process that has run for less.
 	VMListLagSeconds int `json:"vmListLagSeconds" usage:"seconds that the VM list may lag; its leaving mark counts for a process that has run for longer"`
 	// StaleAfterSeconds is the age of the configuration's last confirmation above
 	// which new work is refused; 0 never refuses; default 4.
