--- a/text/bench_test.go
+++ b/text/bench_test.go
@@ -87,9 +87,9 @@
 	b.RunParallel(func(pb *testing.PB) {
 		i := 0
 		for pb.Next() {
-			i = (i + 7919) % targetOrganisations
+			i = (i + 7919) % targetOrganisations // a prime step reaches all keys, out of order
 			if _, ok := loaded.OrganisationByKey(demoKey(i)); !ok {
-				b.Fatal(i)
+				b.Fatalf("no organisation for key %q", demoKey(i))
 			}
 		}
 	})
--- a/text/check.go
+++ b/text/check.go
@@ -49,6 +49,7 @@
 	for i, a := range c.Adapters {
 		adapters.add(list, "adapter version", nameAtVersion(a.Name, a.Version), findings.Pointer("adapters", i))
 	}
+	// Not a firstSeen: of 48,000 organisations, only duplicates need a pointer.
 	organisations := make(map[string]int, len(c.Organisations))
 	for i, o := range c.Organisations {
 		first, ok := organisations[o.Name]
@@ -133,8 +134,9 @@
 	}
 }
 
-// checkZones warns of services and journals that the loss of one availability zone
-// can take away as a whole.
+// checkZones warns of services that the loss of one availability zone takes away as a
+// whole. It also warns if a sidecar and its journal peers outnumber the zones: two of
+// them then share one.
 func (c *Config) checkZones(list *findings.List) {
 	all := map[string]bool{}
 	for i, s := range c.Services {
@@ -153,6 +155,8 @@
 	}
 }
 
+// checkRecovery warns of a journal batch that waits so long that the stream counts as
+// lost.
 func (c *Config) checkRecovery(list *findings.List) {
 	r := c.Recovery
 	if r.JournalBatchMillis > 0 && r.JournalBatchMillis >= r.SilenceMillis {
--- a/text/dependency.go
+++ b/text/dependency.go
@@ -104,6 +104,7 @@
 	}
 }
 
+// targetCount returns how many of Model, Adapter and Service are set.
 func (dep Dependency) targetCount() int {
 	n := 0
 	for _, name := range []string{dep.Model, dep.Adapter, dep.Service} {
@@ -183,8 +184,8 @@
 
 const (
 	unvisited visitState = iota
-	onPath
-	done
+	onPath               // on the path from the service at which the search started
+	visited
 )
 
 type cycleFinder struct {
@@ -213,7 +214,7 @@
 		c.visit(next)
 	}
 	c.path = c.path[:len(c.path)-1]
-	c.state[i] = done
+	c.state[i] = visited
 }
 
 func (c *cycleFinder) cyclePath(from int) string {
--- a/text/diff.go
+++ b/text/diff.go
@@ -27,7 +27,7 @@
 type Change struct {
 	Kind    ChangeKind `json:"kind"`
 	Pointer string     `json:"pointer"`        // in the new configuration; in the old one if removed
-	Name    string     `json:"name,omitempty"` // of the service, model, adapter or organisation
+	Name    string     `json:"name,omitempty"` // of the service or organisation; name@version of the model or adapter; recovery or limits
 	Old     any        `json:"old,omitempty"`
 	New     any        `json:"new,omitempty"`
 }
@@ -41,8 +41,9 @@
 }
 
 // Diff lists the differences between two configurations, with defaults filled in.
-// Services, models, adapters and organisations are matched by name, so that
-// reordering them is not a change. A nil configuration counts as empty.
+// Services and organisations are matched by name, models and adapters by name and
+// version, so that reordering them is not a change. Lists within them are compared by
+// position. A nil configuration counts as empty.
 func Diff(old, next *Config) []Change {
 	if old == nil {
 		old = &Config{}
@@ -178,17 +179,17 @@
 	if len(a) == prefix && len(b) == prefix {
 		return ""
 	}
-	from, keep := max(0, prefix-contextLines), max(0, suffix-contextLines)
-	a, b = a[from:len(a)-keep], b[from:len(b)-keep]
+	skipStart, skipEnd := max(0, prefix-contextLines), max(0, suffix-contextLines)
+	a, b = a[skipStart:len(a)-skipEnd], b[skipStart:len(b)-skipEnd]
 	if len(a)+len(b) > maxDiffLines {
-		return fmt.Sprintf("--- %s\n+++ %s\n%d lines from line %d on replaced by %d lines\n", oldName, nextName, len(a), from+1, len(b))
+		return fmt.Sprintf("--- %s\n+++ %s\n%d lines from line %d on replaced by %d lines\n", oldName, nextName, len(a), skipStart+1, len(b))
 	}
 	diff := difflib.UnifiedDiff{A: a, B: b, FromFile: oldName, ToFile: nextName, Context: contextLines}
 	unified, err := difflib.GetUnifiedDiffString(diff)
 	if err != nil {
 		return "" // writing to memory doesn't fail
 	}
-	return shiftHunks(unified, from)
+	return shiftHunks(unified, skipStart)
 }
 
 // splitLines splits a configuration into lines. One written in a few very long lines
@@ -204,6 +205,8 @@
 	return difflib.SplitLines(string(raw))
 }
 
+// commonLength returns how many lines are equal in a and b; at returns the i-th line to
+// compare, from the start or from the end.
 func commonLength(a, b []string, at func([]string, int) string) int {
 	n := min(len(a), len(b))
 	for i := range n {
--- a/text/diff_test.go
+++ b/text/diff_test.go
@@ -34,17 +34,18 @@
 	g.Expect(text.Diff(nil, next)).NotTo(BeEmpty())
 }
 
-func TestUnifiedOfLargeText(t *testing.T) {
+func TestUnifiedDiffOfLargeConfig(t *testing.T) {
 	g := NewWithT(t)
 	old := bigConfig(targetOrganisations)
 	next := bytes.Replace(old, []byte(`"organisation-30000"`), []byte(`"organisation-renamed"`), 1)
 	diff := text.UnifiedDiff(old, next, "old", "new")
+	// Two lines of names, one of the hunk's ranges, twice three of context, two that differ.
 	g.Expect(strings.Count(diff, "\n")).To(Equal(2 + 1 + 2*3 + 2))
 	g.Expect(diff).To(HavePrefix("--- old\n+++ new\n@@ -29999,7 +29999,7 @@\n"))
 	g.Expect(text.UnifiedDiff(old, old, "old", "new")).To(BeEmpty())
 }
 
-func TestUnifiedOfTextInOneLine(t *testing.T) {
+func TestUnifiedDiffOfConfigInOneLine(t *testing.T) {
 	g := NewWithT(t)
 	line := func(n int) []byte {
 		return []byte(fmt.Sprintf(`{"models":[%s{"name":"last","version":"%d"}]}`, strings.Repeat(`{"name":"m","version":"1"},`, 50), n))
--- a/text/index.go
+++ b/text/index.go
@@ -14,10 +14,10 @@
 // index holds the lookup tables for requests. It is built once and read-only
 // afterwards, so that lookups take no lock.
 type index struct {
-	services      map[string]int32
-	models        map[string]int32 // model or adapter name to the service that serves it
-	organisations map[string]int32
-	keys          map[keyHash]int32
+	services      map[string]int32  // name to the index in Services
+	models        map[string]int32  // model or adapter name to the index of the service that serves it
+	organisations map[string]int32  // name to the index in Organisations
+	keys          map[keyHash]int32 // key's hash to the index in Organisations
 	servers       map[string]serverIndex
 }
 
@@ -46,8 +46,8 @@
 	if s.Kind != KindModel {
 		return
 	}
-	for _, d := range s.DependsOn {
-		if name := d.modelOrAdapter(); name != "" {
+	for _, dep := range s.DependsOn {
+		if name := dep.modelOrAdapter(); name != "" {
 			c.index.models[name] = i
 		}
 	}
@@ -64,11 +64,11 @@
 }
 
 // modelOrAdapter returns the name of the model or adapter, "" for a service.
-func (d Dependency) modelOrAdapter() string {
-	if d.Model != "" {
-		return d.Model
+func (dep Dependency) modelOrAdapter() string {
+	if dep.Model != "" {
+		return dep.Model
 	}
-	return d.Adapter
+	return dep.Adapter
 }
 
 func parseKeyHash(s string) (keyHash, bool) {
--- a/text/parse_test.go
+++ b/text/parse_test.go
@@ -90,8 +90,8 @@
 		{"negative", `{"recovery":{"maxResumes":-1}}`, "/recovery/maxResumes: -1 is below"},
 		{"wrong type", `{"recovery":{"maxResumes":"many"}}`, "/recovery/maxResumes: got string, want integer"},
 		{"unknown service", `{"services":[{"name":"a","kind":"plain","dependsOn":[{"service":"b"}]}]}`, `unknown service "b"`},
-		{"itself", `{"services":[{"name":"a","kind":"plain","dependsOn":[{"service":"a"}]}]}`, `in a circle: a -> a`},
-		{"no server", `{"services":[{"name":"a","kind":"plain","dependsOn":[{"service":"b"}]},{"name":"b","kind":"plain"}]}`, `nothing provides service "b"`},
+		{"service depends on itself", `{"services":[{"name":"a","kind":"plain","dependsOn":[{"service":"a"}]}]}`, `in a circle: a -> a`},
+		{"service without server", `{"services":[{"name":"a","kind":"plain","dependsOn":[{"service":"b"}]},{"name":"b","kind":"plain"}]}`, `nothing provides service "b"`},
 		{"unprovided model", `{"services":[{"name":"a","kind":"plain","dependsOn":[{"model":"m","version":"1"}]}],"models":[{"name":"m","version":"1"}]}`, `nothing provides model "m"`},
 		{"two things in a dependency", `{"services":[{"name":"a","kind":"plain","dependsOn":[{"model":"m","service":"a"}]}]}`, "exactly one of"},
 		{"service without model", `{"services":[{"name":"a","kind":"model"}]}`, "depends on no model"},
@@ -118,7 +118,7 @@
 
 // A router of an older version reads a revision accepted by a newer one, with a
 // field it doesn't know. It must use the revision instead of keeping the old one.
-func TestLoadPassesOverUnknownFields(t *testing.T) {
+func TestLoadIgnoresUnknownFields(t *testing.T) {
 	g := NewWithT(t)
 	loaded, err := text.Load([]byte(`{"future":1,"services":[{"name":"a","kind":"plain"}]}`))
 	g.Expect(err).NotTo(HaveOccurred())
--- a/text/schema.go
+++ b/text/schema.go
@@ -109,7 +109,8 @@
 	reportLeaves(invalid, prefix, list)
 }
 
-// reportLeaves adds the innermost causes, which point to the invalid value.
+// reportLeaves adds a finding for each innermost cause of a validation error, since
+// only these point to the invalid value.
 func reportLeaves(e *jsonschema.ValidationError, prefix []any, list *findings.List) {
 	for _, cause := range e.Causes {
 		reportLeaves(cause, prefix, list)
--- a/text/text.go
+++ b/text/text.go
@@ -40,7 +40,7 @@
 	Kind           Kind            `json:"kind"`
 	Calls          Calls           `json:"calls"`       // default: repeatable for models, at-most-once for plain services
 	DependsOn      []Dependency    `json:"dependsOn"`   // what must be available before the service can serve
-	RetryBudget    float64         `json:"retryBudget"` // most retries for each first attempt, 0 to 1; default 0.1
+	RetryBudget    float64         `json:"retryBudget"` // highest ratio of retries to first attempts, 0 to 1; default 0.1
 	BackendServers []BackendServer `json:"backendServers"`
 }
 
@@ -103,7 +103,7 @@
 	SilenceMillis      int `json:"silenceMillis"`      // silence of a stream after which it counts as lost; default 1000
 	RouterGraceMillis  int `json:"routerGraceMillis"`  // how long an engine continues after it lost its router; default 10000
 	RetainMillis       int `json:"retainMillis"`       // how long a finished answer stays fetchable; default 60000
-	MaxResumes         int `json:"maxResumes"`         // resumes of one generation; default 8
+	MaxResumes         int `json:"maxResumes"`         // most resumes of one generation; default 8
 	SuspicionLimit     int `json:"suspicionLimit"`     // engine deaths after which a request is quarantined; default 2
 	QuarantineSeconds  int `json:"quarantineSeconds"`  // how long a quarantine lasts; default 600
 }
@@ -111,7 +111,7 @@
 // Limits bounds every request.
 type Limits struct {
 	MaxBodyBytes    int64 `json:"maxBodyBytes"`    // default 8 MiB
-	MaxTokens       int   `json:"maxTokens"`       // of one answer; default 32768
+	MaxTokens       int   `json:"maxTokens"`       // most tokens of one answer; default 32768
 	DeadlineSeconds int   `json:"deadlineSeconds"` // longest run of a request; default 1800
 }
 
