--- a/config/attempts.go
+++ b/config/attempts.go
@@ -30,6 +30,8 @@
 // reset forgets all attempts. It is called when a newer revision is in force.
 func (a *fetchAttempts) reset() { a.byAddr.Clear() }
 
+// state returns whether the hint's peer was asked for the hint's revision or a later one
+// since the last reset, and whether that fetch is still running.
 func (a *fetchAttempts) state(h *hint) (tried, inFlight bool) {
 	value, ok := a.byAddr.Load(h.addr)
 	if !ok || value.(*attempt).rev < h.rev {
--- a/config/attempts_internal_test.go
+++ b/config/attempts_internal_test.go
@@ -9,7 +9,7 @@
 // Two hundred processes are replaced a day, each with a new address. Records of
 // failed fetches must be dropped when a newer revision is in force, or they
 // would accumulate.
-func TestAskedInVainAreForgotten(t *testing.T) {
+func TestResetForgetsAttempts(t *testing.T) {
 	g := NewWithT(t)
 	var a fetchAttempts
 	a.begin("gone", 2)()
--- a/config/delta.go
+++ b/config/delta.go
@@ -16,7 +16,7 @@
 // are small, so a delta is sent instead.
 
 const (
-	// maxDeltas is how many revisions a process can be behind and still get deltas.
+	// maxDeltas is the number of revisions that a process can be behind and still get deltas.
 	maxDeltas = 16
 	// maxDeltaBytes is the size above which a delta is not kept and the full
 	// configuration is sent.
@@ -26,7 +26,7 @@
 )
 
 // ErrDeltaMismatch reports a delta that doesn't apply to the local configuration.
-var ErrDeltaMismatch = errors.New("config: delta does not fit")
+var ErrDeltaMismatch = errors.New("config: delta does not apply to the local configuration")
 
 // makeDelta returns the delta between two configurations, nil if it would be
 // larger than maxDeltaBytes. The common prefix and suffix are copied; in between,
@@ -65,15 +65,17 @@
 	return n
 }
 
-// deltaBuilder collects splices and merges adjacent ones.
+// deltaBuilder collects splices and merges adjacent ones. Each splice copies a range of
+// base and then inserts new bytes; either may be empty.
 type deltaBuilder struct {
 	base    []byte
 	splices []*configpb.Splice
-	size    int
+	size    int // approximate encoded size of the splices, in bytes
 }
 
-// encodeLines encodes the middle of the new configuration line by line against
-// base[from:to].
+// encodeLines encodes the middle of the new configuration line by line: lines that
+// occur in base[from:to] are copied, unless inserting them is cheaper. It stops when
+// the delta is larger than maxDeltaBytes, and makeDelta discards it.
 func (b *deltaBuilder) encodeLines(from, to int, middle []byte) {
 	offsets := map[string]int{}
 	offset := from
--- a/config/delta_internal_test.go
+++ b/config/delta_internal_test.go
@@ -44,6 +44,6 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	for _, size := range []uint64{999, 1001, maxConfigBytes + 1} {
 		_, err = inflate(packed, size)
-		g.Expect(err).To(HaveOccurred(), "%d", size)
+		g.Expect(err).To(HaveOccurred(), "size %d", size)
 	}
 }
--- a/config/doc.go
+++ b/config/doc.go
@@ -4,5 +4,8 @@
 // fetches newer revisions from the store and from peers; a Pusher sends a newly
 // accepted revision to peers. A process never returns to an older revision.
 //
+// Metrics, error messages, stored keys and messages between processes call the
+// configuration the operators' text.
+//
 // May import of pearyard: backing, event, findings, rpc/config, text, types.
 package config
--- a/config/fake_test.go
+++ b/config/fake_test.go
@@ -13,7 +13,8 @@
 )
 
 // fakeTable is an in-memory table service with fault injection. onCommit decides
-// the outcome of a commit; while frozen is set, reads see the copy taken by freeze.
+// the outcome of a commit and is called with mu locked; while frozen is set, reads see
+// the copy taken by freeze; while down is set, every call fails.
 type fakeTable struct {
 	mu       sync.Mutex
 	rows     map[string]backing.Row
--- a/config/holder.go
+++ b/config/holder.go
@@ -18,14 +18,14 @@
 // NeverConfirmed is the freshness of a process without a confirmed configuration.
 const NeverConfirmed = time.Duration(1<<63 - 1)
 
-// freeMemoryBytes is the configuration size from which the memory of the previous
+// largeConfigBytes is the configuration size from which the memory of the previous
 // revision is returned to the system at once. Otherwise the garbage collector
 // would let the heap grow to twice what was in use while both revisions were
 // held, which at 48,000 organisations exceeds a process's memory limit.
-const freeMemoryBytes = 1 << 20
+const largeConfigBytes = 1 << 20
 
 // ErrSameRevision reports two different configurations with the same revision.
-var ErrSameRevision = errors.New("config: two different texts under one revision")
+var ErrSameRevision = errors.New("config: two different configurations with the same revision")
 
 // Snapshot is one revision of the configuration. It is immutable.
 type Snapshot struct {
@@ -50,9 +50,9 @@
 
 	confirmed atomic.Int64 // when the newest revision was last confirmed, in Unix nanoseconds; 0: never
 
-	offerMu sync.Mutex // serializes offers: decoding a large configuration takes much memory
-	mu      sync.Mutex // guards replacing current, changed and deltas
-	changed chan struct{}
+	offerMu sync.Mutex    // serializes offers: decoding a large configuration takes much memory
+	mu      sync.Mutex    // guards replacing current, changed and deltas
+	changed chan struct{} // closed and replaced at each change
 	deltas  deltaChain
 
 	compressedMu    sync.Mutex // guards compressedCache
@@ -117,7 +117,7 @@
 	}
 	h.metrics.offers.WithLabelValues("taken").Inc()
 	h.opts.Recorder.Emit(EventInForce, "revision", rev, "bytes", len(raw))
-	if len(raw) >= freeMemoryBytes {
+	if len(raw) >= largeConfigBytes {
 		debug.FreeOSMemory()
 	}
 	return true, nil
@@ -132,7 +132,7 @@
 	}
 	h.deltas.add(old, next)
 	h.current.Store(next)
-	if old == nil {
+	if old == nil { // only the first configuration counts as confirmed when it arrives
 		h.confirmed.Store(h.opts.Now().UnixNano())
 	}
 	close(h.changed)
@@ -163,8 +163,8 @@
 // A process that resumes after a freeze reads messages that were sent before it;
 // dated by the time of reading, they would confirm a configuration that was
 // replaced meanwhile, and requests would be served with the old configuration
-// long after the new one was accepted. For the same reason an unsolicited
-// configuration confirms nothing (see replace).
+// long after the new one was accepted. For the same reason an offer, which may be an
+// unsolicited push, confirms nothing, except the first one (see replace).
 func (h *Holder) RecordConfirmation(rev types.Revision, asOf time.Time) {
 	current := h.current.Load()
 	if asOf.IsZero() || current == nil || rev != current.Revision {
--- a/config/payload.go
+++ b/config/payload.go
@@ -14,7 +14,8 @@
 }
 
 // payload returns the revision in force for a process that has revision have: as
-// deltas if possible, else in full.
+// deltas if possible, else in full. If it isn't newer than have, the payload has
+// only its number and size.
 func (h *Holder) payload(have types.Revision) (*configpb.Payload, error) {
 	current, deltas := h.currentWithDeltas(have)
 	if current == nil {
@@ -56,7 +57,7 @@
 }
 
 // ErrEmptyPayload reports a payload without a configuration.
-var ErrEmptyPayload = errors.New("config: no text in the answer")
+var ErrEmptyPayload = errors.New("config: no configuration in the payload")
 
 // decodePayload returns the configuration in a payload; deltas are applied to current.
 func decodePayload(p *configpb.Payload, current *Snapshot) ([]byte, error) {
--- a/config/poll.go
+++ b/config/poll.go
@@ -22,43 +22,44 @@
 	lastStarted int // number of the newest poll
 	lastEnded   int // number of the newest poll that has ended
 	inFlight    int
-	down        bool // poll number lastEnded got no response
+	down        bool // poll number lastEnded failed
 }
 
-func (o *pollTracker) begin() (number int) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.lastStarted++
-	o.inFlight++
-	return o.lastStarted
+func (p *pollTracker) begin() (number int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.lastStarted++
+	p.inFlight++
+	return p.lastStarted
 }
 
 // end records the outcome of a poll and reports whether the store's availability
 // changed with it.
 //
-// An older poll may time out after a later one got a response, so only the newest poll that
-// has ended determines the availability.
-func (o *pollTracker) end(number int, down bool) (changed bool) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.inFlight--
-	if number < o.lastEnded {
+// An older poll may time out after a later one got a response, so only the newest poll
+// that has ended determines the availability.
+func (p *pollTracker) end(number int, down bool) (changed bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.inFlight--
+	if number < p.lastEnded {
 		return false
 	}
-	o.lastEnded = number
-	changed = down != o.down
-	o.down = down
+	p.lastEnded = number
+	changed = down != p.down
+	p.down = down
 	return changed
 }
 
 // anyInFlight reports whether a poll is still running.
-func (o *pollTracker) anyInFlight() bool {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.inFlight > 0
+func (p *pollTracker) anyInFlight() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.inFlight > 0
 }
 
-// poll fetches the newest revision from the store.
+// pollStore fetches the newest revision from the store if it isn't in force yet. It
+// does nothing without a store.
 func (s *Syncer) pollStore(ctx context.Context) {
 	if s.opts.Store == nil {
 		return
--- a/config/push.go
+++ b/config/push.go
@@ -42,6 +42,8 @@
 	if result.Revision == 0 {
 		return result
 	}
+	// Most receivers have the previous revision; those that can't apply a delta to it fetch
+	// the new one. Without a delta, the payload is the full configuration.
 	payload, err := holder.payload(result.Revision - 1)
 	if err != nil {
 		result.Failed = int64(len(addrs))
--- a/config/service.go
+++ b/config/service.go
@@ -47,8 +47,8 @@
 	return &configpb.GetResponse{Payload: payload}, nil
 }
 
-// Push implements configpb.Config. If the push can't be applied here, because its
-// delta starts from another revision, the revision is fetched from the sender.
+// Push implements configpb.Config. If the push can't be applied here, as when its delta
+// starts from another revision, the revision is fetched from the sender.
 func (s *Server) Push(_ context.Context, r *configpb.PushRequest) (*configpb.PushResponse, error) {
 	rev := types.Revision(r.GetPayload().GetRevision())
 	current := s.holder.Current()
@@ -70,7 +70,8 @@
 	http   configpb.HTTPClient
 }
 
-// NewClient returns a client; the HTTP client adds a stamp to each message.
+// NewClient returns a client; the HTTP client adds a stamp to each message (see
+// package peer).
 func NewClient(holder *Holder, http configpb.HTTPClient) *Client {
 	return &Client{holder: holder, http: http}
 }
--- a/config/store.go
+++ b/config/store.go
@@ -132,9 +132,10 @@
 // Accept checks a configuration that an operator derived from revision base and
 // commits it as the next revision. It returns a *findings.ListError for an invalid
 // configuration, a *RaceError if another one was accepted meanwhile, an
-// *UndecidedError if the outcome was still unknown when ctx ended, or the
-// platform's error. After any error but *UndecidedError, nothing took effect. The
-// findings of an accepted configuration are its warnings.
+// *UndecidedError if the outcome was still unknown when ctx or DefaultResolveTimeout
+// ended, or the error of the table service or object store. After any error but
+// *UndecidedError, nothing took effect. The findings of an accepted configuration are
+// its warnings.
 func (s *Store) Accept(ctx context.Context, base types.Revision, raw []byte, who, note string) (types.Revision, findings.List, error) {
 	if len(raw) > maxConfigBytes {
 		return 0, nil, s.countAccept(ErrTooLarge)
@@ -235,12 +236,12 @@
 				return rev, readErr
 			}
 			err = readErr
-		case errors.Is(err, backing.ErrThrottled):
-		case errors.Is(err, backing.ErrUnavailable):
+		case errors.Is(err, backing.ErrThrottled): // this attempt had no effect
+		case errors.Is(err, backing.ErrUnavailable): // nor did this one
 			if !ambiguous {
 				return 0, err
 			}
-		default:
+		default: // the response was lost or didn't arrive in time
 			ambiguous = true
 			s.opts.Recorder.Emit(EventAmbiguous, "revision", p.entry.Revision, "commit", p.entry.Commit, "error", err)
 		}
@@ -303,7 +304,7 @@
 // RaceError is useful without it.
 func (s *Store) diff(ctx context.Context, base, winner types.Revision) string {
 	old, err := s.Load(ctx, base)
-	if err != nil && base != 0 {
+	if err != nil && base != 0 { // revision 0 is the empty configuration, which isn't stored
 		return ""
 	}
 	next, err := s.Load(ctx, winner)
--- a/config/store_test.go
+++ b/config/store_test.go
@@ -71,7 +71,7 @@
 // The table service commits, but its response is lost. Guards against reporting a
 // failure, after which the operator applies again and loses a race against their own
 // commit. Accept must find its own commit and report it accepted, once.
-func TestCommitWithLostAnswer(t *testing.T) {
+func TestCommitWithLostResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		table := newFakeTable()
@@ -95,7 +95,7 @@
 // The response to a commit is lost, and reads then come from a copy older than the
 // commit, so that the conflict of the retry looks like a lost race. The outcome must
 // stay unknown until the store returns data from after the commit.
-func TestLostAnswerAndOldReads(t *testing.T) {
+func TestLostResponseAndStaleReads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		table := newFakeTable()
@@ -118,7 +118,7 @@
 // The response to a commit is lost and the store then goes down for a long time.
 // Neither "accepted" nor "refused" is known to be true, so the error must contain the
 // commit id for the operator to look up.
-func TestLostAnswerThenOutage(t *testing.T) {
+func TestLostResponseThenOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		table := newFakeTable()
@@ -150,7 +150,7 @@
 // The table service fails over to a copy without the newest revision. Guards against
 // processes that poll it returning to the older configuration: Head must return an
 // error, and the next accepted revision must be higher than all that were in force.
-func TestStoreAnswersWithOlderRevision(t *testing.T) {
+func TestStoreReturnsOlderRevision(t *testing.T) {
 	g := NewWithT(t)
 	table := newFakeTable()
 	store := newStore(table)
@@ -172,7 +172,7 @@
 // and after commits take effect. Each reads, adds one and applies, and retries after
 // a race. A misjudged race or lost response would lose an increment or count it
 // twice.
-func TestNoChangeIsLostOrDoubled(t *testing.T) {
+func TestNoChangeIsLostOrDuplicated(t *testing.T) {
 	const operators, additions = 8, 5
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -241,7 +241,7 @@
 	return []byte(b.String())
 }
 
-func TestLargeTextGoesToObjectStore(t *testing.T) {
+func TestLargeConfigGoesToObjectStore(t *testing.T) {
 	g := NewWithT(t)
 	table, objects := newFakeTable(), &fakeObjects{}
 	store := config.NewStore(config.StoreOptions{Table: table, Objects: objects})
--- a/config/sync_test.go
+++ b/config/sync_test.go
@@ -39,13 +39,13 @@
 	holder := newHolder()
 	g.Expect(holder.Current()).To(BeNil())
 	g.Expect(holder.Freshness()).To(Equal(config.NeverConfirmed))
-	stop, fell := make(chan struct{}), make(chan bool)
+	stop, wentBack := make(chan struct{}), make(chan bool)
 	go func() {
 		last, back := types.Revision(0), false
 		for {
 			select {
 			case <-stop:
-				fell <- back
+				wentBack <- back
 				return
 			default:
 				now := holder.Revision()
@@ -68,7 +68,7 @@
 		<-done
 	}
 	close(stop)
-	g.Expect(<-fell).To(BeFalse())
+	g.Expect(<-wentBack).To(BeFalse())
 	top := holder.Revision()
 	taken, err := holder.Offer(top-1, configOf(0))
 	g.Expect(err).NotTo(HaveOccurred())
@@ -99,7 +99,7 @@
 // A process freezes after it has asked a peer for its revision; meanwhile a new
 // revision is accepted and pushed to others. When it resumes, it reads the old
 // response and a queued push: neither proves what is in force now.
-func TestOldAnswersConfirmNothing(t *testing.T) {
+func TestOldResponsesConfirmNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		holder := newHolder()
@@ -120,7 +120,7 @@
 // The store fails over to an old copy while a process polls it, then goes down,
 // then recovers. The process must keep its revision throughout and take the next
 // one when the store has it.
-func TestNeverBackAfterFreeze(t *testing.T) {
+func TestSyncerNeverGoesBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		table, holder := newFakeTable(), newHolder()
@@ -196,7 +196,7 @@
 // One of the seeds was replaced, and calls to its address get no response. A starting
 // process has 2 s for its seeds. Guards against spending them all on the dead seed and
 // starting without the configuration that the other seed has.
-func TestAskPastADeadSeed(t *testing.T) {
+func TestFetchNewestSkipsDeadSeed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		holder, ahead := newHolder(), newHolder()
@@ -210,7 +210,8 @@
 	})
 }
 
-// A sidecar can't reach the store. It must work with the configurations of its peers.
+// A process has no store. It must fetch revisions from its peers alone, also after a
+// fetch that failed.
 func TestSyncerWithoutStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -234,14 +235,15 @@
 	syncer   *config.Syncer
 	client   *config.Client
 	addr     string
-	received atomic.Int64
+	received atomic.Int64 // bytes of request bodies
 }
 
 func newNode(t testing.TB) *testNode {
 	n := &testNode{holder: newHolder()}
 	n.client = config.NewClient(n.holder, http.DefaultClient)
 	// The tests check what is sent, not how fast: with 48 tests in parallel, reading a
-	// configuration of 5,000 organisations took over half a second.
+	// configuration of 5,000 organisations took over half a second, and so
+	// longer than DefaultShortTimeout.
 	n.syncer = config.NewSyncer(config.SyncerOptions{
 		Holder: n.holder, Store: newStore(newFakeTable()), Source: n.client,
 		CallTimeout: time.Minute, ShortTimeout: time.Minute,
@@ -280,7 +282,7 @@
 // A process holds a different configuration with the same revision (a damaged
 // store). Applying the delta would produce a third configuration; the full one must
 // be fetched instead.
-func TestDeltaOnAnotherBase(t *testing.T) {
+func TestDeltaOnDifferentBase(t *testing.T) {
 	g := NewWithT(t)
 	from, odd := newNode(t), newNode(t)
 	offer(t, from.holder, 1, configOf(1))
@@ -311,7 +313,7 @@
 // An operator applies a configuration while one of six regions is unreachable. Pushes
 // to its 334 processes time out. Guards against pushes to the other regions queueing
 // behind them: all reachable processes must have the configuration within 4 s.
-func TestPushWhileARegionIsLost(t *testing.T) {
+func TestPushWhileRegionIsLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		from, others := newHolder(), newHolder()
@@ -333,7 +335,7 @@
 	})
 }
 
-func BenchmarkSeen(b *testing.B) {
+func BenchmarkRecordPeerRevision(b *testing.B) {
 	holder := newHolder()
 	offer(b, holder, 1, configOf(1))
 	s := newSyncer(holder, newStore(newFakeTable()), fakePeers{})
--- a/config/syncer.go
+++ b/config/syncer.go
@@ -52,7 +52,8 @@
 	// short because an unresponsive process delays the rest, and its revision can
 	// be had from another peer or the store.
 	ShortTimeout time.Duration
-	// PushConcurrency is how many pushes run at once.
+	// PushConcurrency is the number of pushes, or of requests for peers' revisions, that
+	// run at once.
 	PushConcurrency int
 }
 
@@ -60,8 +61,8 @@
 type Syncer struct {
 	opts     SyncerOptions
 	metrics  *syncMetrics
-	hint     atomic.Pointer[hint]
-	wake     chan struct{}
+	hint     atomic.Pointer[hint] // the peer to fetch from next; nil: none
+	wake     chan struct{}        // wakes Run when there is a hint
 	attempts fetchAttempts
 	inFlight sync.WaitGroup // calls in flight
 	polls    pollTracker
@@ -93,8 +94,8 @@
 	return &Syncer{opts: opts, metrics: newSyncMetrics(opts.Registerer), wake: make(chan struct{}, 1)}
 }
 
-// RecordPeerRevision is called with the revision in each stamp from a peer. It only
-// records a newer revision; Run fetches it.
+// RecordPeerRevision is called with the revision in each stamp from a peer (see package
+// peer). It only records a newer revision; Run fetches it.
 func (s *Syncer) RecordPeerRevision(addr string, rev types.Revision) {
 	if rev <= s.opts.Holder.Revision() {
 		return
@@ -139,8 +140,8 @@
 	return d - d/4 + rand.N(d/2+1)
 }
 
-// followHint fetches from the process that was seen with the newest revision, and
-// polls the store if the fetch fails or gets no response.
+// followHint fetches from the peer in the hint, and polls the store if the fetch fails
+// or gets no response.
 func (s *Syncer) followHint(ctx context.Context) {
 	seen := s.hint.Swap(nil)
 	if seen == nil || seen.rev <= s.opts.Holder.Revision() || s.attempts.inFlight(seen) {
@@ -153,7 +154,8 @@
 		}
 		return err
 	})
-	// While a poll is unanswered, further unresponsive peers start no other one.
+	// No poll is started while another is in flight: each poll of an unresponsive store
+	// would delay the next hint by ShortTimeout.
 	if err != nil && !s.polls.anyInFlight() {
 		s.pollStore(ctx)
 	}
@@ -221,6 +223,7 @@
 	return known
 }
 
+// newestHint returns the index of a hint with the highest revision.
 func newestHint(hints []hint) int {
 	best := 0
 	for i := range hints {
--- a/config/unresponsive_test.go
+++ b/config/unresponsive_test.go
@@ -47,7 +47,7 @@
 // from a healthy one. Guards against waiting for the timeouts of the poll, the fetch
 // from the frozen peer and another poll in sequence before asking the healthy peer:
 // the revision then came into force after six seconds instead of the guaranteed four.
-func TestSilentStoreAndFrozenPeerDoNotHoldATextUp(t *testing.T) {
+func TestUnresponsiveStoreAndFrozenPeerDoNotDelayRevision(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		holder := newHolder()
@@ -71,7 +71,8 @@
 }
 
 // fakeSite is a store and peers, all with revision rev in force. Each responds after a
-// delay; the store never to calls made before unresponsiveUntil, peers not while frozen.
+// delay. The store never responds to calls made before unresponsiveUntil, a peer never to
+// fetches made while it is frozen, and the peer called gone never to Peek.
 type fakeSite struct {
 	rev                   atomic.Uint64
 	delay                 time.Duration
@@ -147,11 +148,11 @@
 	return holder, syncer
 }
 
-// Calls may overlap since unresponsive sources no longer block others. The store
+// Calls may overlap, so that an unresponsive store or peer doesn't block others. The store
 // charges per call, and a node may use 4 KB per second for control traffic: while
 // all respond, each change must cost one fetch, however many peers advertise it,
 // and the store must be polled once per interval.
-func TestOrdinaryTimesTakeNoMoreCalls(t *testing.T) {
+func TestNoExtraCallsWhileAllRespond(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		const changes = 60
@@ -177,7 +178,7 @@
 
 // A router polls the store one second after the end of the previous poll. Overlapping
 // polls of an unresponsive store must not raise that rate while the store responds.
-func TestStoreIsAskedOnceAnInterval(t *testing.T) {
+func TestStoreIsPolledOncePerInterval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		s := &fakeSite{delay: 30 * time.Millisecond}
@@ -191,7 +192,7 @@
 // A full configuration of many organisations takes 1.5 s on a 10 Mbit/s link. If a
 // response in progress counted as none, the same configuration would be requested
 // repeatedly over the link that is slow already.
-func TestAnswerThatIsComingIsNotAskedForBeside(t *testing.T) {
+func TestResponseInProgressIsNotRequestedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		s := &fakeSite{delay: 1500 * time.Millisecond, firstByteAtOnce: true}
@@ -211,10 +212,10 @@
 	})
 }
 
-// A process freezes just after it has sent its member table with a new revision,
-// and other processes keep passing that on. A healthy process advertises the
-// revision once in between and must be asked nevertheless.
-func TestFrozenPeerThatIsNamedOnTakesNoPlace(t *testing.T) {
+// A process freezes just after it has sent its member table with a new revision, and
+// other processes keep passing that on. A healthy process advertises the revision once in
+// between. Guards against the frozen one replacing it as the next to fetch from.
+func TestFrozenPeerDoesNotDisplaceHealthyOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		s := &fakeSite{frozen: "frozen", unresponsiveUntil: time.Now().Add(time.Hour)}
@@ -234,8 +235,9 @@
 }
 
 // The only process that advertises a new revision is frozen, and the store doesn't
-// respond. The process must be called once at a time, and again after it resumes.
-func TestLonelyFrozenPeerIsAskedAgain(t *testing.T) {
+// respond. There must be no more than one fetch from the process at a time, and another
+// one after it resumes.
+func TestOnlyPeerIsAskedAgainAfterFreeze(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		const frozenFor = 20 * time.Second
@@ -255,7 +257,7 @@
 // A rack's switch fails, with the store behind it, just after three processes in the
 // rack have advertised a new revision. Guards against polling the unresponsive store
 // after the fetch from each of them, which delayed the fetch from a healthy process.
-func TestFrozenRackDoesNotHoldATextUp(t *testing.T) {
+func TestFrozenRackDoesNotDelayRevision(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		s := &fakeSite{frozen: "frozen", unresponsiveUntil: time.Now().Add(time.Hour)}
@@ -276,7 +278,7 @@
 // accepted. A router that got no push polled just before the recovery, and that poll
 // gets no response. Guards against waiting for its timeout and a further interval
 // before the next poll.
-func TestTextIsReadSoonAfterTheStoresReturn(t *testing.T) {
+func TestRevisionIsReadSoonAfterStoreRecovers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		for outage := 3 * time.Second; outage < 8*time.Second; outage += 100 * time.Millisecond {
@@ -295,7 +297,7 @@
 
 // A poll from an outage times out after a later one succeeded. It must not emit
 // config_store_unreachable, which no config_store_reachable would follow.
-func TestSwallowedQuestionTellsOfNoLoss(t *testing.T) {
+func TestLateTimeoutDoesNotReportStoreUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		recorder := event.Discard()
@@ -314,7 +316,7 @@
 // One of three seeds is gone, and another one freezes after it has returned its
 // revision. A starting process has two seconds for its seeds. Guards against spending
 // them all on the frozen one and starting without the configuration that the third has.
-func TestAskPastASeedThatFreezes(t *testing.T) {
+func TestFetchNewestSkipsSeedThatFreezes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		s := &fakeSite{frozen: "frozen"}
--- a/config/wait.go
+++ b/config/wait.go
@@ -9,7 +9,7 @@
 )
 
 // errNoResponse reports a call that has not received any response yet.
-var errNoResponse = errors.New("config: nothing heard yet")
+var errNoResponse = errors.New("config: no response yet")
 
 // waitCall starts a call and waits until it has ended, or returns errNoResponse if
 // no response arrived within ShortTimeout. The call then continues in the
@@ -17,8 +17,9 @@
 // waited for: a full configuration on a slow link takes longer than ShortTimeout,
 // and a second transfer beside it would slow both down.
 //
-// An unresponsive store or peer thus costs ShortTimeout, whatever CallTimeout is, and a healthy
-// one is asked within the guaranteed time. While all respond, one call runs at a time.
+// An unresponsive store or peer thus delays the next call by ShortTimeout, whatever
+// CallTimeout is, and a revision from a healthy one is in force within the guaranteed
+// four seconds. While all respond, one call runs at a time.
 func (s *Syncer) waitCall(ctx context.Context, call func(context.Context) error) error {
 	ctx, cancel := context.WithTimeout(ctx, s.opts.CallTimeout)
 	responded := make(chan struct{}, 1)
