--- a/config/doc.go
+++ b/config/doc.go
@@ -5,7 +5,7 @@
 // accepted revision to peers. A process never returns to an older revision.
 //
 // Metrics, error messages, stored keys and messages between processes call the
-// configuration the operators' text.
+// configuration the text, or the operators' text.
 //
 // May import of pearyard: backing, event, findings, rpc/config, text, types.
 package config
--- a/text/doc.go
+++ b/text/doc.go
@@ -3,7 +3,7 @@
 // configuration as a whole; a parsed Config is read-only and may be shared without locks.
 //
 // Settings, metrics, error messages, stored keys and messages between processes call the
-// configuration the operators' text.
+// configuration the text, or the operators' text.
 //
 // May import of pearyard: findings.
 package text
