--- a/embedded/journal_batch_test.go
+++ b/embedded/journal_batch_test.go
@@ -13,10 +13,11 @@
 	"github.com/pearyard/pearyard/text"
 )
 
-// Guards against reading a journalBatchMillis of 0 as "not set", which delayed
-// journal writes by half a second. With 0, every token is journalled at once, so a
-// generation must continue from the journal even if the VM that runs it and the
-// router that reads from it are lost together.
+// Guards against reading a journalBatchMillis of 0 as "not set". Journal writes were
+// then delayed by half a second, and when the VM that ran a generation and the router
+// that read from it were lost together, the caller was told that its generation was
+// gone. With 0, every token is journalled at once, so the answer must continue from the
+// journal.
 func TestJournalBatchOfZeroMeansAtOnce(t *testing.T) {
 	g := NewWithT(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
--- a/embedded/process.go
+++ b/embedded/process.go
@@ -16,7 +16,7 @@
 	err       error // set before done is closed
 }
 
-// startProcess runs f; its context is cancelled by Term and Kill.
+// startProcess runs f until it returns. Term and Kill cancel its context.
 func startProcess(listeners []*killableListener, f func(context.Context) error) *Process {
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &Process{listeners: listeners, cancel: cancel, done: make(chan struct{})}
@@ -50,7 +50,8 @@
 	}
 }
 
-// Kill closes all the process's listeners and connections and ends it.
+// Kill closes all listeners of the process and the connections accepted there, and waits
+// until the process has ended.
 func (p *Process) Kill() {
 	for _, l := range p.listeners {
 		l.kill()
@@ -68,6 +69,7 @@
 	killed bool
 }
 
+// listen listens on a free loopback port.
 func listen() (*killableListener, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -93,6 +95,7 @@
 	return tracked, nil
 }
 
+// kill closes the listener and all its connections.
 func (k *killableListener) kill() {
 	k.mu.Lock()
 	k.killed = true
@@ -107,6 +110,7 @@
 	}
 }
 
+// trackedConn is an accepted connection that its listener can close.
 type trackedConn struct {
 	net.Conn
 	owner *killableListener
--- a/embedded/site.go
+++ b/embedded/site.go
@@ -24,27 +24,30 @@
 
 // Names, keys and versions that a site is configured with.
 const (
-	ModelService  = "models"
-	PlainService  = "labels"
-	Model         = "pear-draft"
-	ModelVersion  = "1"
-	Organisation  = "demo"
-	APIKey        = "demo-key"
-	AdminToken    = "embedded-admin"
-	readyInterval = 20 * time.Millisecond
-	readyTimeout  = 15 * time.Second
+	ModelService = "models"
+	PlainService = "labels"
+	Model        = "pear-draft"
+	ModelVersion = "1"
+	Organisation = "demo"
+	APIKey       = "demo-key"
+	AdminToken   = "embedded-admin"
+)
+
+const (
+	readyInterval = 20 * time.Millisecond // between two checks whether a router is ready
+	readyTimeout  = 15 * time.Second      // for all routers of a site
 )
 
 // Options configure a site; zero values take small defaults.
 type Options struct {
 	Routers  int // default 2
 	Engines  int // number of engines, each with a sidecar; default 3
-	Plains   int // number of plain services, each with a sidecar; default 1
+	Plains   int // number of backend servers of the plain service, each with a sidecar; default 1
 	Zones    int // number of availability zones that the processes are spread over; default 3
 	Engine   standin.EngineOptions
 	Plain    standin.PlainOptions
 	Platform standin.PlatformOptions
-	Policy   string
+	Policy   string             // routing policy; empty: the routers' default
 	Edit     func(*text.Config) // changes the initial configuration before it is applied; may be nil
 	Logger   log.Logger         // default: none
 }
@@ -69,17 +72,17 @@
 // Engine is a stand-in engine with its sidecar.
 type Engine struct {
 	*standin.Engine
-	Name    string
-	Sidecar *Process
-	Node    *node.Sidecar
+	Name    string        // name of the backend server
+	Sidecar *Process      // process that runs Node
+	Node    *node.Sidecar // the sidecar itself
 }
 
-// Plain is a stand-in plain service with its sidecar.
+// Plain is a stand-in plain service with its sidecar: one backend server of PlainService.
 type Plain struct {
 	*standin.Plain
-	Name    string
-	Sidecar *Process
-	Node    *node.Sidecar
+	Name    string        // name of the backend server
+	Sidecar *Process      // process that runs Node
+	Node    *node.Sidecar // the sidecar itself
 }
 
 // Router is a router with its addresses.
@@ -100,8 +103,8 @@
 
 	opts      Options
 	platform  node.Platform
-	stopFuncs []func()
-	seeds     []string
+	stopFuncs []func() // close the servers of the stand-ins
+	seeds     []string // peer addresses of the sidecars started so far
 }
 
 // Start starts a site and returns when all its routers are ready.
@@ -158,6 +161,7 @@
 	return listener.Addr().String(), nil
 }
 
+// zone returns the availability zone of the engine, plain service or router with index i.
 func (s *Site) zone(i int) string { return fmt.Sprintf("zone-%d", i%s.opts.Zones+1) }
 
 func (s *Site) applyInitialConfiguration(ctx context.Context) error {
@@ -192,7 +196,7 @@
 		labels.BackendServers = append(labels.BackendServers, text.BackendServer{Name: p.Name, Zone: s.zone(i), Sidecar: p.Node.Address()})
 	}
 	recovery := text.DefaultRecovery()
-	recovery.JournalAfterMillis = 200
+	recovery.JournalAfterMillis = 200 // generations here are short: with the default of 2 s many would end before they are journalled
 	return &text.Config{
 		Services:      []text.Service{models, labels},
 		Models:        []text.Model{{Name: Model, Version: ModelVersion}},
@@ -211,7 +215,7 @@
 		for r.Running() && !ready(r.CallersAddress) {
 			select {
 			case <-ctx.Done():
-				return errors.Wrap(ctx.Err(), "embedded: router not ready")
+				return errors.Wrapf(ctx.Err(), "embedded: the router that listens for callers on %s is not ready", r.CallersAddress)
 			case <-time.After(readyInterval):
 			}
 		}
@@ -237,7 +241,7 @@
 	return client.New(client.Options{Routers: addresses, Key: APIKey})
 }
 
-// Stop kills all processes and stand-ins.
+// Stop kills all routers, sidecars and stand-ins.
 func (s *Site) Stop() {
 	var wait sync.WaitGroup
 	for _, r := range s.Routers {
--- a/embedded/site_test.go
+++ b/embedded/site_test.go
@@ -14,7 +14,8 @@
 
 // A caller streams a long answer through one router. First the engine that
 // produces it crashes, then the router is killed. The client must reconnect to the
-// other router with Last-Event-ID and get the rest of the same answer.
+// other router with Last-Event-ID and get the rest of the same answer, without a token
+// missing or repeated.
 func TestEngineThenRouterDie(t *testing.T) {
 	g := NewWithT(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
--- a/embedded/start.go
+++ b/embedded/start.go
@@ -43,6 +43,8 @@
 	return err
 }
 
+// startSidecar starts the sidecar of the backend server name. set adds the client of
+// that server to the options.
 func (s *Site) startSidecar(name string, i int, set func(*node.SidecarOptions)) (*node.Sidecar, *Process, error) {
 	peers, err := listen()
 	if err != nil {
@@ -61,7 +63,7 @@
 // StartRouter starts the router with index i: a new one, or the replacement of one
 // that was killed.
 func (s *Site) StartRouter(i int) error {
-	var listeners []*killableListener
+	var listeners []*killableListener // for peers, callers and administration
 	for range 3 {
 		l, err := listen()
 		if err != nil {
