--- a/demo/demo_test.go
+++ b/demo/demo_test.go
@@ -9,7 +9,8 @@
 	"github.com/pearyard/pearyard/demo"
 )
 
-// The demo must survive both kills and deliver the complete answer.
+// The demo is what a new user runs first. It must survive both kills and deliver the
+// complete answer.
 func TestDemoIsWhole(t *testing.T) {
 	g := NewWithT(t)
 	var out bytes.Buffer
