--- a/cmd/pearyard-entry/main.go
+++ b/cmd/pearyard-entry/main.go
@@ -1,4 +1,6 @@
-// Command pearyard-entry serves callers on an entry VM of the platform.
+// Command pearyard-entry serves callers on an entry VM of the platform. It reaches the
+// backend servers directly; pearyard-router is the program of sites whose backend servers
+// have sidecars.
 package main
 
 import (
--- a/cmd/pearyard-router/main.go
+++ b/cmd/pearyard-router/main.go
@@ -1,4 +1,5 @@
-// Command pearyard-router serves callers on an entry VM.
+// Command pearyard-router serves callers on an entry VM of a site whose backend servers
+// have sidecars (command pearyard-sidecar).
 package main
 
 import (
--- a/cmd/pearyard-standin/main.go
+++ b/cmd/pearyard-standin/main.go
@@ -1,5 +1,5 @@
-// Command pearyard-standin runs a stand-in for an external system in scenarios:
-// a model engine, a plain service or the platform.
+// Command pearyard-standin runs a stand-in for an external system in scenarios and
+// measurements: a model engine, a plain service or the platform.
 package main
 
 import (
--- a/cmd/pearyard-standin/main_test.go
+++ b/cmd/pearyard-standin/main_test.go
@@ -20,8 +20,9 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// daemon starts the program and returns its process and the address that it prints.
-func daemon(t *testing.T, bin string, args ...string) (*exec.Cmd, string) {
+// startStandin starts the program and returns its process and the address that it prints.
+// The process is killed at the end of the test.
+func startStandin(t *testing.T, bin string, args ...string) (*exec.Cmd, string) {
 	g := NewWithT(t)
 	cmd := exec.CommandContext(t.Context(), bin, args...)
 	out, err := cmd.StdoutPipe()
@@ -43,13 +44,16 @@
 	g.Expect(resp.Body.Close()).To(Succeed())
 }
 
-func TestDaemons(t *testing.T) {
+// Builds the program and runs each stand-in as a process of its own: it must print its
+// address and serve its API. An engine must end with CrashStatus after a poisoned request,
+// and the platform must apply a fault: the write takes effect, but its answer is lost.
+func TestStandinsRunAsProcesses(t *testing.T) {
 	g := NewWithT(t)
 	bin := filepath.Join(t.TempDir(), "pearyard-standin")
 	build, err := exec.Command("go", "build", "-o", bin, ".").CombinedOutput()
 	g.Expect(err).NotTo(HaveOccurred(), string(build))
 
-	crashing, address := daemon(t, bin, "engine", "--step-base", "1ms")
+	crashingEngine, address := startStandin(t, bin, "engine", "--step-base", "1ms")
 	c := engineapi.New(engineapi.Options{Address: address})
 	var texts []string
 	_, err = c.Generate(t.Context(), engine.Request{Prompt: "p", MaxTokens: 5}, func(token types.Token) error {
@@ -61,10 +65,10 @@
 	g.Expect(standin.CheckAnswer("p", texts)).To(Succeed())
 	_, err = c.Generate(context.Background(), engine.Request{Prompt: "POISON", MaxTokens: 5}, nil)
 	g.Expect(err).To(MatchError(engine.ErrConnectionLost))
-	g.Expect(crashing.Wait()).To(HaveOccurred())
-	g.Expect(crashing.ProcessState.ExitCode()).To(Equal(command.CrashStatus))
+	g.Expect(crashingEngine.Wait()).To(HaveOccurred())
+	g.Expect(crashingEngine.ProcessState.ExitCode()).To(Equal(command.CrashStatus))
 
-	_, address = daemon(t, bin, "platform")
+	_, address = startStandin(t, bin, "platform")
 	post(t, "http://"+address+"/faults", `{"table":{"lose_answers":1}}`)
 	table := platformapi.NewTable(platformapi.Options{Address: address})
 	txn := backing.Txn{Writes: []backing.Write{{Key: "k", Value: []byte("v")}}}
@@ -72,6 +76,6 @@
 	_, err = table.Get(t.Context(), "k")
 	g.Expect(err).NotTo(HaveOccurred())
 
-	_, address = daemon(t, bin, "plain")
+	_, address = startStandin(t, bin, "plain")
 	post(t, "http://"+address+"/labels", "{}")
 }
--- a/cmd/pearyard/main.go
+++ b/cmd/pearyard/main.go
@@ -17,7 +17,8 @@
 )
 
 func main() {
-	if code, handled := measure.AsProgram(os.Args); handled {
+	// `pearyard bench measure` starts this binary under the names of the programs that it measures.
+	if code, ran := measure.AsProgram(os.Args); ran {
 		os.Exit(code)
 	}
 	os.Exit(runCommand(os.Args, cli.Options{Demo: demo.Run, Bench: bench.Command()}))
