--- a/deploy/days_test.go
+++ b/deploy/days_test.go
@@ -20,9 +20,10 @@
 	placeholders = []string{"@c0", "@s0", "@z0"}
 )
 
-// A day that names a service, class or zone of one site is skipped silently on all
-// other sites, so that their clean results wrongly seem to cover it. And without a
-// comment that states the feared failure, a finding of that day can't be understood.
+// A day is a script of disruptions. One that names a service, class or zone of one site
+// is skipped silently on all other sites, so that their clean results wrongly seem to
+// cover it. And without a comment that states the feared failure, a finding of that day
+// can't be understood.
 func TestDaysFitAnySiteAndSayWhatIsFeared(t *testing.T) {
 	g := NewWithT(t)
 	files, err := filepath.Glob("days/*.toml")
@@ -32,12 +33,12 @@
 		raw, err := os.ReadFile(file)
 		g.Expect(err).NotTo(HaveOccurred())
 		for _, found := range locationField.FindAllStringSubmatch(string(raw), -1) {
-			g.Expect(placeholders).To(ContainElement(found[2]), "%s: %s", file, found[0])
+			g.Expect(placeholders).To(ContainElement(found[2]), "%s: %s names no placeholder", file, found[0])
 		}
 		names := dayName.FindAllStringSubmatch(string(raw), -1)
-		g.Expect(names).To(HaveLen(1), "%s: days", file)
-		g.Expect(names[0][1]+".toml").To(Equal(filepath.Base(file)), "name of the day in its file")
-		g.Expect(headerComment(string(raw))).To(ContainSubstring("Feared: "), file)
+		g.Expect(names).To(HaveLen(1), "%s: number of days", file)
+		g.Expect(names[0][1]+".toml").To(Equal(filepath.Base(file)), "%s: name of the day", file)
+		g.Expect(headerComment(string(raw))).To(ContainSubstring("Feared: "), "%s: comment before the day", file)
 	}
 }
 
