--- a/bench/bench_test.go
+++ b/bench/bench_test.go
@@ -22,7 +22,7 @@
 	return out.String()
 }
 
-func TestEveryBenchIsThereOnce(t *testing.T) {
+func TestBenchHasEachBenchmarkOnce(t *testing.T) {
 	g := NewWithT(t)
 	var names []string
 	for _, command := range Command().Subcommands {
@@ -31,16 +31,16 @@
 	g.Expect(names).To(Equal([]string{"route", "limit", "members", "measure"}))
 }
 
-func TestBenchOfRoutesTakesItsFlags(t *testing.T) {
+func TestRouteBenchmarkTakesItsFlags(t *testing.T) {
 	g := NewWithT(t)
 	out := run(t, "route", "--runners", "6", "--seeds", "1", "--case", "steady", "--variant", route.LeastLoad)
 	g.Expect(out).To(ContainSubstring("6 runners, steady"))
 	g.Expect(out).To(ContainSubstring(route.LeastLoad))
 }
 
-// Checks only the flags in the help: runs of these two take minutes with the race
+// Checks only that the help lists the flags: runs of these two take minutes with the race
 // detector, and their packages have tests for them.
-func TestLongBenchesKeepTheirFlags(t *testing.T) {
+func TestLongBenchmarksKeepTheirFlags(t *testing.T) {
 	g := NewWithT(t)
 	for bench, flags := range map[string][]string{
 		"members": {"--members", "--window", "--rounds"},
@@ -48,7 +48,7 @@
 	} {
 		help := run(t, bench, "--help")
 		for _, name := range flags {
-			g.Expect(help).To(ContainSubstring(name))
+			g.Expect(help).To(ContainSubstring(name), "help of bench %s", bench)
 		}
 	}
 }
