--- a/measure/caller.go
+++ b/measure/caller.go
@@ -18,12 +18,16 @@
 )
 
 const (
-	reconnectDelay = 20 * time.Millisecond
-	maxConnections = 400
-	idLine         = "id: "
-	dataLine       = "data: "
-	doneData       = "[DONE]"
-	maxEventBytes  = 1 << 20
+	reconnectDelay = 20 * time.Millisecond // between two connections of a call
+	maxConnections = 400                   // of one call, so that one that never succeeds ends
+	maxEventBytes  = 1 << 20               // longest line of a stream, and longest error body that is read
+)
+
+// Parts of the lines of a stream of server-sent events.
+const (
+	idPrefix   = "id: "
+	dataPrefix = "data: "
+	doneData   = "[DONE]"
 )
 
 // errGone is returned when a router answers that the generation can't be resumed.
@@ -58,16 +62,16 @@
 	first     int // index of the router that is tried first
 
 	start         time.Time
-	texts         []string
-	arrivals      []arrival
+	texts         []string  // tokens of the answer so far, without discarded ones
+	arrivals      []arrival // of all tokens, with discarded ones
 	interruptions []interruption
-	discarded     int
+	discarded     int    // tokens received and discarded by restarts
 	restarts      int    // times that the answer started again from its first token
 	gone          string // body of the last 410 response
-	lastID        string
+	lastID        string // event ID of the newest token
 	requestID     string // of the newest connection
-	finished      bool
-	err           error
+	finished      bool   // the end of the answer was received
+	err           error  // of the newest connection; nil if it ended without one
 }
 
 // run sends the request and reconnects until the answer is complete, ctx ends, or
@@ -93,6 +97,8 @@
 	}
 }
 
+// connect sends the request to a router, or resumes the answer after lastID if there is
+// one, and reads until the stream ends.
 func (c *call) connect(ctx context.Context, client *http.Client, routerAddress string) error {
 	body, err := json.Marshal(map[string]any{"model": model, "prompt": c.prompt, "max_tokens": c.maxTokens, "stream": true})
 	if err != nil {
@@ -118,22 +124,23 @@
 			c.gone = string(message)
 			return errGone
 		}
-		return errors.Errorf("%d %s", resp.StatusCode, message)
+		return errors.Errorf("router %s answered %d: %s", routerAddress, resp.StatusCode, message)
 	}
 	return c.readEvents(resp.Body)
 }
 
+// readEvents reads the events of a stream until it ends or one of them is an error.
 func (c *call) readEvents(body io.Reader) error {
 	scanner := bufio.NewScanner(body)
 	scanner.Buffer(nil, maxEventBytes)
 	id := ""
 	for scanner.Scan() {
 		line := scanner.Text()
-		if value, ok := strings.CutPrefix(line, idLine); ok {
+		if value, ok := strings.CutPrefix(line, idPrefix); ok {
 			id = value
 			continue
 		}
-		data, ok := strings.CutPrefix(line, dataLine)
+		data, ok := strings.CutPrefix(line, dataPrefix)
 		if !ok || data == doneData {
 			continue
 		}
@@ -145,6 +152,8 @@
 	return scanner.Err()
 }
 
+// handleToken adds the token of an event. An event without an ID has no token: it is the
+// end of the answer or an error.
 func (c *call) handleToken(id, data string) error {
 	if id == "" {
 		return c.handleEnd(data)
@@ -156,7 +165,7 @@
 	}
 	var e struct{ Choices []struct{ Text string } }
 	if err := json.Unmarshal([]byte(data), &e); err != nil || len(e.Choices) == 0 {
-		return errors.Errorf("measure: invalid event %q", data)
+		return errors.Errorf("invalid event %q", data)
 	}
 	c.lastID = id
 	c.texts = append(c.texts, e.Choices[0].Text)
@@ -166,7 +175,7 @@
 
 func (c *call) handleEnd(data string) error {
 	if strings.Contains(data, `"error"`) {
-		return errors.New(data)
+		return errors.Errorf("the stream ended with the error event %s", data)
 	}
 	c.finished = true
 	return nil
@@ -193,19 +202,21 @@
 	regained       time.Duration // from the loss until the caller had more tokens than before it
 }
 
-// resumptionAfter returns how the call continued after a loss at t, and false if the loss
-// did not affect it.
+// resumptionAfter returns how the call continued after a loss at t. It returns false if the
+// loss did not affect the call, or if no token followed.
 func (c *call) resumptionAfter(t time.Time) (resumption, bool) {
 	for i := 1; i < len(c.arrivals); i++ {
 		a, before := c.arrivals[i], c.arrivals[i-1]
-		returned, back := c.lastReconnect(before.at, a.at)
-		if a.at.Before(t) || (a.attempt == before.attempt && !back) {
+		reconnection, reconnected := c.lastReconnect(before.at, a.at)
+		if a.at.Before(t) || (a.attempt == before.attempt && !reconnected) {
 			continue
 		}
 		r := resumption{afterLoss: a.at.Sub(t), pause: a.at.Sub(before.at), index: i, newAttempt: a.attempt != before.attempt, regained: a.at.Sub(t)}
-		if back {
-			r.afterReconnect = a.at.Sub(returned.at)
+		if reconnected {
+			r.afterReconnect = a.at.Sub(reconnection.at)
 		}
+		// A caller that starts over receives the i tokens that it had once more, so that
+		// the first one that it didn't have is arrival 2i.
 		if c.strategy == startOver && i+i < len(c.arrivals) {
 			r.regained = c.arrivals[i+i].at.Sub(t)
 		}
@@ -214,6 +225,8 @@
 	return resumption{}, false
 }
 
+// lastReconnect returns the last interruption between two points in time, and whether
+// there is one.
 func (c *call) lastReconnect(from, to time.Time) (interruption, bool) {
 	found, ok := interruption{}, false
 	for _, in := range c.interruptions {
--- a/measure/cause.go
+++ b/measure/cause.go
@@ -4,7 +4,7 @@
 	"syscall"
 )
 
-// Cause identifies the kind of loss that a measurement brings about.
+// Cause is the kind of loss that a run of a measurement simulates.
 type Cause string
 
 // Causes of a loss that can be measured.
@@ -12,13 +12,13 @@
 	CauseNone          Cause = "none"
 	CauseEngineKilled  Cause = "engine-killed"
 	CauseEngineFrozen  Cause = "engine-frozen"
-	CauseVMFrozen      Cause = "vm-frozen"
-	CauseVMKilled      Cause = "vm-killed"
-	CauseCut           Cause = "cut"
+	CauseVMFrozen      Cause = "vm-frozen" // engine and sidecar
+	CauseVMKilled      Cause = "vm-killed" // engine and sidecar
+	CauseCut           Cause = "cut"       // the network to the sidecar forwards nothing
 	CauseSidecarKilled Cause = "sidecar-killed"
 	CauseRouterKilled  Cause = "router-killed"
-	CausePlannedStop   Cause = "planned-stop"
-	CauseTenthKilled   Cause = "tenth-killed"
+	CausePlannedStop   Cause = "planned-stop"         // SIGTERM to the sidecar
+	CauseTenthKilled   Cause = "tenth-killed"         // a tenth of the engines
 	CauseVMAndRouter   Cause = "vm-and-router-killed" // leaves the tokens with the journal peers only
 )
 
@@ -27,13 +27,14 @@
 	CauseSidecarKilled, CauseRouterKilled, CausePlannedStop, CauseTenthKilled, CauseVMAndRouter, CauseNone}
 
 // latencyTargets are the upper limits for the resume latency at p99, in milliseconds.
-// That of a killed engine excludes the prefill time of the stand-in.
+// That of a killed engine excludes the prefill time of the stand-in, and that of a killed
+// router starts when the caller has reconnected. A cause without a target is only measured.
 var latencyTargets = map[Cause]float64{
 	CauseEngineKilled: 50, CauseEngineFrozen: 1500, CauseVMFrozen: 1500, CauseCut: 1500,
 	CauseRouterKilled: 150, CauseTenthKilled: 5000,
 }
 
-// causeLoss brings about the loss.
+// causeLoss causes the loss, at the first backend server or the first router.
 func (s *site) causeLoss(c Cause) error {
 	victim := s.backends[0]
 	switch c {
@@ -75,6 +76,7 @@
 	return nil
 }
 
+// signal sends a signal to the engine and the sidecar of a VM.
 func (b *backend) signal(sig syscall.Signal) error {
 	if err := b.engine.signal(sig); err != nil {
 		return err
--- a/measure/command.go
+++ b/measure/command.go
@@ -145,6 +145,7 @@
 	}
 }
 
+// convertNames converts strings to a named string type.
 func convertNames[T ~string](names []string) []T {
 	var out []T
 	for _, name := range names {
@@ -153,6 +154,7 @@
 	return out
 }
 
+// firstError returns the first error that is not nil.
 func firstError(errs ...error) error {
 	for _, err := range errs {
 		if err != nil {
@@ -173,6 +175,7 @@
 	}
 }
 
+// recoveryOf returns the recovery settings that the flags of recoveryFlags have.
 func recoveryOf(c *cli.Context) text.Recovery {
 	out := text.DefaultRecovery()
 	out.JournalAfterMillis, out.JournalPeers = c.Int("journal-after"), c.Int("journal-peers")
--- a/measure/configure.go
+++ b/measure/configure.go
@@ -18,20 +18,23 @@
 	// inForceTarget is the limit for the time until a configuration is in force everywhere.
 	inForceTarget = 4 * time.Second
 	configRouters = 2
-	configEngines = 40
+	configEngines = 40 // each with a sidecar
 	operators     = 3
-	watchInterval = 50 * time.Millisecond // between two queries of a process's revision
-	configTail    = 6 * time.Second
+	applyInterval = 300 * time.Millisecond // between two attempts of an operator
+	revisionPoll  = 50 * time.Millisecond  // between two queries of a process's revision
+	// watchAfterLastApply is longer than inForceTarget, so that a revision that misses the
+	// target is seen as well.
+	watchAfterLastApply = 6 * time.Second
 )
 
 // ConfigResult summarizes how configurations came into force while operators applied them
 // concurrently.
 type ConfigResult struct {
 	Accepted  int       `json:"accepted"`
-	Races     int       `json:"races"`
-	InForce   Quantiles `json:"in_force_everywhere"` // from the response that accepted the configuration
-	Unseen    int       `json:"not_in_force_everywhere"`
-	WentBack  int       `json:"processes_that_went_back"`
+	Races     int       `json:"races"`                    // failed attempts: another operator was first, or the call failed
+	InForce   Quantiles `json:"in_force_everywhere"`      // from the response that accepted the configuration
+	Unseen    int       `json:"not_in_force_everywhere"`  // accepted, but not seen at every process
+	WentBack  int       `json:"processes_that_went_back"` // samples with an older revision than one before at the same process
 	Processes int       `json:"processes"`
 	Machine   Machine   `json:"machine"`
 }
@@ -70,8 +73,8 @@
 	watching, stop := context.WithCancel(ctx)
 	samples := make(chan []revisionSample, 1)
 	go func() { samples <- s.watchRevisions(watching) }()
-	accepted, races := s.race(ctx, texts)
-	time.Sleep(configTail)
+	accepted, races := s.applyConcurrently(ctx, texts)
+	time.Sleep(watchAfterLastApply)
 	stop()
 	result := summarizeConfig(accepted, <-samples, configEngines+configRouters)
 	result.Races, result.Machine = races, machine()
@@ -79,9 +82,10 @@
 	return result, nil
 }
 
-// race lets operators apply configurations concurrently. It returns the time at which each
-// accepted revision was accepted, and the number of failed attempts.
-func (s *site) race(ctx context.Context, texts int) (accepted map[uint64]time.Time, races int) {
+// applyConcurrently lets operators apply configurations concurrently. They differ in
+// retainMillis, so that no two are equal. It returns the time at which each accepted
+// revision was accepted, and the number of failed attempts.
+func (s *site) applyConcurrently(ctx context.Context, texts int) (accepted map[uint64]time.Time, races int) {
 	accepted = map[uint64]time.Time{}
 	var mu sync.Mutex
 	var wait sync.WaitGroup
@@ -102,7 +106,7 @@
 					races++
 				}
 				mu.Unlock()
-				time.Sleep(300 * time.Millisecond)
+				time.Sleep(applyInterval)
 			}
 		})
 	}
@@ -110,6 +114,7 @@
 	return accepted, races
 }
 
+// watchRevisions polls the revision of every process until ctx ends.
 func (s *site) watchRevisions(ctx context.Context) []revisionSample {
 	processes := append([]*process(nil), s.routers...)
 	for _, b := range s.backends {
@@ -127,7 +132,7 @@
 					out = append(out, revisionSample{process: i, revision: uint64(version.Revision), at: time.Now()})
 					mu.Unlock()
 				}
-				time.Sleep(watchInterval)
+				time.Sleep(revisionPoll)
 			}
 		})
 	}
@@ -155,14 +160,14 @@
 			}
 		}
 		everywhere := at
-		missing := false
+		notEverywhere := false
 		for _, t := range first {
-			missing = missing || t.IsZero()
+			notEverywhere = notEverywhere || t.IsZero()
 			if t.After(everywhere) {
 				everywhere = t
 			}
 		}
-		if missing {
+		if notEverywhere {
 			out.Unseen++
 			continue
 		}
--- a/measure/dial.go
+++ b/measure/dial.go
@@ -19,7 +19,7 @@
 	Discarded          Spread       `json:"tokens_thrown_away"` // generated tokens that no caller kept
 	PrefilledForResume Spread       `json:"tokens_prefilled_for_resume"`
 	JournalBytes       Spread       `json:"journal_bytes_per_token"`
-	FalseLosses        float64      `json:"false_losses"` // resumes in all runs without a loss
+	FalseLosses        float64      `json:"false_losses"` // resumes in all runs without a loss; only measured with CauseVMFrozen
 }
 
 // String returns the point as one line.
@@ -29,16 +29,16 @@
 		p.PrefilledForResume.Median, p.JournalBytes.Median, p.Loss.Incomplete, p.FalseLosses, p.Loss.Machine.Load)
 }
 
-// journalBase holds the journal settings of which one at a time is varied.
+// journalBase holds the values that the other journal settings have while one is varied.
 var journalBase = text.Recovery{JournalAfterMillis: 500, JournalPeers: 1, JournalBatchMillis: 100}
 
-// Dial measures recovery settings: those of the journal with the loss of a VM together
-// with the router, where only journal peers have the tokens; the silence limit with a
-// frozen VM and without a loss.
+// Dial measures a range of recovery settings: those of the journal with the loss of a VM
+// together with the router, where only journal peers have the tokens; the silence limit
+// with a frozen VM, and without a loss, where each resume is a false alarm.
 func Dial(ctx context.Context, opts ResumeOptions) ([]DialPoint, error) {
 	var out []DialPoint
-	opts.LossAt = 3 * time.Second
-	opts.Load.Tokens = 600
+	opts.LossAt = 3 * time.Second // after journalAfterMillis, except for the value 8000
+	opts.Load.Tokens = 600        // so that generations still run at that time
 	for _, setting := range journalSettings() {
 		point, err := dialPoint(ctx, opts, setting, CauseVMAndRouter)
 		if err != nil {
@@ -58,6 +58,8 @@
 	return out, nil
 }
 
+// journalSettings returns journalBase with one setting varied at a time, and two
+// combinations: everything journalled at once to two peers, and late in large batches.
 func journalSettings() []text.Recovery {
 	var out []text.Recovery
 	add := func(after, peers, batch int) {
@@ -79,6 +81,8 @@
 	return out
 }
 
+// dialPoint measures one set of recovery settings with a loss. For the silence limit
+// (CauseVMFrozen) it also measures them without one.
 func dialPoint(ctx context.Context, opts ResumeOptions, setting text.Recovery, cause Cause) (DialPoint, error) {
 	opts.Recovery = setting
 	loss, err := resumeCase(ctx, opts, cause, ModeSystem)
@@ -96,11 +100,11 @@
 	}
 	point.Discarded, point.PrefilledForResume, point.JournalBytes = spreadOf(discarded), spreadOf(prefilled), spreadOf(bytes)
 	if cause == CauseVMFrozen {
-		quiet, err := resumeCase(ctx, opts, CauseNone, ModeSystem)
+		withoutLoss, err := resumeCase(ctx, opts, CauseNone, ModeSystem)
 		if err != nil {
 			return point, err
 		}
-		for _, r := range quiet.Runs {
+		for _, r := range withoutLoss.Runs {
 			point.FalseLosses += r.ResumesByRouter
 		}
 	}
--- a/measure/engines.go
+++ b/measure/engines.go
@@ -20,9 +20,9 @@
 	address string
 	server  *http.Server
 
-	mu      sync.Mutex // guards all below
-	writes  map[string]*writeTimes
-	arrived []time.Time // arrival times of requests, in order
+	mu      sync.Mutex             // guards all below
+	writes  map[string]*writeTimes // by request ID
+	arrived []time.Time            // when requests reached the engine, in order
 }
 
 // writeTimes holds the times at which the engine wrote the tokens of one request.
@@ -31,6 +31,7 @@
 	at []time.Time
 }
 
+// startInProcessEngine serves a stand-in engine on a free loopback port.
 func startInProcessEngine(opts standin.EngineOptions) (*inProcessEngine, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -85,18 +86,19 @@
 	return times.at
 }
 
+// recordingWriter records when each line is written.
 type recordingWriter struct {
 	http.ResponseWriter
 	times *writeTimes
 }
 
 // Write implements http.ResponseWriter; the stand-in writes one line per call.
-func (n *recordingWriter) Write(line []byte) (int, error) {
-	n.times.mu.Lock()
-	n.times.at = append(n.times.at, time.Now())
-	n.times.mu.Unlock()
-	return n.ResponseWriter.Write(line)
+func (w *recordingWriter) Write(line []byte) (int, error) {
+	w.times.mu.Lock()
+	w.times.at = append(w.times.at, time.Now())
+	w.times.mu.Unlock()
+	return w.ResponseWriter.Write(line)
 }
 
 // Unwrap lets http.ResponseController reach the flusher.
-func (n *recordingWriter) Unwrap() http.ResponseWriter { return n.ResponseWriter }
+func (w *recordingWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
--- a/measure/entries_test.go
+++ b/measure/entries_test.go
@@ -23,14 +23,14 @@
 
 const (
 	programEntry = "pearyard-entry"
-	entryHost    = "faces.example"
-	entryKey     = "k0"
-	entryNet     = "127.0.78."
+	entryHost    = "faces.example" // host of the route in the configuration
+	entryKey     = "k0"            // API key of the tenant in the configuration
+	entryNet     = "127.0.78."     // entry VM i listens on the loopback address with i as its last number
 )
 
 // TestMain runs one of the measured programs if the binary was started under its name.
 func TestMain(m *testing.M) {
-	if code, was := AsProgram(os.Args); was {
+	if code, ran := AsProgram(os.Args); ran {
 		os.Exit(code)
 	}
 	if filepath.Base(os.Args[0]) == programEntry {
@@ -45,20 +45,22 @@
 	cloud   *nursery.Cloud
 	servers []*nursery.Server
 	entries []*process
-	callers []string
-	peers   []string
+	callers []string // addresses of the entry VMs for callers
+	peers   []string // addresses of the entry VMs for each other, with their metrics
 
-	mu     sync.Mutex // guards writes
-	writes map[string]*writeTimes
+	mu     sync.Mutex             // guards writes
+	writes map[string]*writeTimes // by request
 }
 
 // entryOptions configure an entrySite.
 type entryOptions struct {
-	servers, entries, length int
-	gap                      time.Duration
-	copies                   bool // backend servers hold copies of streams on other servers
+	servers, entries, length int           // length is the number of events of a stream
+	gap                      time.Duration // between two events of a stream
+	copies                   bool          // backend servers hold copies of streams on other servers
 }
 
+// startEntries starts the stand-ins of the platform and of the backend servers, and the
+// entry VMs. The processes write their settings and logs to dir.
 func startEntries(dir string, opts entryOptions) (*entrySite, error) {
 	store, err := nursery.NewStore()
 	if err != nil {
@@ -86,6 +88,7 @@
 	return s, nil
 }
 
+// startAll starts n entry VMs. All use the same ports, each on an address of its own.
 func (s *entrySite) startAll(dir string, n int) error {
 	port, err := freePort()
 	if err != nil {
@@ -99,6 +102,8 @@
 	return nil
 }
 
+// freePort returns a port that is free on 127.0.0.1. The ports up to 21 above it, which
+// startEntry uses too, are taken to be free.
 func freePort() (int, error) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -108,6 +113,9 @@
 	return l.Addr().(*net.TCPAddr).Port, nil
 }
 
+// startEntry starts the entry VM with index i and waits until it is ready. It listens on
+// port and the next ones for its peers, on port+20 for callers, and on port+21 for the
+// check whether it is ready.
 func (s *entrySite) startEntry(dir string, i, port int) error {
 	ip, name := entryNet+strconv.Itoa(i+1), fmt.Sprintf("edge-%d", i+1)
 	callers, ready := fmt.Sprintf("%s:%d", ip, port+20), fmt.Sprintf("%s:%d", ip, port+21)
@@ -128,6 +136,7 @@
 	return awaitEntry(p, ready)
 }
 
+// runEntry runs this binary as pearyard-entry with a settings file.
 func runEntry(name, settings, logPath string) (*process, error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -153,6 +162,7 @@
 	return p, nil
 }
 
+// awaitEntry waits until an entry VM is ready for callers.
 func awaitEntry(p *process, ready string) error {
 	for end := time.Now().Add(startTimeout); time.Now().Before(end) && p.running(); time.Sleep(readyPoll) {
 		resp, err := scraper.Get("http://" + ready + "/pearyard/readyz")
@@ -164,7 +174,7 @@
 			return nil
 		}
 	}
-	return errors.Errorf("measure: %s is not ready", p.name)
+	return errors.Errorf("measure: %s ended, or is not ready within %v", p.name, startTimeout)
 }
 
 func (s *entrySite) stop() {
@@ -197,7 +207,7 @@
 	written := s.writes[c.id]
 	s.mu.Unlock()
 	var out []time.Duration
-	for i := warmup; written != nil && i < min(len(written.at), len(c.arrivals)); i++ {
+	for i := warmupTokens; written != nil && i < min(len(written.at), len(c.arrivals)); i++ {
 		out = append(out, c.arrivals[i].Sub(written.at[i]))
 	}
 	return out
@@ -227,6 +237,7 @@
 	return out
 }
 
+// run sends the request and compares each event with the one that the stand-in sends.
 func (c *entryCall) run(ctx context.Context, client *http.Client, length int) error {
 	target := "/stream/" + c.id
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.address+target, strings.NewReader("a prompt"))
@@ -248,7 +259,7 @@
 	}
 	scanner := bufio.NewScanner(resp.Body)
 	for scanner.Scan() {
-		data, ok := strings.CutPrefix(scanner.Text(), dataLine)
+		data, ok := strings.CutPrefix(scanner.Text(), dataPrefix)
 		if !ok {
 			continue
 		}
--- a/measure/faces_test.go
+++ b/measure/faces_test.go
@@ -21,31 +21,34 @@
 	"github.com/pearyard/pearyard/text"
 )
 
-// Benchmarks that give the same load to both deployments of pearyard: router and
-// sidecar, and the entry program on the platform, each with stand-ins for its
-// environment.
+// Benchmarks that give the same load to both deployments of pearyard (its two faces):
+// router and sidecar, and the entry program on the platform, each with stand-ins for its
+// environment. They only log results and check none.
 //
 //	go test ./measure -run '^$' -bench Faces -benchtime 1x
 const (
 	benchServers   = 6
 	benchFrontends = 2 // routers or entry VMs
-	benchRuns      = 5
+	benchRuns      = 5 // losses per deployment; each is of another server, so at most benchServers
 
+	// Load and time of a loss. Streams take 2 s, so that all run at that time.
 	lossCalls  = 36
 	lossTokens = 250
-	lossStep   = 8 * time.Millisecond
-	lossAt     = time.Second
+	lossStep   = 8 * time.Millisecond // between two tokens
+	lossAt     = time.Second          // after the start of the load
 	lossRamp   = 300 * time.Millisecond
 
+	// Load without a loss.
 	passCalls  = 200
 	passTokens = 150
-	passStep   = 40 * time.Millisecond
+	passStep   = 40 * time.Millisecond // between two tokens
 )
 
 // ioUsage is what a process has read and written so far through sockets and its log,
-// without datagrams.
+// without datagrams. calls counts its read and write system calls.
 type ioUsage struct{ bytes, calls float64 }
 
+// ioUsageOf adds up the usage of processes, from /proc.
 func ioUsageOf(processes ...*process) (out ioUsage) {
 	for _, p := range processes {
 		raw, _ := os.ReadFile(fmt.Sprintf("/proc/%d/io", p.cmd.Process.Pid))
@@ -67,6 +70,7 @@
 	return ioUsage{u.bytes - before.bytes, u.calls - before.calls}
 }
 
+// cpuOf adds up the CPU time of processes so far.
 func cpuOf(processes ...*process) (out time.Duration) {
 	for _, p := range processes {
 		out += usageOf(p).cpu
@@ -81,6 +85,7 @@
 	return out
 }
 
+// startRouterSite starts routers, sidecars and in-process engines.
 func startRouterSite(t testing.TB, step time.Duration) (*site, []*inProcessEngine) {
 	t.Helper()
 	var inProcess []*inProcessEngine
@@ -100,6 +105,7 @@
 	return s, inProcess
 }
 
+// startEntrySite starts entry VMs and backend servers.
 func startEntrySite(t testing.TB, length int, gap time.Duration, copies bool) *entrySite {
 	t.Helper()
 	s, err := startEntries(t.TempDir(), entryOptions{servers: benchServers, entries: benchFrontends, length: length, gap: gap, copies: copies})
@@ -127,7 +133,8 @@
 	}
 }
 
-// logResume logs the quantiles over all runs.
+// logResume calls lose for each run and logs the quantiles over all runs. lose returns the
+// resume latencies of the affected calls, and the number of incomplete answers.
 func logResume(b *testing.B, lose func(run int) ([]time.Duration, int)) {
 	b.Helper()
 	var all []time.Duration
@@ -140,6 +147,8 @@
 	b.Logf("hit %d, not whole %d, %+v, load %s", len(all), incomplete, quantilesOf(all), machine().Load)
 }
 
+// loseRouterSiteServer closes an engine while calls run, and returns how long each call of
+// that engine waited for its next token.
 func loseRouterSiteServer(t testing.TB, run int) (hits []time.Duration, incomplete int) {
 	s, inProcess := startRouterSite(t, lossStep)
 	defer s.stop()
@@ -151,8 +160,8 @@
 		if c.verify() != nil {
 			incomplete++
 		}
-		if g, hit := c.resumptionAfter(lostAt); hit {
-			hits = append(hits, g.afterLoss)
+		if r, hit := c.resumptionAfter(lostAt); hit {
+			hits = append(hits, r.afterLoss)
 		}
 	}
 	return hits, incomplete
@@ -160,24 +169,24 @@
 
 // loseServer crashes a server while streams run and returns how long each stream of that
 // server waited for its next event.
-func (s *entrySite) loseServer(ctx context.Context, which int) (hits []time.Duration, incomplete int) {
+func (s *entrySite) loseServer(ctx context.Context, index int) (hits []time.Duration, incomplete int) {
 	var wait sync.WaitGroup
-	calls := startCalls(ctx, &wait, fmt.Sprintf("loss%d", which), s.callers, lossCalls, lossTokens, lossRamp)
+	calls := startCalls(ctx, &wait, fmt.Sprintf("loss%d", index), s.callers, lossCalls, lossTokens, lossRamp)
 	time.Sleep(lossAt)
 	lostAt := time.Now()
-	s.servers[which].Crash()
+	s.servers[index].Crash()
 	wait.Wait()
-	lost := s.servers[which].ID()
+	lost := s.servers[index].ID()
 	affected := map[string]bool{}
 	for _, run := range s.cloud.Ledger.Runs() {
 		if run.Server == lost {
 			affected[run.Request] = true
 		}
 	}
-	again := map[string]int{} // number of events after which a lost stream was resumed
+	resumedAfter := map[string]int{} // number of events after which a lost stream was resumed
 	for _, run := range s.cloud.Ledger.Runs() {
 		if run.Server != lost && affected[run.Request] && run.At.After(lostAt) {
-			again[run.Request] = run.ResumedAfter
+			resumedAfter[run.Request] = run.ResumedAfter
 		}
 	}
 	for _, c := range calls {
@@ -185,16 +194,16 @@
 			incomplete++
 			fmt.Println("not whole:", c.id, c.failure)
 		}
-		if after, hit := again[c.id]; hit && after < len(c.arrivals) {
+		if after, hit := resumedAfter[c.id]; hit && after < len(c.arrivals) {
 			hits = append(hits, c.arrivals[after].Sub(lostAt))
 		}
 	}
 	return hits, incomplete
 }
 
-// passResult is the cost of one round of streams without a loss.
+// passResult is the latency and cost of one round of streams without a loss.
 type passResult struct {
-	routed, direct     Quantiles
+	routed, direct     Quantiles // latency of a token through pearyard, and from the server directly
 	tokens             int
 	incomplete         int
 	frontend, sidecars time.Duration // CPU time of routers or entry VMs, and of sidecars
@@ -203,11 +212,11 @@
 
 func (p passResult) String() string {
 	perToken := func(d time.Duration) float64 { return float64(d.Microseconds()) / float64(max(p.tokens, 1)) }
-	front, all := perToken(p.frontend), perToken(p.frontend+p.sidecars)
+	frontend, all := perToken(p.frontend), perToken(p.frontend+p.sidecars)
 	return fmt.Sprintf("tokens %d, not whole %d, routed p50 %.3f p99 %.3f ms, direct p50 %.3f p99 %.3f, added p50 %.3f p99 %.3f; "+
 		"front %.1f us/token, all %.1f us/token, two cores of fronts carry %.0f tokens/s, two cores of all %.0f; %.0f B and %.2f reads and writes a token; load %s",
 		p.tokens, p.incomplete, p.routed.P50, p.routed.P99, p.direct.P50, p.direct.P99, p.routed.P50-p.direct.P50, p.routed.P99-p.direct.P99,
-		front, all, 2e6/front, 2e6/all, p.io.bytes/float64(p.tokens), p.io.calls/float64(p.tokens), machine().Load)
+		frontend, all, 2e6/frontend, 2e6/all, p.io.bytes/float64(p.tokens), p.io.calls/float64(p.tokens), machine().Load)
 }
 
 // Measures, with 200 streams and no loss, the latency that pearyard adds to a token
@@ -219,6 +228,7 @@
 	}
 }
 
+// passRouterSite measures direct calls first, and the same number through routers after them.
 func passRouterSite(t testing.TB) passResult {
 	s, inProcess := startRouterSite(t, passStep)
 	var wait sync.WaitGroup
@@ -244,6 +254,7 @@
 	return out
 }
 
+// passEntrySite measures direct calls first, and the same number through entry VMs after them.
 func passEntrySite(t testing.TB) passResult {
 	s := startEntrySite(t, passTokens, passStep, true)
 	var wait sync.WaitGroup
@@ -300,13 +311,13 @@
 	})
 }
 
-func logIdle(t testing.TB, all []*process, use ioUsage, cpu time.Duration) {
+func logIdle(t testing.TB, all []*process, used ioUsage, cpu time.Duration) {
 	n := float64(len(all)) * idleDuration.Seconds()
 	t.Logf("idle, %d processes: each %.0f B/s and %.1f reads and writes/s, %.2f%% of a core, all %.0f B/s; load %s",
-		len(all), use.bytes/n, use.calls/n, 100*cpu.Seconds()/n, use.bytes/idleDuration.Seconds(), machine().Load)
+		len(all), used.bytes/n, used.calls/n, 100*cpu.Seconds()/n, used.bytes/idleDuration.Seconds(), machine().Load)
 }
 
-// metric returns the sum of a metric over all entry VMs.
+// metric returns the sum of a counter over all entry VMs that respond.
 func (s *entrySite) metric(name string) (sum float64) {
 	for _, peer := range s.peers {
 		resp, err := http.Get("http://" + peer + "/metrics")
@@ -330,14 +341,14 @@
 // datagramCount counts the datagrams that a datagramListener has received.
 type datagramCount struct{ count, bytes float64 }
 
-// datagramListener receives datagrams in the place of a further entry VM.
+// datagramListener receives and counts datagrams in the place of a further entry VM.
 type datagramListener struct{ count, bytes atomic.Int64 }
 
-func (e *datagramListener) counts() datagramCount {
-	return datagramCount{float64(e.count.Load()), float64(e.bytes.Load())}
+func (l *datagramListener) counts() datagramCount {
+	return datagramCount{float64(l.count.Load()), float64(l.bytes.Load())}
 }
 
-// listen registers a further entry VM that only receives.
+// listen registers a further entry VM with the store. It only receives datagrams.
 func (s *entrySite) listen(t testing.TB) *datagramListener {
 	t.Helper()
 	conn, err := net.ListenPacket("udp4", entryNet+"99:0")
@@ -346,7 +357,7 @@
 	}
 	t.Cleanup(func() { _ = conn.Close() })
 	s.store.Put("entry_vms", "edge-99", []byte(conn.LocalAddr().String()))
-	e := &datagramListener{}
+	l := &datagramListener{}
 	go func() {
 		buf := make([]byte, 64<<10)
 		for {
@@ -354,9 +365,9 @@
 			if err != nil {
 				return
 			}
-			e.count.Add(1)
-			e.bytes.Add(int64(n))
+			l.count.Add(1)
+			l.bytes.Add(int64(n))
 		}
 	}()
-	return e
+	return l
 }
--- a/measure/idle.go
+++ b/measure/idle.go
@@ -12,10 +12,10 @@
 // IdleResult is the traffic and resource use of the processes of a site without requests.
 type IdleResult struct {
 	Processes int     `json:"processes"`
-	Bytes     Spread  `json:"bytes_per_second"` // through the peer listener of one sidecar, in both directions, with HTTP headers
-	Core      Spread  `json:"core_percent"`
-	Memory    Spread  `json:"megabytes"`
-	Router    float64 `json:"router_core_percent"`
+	Bytes     Spread  `json:"bytes_per_second"`    // through the peer listener of one sidecar, in both directions, with HTTP headers
+	Core      Spread  `json:"core_percent"`        // CPU time of one sidecar
+	Memory    Spread  `json:"megabytes"`           // resident memory of one sidecar
+	Router    float64 `json:"router_core_percent"` // CPU time of the first router
 	Machine   Machine `json:"machine"`
 }
 
@@ -26,8 +26,8 @@
 }
 
 const (
-	idleSettle   = 5 * time.Second
-	idleDuration = 20 * time.Second
+	idleSettle   = 5 * time.Second  // for the traffic of the start to end
+	idleDuration = 20 * time.Second // of the measurement
 )
 
 // Idle measures a site with the given number of engines and two routers, without requests.
@@ -58,7 +58,7 @@
 // idleUsage is the resource use of one process and the traffic through its relay so far.
 type idleUsage struct {
 	usage
-	relayed int64
+	relayed int64 // bytes in both directions; 0 for a router, which has no relay
 }
 
 // idleUsages returns the usage of each sidecar and, last, of the first router.
--- a/measure/leave.go
+++ b/measure/leave.go
@@ -28,24 +28,27 @@
 
 // Methods of leaving.
 const (
-	LeaveByStop     LeaveMethod = "pearyard-stop"
-	LeaveBySignal   LeaveMethod = "sigterm"
-	LeaveByVMList   LeaveMethod = "vm-list"
-	vmListLag                   = time.Second
-	loadAfterOrder              = 5 * time.Second // duration of the load after the order to leave
-	loadBeforeOrder             = 2 * time.Second
-	// vmListSettle is how long VMs are in the list before one of them leaves: members
-	// trust the list only for runs that have been in it for the lag that it may have,
-	// and poll it every few seconds.
+	LeaveByStop   LeaveMethod = "pearyard-stop" // an operator's command at a router
+	LeaveBySignal LeaveMethod = "sigterm"       // SIGTERM to the sidecar
+	LeaveByVMList LeaveMethod = "vm-list"       // the platform's VM list marks the VM as leaving
+)
+
+const (
+	vmListLag       = time.Second     // of the list that the platform's stand-in returns
+	loadBeforeOrder = 2 * time.Second // duration of the load before the order to leave
+	loadAfterOrder  = 5 * time.Second // duration of the load after the order to leave
+	// vmListSettle is how long VMs are in the list before one of them leaves. Members obey
+	// the list only for a process that has matched its entry for as long as the list may
+	// lag, and poll the list every few seconds.
 	vmListSettle    = membership.DefaultVMListLag + 6*time.Second
-	shortTokens     = 4
+	shortTokens     = 4                    // tokens of a request; few, so that new requests come all the time
 	requestInterval = 4 * time.Millisecond // between two requests
 )
 
 // LeaveResult tells how long a server still got new work after the order to leave.
 type LeaveResult struct {
 	Method     LeaveMethod `json:"way"`
-	LastNew    Spread      `json:"last_new_work_ms"` // time of the last new request after the order; 0 if there was none
+	LastNew    Spread      `json:"last_new_work_ms"` // time from the order to the last new request; 0 if there was none
 	NewWork    Spread      `json:"new_work"`         // number of new requests after the order
 	Incomplete int         `json:"answers_not_whole"`
 	Calls      int         `json:"calls"`
@@ -88,7 +91,8 @@
 	return out, nil
 }
 
-// leaveRun returns the times, from the order on, at which the leaving engine got new work.
+// leaveRun returns how long after the order each new request reached the leaving engine,
+// and all calls of the run.
 func leaveRun(ctx context.Context, bin string, method LeaveMethod) ([]time.Duration, []*call, error) {
 	const engines = 4
 	var inProcess []*inProcessEngine
@@ -141,6 +145,7 @@
 	return calls
 }
 
+// orderLeave tells the first backend server to leave.
 func (s *site) orderLeave(ctx context.Context, method LeaveMethod) error {
 	switch method {
 	case LeaveByStop:
--- a/measure/load.go
+++ b/measure/load.go
@@ -30,6 +30,8 @@
 	cancel context.CancelFunc
 }
 
+// newTransport returns a transport that keeps up to 2048 idle connections to a router, so
+// that those of many concurrent calls are reused.
 func newTransport() *http.Transport {
 	return &http.Transport{MaxIdleConnsPerHost: 2048, DisableCompression: true}
 }
@@ -52,13 +54,15 @@
 	return l
 }
 
-// join waits for the calls to end.
+// join waits for the calls to end and returns them.
 func (l *load) join() []*call {
 	l.wait.Wait()
 	l.cancel()
 	return l.calls
 }
 
+// randomPrompt returns a prompt of random words, so that a prefix cache doesn't have it from
+// another call.
 func randomPrompt(random *rand.Rand, words int) string {
 	var b strings.Builder
 	for range words {
--- a/measure/machine.go
+++ b/measure/machine.go
@@ -14,6 +14,7 @@
 	At    time.Time `json:"at"`
 }
 
+// machine returns the machine's cores and its load at this time.
 func machine() Machine {
 	raw, _ := os.ReadFile("/proc/loadavg")
 	fields := strings.Fields(string(raw))
--- a/measure/process.go
+++ b/measure/process.go
@@ -25,13 +25,13 @@
 
 const (
 	startTimeout  = 30 * time.Second
-	listeningWord = "listening"
-	singleAddress = "address" // label for the address of a stand-in, which has only one
+	listeningWord = "listening" // first word of the line that a program prints once it listens
+	singleAddress = "address"   // label for the address of a stand-in, which has only one
 )
 
 // AsProgram runs this binary as one of the programs under test if it was started under
 // the name of one. It returns the exit code, and whether it ran one.
-func AsProgram(args []string) (code int, was bool) {
+func AsProgram(args []string) (code int, ran bool) {
 	switch filepath.Base(args[0]) {
 	case programRouter:
 		return runProfiled(programRouter, func() int { return daemon.Router(args, os.Stdout, os.Stderr) }), true
@@ -47,7 +47,7 @@
 type process struct {
 	name    string
 	cmd     *exec.Cmd
-	address map[string]string // by the labels of the listening line
+	address map[string]string // addresses by their labels in the listening line
 	done    chan struct{}     // closed when the process has ended
 }
 
@@ -74,18 +74,21 @@
 	p := &process{name: name, cmd: cmd, done: make(chan struct{})}
 	line := make(chan string, 1)
 	go p.reap(out, line)
+	first := ""
 	select {
-	case text := <-line:
-		p.address = addressesOf(text)
+	case first = <-line:
+		p.address = addressesOf(first)
 	case <-time.After(startTimeout):
 	}
 	if len(p.address) == 0 {
 		p.kill()
-		return nil, errors.Errorf("measure: %s did not report its addresses within %v", name, startTimeout)
+		return nil, errors.Errorf("measure: %s ended, or did not report its addresses within %v; its first line of output: %q", name, startTimeout, first)
 	}
 	return p, nil
 }
 
+// reap sends the first line of output, discards the others, and waits for the end of the
+// process.
 func (p *process) reap(out io.Reader, line chan<- string) {
 	reader := bufio.NewReader(out)
 	first, _ := reader.ReadString('\n')
--- a/measure/relay.go
+++ b/measure/relay.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	relayBuffer = 32 << 10
-	relayPoll   = 5 * time.Millisecond
+	relayBuffer = 32 << 10             // bytes, per connection and direction
+	relayPoll   = 5 * time.Millisecond // between two checks whether a cut has ended
 )
 
 // relay forwards TCP connections to target. When cut, it forwards nothing and leaves all
@@ -19,7 +19,7 @@
 	relayedBytes atomic.Int64 // bytes in both directions
 
 	mu     sync.Mutex // guards all below
-	target string
+	target string     // address of the process behind the relay
 	cut    bool
 	closed bool
 }
@@ -36,6 +36,7 @@
 
 func (r *relay) address() string { return r.listener.Addr().String() }
 
+// set changes fields under the lock.
 func (r *relay) set(change func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -65,6 +66,7 @@
 	}
 }
 
+// forward connects to target and copies in both directions until one of them ends.
 func (r *relay) forward(caller net.Conn) {
 	defer func() { _ = caller.Close() }()
 	if !r.waitOpen() {
@@ -73,13 +75,13 @@
 	r.mu.Lock()
 	target := r.target
 	r.mu.Unlock()
-	process, err := net.Dial("tcp", target)
+	upstream, err := net.Dial("tcp", target)
 	if err != nil {
 		return
 	}
-	defer func() { _ = process.Close() }()
+	defer func() { _ = upstream.Close() }()
 	ended := make(chan struct{}, 2)
-	for _, direction := range [][2]net.Conn{{process, caller}, {caller, process}} {
+	for _, direction := range [][2]net.Conn{{upstream, caller}, {caller, upstream}} {
 		go func() { r.copy(direction[0], direction[1]); ended <- struct{}{} }()
 	}
 	<-ended
--- a/measure/resume.go
+++ b/measure/resume.go
@@ -16,7 +16,7 @@
 
 // Modes of the resume measurement.
 const (
-	ModeSystem    Mode = "system"     // default settings
+	ModeSystem    Mode = "system"     // pearyard with the given settings
 	ModeStartOver Mode = "start-over" // no resume: callers send their requests again
 	ModePlain     Mode = "plain"      // resume without journal and without affinity
 )
@@ -32,7 +32,7 @@
 	Runs     int
 	Causes   []Cause
 	Modes    []Mode
-	Load     loadOptions
+	Load     loadOptions // CauseTenthKilled has three times as many calls
 	Times    engineTimes
 	Recovery text.Recovery
 	LossAt   time.Duration // time of the loss after the start of the load
@@ -53,26 +53,26 @@
 type ResumeResult struct {
 	Cause          Cause     `json:"cause"`
 	Mode           Mode      `json:"mode"`
-	Hit            int       `json:"generations_hit"`
+	Hit            int       `json:"generations_hit"` // generations that the loss affected and that continued
 	Incomplete     int       `json:"answers_not_whole"`
 	Errors         []string  `json:"faults,omitempty"`
-	Latency        Quantiles `json:"latency"` // from the loss to the caller's next token, all runs
-	OverPrefill    Spread    `json:"p99_over_prefill_ms"`
-	P50            Spread    `json:"p50_ms"`
-	P99            Spread    `json:"p99_ms"`
-	Regained       Quantiles `json:"regained"`     // from the loss until the caller had more tokens than before it
-	AfterReconnect Quantiles `json:"after_return"` // from the caller's reconnection to its next token
-	Pause          Quantiles `json:"pause"`        // between the last token before the loss and the first after it
-	Target         float64   `json:"bar_ms,omitempty"`
-	Met            bool      `json:"bar_met"`
+	Latency        Quantiles `json:"latency"`             // from the loss to the caller's next token, all runs
+	OverPrefill    Spread    `json:"p99_over_prefill_ms"` // P99 of each run without its prefillMillis
+	P50            Spread    `json:"p50_ms"`              // of each run
+	P99            Spread    `json:"p99_ms"`              // of each run
+	Regained       Quantiles `json:"regained"`            // from the loss until the caller had more tokens than before it
+	AfterReconnect Quantiles `json:"after_return"`        // from the caller's reconnection to its next token
+	Pause          Quantiles `json:"pause"`               // between the last token before the loss and the first after it
+	Target         float64   `json:"bar_ms,omitempty"`    // of latencyTargets; 0: none
+	Met            bool      `json:"bar_met"`             // targetedLatency is below Target
 	Runs           []RunCost `json:"runs"`
 	Machine        Machine   `json:"machine"`
 }
 
 // outcome is the result of one run.
 type outcome struct {
-	hits   []resumption
-	errors []string
+	hits   []resumption // one per affected call
+	errors []string     // one per incomplete answer
 	cost   RunCost
 }
 
@@ -92,6 +92,7 @@
 	return out, nil
 }
 
+// resumeCase measures one cause with one mode.
 func resumeCase(ctx context.Context, opts ResumeOptions, cause Cause, mode Mode) (ResumeResult, error) {
 	var runs []outcome
 	for seed := range opts.Runs {
@@ -109,7 +110,7 @@
 func (o ResumeOptions) siteOptions(cause Cause, mode Mode) siteOptions {
 	site := siteOptions{bin: o.Bin, engines: o.Engines, routers: o.Routers, relays: cause == CauseCut, times: o.Times, recovery: o.Recovery}
 	if cause == CauseTenthKilled {
-		site.engines = max(o.Engines, 20)
+		site.engines = max(o.Engines, 20) // a tenth of them are at least two
 	}
 	switch mode {
 	case ModeStartOver:
@@ -121,6 +122,7 @@
 	return site
 }
 
+// resumeRun starts a site and the load, causes the loss, and waits for the calls to end.
 func resumeRun(ctx context.Context, opts ResumeOptions, cause Cause, mode Mode) (outcome, error) {
 	if mode == ModeStartOver {
 		opts.Load.strategy = startOver
@@ -147,8 +149,8 @@
 		if err := c.verify(); err != nil {
 			r.errors = append(r.errors, err.Error())
 		}
-		if g, hit := c.resumptionAfter(lostAt); hit {
-			r.hits = append(r.hits, g)
+		if resumed, hit := c.resumptionAfter(lostAt); hit {
+			r.hits = append(r.hits, resumed)
 		}
 	}
 	r.cost = s.runCost(calls, cause, r.hits)
@@ -164,16 +166,16 @@
 		out.Incomplete += len(r.errors)
 		out.Errors = append(out.Errors, r.errors...)
 		out.Runs = append(out.Runs, r.cost)
-		q := quantilesOf(durationsOf(r.hits, func(g resumption) time.Duration { return g.afterLoss }))
+		q := quantilesOf(durationsOf(r.hits, func(r resumption) time.Duration { return r.afterLoss }))
 		p50, p99 = append(p50, q.P50), append(p99, q.P99)
 		over = append(over, q.P99-prefillMillis(opts.Times, r))
 	}
 	out.Hit, out.P50, out.P99, out.OverPrefill = len(all), spreadOf(p50), spreadOf(p99), spreadOf(over)
-	out.Latency = quantilesOf(durationsOf(all, func(g resumption) time.Duration { return g.afterLoss }))
-	out.Regained = quantilesOf(durationsOf(all, func(g resumption) time.Duration { return g.regained }))
-	out.Pause = quantilesOf(durationsOf(all, func(g resumption) time.Duration { return g.pause }))
-	returned := slices.DeleteFunc(slices.Clone(all), func(g resumption) bool { return g.afterReconnect == 0 })
-	out.AfterReconnect = quantilesOf(durationsOf(returned, func(g resumption) time.Duration { return g.afterReconnect }))
+	out.Latency = quantilesOf(durationsOf(all, func(r resumption) time.Duration { return r.afterLoss }))
+	out.Regained = quantilesOf(durationsOf(all, func(r resumption) time.Duration { return r.regained }))
+	out.Pause = quantilesOf(durationsOf(all, func(r resumption) time.Duration { return r.pause }))
+	returned := slices.DeleteFunc(slices.Clone(all), func(r resumption) bool { return r.afterReconnect == 0 })
+	out.AfterReconnect = quantilesOf(durationsOf(returned, func(r resumption) time.Duration { return r.afterReconnect }))
 	out.Met = out.Target > 0 && out.Hit > 0 && out.targetedLatency() < out.Target
 	return out
 }
@@ -190,8 +192,8 @@
 	}
 }
 
-// prefillMillis is the stand-in's time for the first token of a resume: the
-// mean prefill, and a step of the batch.
+// prefillMillis returns the time that a stand-in engine takes for the first token of a
+// resume: the mean prefill of the run, and a step of the batch. It is not pearyard's.
 func prefillMillis(times engineTimes, r outcome) float64 {
 	if len(r.hits) == 0 {
 		return 0
--- a/measure/scrape.go
+++ b/measure/scrape.go
@@ -13,17 +13,19 @@
 	"github.com/pearyard/pearyard/standin"
 )
 
-const scrapeTimeout = 2 * time.Second
+const scrapeTimeout = 2 * time.Second // of one request
 
+// scraper opens a connection for each request. It queries the processes under test.
 var scraper = &http.Client{Timeout: scrapeTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 
+// readJSON decodes the JSON response from url.
 func readJSON(url string, into any) error {
 	resp, err := scraper.Get(url)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	return errors.Wrap(json.NewDecoder(resp.Body).Decode(into), url)
+	return errors.Wrapf(json.NewDecoder(resp.Body).Decode(into), "measure: decode the response from %s", url)
 }
 
 // readDump decodes one section of the state that a process reports.
@@ -51,7 +53,7 @@
 	parser := expfmt.NewTextParser(prommodel.UTF8Validation)
 	families, err := parser.TextToMetricFamilies(resp.Body)
 	if err != nil {
-		return nil, errors.Wrap(err, p.name)
+		return nil, errors.Wrapf(err, "measure: parse the metrics of %s", p.name)
 	}
 	out := samples{}
 	for name, family := range families {
@@ -81,6 +83,7 @@
 	return out
 }
 
+// engineCounters reads the counters of a stand-in engine.
 func engineCounters(p *process) (standin.Counters, error) {
 	var counters standin.Counters
 	return counters, readJSON("http://"+p.address[singleAddress]+"/dump", &counters)
--- a/measure/series.go
+++ b/measure/series.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	maxMicros = int64(10 * time.Minute / time.Microsecond)
-	precision = 3 // significant decimal digits of a histogram
+	maxMicros = int64(10 * time.Minute / time.Microsecond) // longest duration of a histogram; longer ones count as this
+	precision = 3                                          // significant decimal digits of a histogram
 )
 
 // Quantiles summarizes durations, in milliseconds.
@@ -31,7 +31,7 @@
 	return Quantiles{Count: h.TotalCount(), P50: at(50), P95: at(95), P99: at(99), Max: float64(h.Max()) / 1000}
 }
 
-// Spread is the median, minimum and maximum of several runs.
+// Spread is the median, minimum and maximum of a figure over several runs or processes.
 type Spread struct {
 	Median float64 `json:"median"`
 	Min    float64 `json:"least"`
--- a/measure/series_test.go
+++ b/measure/series_test.go
@@ -27,7 +27,7 @@
 // Guards against counting an affected caller as unaffected, or one of another engine as
 // affected, which makes the latency of a loss look better than it is. A resume shows as
 // another attempt after the loss, a reconnection as an interruption between two tokens.
-func TestAfterTellsWhoWasHit(t *testing.T) {
+func TestResumptionAfterFindsAffectedCalls(t *testing.T) {
 	g := NewWithT(t)
 	start := time.Now()
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
@@ -49,9 +49,9 @@
 	g.Expect(got.afterReconnect).To(Equal(40 * time.Millisecond))
 }
 
-// Guards against missing a process that falls reconnected to an older revision, and against
+// Guards against missing a process that goes back to an older revision, and against
 // counting a configuration that one process never got as in force everywhere.
-func TestConfigFigures(t *testing.T) {
+func TestSummarizeConfig(t *testing.T) {
 	g := NewWithT(t)
 	start := time.Now()
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
--- a/measure/site.go
+++ b/measure/site.go
@@ -24,26 +24,26 @@
 	apiKey            = "measure-key"
 	adminToken        = "measure-admin"
 	zoneCount         = 3
-	readyTimeout      = 60 * time.Second
-	readyPoll         = 20 * time.Millisecond
-	capacity          = 64   // batch size of an engine process
-	inProcessCapacity = 4096 // batch size of an engine in this process
+	readyTimeout      = 60 * time.Second      // for all routers of a site
+	readyPoll         = 20 * time.Millisecond // between two checks whether a router is ready
+	capacity          = 64                    // batch size of an engine process
+	inProcessCapacity = 4096                  // batch size of an engine in this process; large, so that no request is queued
 )
 
 // engineTimes configure the speed of the stand-in engines.
 type engineTimes struct {
-	Step       time.Duration `json:"step"`
-	PerRequest time.Duration `json:"per_request"`
-	Prefill    time.Duration `json:"prefill_per_token"`
+	Step       time.Duration `json:"step"`              // of a batch: one token per request
+	PerRequest time.Duration `json:"per_request"`       // added to a step per request in the batch
+	Prefill    time.Duration `json:"prefill_per_token"` // added to a step per prompt token to prefill
 }
 
 // siteOptions configure a site of processes.
 type siteOptions struct {
-	bin       string
+	bin       string // directory of the programs under test; empty: this binary
 	engines   int
 	routers   int
-	policy    string
-	relays    bool // put a relay in front of each sidecar
+	policy    string // routing policy; empty: the routers' default
+	relays    bool   // put a relay in front of each sidecar
 	times     engineTimes
 	recovery  text.Recovery
 	vmLag     time.Duration      // lag of the platform's VM list
@@ -65,10 +65,11 @@
 	backends      []*backend
 	routers       []*process
 	store         *config.Store
-	configuration []byte
-	revision      uint64
+	configuration []byte // as JSON
+	revision      uint64 // of configuration
 }
 
+// startSite starts a site and returns when all its routers are ready.
 func startSite(ctx context.Context, opts siteOptions) (*site, error) {
 	s := &site{opts: opts, backends: make([]*backend, opts.engines)}
 	if err := s.start(ctx); err != nil {
@@ -84,6 +85,7 @@
 	}
 	at := httpapi.Options{Address: s.platform.address[singleAddress]}
 	s.store = config.NewStore(config.StoreOptions{Table: httpapi.NewTable(at), Objects: httpapi.NewObjects(at)})
+	// The other processes need the address of the first sidecar as their seed.
 	if s.backends[0], err = s.startBackend(0); err != nil {
 		return err
 	}
@@ -127,6 +129,7 @@
 	return errors.Wrap(err, "measure: apply configuration")
 }
 
+// commonArgs returns the arguments that routers and sidecars share.
 func (s *site) commonArgs(id string, i int) []string {
 	at := s.platform.address[singleAddress]
 	args := []string{"--id", id, "--zone", fmt.Sprintf("zone-%d", i%zoneCount+1), "--peer-listen", "127.0.0.1:0",
@@ -137,6 +140,8 @@
 	return args
 }
 
+// startBackend starts the engine and the sidecar with index i, with a relay if the site has
+// relays.
 func (s *site) startBackend(i int) (*backend, error) {
 	times := s.opts.times
 	b := &backend{name: fmt.Sprintf("engine-%d", i+1)}
@@ -170,6 +175,8 @@
 	return b, nil
 }
 
+// sidecarAddress returns the address at which peers reach a sidecar: that of its relay if
+// there is one.
 func (s *site) sidecarAddress(b *backend) string {
 	if b.relay != nil {
 		return b.relay.address()
@@ -177,6 +184,7 @@
 	return b.sidecar.address["peers"]
 }
 
+// startRouter starts the router with index i.
 func (s *site) startRouter(i int) (*process, error) {
 	args := append(s.commonArgs(fmt.Sprintf("router-%d", i+1), i), "--listen", "127.0.0.1:0",
 		"--admin-listen", "127.0.0.1:0", "--admin-token", adminToken)
@@ -186,6 +194,7 @@
 	return startProcess(s.opts.bin, programRouter, fmt.Sprintf("router-%d", i+1), args...)
 }
 
+// configurationText returns the configuration of the site.
 func (s *site) configurationText() *text.Config {
 	hash := sha256.Sum256([]byte(apiKey))
 	models := text.Service{Name: service, Kind: text.KindModel, Calls: text.CallsRepeatable, RetryBudget: text.DefaultRetryBudget,
@@ -201,6 +210,7 @@
 	}
 }
 
+// capacity returns the batch size of the engines.
 func (s *site) capacity() int {
 	if s.opts.inProcess != nil {
 		return inProcessCapacity
@@ -216,7 +226,7 @@
 		for !s.knowsAllBackends(r) {
 			select {
 			case <-ctx.Done():
-				return errors.Wrapf(ctx.Err(), "measure: %s is not ready", r.name)
+				return errors.Wrapf(ctx.Err(), "measure: %s is not ready, or doesn't know all %d backend servers", r.name, s.opts.engines)
 			case <-time.After(readyPoll):
 			}
 		}
@@ -224,6 +234,7 @@
 	return nil
 }
 
+// knowsAllBackends reports whether a router is ready and lists every backend server.
 func (s *site) knowsAllBackends(router *process) bool {
 	resp, err := http.Get("http://" + router.address["callers"] + "/readyz")
 	if err != nil {
@@ -235,6 +246,7 @@
 		len(dump.Services[service]) == s.opts.engines
 }
 
+// callerAddresses returns the addresses of the routers for callers.
 func (s *site) callerAddresses() []string {
 	var out []string
 	for _, r := range s.routers {
--- a/measure/stream.go
+++ b/measure/stream.go
@@ -15,22 +15,23 @@
 )
 
 const (
-	// rateTarget is the token rate that one router should sustain within coresTarget cores.
+	// rateTarget is the token rate, in tokens per second, that one router should sustain
+	// within coresTarget cores.
 	rateTarget  = 100_000
 	coresTarget = 2
 	// addedTarget limits the latency of a token on top of that from the engine directly.
 	addedTarget = 1.0 // milliseconds, at p99
-	// warmup is how many first tokens of a stream aren't counted: connections are made and
+	// warmupTokens is how many first tokens of a stream aren't counted: connections are made and
 	// prompts prefilled at that time.
-	warmup = 5
+	warmupTokens = 5
 )
 
 // StreamOptions configure a measurement of streams.
 type StreamOptions struct {
 	Bin      string
 	Engines  int
-	Streams  []int
-	Step     time.Duration
+	Streams  []int         // numbers of concurrent streams, measured one after the other
+	Step     time.Duration // between two tokens of a stream
 	Duration time.Duration // duration of a round
 	Runs     int
 	Direct   bool // also run as many streams from the engines directly
@@ -45,7 +46,7 @@
 // StreamRun is one round of streams.
 type StreamRun struct {
 	Routed        Quantiles `json:"routed"` // latency from the engine's write to the caller
-	Direct        Quantiles `json:"direct"`
+	Direct        Quantiles `json:"direct"` // the same without pearyard
 	AddedP50      float64   `json:"added_p50_ms"`
 	AddedP99      float64   `json:"added_p99_ms"`
 	Rate          float64   `json:"tokens_per_second"`
@@ -90,6 +91,7 @@
 	return out, nil
 }
 
+// summarize sets the figures over all runs.
 func (r *StreamResult) summarize() {
 	spread := func(of func(StreamRun) float64) Spread {
 		var values []float64
@@ -112,12 +114,14 @@
 
 // String returns the result as one line.
 func (r StreamResult) String() string {
-	microsBar := coresTarget * 1e6 / rateTarget
+	targetMicros := coresTarget * 1e6 / rateTarget
 	return fmt.Sprintf("streams %4d  added p50 %.3f ms p99 %.3f [%.3f..%.3f] (bar %.0f met %t)  %.0f tokens/s  router %.1f us/token [%.1f..%.1f] (bar %.0f met %t) sidecar %.1f  %.0f KB/stream  broken %d  load %s",
 		r.Streams, r.AddedP50.Median, r.AddedP99.Median, r.AddedP99.Min, r.AddedP99.Max, addedTarget, r.AddedP99.Median < addedTarget,
-		r.Rate.Median, r.Router.Median, r.Router.Min, r.Router.Max, microsBar, r.Router.Median < microsBar, r.Sidecar.Median, r.Memory.Median/1024, r.Incomplete, r.Machine.Load)
+		r.Rate.Median, r.Router.Median, r.Router.Min, r.Router.Max, targetMicros, r.Router.Median < targetMicros, r.Sidecar.Median, r.Memory.Median/1024, r.Incomplete, r.Machine.Load)
 }
 
+// streamRun measures one round of n streams through a router and, with opts.Direct, as many
+// directly from the engines at the same time.
 func streamRun(ctx context.Context, opts StreamOptions, n int) (StreamRun, error) {
 	var inProcess []*inProcessEngine
 	for range opts.Engines {
@@ -136,7 +140,7 @@
 	tokens := int(opts.Duration / opts.Step)
 	idle := usageOf(s.routers[0])
 	before := s.cpuTime()
-	began := time.Now()
+	start := time.Now()
 	var direct []*directCall
 	var wait sync.WaitGroup
 	if opts.Direct {
@@ -147,7 +151,7 @@
 	busy := usageOf(s.routers[0])
 	calls := load.join()
 	wait.Wait()
-	elapsed := time.Since(began)
+	elapsed := time.Since(start)
 	after := s.cpuTime()
 	s.writeProfiles()
 	return summarizeStreams(calls, direct, inProcess, before, after, elapsed, float64(busy.rss-idle.rss)/float64(n)), nil
@@ -168,6 +172,7 @@
 	arrivals []time.Time
 }
 
+// startDirect starts n generations, spread over the engines.
 func startDirect(ctx context.Context, wait *sync.WaitGroup, inProcess []*inProcessEngine, n, tokens int) []*directCall {
 	var out []*directCall
 	for i := range n {
@@ -184,8 +189,10 @@
 	return out
 }
 
-func summarizeStreams(calls []*call, direct []*directCall, inProcess []*inProcessEngine, before, after struct{ router, sidecars time.Duration }, elapsed time.Duration, perStream float64) StreamRun {
-	out := StreamRun{RouterBytes: perStream}
+// summarizeStreams returns the result of a round. before and after are the CPU times at its
+// begin and end.
+func summarizeStreams(calls []*call, direct []*directCall, inProcess []*inProcessEngine, before, after struct{ router, sidecars time.Duration }, elapsed time.Duration, bytesPerStream float64) StreamRun {
+	out := StreamRun{RouterBytes: bytesPerStream}
 	tokens := 0
 	var routed, directDelays []time.Duration
 	for _, c := range calls {
@@ -213,13 +220,14 @@
 	var out []time.Duration
 	for _, e := range inProcess {
 		written := e.tokenTimes(request)
-		for i := warmup; i < min(len(written), len(arrivals)); i++ {
+		for i := warmupTokens; i < min(len(written), len(arrivals)); i++ {
 			out = append(out, arrivals[i].Sub(written[i]))
 		}
 	}
 	return out
 }
 
+// arrivalTimes returns when the caller received each token.
 func (c *call) arrivalTimes() []time.Time {
 	var out []time.Time
 	for _, a := range c.arrivals {
--- a/measure/usage.go
+++ b/measure/usage.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// clockTick is the unit of CPU time in /proc.
+// clockTick is the unit of CPU time in /proc. Linux reports it in hundredths of a second
+// on all common architectures (USER_HZ).
 const clockTick = 10 * time.Millisecond
 
 // usage is the resource use of a process so far.
@@ -22,7 +23,8 @@
 	dir := fmt.Sprintf("/proc/%d/", p.cmd.Process.Pid)
 	var out usage
 	stat, _ := os.ReadFile(dir + "stat")
-	// Fields are counted after the program's name, which may contain spaces.
+	// Fields are counted after the program's name, which may contain spaces: 11 and 12 are
+	// utime and stime, fields 14 and 15 in proc(5).
 	_, rest, _ := strings.Cut(string(stat), ") ")
 	if fields := strings.Fields(rest); len(fields) > 12 {
 		user, _ := strconv.Atoi(fields[11])
