--- a/measure/configure.go
+++ b/measure/configure.go
@@ -30,20 +30,20 @@
 // ConfigResult summarizes how configurations came into force while operators applied them
 // concurrently.
 type ConfigResult struct {
-	Accepted  int       `json:"accepted"`
-	Races     int       `json:"races"`                    // failed attempts: another operator was first, or the call failed
-	InForce   Quantiles `json:"in_force_everywhere"`      // from the response that accepted the configuration
-	Unseen    int       `json:"not_in_force_everywhere"`  // accepted, but not seen at every process
-	WentBack  int       `json:"processes_that_went_back"` // samples with an older revision than one before at the same process
-	Processes int       `json:"processes"`
-	Machine   Machine   `json:"machine"`
+	Accepted      int       `json:"accepted"`
+	Races         int       `json:"races"`                    // failed attempts: another operator was first, or the call failed
+	InForce       Quantiles `json:"in_force_everywhere"`      // from the response that accepted the configuration
+	NotEverywhere int       `json:"not_in_force_everywhere"`  // accepted, but not seen at every process
+	WentBack      int       `json:"processes_that_went_back"` // samples with an older revision than one before at the same process
+	Processes     int       `json:"processes"`
+	Machine       Machine   `json:"machine"`
 }
 
 // String returns the result as one line.
 func (r ConfigResult) String() string {
 	return fmt.Sprintf("%d texts accepted, %d races lost, in force at all %d processes: p50 %.0f ms p99 %.0f max %.0f (bar %d met %t), not everywhere %d, went back %d, load %s",
 		r.Accepted, r.Races, r.Processes, r.InForce.P50, r.InForce.P99, r.InForce.Max, inForceTarget.Milliseconds(),
-		r.Unseen == 0 && r.InForce.Max < float64(inForceTarget.Milliseconds()), r.Unseen, r.WentBack, r.Machine.Load)
+		r.NotEverywhere == 0 && r.InForce.Max < float64(inForceTarget.Milliseconds()), r.NotEverywhere, r.WentBack, r.Machine.Load)
 }
 
 // revisionSample is the revision that a process had at a time.
@@ -168,7 +168,7 @@
 			}
 		}
 		if notEverywhere {
-			out.Unseen++
+			out.NotEverywhere++
 			continue
 		}
 		durations = append(durations, everywhere.Sub(at))
--- a/measure/series_test.go
+++ b/measure/series_test.go
@@ -59,6 +59,6 @@
 	samples := []revisionSample{{0, 1, at(0)}, {0, 2, at(50)}, {0, 3, at(150)}, {0, 2, at(200)}, {1, 1, at(0)}, {1, 2, at(80)}}
 	got := summarizeConfig(accepted, samples, 2)
 	g.Expect(got.WentBack).To(Equal(1))
-	g.Expect(got.Unseen).To(Equal(1))
+	g.Expect(got.NotEverywhere).To(Equal(1))
 	g.Expect(got.InForce.Max).To(BeNumerically("~", 80, 0.1))
 }
