--- a/soak/disruptions.go
+++ b/soak/disruptions.go
@@ -60,7 +60,7 @@
 		s.proxies[s.Servers[rng.IntN(len(s.Servers))]].Reset()
 	}},
 	{Name: "answers lost", run: func(s *Site, rng *rand.Rand, duration time.Duration) {
-		server := s.Servers[s.size.Models+rng.IntN(s.size.Apps)]
+		server := s.Servers[s.size.ModelServers+rng.IntN(s.size.PlainServers)]
 		server.LostAnswers.Store(200)
 		time.Sleep(duration)
 		server.LostAnswers.Store(0)
--- a/soak/planned_disruptions.go
+++ b/soak/planned_disruptions.go
@@ -59,7 +59,7 @@
 		s.replaceServers(s.Servers[rng.IntN(len(s.Servers))])
 	}},
 	{Name: "half of the engines leave and are replaced", Kind: Planned, run: func(s *Site, _ *rand.Rand, _ time.Duration) {
-		s.replaceServers(s.Servers[:s.size.Models/2]...)
+		s.replaceServers(s.Servers[:s.size.ModelServers/2]...)
 	}},
 	{Name: "VMs all stopped in turn as planned", Kind: Planned, group: vmGroup, run: func(s *Site, _ *rand.Rand, _ time.Duration) {
 		var wg sync.WaitGroup
--- a/soak/site.go
+++ b/soak/site.go
@@ -17,10 +17,10 @@
 
 // Size determines the numbers of processes, servers and callers of a site, and their limits.
 type Size struct {
-	VMs         int // processes of the entry program
-	Models      int // servers of the model service
-	Apps        int // servers of the plain service
-	IdleCallers int // callers per VM that leave their connection idle between requests
+	VMs          int // processes of the entry program
+	ModelServers int // servers of the model service
+	PlainServers int // servers of the plain service
+	IdleCallers  int // callers per VM that leave their connection idle between requests
 	// Engine limits the servers of the model service while disruptions go on.
 	Engine nursery.EngineLimits
 	Grace  time.Duration // grace period of a planned stop; 0 means minGrace
@@ -28,7 +28,7 @@
 
 // DefaultSize is small enough to run beside other tests: each zone has an entry VM and
 // servers of both services.
-var DefaultSize = Size{VMs: 3, Models: 6, Apps: 3}
+var DefaultSize = Size{VMs: 3, ModelServers: 6, PlainServers: 3}
 
 func (s Size) grace() time.Duration {
 	if s.Grace > 0 {
@@ -72,7 +72,7 @@
 }
 
 func (s *Site) startAll(dir string) error {
-	for i := range s.size.Models + s.size.Apps {
+	for i := range s.size.ModelServers + s.size.PlainServers {
 		if err := s.addServer(i); err != nil {
 			return err
 		}
@@ -82,7 +82,7 @@
 
 func (s *Site) addServer(i int) error {
 	service := modelService
-	if i >= s.size.Models {
+	if i >= s.size.ModelServers {
 		service = plainService
 	}
 	var proxy *Proxy
@@ -134,7 +134,7 @@
 
 // limitEngines sets the limits of the engines of the model service.
 func (s *Site) limitEngines(engine nursery.EngineLimits) {
-	for _, server := range s.Servers[:s.size.Models] {
+	for _, server := range s.Servers[:s.size.ModelServers] {
 		server.SetEngine(engine)
 	}
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -28,7 +28,7 @@
 	parallel        = flag.Int("soak.beside", 2, "number of runs at a time")
 	vms             = flag.Int("soak.vms", DefaultSize.VMs, "number of entry programs per run")
 	disruptionCount = flag.Int("soak.troubles", 0, "use only the first so many disruptions, to repeat a seed that failed before others were added; 0: all")
-	models          = flag.Int("soak.models", DefaultSize.Models, "number of servers of the model service per run")
+	models          = flag.Int("soak.models", DefaultSize.ModelServers, "number of servers of the model service per run")
 )
 
 // TestMain runs the entry program instead of the tests if the soak started the binary.
@@ -105,7 +105,7 @@
 
 func sizeFromFlags() Size {
 	size := DefaultSize
-	size.VMs, size.Models = *vms, *models
+	size.VMs, size.ModelServers = *vms, *models
 	return size
 }
 
--- a/soak/stop_test.go
+++ b/soak/stop_test.go
@@ -25,7 +25,7 @@
 	for _, id := range []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j"} {
 		g.Expect(sendTo(site, vm, "/stream/"+id, "k0").Complete).To(gomega.BeTrue())
 	}
-	for _, server := range site.Servers[:size.Models] {
+	for _, server := range site.Servers[:size.ModelServers] {
 		server.EventGap.Store(int64(slowEventGap))
 	}
 	stopped := make(chan struct{})
