--- a/soak/callers.go
+++ b/soak/callers.go
@@ -22,29 +22,30 @@
 	ID, Path, VM string
 	Sent, Ended  time.Time
 	Written      time.Time     // when the whole request had been sent; zero if it was not
-	Idle         time.Duration // how long its connection had been idle before
+	Idle         time.Duration // how long its connection had been idle before; 0 for a new one
 	Err          error         // why there is no response; nil if there is one
 	Status       int           // HTTP status; 0 if there is no response
 	Complete     bool          // the response was read to its end
-	Mismatch     string        // how the response differs from the expected one; empty if it does not
+	Mismatch     string        // how the response differs from the expected one, or why the request is invalid; empty otherwise
 }
 
 // Callers generates load: it sends requests to random VMs and records their outcomes.
 type Callers struct {
-	site   *Site
-	client *http.Client
-	nextID atomic.Int64
-	rng    func(n int) int
+	site     *Site
+	client   *http.Client
+	nextID   atomic.Int64
+	randIntN func(n int) int // returns a random number below n
 
 	mu    sync.Mutex
 	calls []Call
 }
 
+// callerPause is the time between a response and the next request of the same caller.
 const callerPause = 8 * time.Millisecond
 
 // NewCallers returns the load generator of a site.
 func NewCallers(site *Site) *Callers {
-	return &Callers{site: site, rng: rand.IntN, client: &http.Client{Transport: &http.Transport{
+	return &Callers{site: site, randIntN: rand.IntN, client: &http.Client{Transport: &http.Transport{
 		DisableCompression: true, MaxIdleConnsPerHost: 32, IdleConnTimeout: 5 * time.Second,
 	}}}
 }
@@ -62,7 +63,8 @@
 	c.client.CloseIdleConnections()
 }
 
-// generateLoad runs n callers that send one request after another until ctx ends.
+// generateLoad runs n callers that send one request after another until ctx ends. It
+// returns when their last requests have completed.
 func (c *Callers) generateLoad(ctx context.Context, n int) {
 	var wg sync.WaitGroup
 	for range n {
@@ -83,12 +85,15 @@
 	return append([]Call(nil), c.calls...)
 }
 
+// pathPrefixes are the path prefixes of the streaming, the non-idempotent and the
+// idempotent route.
 var pathPrefixes = []string{"/stream/", "/once/", "/any/"}
 
+// sendOne sends one request of a random route to a random VM and records it.
 func (c *Callers) sendOne() {
-	vm := c.site.VMs[c.rng(len(c.site.VMs))]
+	vm := c.site.VMs[c.randIntN(len(c.site.VMs))]
 	call := Call{ID: fmt.Sprintf("r%06d", c.nextID.Add(1)), VM: vm.Name}
-	call.Path = pathPrefixes[c.rng(len(pathPrefixes))] + call.ID
+	call.Path = pathPrefixes[c.randIntN(len(pathPrefixes))] + call.ID
 	c.send(c.client, vm, &call, "k0")
 	c.record(call)
 }
@@ -99,12 +104,17 @@
 	c.calls = append(c.calls, call)
 }
 
+// callTimeout is the callers' deadline, which the requests name. It lies between the
+// shortest timeout of the streaming route, 8 s, and the longest, 10 s.
 const callTimeout = 9 * time.Second
 
+// send sends one request with an API key, reads and checks the response, and fills in
+// the outcome of call.
 func (c *Callers) send(client *http.Client, vm *VM, call *Call, key string) {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	var written atomic.Int64
+	// The transport calls WroteRequest in a goroutine of its own.
+	var written atomic.Int64 // Unix nanoseconds
 	defer func() {
 		if at := written.Load(); at != 0 {
 			call.Written = time.Unix(0, at)
@@ -123,7 +133,8 @@
 		return
 	}
 	req.Host = host
-	// With GetBody set, the client could retry the request by itself.
+	// With GetBody set, the client could retry the request by itself, which would look
+	// like a second run of a request that was sent once.
 	req.GetBody = nil
 	req.Header.Set("Attempt-Id", call.ID)
 	req.Header.Set("Deadline-Ms", strconv.FormatInt(callTimeout.Milliseconds(), 10))
@@ -139,7 +150,7 @@
 	defer resp.Body.Close()
 	call.Status = resp.StatusCode
 	if id := resp.Header.Get("Attempt-Id"); id != call.ID {
-		call.Mismatch = "the response has Attempt-Id " + id
+		call.Mismatch = fmt.Sprintf("the response has Attempt-Id %q", id)
 		return
 	}
 	if resp.StatusCode != http.StatusOK {
@@ -151,6 +162,8 @@
 	call.Ended = time.Now()
 }
 
+// checkResponse reads a response with status 200 and compares it with what the server
+// must have sent.
 func (c *Callers) checkResponse(call *Call, resp *http.Response) {
 	if resp.Header.Get("Response-Signature") == "" {
 		call.Mismatch = "status 200 without Response-Signature"
@@ -161,13 +174,14 @@
 		want := nursery.PlainAnswer(call.Path, []byte("body of "+call.ID))
 		call.Complete = err == nil
 		if call.Complete && string(body) != want {
-			call.Mismatch = fmt.Sprintf("unexpected body %q", body)
+			call.Mismatch = fmt.Sprintf("body %q, expected %q", body, want)
 		}
 		return
 	}
 	c.checkStream(call, resp.Body)
 }
 
+// checkStream checks that a stream has all events of the server, in order and once each.
 func (c *Callers) checkStream(call *Call, body io.Reader) {
 	scanner := bufio.NewScanner(body)
 	last := 0
--- a/soak/calm_test.go
+++ b/soak/calm_test.go
@@ -14,7 +14,7 @@
 	runSeeds(t, func(seed uint64) Plan { return faultFreeInSeries(sizeFromFlags(), seed, *length) })
 }
 
-// The same as TestCalm with several kinds of planned work at a time.
+// The same as TestCalm with several disruptions at a time.
 func TestCalmOverlapping(t *testing.T) {
 	runSeeds(t, func(seed uint64) Plan { return faultFreeOverlapping(sizeFromFlags(), seed, *length) })
 }
@@ -31,10 +31,10 @@
 var lossSeeds = []struct {
 	plan  func(Size, uint64, time.Duration) Plan
 	seeds []uint64
-	cause string
+	cause string // documentation only
 }{
 	{faultFreeInSeries, []uint64{3}, "an engine paused for a prompt was treated as lost, and no other had memory to resume its streams"},
-	{faultFreeOverlapping, []uint64{4}, "the same, or the retry budget was used up by silent engines"},
+	{faultFreeOverlapping, []uint64{4}, "an engine paused for a prompt was treated as lost, and no other had memory to resume its streams, or the retry budget was used up by silent engines"},
 	{CPUStarvationPlan, []uint64{6}, "an idle connection was closed with an unread request"},
 }
 
--- a/soak/configuration.go
+++ b/soak/configuration.go
@@ -9,19 +9,21 @@
 
 // Configuration holds the values in which the versions of a site's configuration differ.
 type Configuration struct {
-	Keys  []string
+	Keys  []string // API keys of the organisation; in a run, k0, which callers use, is always one
 	Extra []string // path prefixes of additional routes
 	// StreamTimeout and PlainTimeout are the timeouts of the routes.
 	StreamTimeout, PlainTimeout time.Duration
-	// IdleTimeout limits how long callers' connections may be idle; 0 leaves it out.
+	// IdleTimeout limits how long callers' connections may be idle; 0 leaves the limit out
+	// of the configuration.
 	IdleTimeout time.Duration
-	Weights     [2]int // of the two backends of the idempotent route
+	Weights     [2]int // of the two backends of the idempotent route, both the plain service
 	Priority    int    // of the organisation
-	BodyBytes   int    // maximum size of a request body
-	Connections int    // maximum per server of the plain service
+	BodyBytes   int    // maximum size of a request body, in bytes
+	Connections int    // maximum number of connections per server of the plain service
 }
 
-// No configuration has timeouts shorter than these.
+// Shortest timeouts of the routes in any configuration: no request may be given up
+// earlier.
 const (
 	minStreamTimeout = 8 * time.Second
 	minPlainTimeout  = 2 * time.Second
@@ -41,7 +43,7 @@
 	if change != nil {
 		change(&s.configuration)
 	}
-	s.version += 3
+	s.version += 3 // versions need not be consecutive
 	s.Store.Put("op", "config", []byte(s.configuration.encode(s.version)))
 }
 
@@ -52,18 +54,19 @@
 	return s.configuration.IdleTimeout
 }
 
+// encode returns the configuration as JSON.
 func (c *Configuration) encode(version int) string {
-	plain := fmt.Sprintf(`"timeoutMs":%d`, c.PlainTimeout.Milliseconds())
-	one := fmt.Sprintf(`"service":%q`, plainService)
-	split := fmt.Sprintf(`"backends":[{"service":%q,"weight":%d},{"service":%q,"weight":%d}]`, plainService, c.Weights[0], plainService, c.Weights[1])
+	plainTimeout := fmt.Sprintf(`"timeoutMs":%d`, c.PlainTimeout.Milliseconds())
+	plainBackend := fmt.Sprintf(`"service":%q`, plainService)
+	weightedBackends := fmt.Sprintf(`"backends":[{"service":%q,"weight":%d},{"service":%q,"weight":%d}]`, plainService, c.Weights[0], plainService, c.Weights[1])
 	routes := []string{
 		route("stream", "/stream/", "streaming", fmt.Sprintf(`"service":%q`, modelService), fmt.Sprintf(
 			`"streamResume":true,"maxAttempts":5,"timeoutMs":%d,"targetLatencyMs":1000,"targetGapMs":700`, c.StreamTimeout.Milliseconds())),
-		route("once", "/once/", "non_idempotent", one, `"maxAttempts":1,"targetLatencyMs":300,`+plain),
-		route("any", "/any/", "idempotent", split, `"maxAttempts":2,"targetLatencyMs":300,`+plain),
+		route("once", "/once/", "non_idempotent", plainBackend, `"maxAttempts":1,"targetLatencyMs":300,`+plainTimeout),
+		route("any", "/any/", "idempotent", weightedBackends, `"maxAttempts":2,"targetLatencyMs":300,`+plainTimeout),
 	}
 	for i, path := range c.Extra {
-		routes = append(routes, route(fmt.Sprintf("extra-%d", i), path, "idempotent", one, `"maxAttempts":2,`+plain))
+		routes = append(routes, route(fmt.Sprintf("extra-%d", i), path, "idempotent", plainBackend, `"maxAttempts":2,`+plainTimeout))
 	}
 	limits := fmt.Sprintf(`"maxBodyBytes":%d`, c.BodyBytes)
 	if c.IdleTimeout > 0 {
@@ -75,6 +78,7 @@
 		version, strings.Join(routes, ","), modelService, plainService, c.Connections, limits, keys, c.Priority)
 }
 
-func route(name, path, kind, target, more string) string {
-	return fmt.Sprintf(`{"name":%q,"host":%q,"pathPrefix":%q,"routeType":%q,%s,%s}`, name, host, path, kind, target, more)
+// route returns a route as JSON. target and options are fields of the route.
+func route(name, path, kind, target, options string) string {
+	return fmt.Sprintf(`{"name":%q,"host":%q,"pathPrefix":%q,"routeType":%q,%s,%s}`, name, host, path, kind, target, options)
 }
--- a/soak/disruptions.go
+++ b/soak/disruptions.go
@@ -22,19 +22,21 @@
 const (
 	Fault         Kind = iota // of a server, a link or a VM: excuses lost requests
 	Planned                   // work of operators, or load: excuses nothing
-	CPUStarvation             // VMs get little CPU time; callers' connections are not touched
+	CPUStarvation             // VMs get little CPU time: excuses nothing, since no connection is disturbed
 )
 
-// exclusionGroup determines which disruptions exclude each other: one per group runs at a time.
+// exclusionGroup determines which disruptions exclude each other: of a group other than
+// noGroup, one disruption runs at a time.
 type exclusionGroup int
 
 const (
-	defaultGroup exclusionGroup = iota
-	vmGroup                     // a process must not get a signal while another disruption replaces it
-	noGroup                     // runs beside any other
+	defaultGroup exclusionGroup = iota // unless another group is set
+	vmGroup                            // a process must not get a signal while another disruption replaces it
+	noGroup                            // runs beside any other; the last value, as run.go has a lock for each before it
 )
 
-// Disruption is one kind of fault or planned work; run returns when it is over.
+// Disruption is a fault, planned work, load or CPU starvation. run begins it and returns
+// when it is over. Those that take a time of their own ignore duration.
 type Disruption struct {
 	Name  string
 	Kind  Kind
@@ -42,8 +44,9 @@
 	run   func(s *Site, rng *rand.Rand, duration time.Duration)
 }
 
-// Disruptions has every disruption in the order in which they were added to the soak:
-// a seed that failed is repeated with those that existed at the time.
+// Disruptions has every disruption in the order in which they were added to the soak, so
+// that a seed that failed can be repeated with those that existed at the time. New ones
+// must be appended at the end.
 var Disruptions = append(initialDisruptions, addedDisruptions...)
 
 var initialDisruptions = []Disruption{
@@ -61,7 +64,7 @@
 	}},
 	{Name: "answers lost", run: func(s *Site, rng *rand.Rand, duration time.Duration) {
 		server := s.Servers[s.size.ModelServers+rng.IntN(s.size.PlainServers)]
-		server.LostAnswers.Store(200)
+		server.LostAnswers.Store(200) // of a thousand
 		time.Sleep(duration)
 		server.LostAnswers.Store(0)
 	}},
@@ -123,9 +126,11 @@
 	}},
 }
 
-// flaps is how many times in a row a server crashes.
+// flaps is how many times in a row the disruption "server crashes and is back under its
+// id" crashes a server.
 const flaps = 3
 
+// crashZone crashes all servers of a random zone and restarts them after duration.
 func (s *Site) crashZone(rng *rand.Rand, duration time.Duration, restart func(*nursery.Server) error) {
 	zone := zones[rng.IntN(len(zones))]
 	var lost []*nursery.Server
@@ -141,6 +146,7 @@
 	}
 }
 
+// disturbProxy sets the mode of the proxy in front of a random server for duration.
 func (s *Site) disturbProxy(rng *rand.Rand, m Mode, duration time.Duration) {
 	proxy := s.proxies[s.Servers[rng.IntN(len(s.Servers))]]
 	proxy.Set(m)
@@ -148,6 +154,7 @@
 	proxy.Set(Pass)
 }
 
+// disturbStore gives the store a fault for duration.
 func (s *Site) disturbStore(f nursery.StoreFault, duration time.Duration) {
 	s.Store.SetFault(f)
 	time.Sleep(duration)
--- a/soak/idle_callers.go
+++ b/soak/idle_callers.go
@@ -11,13 +11,16 @@
 	// maxIdleShare is the largest share of the idle timeout for which a caller leaves
 	// its connection idle.
 	maxIdleShare = 0.8
-	// minIdleShare keeps requests near the idle timeout, at which connections are closed.
+	// minIdleShare is the smallest share. It keeps requests near the idle timeout, at
+	// which connections are closed.
 	minIdleShare = 0.3
-	// assumedIdleTimeout is used where the configuration has no idle timeout.
+	// assumedIdleTimeout determines the pauses while the configuration has no idle
+	// timeout.
 	assumedIdleTimeout = time.Second
 )
 
-// runIdleCaller sends requests on one connection to a VM, with pauses, until ctx ends.
+// runIdleCaller sends requests on one connection to a VM, with pauses, until ctx ends. The
+// request IDs begin with h, those of the other callers with r.
 func (c *Callers) runIdleCaller(ctx context.Context, vm *VM) {
 	client := &http.Client{Transport: &http.Transport{DisableCompression: true, MaxConnsPerHost: 1}}
 	defer client.CloseIdleConnections()
@@ -30,7 +33,8 @@
 	}
 }
 
-// waitIdle waits for a random time below the idle timeout, or until ctx ends.
+// waitIdle waits for a random time between minIdleShare and maxIdleShare of the idle
+// timeout, or until ctx ends.
 func (c *Callers) waitIdle(ctx context.Context) {
 	limit := c.site.idleTimeout()
 	if limit == 0 {
@@ -39,7 +43,7 @@
 	shortest := time.Duration(minIdleShare * float64(limit))
 	longest := time.Duration(maxIdleShare * float64(limit))
 	select {
-	case <-time.After(shortest + time.Duration(c.rng(int(longest-shortest)))):
+	case <-time.After(shortest + time.Duration(c.randIntN(int(longest-shortest)))):
 	case <-ctx.Done():
 	}
 }
--- a/soak/loss_detector_test.go
+++ b/soak/loss_detector_test.go
@@ -13,44 +13,44 @@
 func TestWhatCountsAsLost(t *testing.T) {
 	at := time.Now()
 	after := func(s float64) time.Time { return at.Add(time.Duration(s * float64(time.Second))) }
-	cut := func(path string, sent, ended float64) Call {
+	incomplete := func(path string, sent, ended float64) Call {
 		return Call{ID: "r", Path: path, VM: "edge-0", Sent: after(sent), Written: after(sent), Ended: after(ended), Status: 200}
 	}
-	refused := cut("/stream/r", 10, 10.5)
+	refused := incomplete("/stream/r", 10, 10.5)
 	refused.Status, refused.Complete = 503, true
 	badGateway := refused
 	badGateway.Status = 502
-	unsent := cut("/once/r", 10, 10.5)
+	unsent := incomplete("/once/r", 10, 10.5)
 	unsent.Written, unsent.Status = time.Time{}, 0
 	for name, c := range map[string]struct {
 		call    Call
 		arrived bool
 		lost    int
 	}{
-		"a stream that broke off":                     {cut("/stream/r", 10, 11), true, 1},
-		"not read, connection closed late":            {cut("/once/r", 10, 10.25), false, 1},
-		"not read, sent as the connection closed":     {cut("/once/r", 10, 10.15), false, 0},
-		"reached a server, connection closed at once": {cut("/once/r", 10, 10.05), true, 1},
+		"a stream that broke off":                     {incomplete("/stream/r", 10, 11), true, 1},
+		"not read, connection closed late":            {incomplete("/once/r", 10, 10.25), false, 1},
+		"not read, sent as the connection closed":     {incomplete("/once/r", 10, 10.15), false, 0},
+		"reached a server, connection closed at once": {incomplete("/once/r", 10, 10.05), true, 1},
 		"refused":                             {refused, true, 0},
 		"answered 502":                        {badGateway, true, 1},
 		"not sent completely":                 {unsent, false, 0},
-		"a stream at its deadline":            {cut("/stream/r", 10, 17.95), true, 0},
-		"a plain call at its deadline":        {cut("/once/r", 10, 11.95), true, 0},
-		"a plain call before its deadline":    {cut("/once/r", 10, 11.8), true, 1},
-		"sent before a fault":                 {cut("/stream/r", 18, 20.5), true, 0},
-		"sent soon after a fault":             {cut("/stream/r", 23.5, 24.5), true, 0},
-		"sent long after a fault":             {cut("/stream/r", 24.5, 25), true, 1},
-		"running when the grace period ended": {cut("/stream/r", 32, 37.8), true, 0},
-		"cut early in a stop":                 {cut("/stream/r", 32, 35), true, 1},
-		"accepted late in a stop":             {cut("/stream/r", 34.5, 37.8), true, 1},
+		"a stream at its deadline":            {incomplete("/stream/r", 10, 17.95), true, 0},
+		"a plain call at its deadline":        {incomplete("/once/r", 10, 11.95), true, 0},
+		"a plain call before its deadline":    {incomplete("/once/r", 10, 11.8), true, 1},
+		"sent before a fault":                 {incomplete("/stream/r", 18, 20.5), true, 0},
+		"sent soon after a fault":             {incomplete("/stream/r", 23.5, 24.5), true, 0},
+		"sent long after a fault":             {incomplete("/stream/r", 24.5, 25), true, 1},
+		"running when the grace period ended": {incomplete("/stream/r", 32, 37.8), true, 0},
+		"cut early in a stop":                 {incomplete("/stream/r", 32, 35), true, 1},
+		"accepted late in a stop":             {incomplete("/stream/r", 34.5, 37.8), true, 1},
 	} {
 		g := gomega.NewWithT(t)
-		l := &lossDetector{
+		d := &lossDetector{
 			start: at, arrived: map[string]bool{"r": c.arrived},
 			faults: []Span{{From: after(20), To: after(21)}},
 			vms:    map[string]*VM{"edge-0": {grace: faultFreeGrace, plannedStops: []time.Time{after(30)}}},
 		}
-		lost, _ := l.find([]Call{c.call})
+		lost, _ := d.find([]Call{c.call})
 		g.Expect(lost).To(gomega.HaveLen(c.lost), name)
 	}
 }
@@ -64,9 +64,9 @@
 		planned = append(planned, p.Name)
 	}
 	g.Expect(planned).To(gomega.ConsistOf(
-		"VM stopped as planned", "SIGHUP", "route added", "routes change", "weights change", "time-outs change", "keys and priority change",
-		"limits change", "idle limit changes", "changes in quick succession", "load", "engines read long prompts in little memory",
-		"server leaves and is replaced", "half of the engines leave and are replaced", "VMs all stopped in turn as planned",
+		"VM stopped as planned", "SIGHUP", "route added", "routes change", "weights change", "timeouts change", "keys and priority change",
+		"limits change", "idle timeout changes", "changes in quick succession", "load", "engines read long prompts in little memory",
+		"server drains and is replaced", "half of the engines drain and are replaced", "VMs all stopped in turn as planned",
 	))
 	g.Expect(CPUStarvationDisruptions()).To(gomega.HaveLen(1))
 }
--- a/soak/plans.go
+++ b/soak/plans.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	// faultFreeGrace gives running requests the whole timeout of their route.
+	// faultFreeGrace gives running requests the shortest timeout of the streaming route.
 	faultFreeGrace = minStreamTimeout
 	// overlappingLanes is how many disruptions an overlapping fault-free plan runs at a time.
 	overlappingLanes = 4
@@ -14,7 +14,8 @@
 )
 
 // FaultFreePlan returns a plan of planned work and load only, with engines that pause
-// for prompts and run out of memory. Disruptions follow each other, or overlap.
+// for prompts and run out of memory. Disruptions run one at a time, or several at a time
+// if overlapping is set.
 func FaultFreePlan(size Size, seed uint64, length time.Duration, overlapping bool) Plan {
 	size.Engine, size.Grace, size.IdleCallers = constrainedEngine, faultFreeGrace, faultFreeIdleCallers
 	plan := Plan{Size: size, Seed: seed, Disruptions: PlannedDisruptions(), Length: length, Lanes: 1}
--- a/soak/ports.go
+++ b/soak/ports.go
@@ -10,13 +10,15 @@
 )
 
 const (
-	// firstPort and portBlocks determine the ports that VMs listen on. They lie below the
-	// kernel's range of ephemeral ports.
+	// firstPort is the first port of the first block, and portBlocks the number of blocks.
+	// The ports (20,000 to 28,399) lie below the kernel's range of ephemeral ports, so that
+	// no outgoing connection has one of them.
 	firstPort  = 20_000
 	portBlocks = 700
 	// peerPorts is the size of a VM's port range for traffic between VMs.
 	peerPorts = 10
-	// blockSize adds one port for callers and one for readiness checks of the platform.
+	// blockSize is the number of ports of a block: those for peers, one for callers and
+	// one for readiness checks of the platform.
 	blockSize = peerPorts + 2
 )
 
@@ -27,7 +29,7 @@
 	lock  *os.File // the kernel releases it when this process and all that inherit it have ended
 }
 
-// acquirePorts locks the first free block.
+// acquirePorts locks and returns the first free block.
 func acquirePorts() (*portBlock, error) {
 	for i := range portBlocks {
 		block, err := lockBlock(i)
@@ -38,7 +40,7 @@
 			return block, nil
 		}
 	}
-	return nil, errors.New("soak: all port blocks are in use by other runs")
+	return nil, errors.Errorf("soak: all %d port blocks are in use by other runs", portBlocks)
 }
 
 // lockBlock locks block i. It returns nil if another run holds it.
@@ -46,7 +48,7 @@
 	name := filepath.Join(os.TempDir(), fmt.Sprintf("pearyard-soak-ports-%d.lock", i))
 	file, err := os.OpenFile(name, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
-		return nil, errors.Wrap(err, "soak: lock port block")
+		return nil, errors.Wrapf(err, "soak: open lock file of port block %d", i)
 	}
 	err = syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
 	if err == nil {
@@ -56,7 +58,7 @@
 	if errors.Is(err, syscall.EWOULDBLOCK) {
 		return nil, nil
 	}
-	return nil, errors.Wrap(err, "soak: lock port block")
+	return nil, errors.Wrapf(err, "soak: lock port block %d (%s)", i, name)
 }
 
 func (b *portBlock) firstPeerPort() int { return b.first }
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -12,16 +12,16 @@
 // Modes of a proxy.
 const (
 	Pass    Mode = iota
-	Delay        // data is delayed in both directions
+	Delay        // data is delayed by proxyDelay in both directions
 	Silence      // no data passes in either direction; connections stay open
-	OneWay       // no data passes from the target back to the client
-	Refuse       // connections are reset at once
+	OneWay       // no data passes from the target back to the client; connections stay open
+	Refuse       // existing and new connections are reset at once
 )
 
 const (
 	proxyDelay        = 60 * time.Millisecond
-	proxyPollInterval = 5 * time.Millisecond
-	proxyBufferSize   = 16 << 10
+	proxyPollInterval = 5 * time.Millisecond // between checks whether held data may pass
+	proxyBufferSize   = 16 << 10             // bytes
 )
 
 // Proxy is a TCP proxy in front of one address that can disturb its connections.
@@ -56,7 +56,7 @@
 	}
 }
 
-// Reset closes all connections with a TCP reset.
+// Reset closes all connections, to clients and to the target, with a TCP reset.
 func (p *Proxy) Reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -110,7 +110,9 @@
 	<-done
 }
 
-func (p *Proxy) copy(to, from net.Conn, back bool, done chan<- struct{}) {
+// copy forwards data as the mode allows. Data that the mode holds back passes once the mode
+// changes.
+func (p *Proxy) copy(to, from net.Conn, toClient bool, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
 	buf := make([]byte, proxyBufferSize)
 	for {
@@ -118,7 +120,7 @@
 		if err != nil {
 			return
 		}
-		for mode := p.currentMode(); mode == Silence || (mode == OneWay && back); mode = p.currentMode() {
+		for mode := p.currentMode(); mode == Silence || (mode == OneWay && toClient); mode = p.currentMode() {
 			time.Sleep(proxyPollInterval)
 		}
 		if p.currentMode() == Delay {
--- a/soak/run.go
+++ b/soak/run.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	callersPerVM = 4
-	defaultLanes = 3 // disruptions at a time, unless the plan says otherwise
-	settleTime   = 3 * time.Second
-	minDuration  = 200 * time.Millisecond
-	maxDuration  = 1500 * time.Millisecond
-	maxPause     = 400 * time.Millisecond
+	callersPerVM          = 4               // on average: each request goes to a random VM
+	defaultLanes          = 3               // disruptions at a time, unless the plan says otherwise
+	settleTime            = 3 * time.Second // in which the site must recover from the last disruptions
+	minDisruptionDuration = 200 * time.Millisecond
+	maxDisruptionDuration = 1500 * time.Millisecond
+	maxLanePause          = 400 * time.Millisecond // longest time between two disruptions of a lane
 )
 
 // Plan describes a run.
@@ -35,8 +35,8 @@
 type Result struct {
 	Seed        uint64
 	Calls       int
-	Served      int
-	LossChecked int // calls that no fault excuses from being answered
+	Served      int // calls with a complete response of status 200
+	LossChecked int // calls that were sent completely and that no fault may have affected
 	Violations  []string
 	Timeline    []Span // disruptions by their start
 	start       time.Time
@@ -65,8 +65,8 @@
 	From, To time.Time
 }
 
-func (s Span) format(began time.Time) string {
-	return fmt.Sprintf("lane %d: %s from %.2f s to %.2f s", s.Lane, s.Name, s.From.Sub(began).Seconds(), s.To.Sub(began).Seconds())
+func (s Span) format(start time.Time) string {
+	return fmt.Sprintf("lane %d: %s from %.2f s to %.2f s", s.Lane, s.Name, s.From.Sub(start).Seconds(), s.To.Sub(start).Seconds())
 }
 
 // Run starts a site with settings and logs in dir, runs the plan on it, and checks the outcome.
@@ -87,14 +87,14 @@
 	site.limitEngines(nursery.EngineLimits{})
 	time.Sleep(settleTime)
 	settled := time.Now()
-	time.Sleep(time.Second)
+	time.Sleep(time.Second) // the calls of this second show whether the site has recovered
 	stop()
 	calling.Wait()
 	result.check(site, callers.Calls(), settled)
 	return result, nil
 }
 
-// check fills in the result. settled is when the site must have recovered.
+// check fills in the result. settled is the time by which the site must have recovered.
 func (r *Result) check(site *Site, calls []Call, settled time.Time) {
 	runs := site.Cloud.Ledger.Runs()
 	r.Calls = len(calls)
@@ -106,8 +106,8 @@
 			r.Violations = append(r.Violations, fmt.Sprintf("%s exited unexpectedly %d times", vm.Name, n))
 		}
 	}
-	lost, judged := newLossDetector(site, r).find(calls)
-	r.LossChecked = judged
+	lost, checked := newLossDetector(site, r).find(calls)
+	r.LossChecked = checked
 	r.Violations = append(r.Violations, lost...)
 	for _, c := range calls {
 		if c.Status == 200 && c.Complete {
@@ -116,8 +116,8 @@
 	}
 }
 
-// recoveryViolations checks that 90% of the calls sent after since are served: the site has
-// recovered from the disruptions.
+// recoveryViolations returns a violation if fewer than 90% of the calls sent from since on
+// were served, or none was sent: the site has not recovered from the disruptions.
 func recoveryViolations(calls []Call, since time.Time) []string {
 	sent, served := 0, 0
 	for _, c := range calls {
@@ -130,37 +130,37 @@
 		}
 	}
 	if sent == 0 || served*10 < sent*9 {
-		return []string{fmt.Sprintf("%d of %d calls served after the disruptions", served, sent)}
+		return []string{fmt.Sprintf("%d of %d calls served after the disruptions, at least 90%% expected", served, sent)}
 	}
 	return nil
 }
 
 // runDisruptions runs random disruptions of the plan, one at a time per lane, and returns
-// them by their start.
+// them by their start. It starts none after the plan's length, but waits for those that run.
 func runDisruptions(site *Site, plan Plan) []Span {
 	var mu sync.Mutex
 	var timeline []Span
-	var turns [noGroup]sync.Mutex
+	var groupLocks [noGroup]sync.Mutex
 	end := time.Now().Add(plan.Length)
 	var wg sync.WaitGroup
 	for lane := range cmp.Or(plan.Lanes, defaultLanes) {
 		rng := rand.New(rand.NewPCG(plan.Seed, uint64(lane)))
 		wg.Go(func() {
 			for time.Now().Before(end) {
-				t := plan.Disruptions[rng.IntN(len(plan.Disruptions))]
-				duration := minDuration + time.Duration(rng.Int64N(int64(maxDuration-minDuration)))
-				if t.group != noGroup {
-					turns[t.group].Lock()
+				disruption := plan.Disruptions[rng.IntN(len(plan.Disruptions))]
+				duration := minDisruptionDuration + time.Duration(rng.Int64N(int64(maxDisruptionDuration-minDisruptionDuration)))
+				if disruption.group != noGroup {
+					groupLocks[disruption.group].Lock()
 				}
 				from := time.Now()
-				t.run(site, rng, duration)
+				disruption.run(site, rng, duration)
 				mu.Lock()
-				timeline = append(timeline, Span{Lane: lane, Name: t.Name, Kind: t.Kind, From: from, To: time.Now()})
+				timeline = append(timeline, Span{Lane: lane, Name: disruption.Name, Kind: disruption.Kind, From: from, To: time.Now()})
 				mu.Unlock()
-				if t.group != noGroup {
-					turns[t.group].Unlock()
+				if disruption.group != noGroup {
+					groupLocks[disruption.group].Unlock()
 				}
-				time.Sleep(time.Duration(rng.Int64N(int64(maxPause))))
+				time.Sleep(time.Duration(rng.Int64N(int64(maxLanePause))))
 			}
 		})
 	}
--- a/soak/site.go
+++ b/soak/site.go
@@ -21,9 +21,10 @@
 	ModelServers int // servers of the model service
 	PlainServers int // servers of the plain service
 	IdleCallers  int // callers per VM that leave their connection idle between requests
-	// Engine limits the servers of the model service while disruptions go on.
+	// Engine has the limits of the engines of the model service while disruptions go on;
+	// afterwards they have none.
 	Engine nursery.EngineLimits
-	Grace  time.Duration // grace period of a planned stop; 0 means minGrace
+	Grace  time.Duration // time from SIGTERM to SIGKILL at a planned stop; 0 means defaultGrace
 }
 
 // DefaultSize is small enough to run beside other tests: each zone has an entry VM and
@@ -34,7 +35,7 @@
 	if s.Grace > 0 {
 		return s.Grace
 	}
-	return minGrace
+	return defaultGrace
 }
 
 var zones = []string{"a", "b", "c"}
@@ -46,12 +47,12 @@
 	VMs     []*VM
 	Servers []*nursery.Server // those of the model service first
 	size    Size
-	callers *Callers
-	proxies map[*nursery.Server]*Proxy
-	ports   *portBlock // nil until the VMs are configured
+	callers *Callers                   // set by Run, for the disruption that adds load
+	proxies map[*nursery.Server]*Proxy // in front of the servers
+	ports   *portBlock                 // nil until the VMs are configured
 
 	mu            sync.Mutex
-	version       int
+	version       int // of the newest configuration
 	configuration Configuration
 }
 
@@ -86,15 +87,15 @@
 		service = plainService
 	}
 	var proxy *Proxy
-	var failed error
-	server, err := s.Cloud.NewServer(service, zones[i%len(zones)], func(own string) string {
-		if proxy, failed = NewProxy(own); failed != nil {
-			return own
+	var proxyErr error
+	server, err := s.Cloud.NewServer(service, zones[i%len(zones)], func(ownAddress string) string {
+		if proxy, proxyErr = NewProxy(ownAddress); proxyErr != nil {
+			return ownAddress
 		}
 		return proxy.Address
 	})
-	if err != nil || failed != nil {
-		return fmt.Errorf("soak: server: %v, proxy: %v", err, failed)
+	if err != nil || proxyErr != nil {
+		return fmt.Errorf("soak: start server %d (service %q): server: %v, proxy: %v", i, service, err, proxyErr)
 	}
 	s.Servers = append(s.Servers, server)
 	s.proxies[server] = proxy
@@ -106,16 +107,18 @@
 	if s.ports, err = acquirePorts(); err != nil {
 		return err
 	}
-	var seeds []string
+	var seedNodes []string
+	// The first VMs are the seeds. The program uses only the IP address of a seed and
+	// replaces the port by its own first peer port.
 	for i := range min(n, 3) {
-		seeds = append(seeds, fmt.Sprintf("\"%s:%d\"", ipOf(i), s.ports.firstPeerPort()+1))
+		seedNodes = append(seedNodes, fmt.Sprintf("\"%s:%d\"", ipOf(i), s.ports.firstPeerPort()+1))
 	}
 	for i := range n {
 		proxy, err := NewProxy(s.Store.Address)
 		if err != nil {
 			return err
 		}
-		vm, err := newVM(dir, i, zones[i%len(zones)], s.ports, seeds, proxy, s.size.grace())
+		vm, err := newVM(dir, i, zones[i%len(zones)], s.ports, seedNodes, proxy, s.size.grace())
 		if err != nil {
 			return err
 		}
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -61,7 +61,7 @@
 	runPlans(t, plans)
 }
 
-// runPlans runs plans, as many at a time as the flag says.
+// runPlans runs plans, as many at a time as the flag soak.beside says.
 func runPlans(t *testing.T, plans []Plan) {
 	t.Helper()
 	slots := make(chan struct{}, *parallel)
@@ -76,7 +76,7 @@
 	wg.Wait()
 }
 
-// selectedDisruptions returns the disruptions that the flag selects.
+// selectedDisruptions returns the disruptions that the flag soak.troubles selects.
 func selectedDisruptions() []Disruption {
 	if *disruptionCount > 0 {
 		return Disruptions[:min(*disruptionCount, len(Disruptions))]
@@ -84,8 +84,9 @@
 	return Disruptions
 }
 
-// failedSeeds are seeds that failed before, with the number of disruptions that existed
-// at the time.
+// failedSeeds maps seeds that failed before to the number of disruptions that existed at
+// the time.
+//
 // 123: SIGHUP ended a process right after its start, and the soak did not restart it
 // as the platform does.
 // 1796264925035525842: the same, and its VM was started twice.
@@ -97,8 +98,8 @@
 // Repeats the seeds that failed before.
 func TestSeedsThatFailedOnce(t *testing.T) {
 	var plans []Plan
-	for seed, kinds := range failedSeeds {
-		plans = append(plans, Plan{Size: sizeFromFlags(), Seed: seed, Disruptions: Disruptions[:kinds], Length: *length})
+	for seed, count := range failedSeeds {
+		plans = append(plans, Plan{Size: sizeFromFlags(), Seed: seed, Disruptions: Disruptions[:count], Length: *length})
 	}
 	runPlans(t, plans)
 }
@@ -109,16 +110,17 @@
 	return size
 }
 
+// runPlan runs a plan and reports its violations. The logs of a run that fails are kept.
 func runPlan(t *testing.T, plan Plan) {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "soak")
 	if err != nil {
-		t.Error(err)
+		t.Errorf("create directory for settings and logs: %v", err)
 		return
 	}
 	result, err := Run(dir, plan)
 	if err != nil {
-		t.Errorf("seed %d: %v", plan.Seed, err)
+		t.Errorf("seed %d: run plan: %v", plan.Seed, err)
 		return
 	}
 	t.Log(result)
@@ -144,17 +146,17 @@
 			ports = append(ports, block.firstPeerPort()+i)
 		}
 		for _, port := range ports {
-			g.Expect(seen[port]).To(gomega.BeFalse(), "%d", port)
+			g.Expect(seen[port]).To(gomega.BeFalse(), "port %d is in two blocks", port)
 			seen[port] = true
 			listener, err := net.Listen("tcp4", fmt.Sprintf("127.0.0.1:%d", port))
-			g.Expect(err).NotTo(gomega.HaveOccurred(), "the port is not in use by a connection")
+			g.Expect(err).NotTo(gomega.HaveOccurred(), "port %d of an acquired block is in use", port)
 			_ = listener.Close()
 		}
 	}
 	blocks[3].release()
 	again, err := acquirePorts()
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(again.first).To(gomega.BeNumerically("<=", blocks[3].first), "a released block is acquired again")
+	g.Expect(again.first).To(gomega.BeNumerically("<=", blocks[3].first), "a released block must be acquired again")
 	again.release()
 	for i, block := range blocks {
 		if i != 3 {
@@ -165,7 +167,7 @@
 
 // Guards against a run that gets the ports on which a program of an earlier run, which
 // was killed, still listens.
-func TestPortsAreTakenWhileAProgramHasThem(t *testing.T) {
+func TestPortBlockIsLockedWhileAProgramRuns(t *testing.T) {
 	g := gomega.NewWithT(t)
 	block, err := acquirePorts()
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -188,7 +190,7 @@
 // Guards against processes left behind by a site that fails to start: one of 200
 // programs did not become ready, and the other 199 kept running and sent requests to
 // the ports of the next run, whose servers saw requests that no caller had sent.
-func TestSiteThatDoesNotBeginLeavesNothingBehind(t *testing.T) {
+func TestSiteThatFailsToStartLeavesNoProcesses(t *testing.T) {
 	g := gomega.NewWithT(t)
 	site, err := NewSite(filepath.Join(t.TempDir(), "none"), DefaultSize)
 	g.Expect(err).To(gomega.HaveOccurred())
@@ -212,16 +214,16 @@
 	g.Expect(lists).NotTo(gomega.BeEmpty())
 	var ids []string
 	for _, list := range lists {
-		some, err := os.ReadFile(list)
+		content, err := os.ReadFile(list)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
-		ids = append(ids, strings.Fields(string(some))...)
+		ids = append(ids, strings.Fields(string(content))...)
 	}
 	return ids
 }
 
 // Guards against counting a process that the soak ended as one that ended by itself:
 // the flag was read only after the VM had been started again, which resets it.
-func TestEndThatIsMeantIsNoOwnEnd(t *testing.T) {
+func TestRequestedEndIsNotUnexpected(t *testing.T) {
 	g := gomega.NewWithT(t)
 	site := newSite(t, 1)
 	for range 60 {
@@ -264,7 +266,7 @@
 	size.VMs = vms
 	site, err := NewSite(t.TempDir(), size)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("start site with %d VMs: %v", vms, err)
 	}
 	t.Cleanup(site.Close)
 	return site
@@ -290,9 +292,9 @@
 	go func() { running <- sendTo(site, site.VMs[0], "/stream/s1", "k0") }()
 	g.Eventually(site.Cloud.Ledger.Runs, "5s", "5ms").Should(gomega.HaveLen(1))
 	time.Sleep(150 * time.Millisecond)
-	ran := site.Cloud.Ledger.Runs()[0].Server
+	serverID := site.Cloud.Ledger.Runs()[0].Server
 	for _, server := range site.Servers {
-		if server.ID() == ran {
+		if server.ID() == serverID {
 			server.Crash()
 		}
 	}
@@ -315,7 +317,7 @@
 	g.Expect(sendTo(site, site.VMs[0], "/extra/c2", "k1").Status).To(gomega.Equal(200))
 	g.Expect(sendTo(site, site.VMs[0], "/none/c3", "k1").Status).To(gomega.Equal(404))
 
-	// The metrics count it.
+	// The metrics count the resumed stream, the answered requests and the calls to the store.
 	resp, err := http.Get("http://" + site.VMs[0].peerAddress + "/metrics")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	defer resp.Body.Close()
@@ -330,8 +332,8 @@
 }
 
 // All servers crash at once, and connections to them are refused. Half a second later
-// they run again under the same ids. Guards against entry VMs that take those ids as
-// ended for good: callers were refused as long as the servers ran.
+// they run again under the same ids. Guards against entry VMs that regard servers with
+// those ids as ended for good: callers were refused as long as the servers ran.
 func TestServersThatStartAgainUnderTheirIDs(t *testing.T) {
 	g := gomega.NewWithT(t)
 	site := newSite(t, 2)
@@ -342,11 +344,11 @@
 		g.Expect(server.Restart()).To(gomega.Succeed())
 	}
 	time.Sleep(time.Second)
-	crash := func(call string) {
+	crash := func(id string) {
 		for _, server := range site.Servers {
 			server.Crash()
 		}
-		sendTo(site, site.VMs[0], "/any/"+call, "k0")
+		sendTo(site, site.VMs[0], "/any/"+id, "k0")
 		time.Sleep(500 * time.Millisecond)
 		for _, server := range site.Servers {
 			g.Expect(server.RestartWithSameID()).To(gomega.Succeed())
@@ -357,10 +359,10 @@
 		calls++
 		return sendTo(site, site.VMs[0], fmt.Sprintf("/any/again%d", calls), "k0").Status
 	}
-	ids := site.Servers[0].ID()
+	id := site.Servers[0].ID()
 	crash("crashing1")
 	g.Eventually(served, "2s", "50ms").Should(gomega.Equal(200))
-	g.Expect(site.Servers[0].ID()).To(gomega.Equal(ids))
+	g.Expect(site.Servers[0].ID()).To(gomega.Equal(id))
 
 	// The same while the store is unavailable, so that the list of servers can't be read.
 	time.Sleep(time.Second)
@@ -371,16 +373,17 @@
 	g.Eventually(served, "1900ms", "50ms").Should(gomega.Equal(200))
 }
 
-// A draining server gets no new requests after maxDrainDelay, under continuous load.
+// Guards against a draining server that still gets new requests later than maxDrainDelay
+// after its drain began, under continuous load.
 func TestLeavingServerGetsNothing(t *testing.T) {
 	g := gomega.NewWithT(t)
 	site := newSite(t, 2)
-	leaving := site.Servers[0]
-	id := leaving.ID()
-	left := time.Now()
-	leaving.Drain()
-	for n := 0; time.Since(left) < maxDrainDelay+time.Second; n++ {
+	draining := site.Servers[0]
+	id := draining.ID()
+	drainStart := time.Now()
+	draining.Drain()
+	for n := 0; time.Since(drainStart) < maxDrainDelay+time.Second; n++ {
 		sendTo(site, site.VMs[n%2], "/stream/l"+string(rune('a'+n%26))+time.Now().Format("150405.000000"), "k0")
 	}
-	g.Expect(LateArrivals(site.Cloud.Ledger.Arrivals(), id, left)).To(gomega.BeEmpty())
+	g.Expect(LateArrivals(site.Cloud.Ledger.Arrivals(), id, drainStart)).To(gomega.BeEmpty())
 }
--- a/soak/stop_test.go
+++ b/soak/stop_test.go
@@ -7,12 +7,13 @@
 	"github.com/onsi/gomega"
 )
 
-// Guards against streams cut by the end of a stop. A VM is being stopped. Its streams
-// have taken 0.4 s so far; now the engines are slow, so that a running stream keeps the
-// process up, and it accepts another one 4.4 s into the stop because it expects streams
-// to take as long as before. That one was cut when the grace period ended; after a
-// refusal it would have gone to another server.
-// By hand, where it depends on timing: -run TestCalmOverlapping -soak.seeds 1
+// Guards against streams cut by the end of a planned stop. A VM's streams have taken 0.4 s
+// so far; now the engines are slow, so that a running stream keeps the process up during
+// the stop. A stream sent 4.4 s into the stop was accepted, because the VM expected it to
+// take as long as those before, and was cut when the grace period ended. Had it been
+// refused, the caller could have sent it to another VM.
+//
+// The same by hand, where it depends on timing: -run TestCalmOverlapping -soak.seeds 1
 // -soak.first 1796267060955430510.
 func TestStreamTakenLateInAStopIsWhole(t *testing.T) {
 	g := gomega.NewWithT(t)
@@ -41,5 +42,5 @@
 	<-stopped
 }
 
-// slowEventGap makes a stream last six seconds.
+// slowEventGap is the time between two events; a stream of 40 events lasts six seconds.
 const slowEventGap = 150 * time.Millisecond
--- a/soak/violations.go
+++ b/soak/violations.go
@@ -10,16 +10,18 @@
 )
 
 const (
-	// maxDrainDelay is how long after its drain began a server may still get new work.
+	// maxDrainDelay is how long after its drain began a server may still get new work. It
+	// equals the VMs' setting drainTimeoutMs.
 	maxDrainDelay = 2 * time.Second
 	// In any window of retryWindow the servers of a service run at most retryRatio
-	// times its requests plus retryExtra retries.
+	// times its requests plus retryExtra retries. The VMs' settings have the same values.
 	retryWindow = 10 * time.Second
 	retryRatio  = 0.8
 	retryExtra  = 150
 )
 
-// Violations returns a description of each guarantee that calls and runs violate.
+// Violations returns a description of each violation of a guarantee that callers' calls
+// and the servers' runs show.
 func Violations(calls []Call, runs []nursery.Run) []string {
 	var violations []string
 	ran := map[string][]nursery.Run{}
@@ -40,6 +42,8 @@
 	return violations
 }
 
+// checkCall returns the violations that one call and its runs show. Idempotent requests
+// (/any/) may be refused after a run.
 func checkCall(c Call, runs []nursery.Run) []string {
 	var violations []string
 	add := func(format string, args ...any) {
@@ -66,14 +70,15 @@
 // notRun reports whether a status says that no server has run the request.
 func notRun(status int) bool { return status == 429 || status == 503 || status == 408 || status == 421 }
 
+// checkRuns returns the violations that the runs of one request show.
 func checkRuns(id string, runs []nursery.Run) []string {
 	var violations []string
 	for _, r := range runs {
 		if !strings.HasSuffix(r.Target, id) {
-			violations = append(violations, fmt.Sprintf("%s ran with target %s", id, r.Target))
+			violations = append(violations, fmt.Sprintf("%s ran with target %s, which does not end in its id", id, r.Target))
 		}
 		if r.Organisation != "org" {
-			violations = append(violations, fmt.Sprintf("%s ran for organisation %q", id, r.Organisation))
+			violations = append(violations, fmt.Sprintf("%s ran for organisation %q, expected \"org\"", id, r.Organisation))
 		}
 	}
 	if len(runs) > 1 && strings.HasPrefix(runs[0].Target, "/once/") {
@@ -83,30 +88,31 @@
 }
 
 // LateArrivals returns the arrivals at a server more than maxDrainDelay after it began to drain.
-func LateArrivals(arrivals []nursery.Run, server string, left time.Time) []nursery.Run {
+func LateArrivals(arrivals []nursery.Run, server string, drainStart time.Time) []nursery.Run {
 	var late []nursery.Run
 	for _, a := range arrivals {
-		if a.Server == server && a.At.After(left.Add(maxDrainDelay)) {
+		if a.Server == server && a.At.After(drainStart.Add(maxDrainDelay)) {
 			late = append(late, a)
 		}
 	}
 	return late
 }
 
-// retryBudgetViolations describes the windows with more retries than the retry budget
-// allows. Without the budget, the loss of many servers would overload the others.
+// retryBudgetViolations describes the first window, of the streams and of the other
+// requests, with more retries than the retry budget allows. Without the budget, the loss
+// of many servers would overload the others.
 func retryBudgetViolations(calls []Call, runs []nursery.Run) []string {
-	again := map[bool][]time.Time{} // by whether the request is a stream
+	retries := map[bool][]time.Time{} // by whether the request is a stream
 	seen := map[string]bool{}
 	for _, r := range runs {
 		if seen[r.Request] {
 			stream := strings.HasPrefix(r.Target, "/stream/")
-			again[stream] = append(again[stream], r.At)
+			retries[stream] = append(retries[stream], r.At)
 		}
 		seen[r.Request] = true
 	}
 	var violations []string
-	for stream, times := range again {
+	for stream, times := range retries {
 		slices.SortFunc(times, time.Time.Compare)
 		for i, at := range times {
 			n, _ := slices.BinarySearchFunc(times, at.Add(retryWindow), time.Time.Compare)
--- a/soak/vm.go
+++ b/soak/vm.go
@@ -20,7 +20,7 @@
 	// entry program.
 	ProgramVariable = "PEARYARD_SOAK_PROGRAM"
 
-	minGrace          = 3 * time.Second
+	defaultGrace      = 3 * time.Second // grace period of a planned stop
 	startTimeout      = 10 * time.Second
 	readyPollInterval = 20 * time.Millisecond
 )
@@ -29,10 +29,10 @@
 type VM struct {
 	Name          string
 	IP            string
-	CallerAddress string
-	readyAddress  string
-	peerAddress   string
-	dir           string
+	CallerAddress string // ip:port for callers
+	readyAddress  string // ip:port for the platform's readiness check
+	peerAddress   string // ip:port for other VMs, and for metrics
+	dir           string // has the settings and the log
 	storeProxy    *Proxy // in front of the store, for this VM only
 	ports         *portBlock
 	grace         time.Duration // grace period of a planned stop
@@ -42,29 +42,31 @@
 	lifecycle       sync.Mutex
 	mu              sync.Mutex // guards cmd, done and plannedStops
 	cmd             *exec.Cmd
-	done            chan struct{}
-	plannedStops    []time.Time // when they began
-	endRequested    atomic.Bool // the soak is ending the running process
-	paused          atomic.Bool
-	startedAt       atomic.Int64 // Unix nanoseconds
-	lastHUP         atomic.Int64 // time of the newest SIGHUP, in Unix nanoseconds
-	unexpectedExits atomic.Int64 // processes that ended without the soak ending them
+	done            chan struct{} // closed when cmd has ended
+	plannedStops    []time.Time   // when they began
+	endRequested    atomic.Bool   // the soak is ending the running process
+	paused          atomic.Bool   // by SIGSTOP
+	startedAt       atomic.Int64  // time of the newest start, in Unix nanoseconds
+	lastHUP         atomic.Int64  // time of the newest SIGHUP, in Unix nanoseconds
+	unexpectedExits atomic.Int64  // processes that ended without the soak ending them
 }
 
 // newVM writes the settings of a VM. All VMs use the same ports, each on its own IP address.
-func newVM(dir string, n int, zone string, ports *portBlock, seeds []string, store *Proxy, grace time.Duration) (*VM, error) {
+// The program ignores heartbeatMs, readsPerS and writesPerS.
+func newVM(dir string, n int, zone string, ports *portBlock, seedNodes []string, store *Proxy, grace time.Duration) (*VM, error) {
 	vm := &VM{Name: fmt.Sprintf("edge-%d", n), IP: ipOf(n), dir: dir, storeProxy: store, ports: ports, grace: grace}
 	at := func(port int) string { return fmt.Sprintf("%s:%d", vm.IP, port) }
 	vm.CallerAddress, vm.readyAddress, vm.peerAddress = at(ports.callerPort()), at(ports.readyPort()), at(ports.firstPeerPort())
 	settings := fmt.Sprintf(`{nodeName: %q, ip: %q, zone: %q, listen: {frontend: %q, ready: %q}, internalPortRange: [%d, %d], seedNodes: [%s],
 limits: {memoryMb: 134}, heartbeatMs: 1200, platform: {address: %q, readsPerS: 2000, writesPerS: 400},
 bounds: {drainTimeoutMs: 2000, gracePeriodS: %v, configApplyMs: 2000, addressReuseS: 2, retryBudgetRatio: %v, retryWindowS: %v, retryMinExtra: %d}}
-`, vm.Name, vm.IP, zone, vm.CallerAddress, vm.readyAddress, ports.firstPeerPort(), ports.firstPeerPort()+peerPorts-1, strings.Join(seeds, ", "), store.Address, grace.Seconds(),
+`, vm.Name, vm.IP, zone, vm.CallerAddress, vm.readyAddress, ports.firstPeerPort(), ports.firstPeerPort()+peerPorts-1, strings.Join(seedNodes, ", "), store.Address, grace.Seconds(),
 		retryRatio, retryWindow.Seconds(), retryExtra)
 	return vm, os.WriteFile(vm.settingsPath(), []byte(settings), 0o600)
 }
 
-// ipOf returns the loopback address of VM n. Each VM has its own since peers share one port.
+// ipOf returns the loopback address of VM n. Each VM has its own, since all VMs of a site
+// listen for peers on the same port.
 func ipOf(n int) string { return fmt.Sprintf("127.0.%d.%d", n/ipsPerSubnet, 10+n%ipsPerSubnet) }
 
 const ipsPerSubnet = 200
@@ -80,6 +82,7 @@
 	return vm.startLocked()
 }
 
+// startLocked is start for a caller that holds vm.lifecycle.
 func (vm *VM) startLocked() error {
 	vm.endRequested.Store(false)
 	if _, done := vm.process(); done != nil && !isClosed(done) {
@@ -99,7 +102,7 @@
 	cmd.Stdout, cmd.Stderr = log, log
 	cmd.ExtraFiles = []*os.File{vm.ports.lock} // keeps the block locked until the program ends, even if this process is killed
 	if err := cmd.Start(); err != nil {
-		return errors.Wrap(err, "soak: start entry program")
+		return errors.Wrapf(err, "soak: start entry program of %s", vm.Name)
 	}
 	done := make(chan struct{})
 	vm.mu.Lock()
@@ -114,12 +117,13 @@
 	// restartDelay is the delay after which a process that ended by itself is restarted,
 	// the same as on the platform.
 	restartDelay = 200 * time.Millisecond
-	// hupGrace is how long after its start SIGHUP may end a process: before any of its
-	// own code runs, the default action of the signal applies. That is no fault of the
-	// program.
+	// hupGrace is how long after its start SIGHUP may end a process without an unexpected
+	// exit being counted: before any code of the program runs, the default action of the
+	// signal applies. That is no fault of the program.
 	hupGrace = 300 * time.Millisecond
 )
 
+// reap waits for the end of a process and restarts it if the soak did not end it.
 func (vm *VM) reap(cmd *exec.Cmd, done chan struct{}) {
 	_ = cmd.Wait()
 	// Read before done is closed: whoever waits for done may start the VM again, which
@@ -129,7 +133,7 @@
 	if requested {
 		return
 	}
-	if early := vm.lastHUP.Load() - vm.startedAt.Load(); early < 0 || early > int64(hupGrace) {
+	if hupDelay := vm.lastHUP.Load() - vm.startedAt.Load(); hupDelay < 0 || hupDelay > int64(hupGrace) {
 		vm.unexpectedExits.Add(1)
 	}
 	time.Sleep(restartDelay)
@@ -164,7 +168,7 @@
 	return vm.cmd, vm.done
 }
 
-// isReady sends the readiness check of the platform.
+// isReady reports whether the VM answers the platform's readiness check with 200.
 func (vm *VM) isReady() bool {
 	client := http.Client{Timeout: 500 * time.Millisecond}
 	resp, err := client.Get("http://" + vm.readyAddress + "/pearyard/readyz")
@@ -175,15 +179,17 @@
 	return resp.StatusCode == http.StatusOK
 }
 
+// awaitReady waits until the VM is ready, for at most startTimeout.
 func (vm *VM) awaitReady() error {
 	for end := time.Now().Add(startTimeout); time.Now().Before(end); time.Sleep(readyPollInterval) {
 		if vm.isReady() {
 			return nil
 		}
 	}
-	return errors.Errorf("soak: %s is not ready after %v", vm.Name, startTimeout)
+	return errors.Errorf("soak: %s is not ready after %v, see %s", vm.Name, startTimeout, vm.logPath())
 }
 
+// signal sends a signal to the newest process.
 func (vm *VM) signal(s syscall.Signal) {
 	cmd, _ := vm.process()
 	if cmd == nil {
@@ -204,8 +210,8 @@
 	}
 }
 
-// terminate stops the process as planned and waits for its end. It kills the process
-// after the grace period.
+// terminate runs a planned stop: it sends SIGTERM and waits for the end of the process. It
+// kills the process after the grace period.
 func (vm *VM) terminate() {
 	vm.requestEnd()
 	vm.mu.Lock()
