--- a/tokenlog/read.go
+++ b/tokenlog/read.go
@@ -156,7 +156,7 @@
 func (s *Store) reserve(in *streampb.LookupRequest) (*streampb.LookupResponse, error) {
 	id, err := types.ParseGenerationID(in.GetReserve())
 	if err != nil || id.Key != types.Key(in.GetKey()) {
-		return nil, fmt.Errorf("journal lookup: cannot reserve key %016x for generation %q", in.GetKey(), in.GetReserve())
+		return nil, fmt.Errorf("journal lookup: cannot note %q for key %016x", in.GetReserve(), in.GetKey())
 	}
 	e := s.getOrCreate(id)
 	s.touch(e)
