--- a/admin/admin.go
+++ b/admin/admin.go
@@ -117,7 +117,7 @@
 type Quarantine struct {
 	Fingerprint  types.Fingerprint
 	Organisation types.Organisation
-	Deaths       int
+	Deaths       int // engines that it crashed
 	Until        time.Time
 }
 
@@ -127,17 +127,18 @@
 	Stop(ctx context.Context, member Member, who string) (inFlight int, err error)
 }
 
-// Options of New. All but the last ones are required.
+// Options of New. A field is required unless its comment says what its zero value
+// means.
 type Options struct {
 	Token       string // bearer token of operators
 	Process     types.ProcessID
 	Store       ConfigStore
 	InForce     func() ConfigRevision // what is in force in this process; zero: nothing
 	Members     func() []Member       // including this process
-	Quarantines func() []Quarantine   // known to this process
+	Quarantines func() []Quarantine   // known to this process; nil: none
 	Stopper     Stopper
-	Recorder    *event.Recorder
-	Registerer  prometheus.Registerer
+	Recorder    *event.Recorder       // nil: events are discarded
+	Registerer  prometheus.Registerer // nil: metrics are not registered
 
 	Backends func() []Backend                     // of the configuration in force; nil: none are known
 	HTTP     *http.Client                         // for requests to the peer listeners; nil: a default client
@@ -160,7 +161,7 @@
 	_ adminpb.Queries  = (*Server)(nil)
 )
 
-// New checks the options and returns a server.
+// New returns a server, or ErrNoToken if there is no token.
 func New(opts Options) (*Server, error) {
 	if opts.Token == "" {
 		return nil, ErrNoToken
@@ -196,7 +197,8 @@
 	}, nil
 }
 
-// idleTimeout is short because processes are queried seldom.
+// idleTimeout limits how long an idle connection to a process is kept. It is short
+// because processes are queried seldom.
 const idleTimeout = 10 * time.Second
 
 // newTransport returns a transport that never uses a proxy: peers are addressed by
--- a/admin/admin_test.go
+++ b/admin/admin_test.go
@@ -22,7 +22,8 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-func at(revision types.Revision) func() types.Revision {
+// fixedRevision returns a function for newProcess that always returns the revision.
+func fixedRevision(revision types.Revision) func() types.Revision {
 	return func() types.Revision { return revision }
 }
 
@@ -69,19 +70,19 @@
 		Expect(resp.GetRace().GetWinner().GetWho()).To(Equal("ann"))
 		Expect(resp.GetRace().GetWinner().GetRevision()).To(BeEquivalentTo(2))
 		Expect(resp.GetRace().GetDiff()).To(ContainSubstring("-a\n+b"))
-		Expect(s.texts.all).To(HaveLen(2))
+		Expect(s.store.all).To(HaveLen(2))
 	})
 
 	It("returns findings with their place, and tells an open outcome from a refusal", func() {
 		s := newSite()
 		list := findings.List{{Severity: findings.Error, Line: 3, Column: 7, Pointer: "/services/0", Message: "no"}}
-		s.texts.accept = func(admin.Change) (types.Revision, findings.List, error) { return 0, nil, list.Err() }
+		s.store.accept = func(admin.Change) (types.Revision, findings.List, error) { return 0, nil, list.Err() }
 		resp, err := s.commands().Apply(ctx, &adminpb.ApplyRequest{Text: []byte("{}")})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(resp.GetFindings()).To(HaveLen(1))
 		Expect(resp.GetFindings()[0].GetLine()).To(BeEquivalentTo(3))
 
-		s.texts.accept = func(admin.Change) (types.Revision, findings.List, error) { return 0, nil, admin.ErrAmbiguous }
+		s.store.accept = func(admin.Change) (types.Revision, findings.List, error) { return 0, nil, admin.ErrAmbiguous }
 		_, err = s.commands().Apply(ctx, &adminpb.ApplyRequest{Text: []byte("{}")})
 		Expect(codeOf(err)).To(Equal(twirp.Unknown))
 	})
@@ -97,7 +98,7 @@
 			}
 			return 0
 		}, 0)
-		s := newSite(newProcess("router-1", types.RoleRouter, at(1), 0), late, newFrozen("frozen"))
+		s := newSite(newProcess("router-1", types.RoleRouter, fixedRevision(1), 0), late, newFrozen("frozen"))
 		resp, err := s.commands().Apply(ctx, &adminpb.ApplyRequest{Text: []byte("{}"), Wait: true, WaitMs: 1000})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(time.Since(began)).To(BeNumerically("<", 2*time.Second))
@@ -112,9 +113,9 @@
 	// configuration through it and must not be told that it is in force everywhere:
 	// of the two backend servers in the configuration, one has the revision and the
 	// other can't be reached.
-	It("counts the backend servers of the text that are no members", func() {
-		reached := newProcess("sidecar-1", types.RoleSidecar, at(1), 0)
-		s := newSite(newProcess("router-1", types.RoleRouter, at(1), 0))
+	It("counts the backend servers of the configuration that are no members", func() {
+		reached := newProcess("sidecar-1", types.RoleSidecar, fixedRevision(1), 0)
+		s := newSite(newProcess("router-1", types.RoleRouter, fixedRevision(1), 0))
 		s.backends = []admin.Backend{{Name: "pear-1", Address: reached.member.Address}, {Name: "pear-2", Address: "127.0.0.1:1"}}
 		resp, err := s.commands().Apply(ctx, &adminpb.ApplyRequest{Text: []byte("{}"), Wait: true, WaitMs: 300})
 		Expect(err).NotTo(HaveOccurred())
@@ -132,8 +133,8 @@
 	// The address of a dead VM was reassigned to a new one that has the revision. The
 	// response of the new process must not count for the dead one, and the operator
 	// must not wait for the dead one.
-	It("names a dead process at once and isn't fooled by its address", func() {
-		other := newProcess("new-vm", types.RoleSidecar, at(1), 0)
+	It("names a dead process at once and does not count the process that took over its address", func() {
+		other := newProcess("new-vm", types.RoleSidecar, fixedRevision(1), 0)
 		dead := &process{member: other.member}
 		dead.member.Process, dead.member.State = "old-vm", admin.StateDead
 		s := newSite(other, dead)
@@ -151,7 +152,7 @@
 		s := newSite()
 		_, err := s.commands().Apply(context.Background(), &adminpb.ApplyRequest{Text: []byte("{}")})
 		Expect(err).NotTo(HaveOccurred())
-		s.texts.history = context.DeadlineExceeded
+		s.store.history = context.DeadlineExceeded
 		resp, err := s.queries().Get(context.Background(), &adminpb.GetRequest{})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(resp.GetStoreUnavailable()).To(BeTrue())
@@ -161,7 +162,7 @@
 
 var _ = Describe("Stop", func() {
 	It("hands the stop to the backend server's sidecar and returns its progress", func() {
-		p := newProcess("sidecar-7", types.RoleSidecar, at(1), 0)
+		p := newProcess("sidecar-7", types.RoleSidecar, fixedRevision(1), 0)
 		p.member.BackendServer = "pear-7"
 		p.registry.Add(inspect.SectionDrain, func() any {
 			return inspect.Drain{Active: true, Streams: 2, Longest: 90 * time.Second}
@@ -180,7 +181,7 @@
 	})
 
 	It("stops nothing for a name of the other kind or an unknown one", func() {
-		s := newSite(newProcess("router-1", types.RoleRouter, at(1), 0))
+		s := newSite(newProcess("router-1", types.RoleRouter, fixedRevision(1), 0))
 		for _, name := range []string{"router-1", "nobody"} {
 			_, err := s.commands().Stop(context.Background(), &adminpb.StopRequest{Kind: adminpb.Kind_KIND_BACKEND, Name: name})
 			Expect(codeOf(err)).To(Equal(twirp.NotFound))
@@ -193,8 +194,8 @@
 	// A router sends a request to a sidecar whose clock is an hour behind. Ordered by
 	// uncorrected times, the sidecar's step would come first and mislead the reader.
 	It("orders steps by corrected clocks and names who did not answer", func() {
-		router := newProcess("router-1", types.RoleRouter, at(1), 0)
-		slow := newProcess("sidecar-1", types.RoleSidecar, at(1), -time.Hour)
+		router := newProcess("router-1", types.RoleRouter, fixedRevision(1), 0)
+		slow := newProcess("sidecar-1", types.RoleSidecar, fixedRevision(1), -time.Hour)
 		s := newSite(router, slow, newFrozen("frozen"))
 		router.recorder.Emit(kindStep, "request", "req-1", "step", "sent")
 		router.recorder.Emit(kindStep, "request", "req-2")
@@ -247,7 +248,7 @@
 	// A process hangs while an operator writes the bundle that is to show why. The
 	// bundle must be complete in bounded time and list the process as not responding.
 	It("ends although a process hangs, and names it", func() {
-		s := newSite(newProcess("router-1", types.RoleRouter, at(1), 0), newFrozen("frozen"))
+		s := newSite(newProcess("router-1", types.RoleRouter, fixedRevision(1), 0), newFrozen("frozen"))
 		_, err := s.commands().Apply(context.Background(), &adminpb.ApplyRequest{Text: []byte(`{"a": 1}`), Who: "ann"})
 		Expect(err).NotTo(HaveOccurred())
 		began := time.Now()
@@ -271,7 +272,7 @@
 	// note and an event repeat it, and a dump contains the API's token under a harmless
 	// name. The bundle must not contain any of them.
 	It("holds no token, no key and no caller's content", func() {
-		p := newProcess("router-1", types.RoleRouter, at(1), 0)
+		p := newProcess("router-1", types.RoleRouter, fixedRevision(1), 0)
 		s := newSite(p)
 		const key, prompt = `k3y-of-"drummond"`, "plant 400 pears by Friday"
 		text := "{\n\"organisations\": [{\"name\": \"d\", \"apiKeys\": [" + mustJSON(key) + "], \"max_tokens\": 77}]\n}"
@@ -295,11 +296,11 @@
 		Expect(files["processes/router-1/state.json"]).To(And(ContainSubstring("xxxxxxxxx"), ContainSubstring("truncated")))
 	})
 
-	It("is made without the store, and says what it lacks", func() {
-		s := newSite(newProcess("router-1", types.RoleRouter, at(1), 0))
+	It("is written without the store, and lists what is missing", func() {
+		s := newSite(newProcess("router-1", types.RoleRouter, fixedRevision(1), 0))
 		_, err := s.commands().Apply(context.Background(), &adminpb.ApplyRequest{Text: []byte(`{}`)})
 		Expect(err).NotTo(HaveOccurred())
-		s.texts.history = context.DeadlineExceeded
+		s.store.history = context.DeadlineExceeded
 		files := s.bundle()
 		Expect(files["texts/in-force-00000001.json"]).To(Equal("{}"))
 		Expect(files).To(HaveKey("texts/in-force-00000001.json"))
--- a/admin/bundle.go
+++ b/admin/bundle.go
@@ -68,7 +68,7 @@
 	State         string            `json:"state"`
 	Directory     string            `json:"directory"`
 	Files         []string          `json:"files"`
-	Failed        map[string]string `json:"failed,omitempty"`    // file to reason
+	Failed        map[string]string `json:"failed,omitempty"`    // file to the reason why it is missing
 	Truncated     []string          `json:"truncated,omitempty"` // files cut at their size limit
 	ClockOffsetMS float64           `json:"clock_offset_ms"`     // its clock minus the querying router's
 	ClockErrorMS  float64           `json:"clock_error_ms"`
@@ -109,7 +109,7 @@
 	tar      *tar.Writer
 	masker   *masker
 	manifest Manifest
-	bytes    int
+	bytes    int // written so far, before compression
 }
 
 func (b *bundle) write(ctx context.Context) error {
@@ -198,20 +198,20 @@
 }
 
 func (b *bundle) writeProcesses(ctx context.Context) error {
-	unanswered := 0
+	incomplete := 0
 	members := b.server.members()
-	err := queryAll(ctx, b.server.opts.Parallel, members, b.server.collectFiles, func(m Member, got collected) error {
+	err := queryAll(ctx, b.server.opts.Parallel, members, b.server.collectFiles, func(m Member, got processFiles) error {
 		if len(got.failed) > 0 {
-			unanswered++
+			incomplete++
 		}
 		return b.writeProcess(m, got)
 	})
-	b.server.recordUnanswered("bundle", unanswered)
+	b.server.recordUnanswered("bundle", incomplete)
 	return err
 }
 
 // writeProcess writes the files of one process.
-func (b *bundle) writeProcess(m Member, got collected) error {
+func (b *bundle) writeProcess(m Member, got processFiles) error {
 	entry := ManifestProcess{
 		Process:       string(m.Process),
 		Role:          string(m.Role),
--- a/admin/collect.go
+++ b/admin/collect.go
@@ -8,11 +8,11 @@
 	"github.com/pearyard/pearyard/inspect"
 )
 
-// collected holds the responses of one process for a bundle.
-type collected struct {
+// processFiles holds the files of one process for a bundle.
+type processFiles struct {
 	files     []collectedFile
-	failed    map[string]string
-	truncated []string
+	failed    map[string]string // file to the reason why it is missing
+	truncated []string          // files cut at their size limit
 	clock     clockEstimate
 }
 
@@ -37,10 +37,10 @@
 
 // collectFiles fetches all files of one process. They share one timeout, so that a
 // process that hangs costs one timeout and not one per file.
-func (s *Server) collectFiles(ctx context.Context, m Member) collected {
+func (s *Server) collectFiles(ctx context.Context, m Member) processFiles {
 	ctx, cancel := context.WithTimeout(ctx, s.opts.Timeout)
 	defer cancel()
-	out := collected{failed: map[string]string{}}
+	out := processFiles{failed: map[string]string{}}
 	for _, source := range fileSources {
 		sent := s.opts.Now()
 		got, err := s.peers.get(ctx, m, source.path, nil, source.limit)
--- a/admin/convert.go
+++ b/admin/convert.go
@@ -105,6 +105,8 @@
 	return strings.TrimRight(diff, "\n")
 }
 
+// diffName names a configuration in a diff. Revision 0 is a configuration that was
+// not applied, or the empty one before the first revision.
 func diffName(config ConfigRevision) string {
 	if config.Revision == 0 {
 		return "text"
--- a/admin/drain.go
+++ b/admin/drain.go
@@ -16,11 +16,11 @@
 // States of a drain.
 const (
 	drainActive  = "draining"
-	drainDone    = "done"
-	drainUnknown = "unknown"
+	drainDone    = "done"    // draining, with no streams left
+	drainUnknown = "unknown" // not draining, or the process could not be queried
 )
 
-// wrongProcessError reports a response from another process at the member's address.
+// wrongProcessError reports that the member's address now belongs to another process.
 func wrongProcessError(got types.ProcessID) error {
 	return errors.Errorf("the address answers as %q", got)
 }
--- a/admin/inforce.go
+++ b/admin/inforce.go
@@ -10,7 +10,8 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// pollInterval is the pause between two rounds of querying the processes behind.
+// pollInterval is the pause between two rounds of querying the processes that are
+// behind.
 const pollInterval = 100 * time.Millisecond
 
 // WaitInForce waits until an accepted revision is in force in every process.
@@ -25,9 +26,9 @@
 // The revision that the membership has for a process lags. Processes that seem behind
 // are queried directly, so that slow gossip isn't taken for slow distribution of the
 // configuration.
-func (s *Server) waitInForce(ctx context.Context, revision types.Revision, bound time.Duration) *adminpb.InForce {
+func (s *Server) waitInForce(ctx context.Context, revision types.Revision, timeout time.Duration) *adminpb.InForce {
 	started := s.opts.Now()
-	ctx, cancel := context.WithTimeout(ctx, bound)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	confirmed := map[types.ProcessID]types.Revision{}
 	for {
@@ -69,9 +70,9 @@
 	}
 	result = &adminpb.InForce{Processes: uint32(len(members))}
 	query := func(ctx context.Context, m Member) revisionResult { return s.queryRevision(ctx, m) }
-	asked := map[types.ProcessID]bool{}
+	queried := map[types.ProcessID]bool{}
 	_ = queryAll(ctx, s.opts.Parallel, behind, query, func(m Member, got revisionResult) error {
-		asked[m.Process] = true
+		queried[m.Process] = true
 		confirmed[m.Process] = max(confirmed[m.Process], got.revision)
 		if confirmed[m.Process] < revision {
 			result.Behind = append(result.Behind, behindPB(m, confirmed[m.Process], got.err))
@@ -80,7 +81,7 @@
 		return nil
 	})
 	for _, m := range behind {
-		if !asked[m.Process] { // ctx ended first
+		if !queried[m.Process] { // ctx ended first
 			result.Behind = append(result.Behind, behindPB(m, confirmed[m.Process], ctx.Err()))
 		}
 	}
@@ -104,8 +105,8 @@
 }
 
 // queryRevision queries a process for the revision in force. A response of another
-// process at the same address is an error, except for an absent member, of which
-// only the address is known.
+// process that has taken over the address is an error, except for an absent member, of
+// which only the address is known.
 func (s *Server) queryRevision(ctx context.Context, m Member) revisionResult {
 	var version inspect.Version
 	err := s.peers.getJSON(ctx, m, inspect.PathVersion, nil, versionLimit, &version)
--- a/admin/mask.go
+++ b/admin/mask.go
@@ -25,8 +25,8 @@
 	"head": true, // the start of a truncated section: incomplete JSON, which can't be masked by names
 }
 
-// minSecretBytes is the minimum length of a secret that is also replaced elsewhere:
-// replacing every "a" would make the bundle unreadable.
+// minSecretBytes is the minimum length of a secret that is also replaced where it does
+// not stand under a secret name: replacing every "a" would make the bundle unreadable.
 const minSecretBytes = 6
 
 // masker replaces secrets. A masked value becomes `masked-` and a tag. Equal values
@@ -45,7 +45,7 @@
 	parent       *masker
 	salt         [sha256.Size]byte
 	replacements map[string]string // value to replacement
-	replacer     *strings.Replacer // of known; nil: to be built
+	replacer     *strings.Replacer // of replacements; nil: to be built
 }
 
 func newMasker(secrets ...string) *masker {
@@ -63,7 +63,7 @@
 
 const (
 	maskPrefix   = "masked-"
-	maskTagBytes = 4
+	maskTagBytes = 4 // of the MAC; written as 8 hexadecimal digits
 )
 
 // addSecret records a secret and returns its replacement.
@@ -97,15 +97,15 @@
 
 // newReplacer replaces each value both verbatim and as escaped in a JSON string, the
 // longest first, so that a secret that contains another one is replaced entirely.
-func newReplacer(known map[string]string) *strings.Replacer {
-	secrets := make([]string, 0, len(known))
-	for secret := range known {
+func newReplacer(replacements map[string]string) *strings.Replacer {
+	secrets := make([]string, 0, len(replacements))
+	for secret := range replacements {
 		secrets = append(secrets, secret)
 	}
 	sort.Slice(secrets, func(i, j int) bool { return len(secrets[i]) > len(secrets[j]) })
 	pairs := make([]string, 0, 4*len(secrets))
 	for _, secret := range secrets {
-		pairs = append(pairs, secret, known[secret], escapedJSON(secret), known[secret])
+		pairs = append(pairs, secret, replacements[secret], escapedJSON(secret), replacements[secret])
 	}
 	return strings.NewReplacer(pairs...)
 }
@@ -126,7 +126,7 @@
 func (m *masker) maskJSON(raw []byte) []byte {
 	out := bytes.NewBuffer(make([]byte, 0, len(raw)))
 	dec := jsontext.NewDecoder(bytes.NewBuffer(raw), jsontext.AllowDuplicateNames(true), jsontext.AllowInvalidUTF8(true))
-	walk := secretTracker{}
+	tracker := secretTracker{}
 	copied, end := 0, 0
 	for {
 		token, err := dec.ReadToken()
@@ -139,7 +139,7 @@
 		}
 		start := tokenStart(raw, end)
 		end = int(dec.InputOffset())
-		if !walk.isSecret(dec, token) {
+		if !tracker.isSecret(dec, token) {
 			continue
 		}
 		out.Write(raw[copied:start])
@@ -164,24 +164,24 @@
 }
 
 // isSecret reports whether the token is a secret string.
-func (w *secretTracker) isSecret(dec *jsontext.Decoder, token jsontext.Token) bool {
-	named := w.afterSecretName
-	w.afterSecretName = false
+func (t *secretTracker) isSecret(dec *jsontext.Decoder, token jsontext.Token) bool {
+	named := t.afterSecretName
+	t.afterSecretName = false
 	switch token.Kind() {
 	case '{', '[':
-		if named && w.depth == 0 {
-			w.depth = dec.StackDepth()
+		if named && t.depth == 0 {
+			t.depth = dec.StackDepth()
 		}
 	case '}', ']':
-		if dec.StackDepth() < w.depth {
-			w.depth = 0
+		if dec.StackDepth() < t.depth {
+			t.depth = 0
 		}
 	case '"':
 		if isName(dec) {
-			w.afterSecretName = isSecretName(token.String())
+			t.afterSecretName = isSecretName(token.String())
 			return false
 		}
-		return (named || w.depth > 0) && token.String() != ""
+		return (named || t.depth > 0) && token.String() != ""
 	}
 	return false
 }
--- a/admin/mask_test.go
+++ b/admin/mask_test.go
@@ -12,8 +12,9 @@
 // tag matches the replacement of a secret.
 var tag = regexp.MustCompile(`masked-[0-9a-f]{8}`)
 
-// FuzzMask masks arbitrary documents: masking must neither panic nor leave a known
-// secret in place, and valid JSON must stay valid.
+// FuzzMask masks arbitrary documents: masking must neither panic, nor change its input,
+// nor leave a known secret in place. Valid JSON that does not contain the secret must
+// stay valid.
 func FuzzMask(f *testing.F) {
 	f.Add([]byte(`{"a": [1, {"b": "hunter2-secret"}], "d": null}`), "hunter2-secret")
 	f.Add([]byte(`{"note": "in a comment" /* hunter2-secret */}`), "hunter2-secret")
@@ -26,15 +27,15 @@
 		before := bytes.Clone(document)
 		masked := newMasker(secret).maskJSON(document)
 		if !bytes.Equal(before, document) {
-			t.Fatalf("masking changed the text in force: %q became %q", before, document)
+			t.Fatalf("masking changed its input, which may be the configuration in force: %q became %q", before, document)
 		}
 		if !json.Valid(masked) && json.Valid(document) && !bytes.Contains(document, []byte(secret)) {
-			t.Fatalf("%q became %q", document, masked)
+			t.Fatalf("valid JSON %q became invalid: %q", document, masked)
 		}
 		// A secret of hexadecimal digits may occur by chance in a random tag or across
 		// its edge. It must never occur outside the tags.
 		if bytes.Contains(tag.ReplaceAll(masked, []byte{0, 0xff}), []byte(secret)) {
-			t.Fatalf("%q holds %q", masked, secret)
+			t.Fatalf("%q still contains the secret %q", masked, secret)
 		}
 	})
 }
@@ -55,7 +56,7 @@
 	g.Expect(string(newMasker().maskJSON(nil))).To(gomega.Equal(notJSON))
 }
 
-func TestMaskTagsTellEqualValuesWithinOneBundleOnly(t *testing.T) {
+func TestMaskTagsOfEqualValuesAreEqualInOneBundleOnly(t *testing.T) {
 	g := gomega.NewWithT(t)
 	document := []byte(`{"key":"same-value","keys":["same-value"],"max_tokens":5,"keeper":"kept"}`)
 	var first, second struct {
--- a/admin/peers.go
+++ b/admin/peers.go
@@ -40,21 +40,21 @@
 	target := url.URL{Scheme: "http", Host: member.Address, Path: path, RawQuery: query.Encode()}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, target.String(), nil)
 	if err != nil {
-		return response{}, errors.Wrap(err, "ask")
+		return response{}, errors.Wrap(err, "query")
 	}
 	resp, err := p.client.Do(req)
 	if err != nil {
-		return response{}, errors.Wrap(err, "ask")
+		return response{}, errors.Wrap(err, "query")
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return response{}, errors.Errorf("ask: status %d", resp.StatusCode)
+		return response{}, errors.Errorf("query %s: status %d", path, resp.StatusCode)
 	}
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, limit+1))
 	if int64(len(raw)) > limit {
 		return response{raw: raw[:limit], truncated: true}, nil
 	}
-	return response{raw: raw}, errors.Wrap(err, "read")
+	return response{raw: raw}, errors.Wrapf(err, "read response to %s", path)
 }
 
 // Limits of what is read from one process: the limits of package inspect, plus space
@@ -74,9 +74,9 @@
 		return err
 	}
 	if got.truncated {
-		return errors.Errorf("%s: answer over %d bytes", path, limit)
+		return errors.Errorf("%s: response over %d bytes", path, limit)
 	}
-	return errors.Wrap(json.Unmarshal(got.raw, into), path)
+	return errors.Wrapf(json.Unmarshal(got.raw, into), "decode response to %s", path)
 }
 
 // clockEstimate is an estimate of a process's clock from one exchange. The process
@@ -116,18 +116,18 @@
 // results to consume one at a time, in the order in which they arrive. Memory use is
 // bounded by the number of concurrent queries.
 func queryAll[T any](ctx context.Context, parallel int, members []Member, query func(context.Context, Member) T, consume func(Member, T) error) error {
-	type answer struct {
+	type result struct {
 		member Member
 		value  T
 	}
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(parallel + 1) // one more for the goroutine that starts the queries
-	answers := make(chan answer)
+	results := make(chan result)
 	group.Go(func() error {
 		for _, m := range members {
 			group.Go(func() error {
 				select {
-				case answers <- answer{member: m, value: query(ctx, m)}:
+				case results <- result{member: m, value: query(ctx, m)}:
 					return nil
 				case <-ctx.Done():
 					return ctx.Err()
@@ -139,7 +139,7 @@
 	var failed error
 	for range members {
 		select {
-		case got := <-answers:
+		case got := <-results:
 			failed = consume(got.member, got.value)
 		case <-ctx.Done():
 			failed = ctx.Err()
@@ -148,17 +148,17 @@
 			break
 		}
 	}
-	return waitQueries(group, failed, answers)
+	return waitQueries(group, failed, results)
 }
 
 // waitQueries waits for the queries that are still running and discards their
 // results, so that none of them blocks on the channel.
-func waitQueries[A any](group *errgroup.Group, failed error, answers <-chan A) error {
+func waitQueries[A any](group *errgroup.Group, failed error, results <-chan A) error {
 	done := make(chan error, 1)
 	go func() { done <- group.Wait() }()
 	for {
 		select {
-		case <-answers:
+		case <-results:
 		case err := <-done:
 			if failed != nil {
 				return failed
--- a/admin/scale_test.go
+++ b/admin/scale_test.go
@@ -59,7 +59,7 @@
 	for b.Loop() {
 		result := s.waitInForce(context.Background(), 7, DefaultWait)
 		if result.GetInForce() != targetProcesses {
-			b.Fatalf("in force in %d", result.GetInForce())
+			b.Fatalf("in force in %d of %d processes", result.GetInForce(), targetProcesses)
 		}
 	}
 }
@@ -106,8 +106,8 @@
 
 func (noConfigs) History(context.Context, int) ([]ConfigRevision, error) { return nil, ErrNoRevision }
 
-// BenchmarkMaskText masks a configuration of the target's 48,000 organisations.
-func BenchmarkMaskText(b *testing.B) {
+// BenchmarkMaskJSON masks a configuration of the target's 48,000 organisations.
+func BenchmarkMaskJSON(b *testing.B) {
 	var document bytes.Buffer
 	document.WriteString(`{"organisations":[`)
 	for i := range 48_000 {
@@ -122,7 +122,7 @@
 
 // For two processes with synchronized clocks, the estimate is less precise than the
 // clocks and must not shift their steps. A clock that is wrong must be corrected.
-func TestEstimateLeavesClocksInStep(t *testing.T) {
+func TestEstimateClockIgnoresOffsetsWithinItsError(t *testing.T) {
 	g := gomega.NewWithT(t)
 	sent := time.Unix(1000, 0)
 	received := sent.Add(10 * time.Millisecond)
@@ -132,7 +132,7 @@
 
 // When consume fails, for example because the client of a bundle has disconnected,
 // queryAll ends, and queries that are still running must not stay blocked.
-func TestGatherEndsWhenItsReaderFails(t *testing.T) {
+func TestQueryAllEndsWhenConsumeFails(t *testing.T) {
 	g := gomega.NewWithT(t)
 	members := make([]Member, 100)
 	query := func(context.Context, Member) int { return 1 }
--- a/admin/suite_test.go
+++ b/admin/suite_test.go
@@ -39,50 +39,50 @@
 	history error
 }
 
-func (t *memoryStore) Accept(_ context.Context, c admin.Change) (types.Revision, findings.List, error) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.accept != nil {
-		return t.accept(c)
+func (s *memoryStore) Accept(_ context.Context, c admin.Change) (types.Revision, findings.List, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.accept != nil {
+		return s.accept(c)
 	}
-	if int(c.Base) != len(t.all) {
-		return 0, nil, &admin.RaceError{Winner: t.all[c.Base]}
+	if int(c.Base) != len(s.all) {
+		return 0, nil, &admin.RaceError{Winner: s.all[c.Base]}
 	}
-	revision := types.Revision(len(t.all) + 1)
-	t.all = append(t.all, admin.ConfigRevision{Revision: revision, Base: c.Base, Raw: c.Raw, Who: c.Who, Note: c.Note, At: time.Now()})
+	revision := types.Revision(len(s.all) + 1)
+	s.all = append(s.all, admin.ConfigRevision{Revision: revision, Base: c.Base, Raw: c.Raw, Who: c.Who, Note: c.Note, At: time.Now()})
 	return revision, nil, nil
 }
 
-func (t *memoryStore) Load(_ context.Context, revision types.Revision) (admin.ConfigRevision, error) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if revision == 0 || int(revision) > len(t.all) {
+func (s *memoryStore) Load(_ context.Context, revision types.Revision) (admin.ConfigRevision, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if revision == 0 || int(revision) > len(s.all) {
 		return admin.ConfigRevision{}, admin.ErrNoRevision
 	}
-	return t.all[revision-1], nil
+	return s.all[revision-1], nil
 }
 
-func (t *memoryStore) History(context.Context, int) ([]admin.ConfigRevision, error) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (s *memoryStore) History(context.Context, int) ([]admin.ConfigRevision, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	var out []admin.ConfigRevision
-	for i := len(t.all) - 1; i >= 0; i-- {
-		out = append(out, t.all[i])
+	for i := len(s.all) - 1; i >= 0; i-- {
+		out = append(out, s.all[i])
 	}
-	return out, t.history
+	return out, s.history
 }
 
 // process is one process of a site, with its peer listener.
 type process struct {
-	member   admin.Member
-	registry *inspect.Registry
-	recorder *event.Recorder
-	clock    time.Duration // error of its clock
+	member     admin.Member
+	registry   *inspect.Registry
+	recorder   *event.Recorder
+	clockError time.Duration // its clock minus the true time
 }
 
 func newProcess(name string, role types.Role, revision func() types.Revision, clock time.Duration) *process {
-	p := &process{recorder: event.Discard(), clock: clock}
-	now := func() time.Time { return time.Now().Add(p.clock) }
+	p := &process{recorder: event.Discard(), clockError: clock}
+	now := func() time.Time { return time.Now().Add(p.clockError) }
 	metrics := prometheus.NewRegistry()
 	registry, err := inspect.New(inspect.Options{
 		Identity: inspect.Identity{Process: types.ProcessID(name), Role: role},
@@ -99,13 +99,13 @@
 	return p
 }
 
-// later is how long after the other processes a process with a wrong clock emits its
+// eventDelay is how long after the other processes a process with a wrong clock emits its
 // events.
-const later = 50 * time.Millisecond
+const eventDelay = 50 * time.Millisecond
 
 // handler serves the process. With a wrong clock, the times of its events are shifted.
 func (p *process) handler() http.Handler {
-	if p.clock == 0 {
+	if p.clockError == 0 {
 		return p.registry.Handler()
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -115,7 +115,7 @@
 		}
 		events := p.registry.Events(r.URL.Query().Get(inspect.ParamRequest), inspect.MaxEvents)
 		for i := range events.Entries {
-			events.Entries[i].At = events.Entries[i].At.Add(p.clock + later)
+			events.Entries[i].At = events.Entries[i].At.Add(p.clockError + eventDelay)
 		}
 		_ = json.NewEncoder(w).Encode(events)
 	})
@@ -139,7 +139,7 @@
 
 // site is a router's administration API and the processes of its site.
 type site struct {
-	texts     *memoryStore
+	store     *memoryStore
 	processes []*process
 	backends  []admin.Backend
 	stops     []types.ProcessID
@@ -150,9 +150,9 @@
 const testTimeout = 300 * time.Millisecond
 
 func newSite(processes ...*process) *site {
-	s := &site{texts: &memoryStore{}, processes: processes}
+	s := &site{store: &memoryStore{}, processes: processes}
 	server, err := admin.New(admin.Options{
-		Token: token, Process: "router-1", Store: s.texts, InForce: s.inForce, Members: s.members, Stopper: s,
+		Token: token, Process: "router-1", Store: s.store, InForce: s.inForce, Members: s.members, Stopper: s,
 		Backends: func() []admin.Backend { return s.backends },
 		Recorder: event.Discard(), Secrets: []string{"platform-password"}, Timeout: testTimeout,
 	})
@@ -165,12 +165,12 @@
 }
 
 func (s *site) inForce() admin.ConfigRevision {
-	s.texts.mu.Lock()
-	defer s.texts.mu.Unlock()
-	if len(s.texts.all) == 0 {
+	s.store.mu.Lock()
+	defer s.store.mu.Unlock()
+	if len(s.store.all) == 0 {
 		return admin.ConfigRevision{}
 	}
-	return s.texts.all[len(s.texts.all)-1]
+	return s.store.all[len(s.store.all)-1]
 }
 
 func (s *site) members() []admin.Member {
