--- a/cli/apply.go
+++ b/cli/apply.go
@@ -20,7 +20,8 @@
 	flagWaitFor = "wait-for"
 )
 
-// defaultWait is the time within which a revision must be in force everywhere.
+// defaultWait is the default of --wait-for: a revision is expected to be in force
+// everywhere within this time.
 const defaultWait = 4 * time.Second
 
 func (p *program) applyCommand() *urfave.Command {
@@ -85,7 +86,7 @@
 // effect, whichever wins.
 func (c *client) apply(ctx context.Context, req *adminpb.ApplyRequest) (*adminpb.ApplyResponse, error) {
 	ambiguous := false // an earlier call may have taken effect
-	sent := false      // an earlier call reached a router, whatever the response
+	sent := false      // an earlier call may have reached a router, whatever the response
 	var err error
 	for range applyRounds {
 		for _, address := range c.addresses {
@@ -101,7 +102,7 @@
 				return nil, err
 			}
 			sent = true
-			ambiguous = ambiguous || !refusedByStore(err)
+			ambiguous = ambiguous || !reportedNotAccepted(err)
 			if !ambiguous {
 				continue
 			}
@@ -130,8 +131,9 @@
 	return time.Duration(req.GetWaitMs()) * time.Millisecond
 }
 
-// refusedByStore reports whether a router itself responded that nothing was accepted.
-func refusedByStore(err error) bool {
+// reportedNotAccepted reports whether the router itself, and not a proxy before
+// it, responded that nothing was accepted.
+func reportedNotAccepted(err error) bool {
 	var answer twirp.Error
 	return errors.As(err, &answer) && answer.Code() == twirp.Unavailable && answer.Meta("http_error_from_intermediary") == ""
 }
@@ -149,7 +151,7 @@
 	}
 	found, err := c.readBack(ctx, req)
 	if found == nil && err == nil {
-		return nil, exitErrorf(ExitUnknown, "revision %d by %s is in force; `pearyard history` will show whether the configuration was accepted before it",
+		return nil, exitErrorf(ExitUnknown, "revision %d by %s was accepted; `pearyard history` will show whether the configuration was accepted before it",
 			winner.GetRevision(), winner.GetWho())
 	}
 	return found, err
--- a/cli/apply_test.go
+++ b/cli/apply_test.go
@@ -27,14 +27,14 @@
 // inject.
 type fakeRouter struct {
 	adminpb.Queries  // nil: unexpected calls panic
-	adminpb.Commands // nil, too
+	adminpb.Commands // likewise
 	store            *revisionStore
 	applyCalls       int
-	loseResponse     bool // the change is accepted, but the connection is closed
-	refuse           bool // the store is unavailable: nothing is accepted
-	failAfterCommit  bool // the change is accepted, and the router fails afterwards
-	failHistory      bool // the history can't be read
-	behind           string
+	loseResponse     bool   // the change is accepted, but the connection is closed
+	refuse           bool   // the store is unavailable: nothing is accepted
+	failAfterCommit  bool   // the change is accepted, and the router fails afterwards
+	failHistory      bool   // the history can't be read
+	behind           string // process that is never reported to have a revision in force; empty: none
 	before           func() // runs before an apply takes effect
 }
 
@@ -122,7 +122,7 @@
 
 func configFile(t *testing.T, text string) string {
 	t.Helper()
-	name := filepath.Join(t.TempDir(), "text.json")
+	name := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(name, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -138,7 +138,7 @@
 // A configuration is accepted, and the router dies before it responds. The command
 // must print "accepted as revision 1" and not report a race lost against itself, and
 // nothing may be applied twice.
-func TestApplyWhoseAnswerIsLost(t *testing.T) {
+func TestApplyWhoseResponseIsLost(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := &revisionStore{}
 	first := &fakeRouter{store: s, loseResponse: true, behind: "sidecar-9"}
@@ -156,7 +156,7 @@
 // the outcome was unknown: the router's error arrived in full ("Internal service
 // panic"), its connection was closed a moment later, and the history had been
 // requested on that connection. With a single router, no other one was called.
-func TestApplyWhoseAnswerIsLostAfterALostRace(t *testing.T) {
+func TestApplyWhoseResponseIsLostAfterALostRace(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := &revisionStore{}
 	r := &fakeRouter{store: s, loseResponse: true}
@@ -170,7 +170,7 @@
 // The response is lost and the history can't be read at first. The second call, on the
 // same base, then loses against the first one. The command must recognize that the
 // winner is its own change.
-func TestApplyThatMeetsItsOwnEarlierTry(t *testing.T) {
+func TestApplyLosesRaceAgainstItsOwnEarlierCall(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := &revisionStore{}
 	first, second := &fakeRouter{store: s, loseResponse: true, failHistory: true}, &fakeRouter{store: s, failHistory: true}
@@ -183,8 +183,9 @@
 // The response is lost, another operator applies a change based on this one at once,
 // and only then can the history be read. The race names the other operator, but this
 // change was accepted first. If the command reported a lost race, the operator would
-// apply the change again, on top of the other one.
-func TestApplyFoundUnderAnotherOperatorsText(t *testing.T) {
+// apply the change again, on top of the other one. As long as the history can't be
+// read, it must report that the outcome is unknown.
+func TestApplyFoundBeforeAnotherOperatorsChange(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := &revisionStore{}
 	first, second := &fakeRouter{store: s, loseResponse: true, failHistory: true}, &fakeRouter{store: s, failHistory: true}
@@ -216,7 +217,7 @@
 
 // The response is lost and no router can read the history. The command must report
 // that the outcome is unknown.
-func TestApplyWhoseOutcomeStaysOpen(t *testing.T) {
+func TestApplyWhoseOutcomeStaysUnknown(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := &fakeRouter{store: &revisionStore{}, loseResponse: true, failHistory: true}
 	got := apply(t, r.serve(t))
@@ -226,7 +227,7 @@
 
 // Two operators apply concurrently. The loser's command exits with 4 and shows the
 // winner and its diff, so that a script can fetch, merge and apply again.
-func TestRaceEndsWithItsOwnCode(t *testing.T) {
+func TestLostRaceHasItsOwnExitCode(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := &revisionStore{}
 	s.accept(&adminpb.ApplyRequest{Text: []byte("his"), Who: "bob", Note: "more runners"})
@@ -266,7 +267,7 @@
 	g.Expect(left).To(gomega.BeEmpty())
 }
 
-func TestWrongTokenEndsWithItsOwnCode(t *testing.T) {
+func TestWrongTokenHasItsOwnExitCode(t *testing.T) {
 	g := gomega.NewWithT(t)
 	calls := 0
 	refuse := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -285,7 +286,7 @@
 // A router closes a kept-alive connection, for example after a failed response, while
 // the next query is being sent on it. With a single router, the query must be sent
 // again on a new connection.
-func TestQuestionIsAskedAgainWhenItsConnectionBreaks(t *testing.T) {
+func TestQueryIsSentAgainWhenItsConnectionBreaks(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := &revisionStore{}
 	s.accept(&adminpb.ApplyRequest{Text: []byte("his"), Who: "bob"})
--- a/cli/cli.go
+++ b/cli/cli.go
@@ -15,7 +15,8 @@
 	"github.com/pearyard/pearyard/inspect"
 )
 
-// Options of New. Unset fields default to those of the process.
+// Options of New. Unset streams default to those of the process, and HTTP to a new
+// client.
 type Options struct {
 	Stdin  io.Reader
 	Stdout io.Writer
@@ -48,7 +49,7 @@
 	outputJSON = "json"
 )
 
-// defaultTimeout limits one call of one router.
+// defaultTimeout limits one call to one router.
 const defaultTimeout = 10 * time.Second
 
 // program holds what all commands share.
--- a/cli/client.go
+++ b/cli/client.go
@@ -69,7 +69,7 @@
 }
 
 // query calls one router after the other until one responds. It is for calls that may
-// run twice.
+// run twice. extra is added to the timeout of each call, for calls that take longer.
 //
 // If a connection breaks, the same router is called once more, on a new connection: it
 // may only have closed a kept-alive connection after its previous response.
--- a/cli/nested_test.go
+++ b/cli/nested_test.go
@@ -9,8 +9,8 @@
 	urfave "github.com/urfave/cli/v2"
 )
 
-// nestedCommand returns a command with a subcommand, each with its own flag. The subcommand
-// stores the values of both flags and its arguments in got.
+// nestedCommand returns a command with a subcommand, each with its own flag. The
+// subcommand stores the values of both flags and its arguments in got.
 func nestedCommand(got *[]string) *urfave.Command {
 	return &urfave.Command{
 		Name:  "outer",
@@ -29,7 +29,7 @@
 // `outer --runs 3 inner --mode m` used to fail: flags were moved before the arguments,
 // including the name of the subcommand, so that the outer command got the
 // subcommand's flags and refused them.
-func TestFlagsOfCommandsBelowACommandStayWithThem(t *testing.T) {
+func TestFlagsOfSubcommandsStayWithThem(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var got []string
 	app := New(Options{Stdout: &bytes.Buffer{}, Stderr: &bytes.Buffer{}})
@@ -41,7 +41,7 @@
 
 // A misspelled flag of a subcommand must give the exit code for wrong usage, as for
 // any other command.
-func TestWrongFlagOfACommandBelowACommandIsWrongUse(t *testing.T) {
+func TestWrongFlagOfASubcommandIsAUsageError(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var got []string
 	opts := Options{Stdout: &bytes.Buffer{}, Stderr: &bytes.Buffer{}, Bench: nestedCommand(&got)}
--- a/cli/site_test.go
+++ b/cli/site_test.go
@@ -22,10 +22,10 @@
 
 // smallSite is the administration API of a router and a site with one sidecar.
 type smallSite struct {
-	member  admin.Member
-	texts   []admin.ConfigRevision
-	drain   inspect.Drain
-	stopped []string
+	member    admin.Member
+	revisions []admin.ConfigRevision
+	drain     inspect.Drain
+	stopped   []string
 }
 
 // Accept implements admin.ConfigStore; the tests of apply have a store of their own.
@@ -34,14 +34,14 @@
 }
 
 func (s *smallSite) Load(_ context.Context, revision types.Revision) (admin.ConfigRevision, error) {
-	if revision == 0 || int(revision) > len(s.texts) {
+	if revision == 0 || int(revision) > len(s.revisions) {
 		return admin.ConfigRevision{}, admin.ErrNoRevision
 	}
-	return s.texts[revision-1], nil
+	return s.revisions[revision-1], nil
 }
 
 func (s *smallSite) History(context.Context, int) ([]admin.ConfigRevision, error) {
-	return []admin.ConfigRevision{s.texts[1], s.texts[0]}, nil
+	return []admin.ConfigRevision{s.revisions[1], s.revisions[0]}, nil
 }
 
 // Stop implements admin.Stopper.
@@ -70,7 +70,7 @@
 	}
 	server, err := admin.New(admin.Options{
 		Token: "t0ken-t0ken", Process: "router-1", Store: s, Stopper: s,
-		InForce: func() admin.ConfigRevision { return s.texts[1] },
+		InForce: func() admin.ConfigRevision { return s.revisions[1] },
 		Members: func() []admin.Member { return []admin.Member{s.member} },
 		Quarantines: func() []admin.Quarantine {
 			return []admin.Quarantine{{Fingerprint: 255, Organisation: "suva", Deaths: 2}}
@@ -87,7 +87,7 @@
 
 func TestCommandsAgainstASite(t *testing.T) {
 	g := gomega.NewWithT(t)
-	s := &smallSite{texts: []admin.ConfigRevision{
+	s := &smallSite{revisions: []admin.ConfigRevision{
 		{Revision: 1, Raw: []byte("a\n"), Who: "ann", Note: "first"},
 		{Revision: 2, Raw: []byte("b\n"), Who: "bob", Note: "second"},
 	}}
--- a/cli/summary_test.go
+++ b/cli/summary_test.go
@@ -37,7 +37,7 @@
 	g.Expect(summary.Kinds[0].InTime).To(gomega.Equal(1))
 }
 
-func TestSummaryRefusesWhatItCannotTell(t *testing.T) {
+func TestSummaryRefusesInvalidArguments(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for _, args := range [][]string{
 		{"explain", "--summary"},
--- a/cli/vendor.go
+++ b/cli/vendor.go
@@ -19,7 +19,8 @@
 )
 
 // gatherTimeout is added to the timeout of a call that queries every process of a
-// site: with a zone of 95 frozen processes, every 32 of them cost one timeout.
+// site. The router queries admin.DefaultParallel (32) processes at once, so that each 32
+// frozen processes, of the 95 of a frozen zone, cost admin.DefaultTimeout.
 const gatherTimeout = 30 * time.Second
 
 // bundleTimeout is the same for a bundle, whose files are also fetched, masked and
@@ -132,7 +133,7 @@
 	size, err := io.Copy(part, body)
 	if err != nil {
 		_ = part.Close()
-		return 0, twirp.InternalErrorWith(errors.Wrap(err, "bundle broke off"))
+		return 0, twirp.InternalErrorWith(errors.Wrapf(err, "copy the bundle to %s", part.Name()))
 	}
 	if err := part.Close(); err != nil {
 		return 0, err
