--- a/client/client.go
+++ b/client/client.go
@@ -19,7 +19,9 @@
 
 const (
 	pathCompletions = "/v1/completions"
-	maxEventBytes   = 1 << 20
+	// maxEventBytes is the maximum length of a line of a stream, and of the body of a
+	// refusal.
+	maxEventBytes = 1 << 20
 	// resumePause is the pause between two attempts to resume.
 	resumePause = 20 * time.Millisecond
 	// DefaultResumeTimeout is how long the client tries to resume a broken stream.
@@ -27,11 +29,12 @@
 )
 
 // ErrBroken: the stream broke and could not be resumed in time.
-var ErrBroken = errors.New("client: stream broke and could not be continued")
+var ErrBroken = errors.New("client: stream broke and could not be resumed")
 
-// RefusedError is a final response without a result.
+// RefusedError is a router's refusal of a generation, as a response or as an event of
+// a stream.
 type RefusedError struct {
-	Status     int
+	Status     int // of the response; 200 for an event of a stream
 	Code       types.Code
 	Outcome    types.Outcome
 	Message    string
@@ -46,9 +49,9 @@
 
 // Options configure a Client.
 type Options struct {
-	Routers       []string // ip:port, called in turn
-	Key           string   // API key
-	HTTP          *http.Client
+	Routers       []string      // ip:port, called in turn
+	Key           string        // API key
+	HTTP          *http.Client  // nil: a client of its own
 	ResumeTimeout time.Duration // 0: DefaultResumeTimeout
 	// IdleTimeout is how long a stream may send nothing before the client resumes it
 	// through the next router; 0: no limit.
@@ -61,6 +64,8 @@
 // New returns a client.
 func New(opts Options) *Client {
 	if opts.HTTP == nil {
+		// With the default of 2, most connections of concurrent generations would be
+		// closed after one request.
 		opts.HTTP = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
 	}
 	if opts.ResumeTimeout == 0 {
@@ -81,19 +86,19 @@
 
 // Gap is a pause in the output as seen by the client.
 type Gap struct {
-	AtToken int
+	AtToken int // index of the token that ended the pause
 	Length  time.Duration
 	Resumed bool // the stream was resumed on another connection
 }
 
 // Answer is the result of a generation.
 type Answer struct {
-	Texts      []string
-	Finish     string
-	FirstToken time.Duration
-	Longest    Gap // longest pause between two tokens
-	Resumes    int // number of times that the stream was resumed
-	RequestIDs []types.RequestID
+	Texts      []string          // one per token
+	Finish     string            // finish reason
+	FirstToken time.Duration     // time until the first token
+	Longest    Gap               // longest pause between two tokens
+	Resumes    int               // number of times that the stream was resumed
+	RequestIDs []types.RequestID // one per response
 }
 
 // stream is the state of one generation across its connections.
@@ -102,7 +107,7 @@
 	req       Request
 	body      []byte
 	answer    Answer
-	lastID    string
+	lastID    string // event ID of the last token; empty: none received
 	started   time.Time
 	lastToken time.Time // when the last token was received
 	resumed   bool      // the next token is the first after resuming
@@ -115,14 +120,14 @@
 	req.Stream = true
 	body, err := json.Marshal(req)
 	if err != nil {
-		return Answer{}, errors.Wrap(err, "client: encode")
+		return Answer{}, errors.Wrap(err, "client: encode request")
 	}
 	s := &stream{client: c, req: req, body: body, started: time.Now(), onToken: onToken}
 	return s.run(ctx)
 }
 
 func (s *stream) run(ctx context.Context) (Answer, error) {
-	brokenSince := time.Time{}
+	brokenSince := time.Time{} // when the stream broke after its newest token; zero: it has not broken
 	for attempt := s.req.First; ; attempt++ {
 		received := len(s.answer.Texts)
 		done, err := s.readConnection(ctx, s.client.opts.Routers[attempt%len(s.client.opts.Routers)])
@@ -139,7 +144,7 @@
 			brokenSince = time.Now()
 		}
 		if time.Since(brokenSince) > s.client.opts.ResumeTimeout {
-			return s.answer, errors.Wrapf(ErrBroken, "last: %v", err)
+			return s.answer, errors.Wrapf(ErrBroken, "last attempt: %v", err)
 		}
 		s.answer.Resumes++
 		s.resumed = true
@@ -147,9 +152,10 @@
 	}
 }
 
-// canResume reports whether the stream can be resumed after a refusal. In the middle
-// of an answer, it goes on if a router is stopping or can't reach the processes that
-// hold the generation.
+// canResume reports whether another attempt follows a refusal. After a refusal of the
+// first call, one follows only if the router is stopping. Later, one follows every 503,
+// because a router may be stopping or unable to reach the processes that hold the
+// generation, unless the request is quarantined.
 func (s *stream) canResume(refused *RefusedError) bool {
 	if s.lastID == "" && s.answer.Resumes == 0 {
 		return refused.Code == types.CodeLeaving
@@ -247,13 +253,13 @@
 		}
 		id = ""
 	}
-	return false, errors.Wrap(ErrBroken, "connection ended")
+	return false, errors.New("client: connection ended before the answer was complete")
 }
 
 func (s *stream) handleEvent(id, data string) error {
 	var e event
 	if err := json.Unmarshal([]byte(data), &e); err != nil {
-		return errors.Wrap(err, "client: event")
+		return errors.Wrap(err, "client: decode event")
 	}
 	if e.Error != nil {
 		return &RefusedError{Status: http.StatusOK, Code: e.Error.Code, Outcome: e.Error.Outcome, Message: e.Error.Message, RequestID: e.Error.RequestID,
