--- a/catalogue/catalogue_test.go
+++ b/catalogue/catalogue_test.go
@@ -16,7 +16,7 @@
 	"github.com/pearyard/pearyard/event"
 )
 
-func TestPageIsThatOfTheCode(t *testing.T) {
+func TestEventsPageMatchesCatalogue(t *testing.T) {
 	g := gomega.NewWithT(t)
 	page, err := os.ReadFile("../docs/EVENTS.md")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -68,6 +68,6 @@
 		directory, err := filepath.Rel("..", filepath.Dir(source))
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		path := strconv.Quote("github.com/pearyard/pearyard/" + filepath.ToSlash(directory))
-		g.Expect(imported[path]).To(gomega.BeTrue(), "%s defines events", path)
+		g.Expect(imported[path]).To(gomega.BeTrue(), "%s defines events, but catalogue.go does not import it", path)
 	}
 }
--- a/catalogue/packages_test.go
+++ b/catalogue/packages_test.go
@@ -14,7 +14,8 @@
 	"github.com/onsi/gomega"
 )
 
-const module = "github.com/pearyard/pearyard/"
+// modulePrefix is the prefix of the import paths of pearyard.
+const modulePrefix = "github.com/pearyard/pearyard/"
 
 // allowed matches the sentence of a package comment that lists the allowed imports.
 var allowed = regexp.MustCompile(`May import of pearyard: ([^.]*)\.`)
@@ -53,7 +54,7 @@
 		}
 		for _, i := range parsed.Imports {
 			path, _ := strconv.Unquote(i.Path.Value)
-			if of, ok := strings.CutPrefix(path, module); ok {
+			if of, ok := strings.CutPrefix(path, modulePrefix); ok {
 				out = append(out, of)
 			}
 		}
@@ -70,7 +71,7 @@
 	checked := 0
 	for _, name := range rootPackages(t) {
 		raw, err := os.ReadFile(filepath.Join("..", name, "doc.go"))
-		if err != nil || name == "catalogue" {
+		if err != nil || name == "catalogue" { // its comment names no packages
 			continue
 		}
 		text := strings.ReplaceAll(string(raw), "\n// ", " ")
@@ -83,7 +84,7 @@
 		if match[1] != "none" {
 			want = strings.Split(match[1], ", ")
 		}
-		g.Expect(want).To(gomega.ContainElements(importsOf(t, name)), "%s/doc.go", name)
+		g.Expect(want).To(gomega.ContainElements(importsOf(t, name)), "%s imports a package of pearyard that %s/doc.go does not list", name, name)
 	}
 	g.Expect(checked).To(gomega.BeNumerically(">", len(rootPackages(t))/2), "the lists of imports are found")
 }
--- a/catalogue/places_test.go
+++ b/catalogue/places_test.go
@@ -9,9 +9,9 @@
 	"github.com/onsi/gomega"
 )
 
-// Places in the table of docs/design/core.md.
+// Places in the table of docs/design/core.md. A face is the API for one customer.
 const (
-	placeCore     = "core"
+	placeCore     = "core" // used by both faces
 	placeOwn      = "own face"
 	placePlatform = "platform's face"
 	placeGoes     = "goes"
@@ -54,9 +54,8 @@
 	g.Expect(named).To(gomega.ConsistOf(rootPackages(t)), "docs/design/core.md, table of packages")
 }
 
-// A core package that imports a package of one face (a customer-specific API) would
-// let a change for one customer break the other. Generated messages (rpc) belong to
-// no face.
+// The core is used by both faces. If it imported a package of one face, a change for
+// one customer could break the other. Generated messages (rpc) belong to no face.
 func TestCoreImportsNoFace(t *testing.T) {
 	g := gomega.NewWithT(t)
 	places := placesOf(t)
@@ -69,7 +68,7 @@
 		for _, imported := range importsOf(t, name) {
 			root, _, _ := strings.Cut(imported, "/")
 			if root != "rpc" {
-				g.Expect(places[root]).To(gomega.Equal([]string{placeCore}), "%s imports %s", name, imported)
+				g.Expect(places[root]).To(gomega.Equal([]string{placeCore}), "%s is in the core and imports %s, which is not", name, imported)
 			}
 		}
 	}
