--- a/explain/causes.go
+++ b/explain/causes.go
@@ -74,40 +74,40 @@
 
 // openRequest is what the lines read so far say about a request that has not ended.
 type openRequest struct {
-	failedAttempt   *failedAttempt
-	serverBusy      bool          // a server had no free capacity
-	serverFailed    bool          // a server answered with an error of its own
-	copyReplaced    bool          // its KV copy was replaced, or replacing it failed
-	failedAfterCopy bool          // copied was set when an attempt failed
-	promptReread    bool          // its prompt was processed again
-	resumed         bool          // it was resumed on another server
-	resumePause     time.Duration // the longest pause that resuming caused
-	process         int32
-	running         bool  // listed by PY2732
-	lastSecond      int64 // second of the newest line
+	failedAttempt   *failedAttempt // the newest; nil: none
+	serverBusy      bool           // a server had no free capacity
+	serverFailed    bool           // a server answered with an error of its own
+	copyReplaced    bool           // its KV copy was replaced, or replacing it failed
+	failedAfterCopy bool           // an attempt failed after copyReplaced was set
+	promptReread    bool           // its prompt was processed again
+	resumed         bool           // it was resumed on another server
+	resumePause     time.Duration  // the longest pause that resuming caused
+	process         int32          // index in Period.names
+	running         bool           // listed as running (PY2732)
+	lastSecond      int64          // Unix time of the newest line, in seconds
 }
 
 // failedAttempt is an attempt that the server broke off or did not answer.
 type failedAttempt struct {
 	server string
-	second int64 // second
-	silent bool
+	second int64 // Unix time, in seconds
+	silent bool  // the server stopped responding
 }
 
 // attemptCause returns the cause that the failed attempts indicate, or "".
-func (t *openRequest) attemptCause() Cause {
+func (o *openRequest) attemptCause() Cause {
 	switch {
-	case t == nil:
+	case o == nil:
 		return ""
-	case t.failedAfterCopy:
+	case o.failedAfterCopy:
 		return CauseCopyReplaced
-	case t.failedAttempt != nil:
+	case o.failedAttempt != nil:
 		return CauseServerLost // builder.resolve may make it CauseZoneLost
-	case t.promptReread:
+	case o.promptReread:
 		return CauseNoCopy
-	case t.serverFailed:
+	case o.serverFailed:
 		return CauseServerFailed
-	case t.serverBusy:
+	case o.serverBusy:
 		return CauseServerBusy
 	default:
 		return ""
--- a/explain/sides.go
+++ b/explain/endedby.go
@@ -45,7 +45,7 @@
 	if strings.Contains(last.Fields["err"], resetText) {
 		return "was reset, by the server or on the way,"
 	}
-	return "went silent: the server, its VM or the way to it was lost. It ended"
+	return "went silent: the server, its VM or the network path to it was lost. The request ended"
 }
 
 // describePending names the server that had sent nothing when the request ended.
--- a/explain/ends.go
+++ b/explain/ends.go
@@ -12,30 +12,30 @@
 	if len(rec.fields[fieldRequest]) == 0 {
 		return errTruncated
 	}
-	t := p.openRequestOf(rec.text(fieldRequest), process)
-	t.lastSecond = rec.at.Unix()
+	open := p.openRequestOf(rec.text(fieldRequest), process)
+	open.lastSecond = rec.at.Unix()
 	switch string(rec.fields[fieldEvent]) {
 	case idAgain:
-		t.recordFailedAttempt(rec)
+		open.recordFailedAttempt(rec)
 	case idCopied:
-		t.copyReplaced = true
+		open.copyReplaced = true
 	case idResumed:
 		pause, err := rec.duration(fieldAfter)
 		if err != nil {
 			return err
 		}
-		t.resumed, t.resumePause = true, max(t.resumePause, pause)
-		t.promptReread = t.promptReread || rec.text(fieldHow) == howReread
+		open.resumed, open.resumePause = true, max(open.resumePause, pause)
+		open.promptReread = open.promptReread || rec.text(fieldHow) == howReread
 	}
 	return nil
 }
 
 // Texts in log lines that the rules match.
 const (
-	textLate   = "would finish in time"
-	textBusy   = "not run: busy"
-	textStatus = "the server answered"
-	howReread  = "prompt_read_again"
+	textLate   = "would finish in time" // of exchange.LateError
+	textBusy   = "not run: busy"        // of exchange.NotRunError
+	textStatus = "the server answered"  // with an error status
+	howReread  = "prompt_read_again"    // field how of PY2725
 )
 
 var (
@@ -43,15 +43,15 @@
 	textBudget = exchange.ErrBudget.Error()
 )
 
-func (t *openRequest) recordFailedAttempt(rec *record) {
+func (o *openRequest) recordFailedAttempt(rec *record) {
 	switch {
 	case rec.contains(fieldError, textBusy):
-		t.serverBusy = true
+		o.serverBusy = true
 	case rec.contains(fieldError, textStatus):
-		t.serverFailed = true
+		o.serverFailed = true
 	default:
-		t.failedAfterCopy = t.failedAfterCopy || t.copyReplaced
-		t.failedAttempt = failedAttemptOf(rec, fieldAfter)
+		o.failedAfterCopy = o.failedAfterCopy || o.copyReplaced
+		o.failedAttempt = failedAttemptOf(rec, fieldAfter)
 	}
 }
 
@@ -80,7 +80,7 @@
 	if _, known := p.kinds[route]; !known {
 		p.kinds[route] = e.kind
 	}
-	key := bucket{rec.at.Add(-e.took).Unix(), route}
+	key := bucket{rec.at.Add(-e.took).Unix(), route} // by arrival
 	outcome, cause := e.classify()
 	p.countOutcome(key, outcome)
 	id := rec.text(fieldRequest)
@@ -129,11 +129,11 @@
 		return Refused, e.refusalCause()
 	case idFailed:
 		return Failed, e.failureCause()
-	case idLeft:
+	case idCallerLeft:
 		return e.classifyLeft()
 	case idCallerLost:
 		return Failed, CauseCaller
-	default:
+	default: // idCut
 		return Failed, CauseStop
 	}
 }
@@ -161,8 +161,9 @@
 
 func (e *requestEnd) exceededGap() bool { return e.objective.Gap > 0 && e.pause > e.objective.Gap }
 
-// delayCause returns the cause for a request that was served late or timed out. A
-// pause longer than the pauses that resuming caused is the server's own.
+// delayCause returns the cause for a request that was served late or timed out. If
+// only the objective for pauses was missed, and resuming did not pause the stream for
+// that long, the pause is the server's own.
 func (e *requestEnd) delayCause() Cause {
 	cause := e.open.attemptCause()
 	if !e.exceededAnswer() && e.exceededGap() && (cause == "" || e.open.resumed && e.open.resumePause < e.objective.Gap) {
@@ -237,20 +238,20 @@
 // it holds the failed attempt, so that the loss of a server can later be told from
 // the loss of its zone: the newest failed attempt, or the one in the last line.
 func (e *requestEnd) causeBucket(key bucket, outcome Outcome, cause Cause) causeBucket {
-	s := causeBucket{bucket: key, outcome: outcome, cause: cause}
+	out := causeBucket{bucket: key, outcome: outcome, cause: cause}
 	if cause == CauseServerPause {
-		s.pause = pauseBucketOf(e)
-		return s
+		out.pause = pauseBucketOf(e)
+		return out
 	}
 	if cause != CauseServerLost {
-		return s
+		return out
 	}
 	if e.open != nil && e.open.failedAttempt != nil {
-		s.attempt = *e.open.failedAttempt
-		return s
+		out.attempt = *e.open.failedAttempt
+		return out
 	}
-	s.attempt = *failedAttemptOf(e.rec, fieldServer)
-	return s
+	out.attempt = *failedAttemptOf(e.rec, fieldServer)
+	return out
 }
 
 // recordRejection records a request that was answered without being forwarded.
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -27,19 +27,19 @@
 // request.
 func Request(lines []Line, request string) Explanation {
 	lines = sortLines(lines)
-	var s Explanation
+	var e Explanation
 	for _, l := range lines {
 		if l.mentions(request) {
-			s.Lines = append(s.Lines, l)
+			e.Lines = append(e.Lines, l)
 		}
 	}
-	if len(s.Lines) == 0 {
-		s.Cause = "No line names this request: no process took it whole, its process ended before it did, or its lines were dropped (look for dropped_info) or not collected." + describeCrashes(lines)
-		return s
+	if len(e.Lines) == 0 {
+		e.Cause = "No line names this request: no process received it in full, its process ended before it did, or its lines were dropped (look for dropped_info) or not collected." + describeCrashes(lines)
+		return e
 	}
-	s.Around = relatedLines(lines, s.Lines, request)
-	s.Cause = describeCause(s, lines)
-	return s
+	e.Around = relatedLines(lines, e.Lines, request)
+	e.Cause = describeCause(e, lines)
+	return e
 }
 
 // relatedLines returns lines that are about no request but come from the request's
@@ -78,8 +78,8 @@
 	entry.EventPanicked.ID(): true, entry.EventLate.ID(): true,
 }
 
-// finalLine returns the line that ends a request, or else its last line. The two
-// differ because a crash that the request caused is logged a second after its end.
+// finalLine returns the line that ends a request, or else its last line. Lines may
+// follow the end: a server crash that the request caused is logged a second later.
 func finalLine(own []Line) Line {
 	for _, l := range slices.Backward(own) {
 		if endEvents[l.Event] {
@@ -89,27 +89,27 @@
 	return own[len(own)-1]
 }
 
-func describeCause(s Explanation, all []Line) string {
-	last := finalLine(s.Lines)
+func describeCause(e Explanation, all []Line) string {
+	last := finalLine(e.Lines)
 	switch last.Event {
 	case exchange.EventServed.ID():
 		return describeServed(last)
 	case exchange.EventRefused.ID():
 		return describeRefused(last)
 	case exchange.EventFailed.ID():
-		return describeFailed(s, last)
+		return describeFailed(e, last)
 	case exchange.EventCallerLeft.ID():
-		return describeCallerLeft(last) + earlierErrors(s) + "."
+		return describeCallerLeft(last) + earlierErrors(e) + "."
 	case exchange.EventCallerLost.ID():
-		return "The connection to its caller was lost after " + last.Fields["took"] + " (" + last.Fields["err"] + "): it was reset, by the caller or on the way, or went dead" + earlierErrors(s) + "."
+		return "The connection to its caller was lost after " + last.Fields["took"] + " (" + last.Fields["err"] + "): it was reset, by the caller or on the way, or went dead" + earlierErrors(e) + "."
 	case exchange.EventCut.ID():
-		return "The planned stop of " + last.Process + " cut it after " + last.Fields["took"] + ", when the grace period was over; its caller was still there" + earlierErrors(s) + "."
+		return "The planned stop of " + last.Process + " cut it after " + last.Fields["took"] + ", when the grace period was over; its caller was still there" + earlierErrors(e) + "."
 	case exchange.EventQuarantined.ID():
 		return "It was refused because the same request had crashed several backend servers."
 	case entry.EventTurnedAway.ID():
-		return describeRejected(s, last, all)
+		return describeRejected(e, last, all)
 	case entry.EventNoConfig.ID():
-		return "It was refused because " + last.Process + " had just started and knew no " + last.Fields["missing"] + " yet" + describeStoreLoss(s) + "."
+		return "It was refused because " + last.Process + " had just started and knew no " + last.Fields["missing"] + " yet" + describeStoreLoss(e) + "."
 	case entry.EventStopRefused.ID():
 		return "It was refused because " + last.Process + " was about to stop and could not have finished it."
 	case entry.EventPanicked.ID():
@@ -117,7 +117,7 @@
 	case entry.EventLate.ID():
 		return "It was refused and has not run: its last byte came after " + last.Fields["took"] + ", when its time was over."
 	default:
-		return describeUnfinished(s, last, all)
+		return describeUnfinished(e, last, all)
 	}
 }
 
@@ -135,7 +135,7 @@
 	if len(ends) == 0 {
 		return ""
 	}
-	return " Processes that ended without a word: " + strings.Join(ends, "; ") + "."
+	return " Processes that ended without logging a stop: " + strings.Join(ends, "; ") + "."
 }
 
 func describeServed(last Line) string {
@@ -144,23 +144,23 @@
 		text = fmt.Sprintf("It was answered after %s with a backend server's own status %s, at try %s", last.Fields["took"], status, last.Fields["sent"])
 	}
 	if n := last.Fields["resumed"]; n != "" && n != "0" {
-		text += fmt.Sprintf(", having gone on at another backend server %s time(s), with a longest pause of %s", n, last.Fields["pause"])
+		text += fmt.Sprintf(", having been resumed on another backend server %s time(s), with a longest pause of %s", n, last.Fields["pause"])
 	}
 	return text + "."
 }
 
-func describeFailed(s Explanation, last Line) string {
+func describeFailed(e Explanation, last Line) string {
 	text := failureSubject(last) + " after " + last.Fields["took"] + ": " + last.Fields["err"] + describePending(last)
-	if lost := lostServers(s, last.Fields["service"]); lost != "" {
+	if lost := lostServers(e, last.Fields["service"]); lost != "" {
 		text += "; lost meanwhile: " + lost
 	}
 	return text + "."
 }
 
-// earlierErrors lists the failed attempts before the caller left.
-func earlierErrors(s Explanation) string {
+// earlierErrors lists the failed attempts of the request.
+func earlierErrors(e Explanation) string {
 	var errs []string
-	for _, l := range s.Lines {
+	for _, l := range e.Lines {
 		if l.Event == exchange.EventAgain.ID() {
 			errs = append(errs, l.Fields["after"]+": "+l.Fields["err"])
 		}
@@ -173,10 +173,10 @@
 
 // lostServers names the servers of the request's service that were lost at about
 // the time of the request.
-func lostServers(s Explanation, service string) string {
+func lostServers(e Explanation, service string) string {
 	seen := map[string]bool{}
 	var out []string
-	for _, l := range s.Around {
+	for _, l := range e.Around {
 		id := l.Fields["server"]
 		if l.Event == exchange.EventServerLost.ID() && !seen[id] && (service == "" || l.Fields["service"] == service) {
 			seen[id] = true
@@ -188,7 +188,7 @@
 
 // describeRejected names the configuration version that rejected the request, and a
 // newer version if it was applied shortly afterwards.
-func describeRejected(s Explanation, last Line, all []Line) string {
+func describeRejected(e Explanation, last Line, all []Line) string {
 	if by := endedBy(last); by != "" && by != exchange.EndedByConfiguration {
 		return describeInvalid(last)
 	}
@@ -202,11 +202,11 @@
 			break
 		}
 	}
-	return text + describeStoreLoss(s) + "."
+	return text + describeStoreLoss(e) + "."
 }
 
-func describeStoreLoss(s Explanation) string {
-	for _, l := range s.Around {
+func describeStoreLoss(e Explanation) string {
+	for _, l := range e.Around {
 		if l.Event == site.EventStoreLost.ID() {
 			return "; the store did not tell it: " + l.Fields["err"]
 		}
@@ -216,7 +216,7 @@
 
 // describeUnfinished covers a request without an end event, usually because its
 // process ended first.
-func describeUnfinished(s Explanation, last Line, all []Line) string {
+func describeUnfinished(e Explanation, last Line, all []Line) string {
 	for _, l := range all {
 		if l.Process != last.Process || !l.At.After(last.At) {
 			continue
@@ -225,9 +225,9 @@
 		case entry.EventStopped.ID():
 			return "It was still running when " + l.Process + " ended its planned stop after " + l.Fields["took"] + "."
 		case entry.EventStarted.ID():
-			return fmt.Sprintf("Its process %s ended without a word between %s and %s, its next start.",
+			return fmt.Sprintf("Its process %s ended without logging a stop between %s and %s, its next start.",
 				l.Process, last.At.Format(time.TimeOnly), l.At.Format(time.TimeOnly))
 		}
 	}
-	return "Its last line is no end: it is still running, or " + last.Process + " is gone for good" + earlierErrors(s) + "."
+	return "No line tells its end: it is still running, or " + last.Process + " ended and was not started again" + earlierErrors(e) + "."
 }
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -39,11 +39,11 @@
 	for request, words := range map[string][]string{
 		"r1":  {"failed after 2s", "retry budget spent", "i-1 of errol"},
 		"r2":  {"404 by version 6", "version 9 came into force there 300ms later"},
-		"r3":  {"edge-2 ended without a word", "12:44:03", "12:44:05"},
+		"r3":  {"edge-2 ended without logging a stop", "12:44:03", "12:44:05"},
 		"r4":  {"served after 5s", "1 time(s)", "400ms"},
 		"r5":  {"has not run", "no backend server"},
-		"r6":  {"No line names this request", "edge-2 between 12:44:03 and 12:44:05"},
-		"r8":  {"edge-2 ended without a word between 12:44:00 and 12:44:05"},
+		"r6":  {"No line names this request", "ended without logging a stop: edge-2 between 12:44:03 and 12:44:05"},
+		"r8":  {"edge-2 ended without logging a stop between 12:44:00 and 12:44:05"},
 		"r9":  {"Its backend server i-1 broke it off after 2s"},
 		"r10": {"no backend server could be reached"},
 		"r11": {"answered 400 for what its caller sent: platform: body: unexpected EOF"},
@@ -60,7 +60,7 @@
 
 // An event may have a field with the name of a header field: the number of the
 // event after which a stream was resumed must not replace the ID of the line.
-func TestFieldsThatRepeat(t *testing.T) {
+func TestHeaderFieldsAreNotOverwritten(t *testing.T) {
 	g := gomega.NewWithT(t)
 	lines, err := Read(strings.NewReader(logs))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
--- a/explain/line.go
+++ b/explain/line.go
@@ -23,17 +23,17 @@
 	Event    string // number, such as PY2720
 	Name     string
 	Fields   map[string]string
-	position int
+	position int // index among the lines that Read returned
 }
 
-// maxLine is the maximum length of a log line; a list of a few hundred servers fits.
-const maxLine = 1 << 20
+// maxLineBytes is the maximum length of a log line; a list of a few hundred servers fits.
+const maxLineBytes = 1 << 20
 
 // Read reads log lines and skips other text. Text before the first field, such as
 // a log collector's timestamp and host, is dropped.
 func Read(r io.Reader) ([]Line, error) {
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(make([]byte, 0, 64<<10), maxLine)
+	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	var lines []Line
 	for scanner.Scan() {
 		text := scanner.Text()
@@ -46,7 +46,7 @@
 			lines = append(lines, line)
 		}
 	}
-	return lines, errors.Wrap(scanner.Err(), "explain: read")
+	return lines, errors.Wrap(scanner.Err(), "explain: read log lines")
 }
 
 func parse(text string) (Line, bool) {
--- a/explain/period.go
+++ b/explain/period.go
@@ -32,20 +32,20 @@
 // thus need only the memory of a few hundred thousand counts.
 type Period struct {
 	givenObjectives  map[string]Objective // by kind, set by the operator
-	loggedObjectives map[string]Objective // by kind, read from the lines
-	names            stringTable
-	kinds            map[int32]string // of a route
+	loggedObjectives map[string]Objective // by kind, read from the lines; the largest of several values
+	names            stringTable          // of processes and routes
+	kinds            map[int32]string     // of requests, by route
 	seconds          map[bucket]*tally
 	causes           map[causeBucket]*causeTally
 	open             map[string]*openRequest         // by request
 	losses           map[string][]loss               // by zone
 	lossSeconds      map[string][]int64              // by server: seconds
 	serverZones      map[string]string               // of servers that were lost, by server
-	pauses           map[pauseBucket]map[string]bool // servers of the streams that paused
+	pauses           map[pauseBucket]map[string]bool // servers of the streams that paused; at most stallServers each
 	processes        map[int32]*processState
 	Lines            int
-	Dropped          int // lines that processes report as dropped
-	unusable         map[string]*UnusableLines
+	Dropped          int                       // lines that processes report as dropped
+	unusable         map[string]*UnusableLines // by reason
 }
 
 // loss is a process's report that a server was lost.
@@ -54,7 +54,8 @@
 	server string
 }
 
-// processState is whether a process can reach the store, according to its events.
+// processState is whether a process has lost the store, or the list of servers that it
+// reads there, according to its events.
 type processState struct{ storeLost, listLost bool }
 
 func (s *processState) storeUnavailable() bool { return s.storeLost || s.listLost }
@@ -83,13 +84,13 @@
 	texts   []string
 }
 
-func (n *stringTable) indexOf(text []byte) int32 {
-	if number, ok := n.numbers[string(text)]; ok {
+func (t *stringTable) indexOf(text []byte) int32 {
+	if number, ok := t.numbers[string(text)]; ok {
 		return number
 	}
-	number := int32(len(n.texts))
-	n.texts = append(n.texts, string(text))
-	n.numbers[n.texts[number]] = number
+	number := int32(len(t.texts))
+	t.texts = append(t.texts, string(text))
+	t.numbers[t.texts[number]] = number
 	return number
 }
 
@@ -115,7 +116,7 @@
 	}
 }
 
-// readLine returns a line, cut at maxLine+1 bytes so that the caller can see that
+// readLine returns a line, cut at maxLineBytes+1 bytes so that the caller can see that
 // it is too long.
 func readLine(reader *bufio.Reader) ([]byte, error) {
 	text, err := reader.ReadSlice('\n')
@@ -125,13 +126,13 @@
 	long := bytes.Clone(text)
 	for errors.Is(err, bufio.ErrBufferFull) {
 		text, err = reader.ReadSlice('\n')
-		long = append(long, text[:min(len(text), maxLine+1-len(long))]...)
+		long = append(long, text[:min(len(text), maxLineBytes+1-len(long))]...)
 	}
 	return long, err
 }
 
 func (p *Period) addLine(rec *record, text []byte, file string, number int) {
-	if len(text) > maxLine {
+	if len(text) > maxLineBytes {
 		p.countUnusable(errTooLong, file, number)
 		return
 	}
@@ -150,35 +151,35 @@
 
 func (p *Period) countUnusable(err error, file string, number int) {
 	reason := err.Error()
-	b := p.unusable[reason]
-	if b == nil {
-		b = &UnusableLines{Reason: reason, First: fmt.Sprintf("%s:%d", file, number)}
-		p.unusable[reason] = b
+	lines := p.unusable[reason]
+	if lines == nil {
+		lines = &UnusableLines{Reason: reason, First: fmt.Sprintf("%s:%d", file, number)}
+		p.unusable[reason] = lines
 	}
-	b.Count++
+	lines.Count++
 }
 
 // IDs of the events that a summary uses.
 var (
-	idServed, idRefused, idFailed = exchange.EventServed.ID(), exchange.EventRefused.ID(), exchange.EventFailed.ID()
-	idLeft, idCallerLost, idCut   = exchange.EventCallerLeft.ID(), exchange.EventCallerLost.ID(), exchange.EventCut.ID()
-	idQuarantined                 = exchange.EventQuarantined.ID()
-	idAgain, idResumed            = exchange.EventAgain.ID(), exchange.EventResumed.ID()
-	idCopied, idRunning           = exchange.EventCopied.ID(), exchange.EventRunning.ID()
-	idServerLost                  = exchange.EventServerLost.ID()
-	idTurnedAway, idNoConfig      = entry.EventTurnedAway.ID(), entry.EventNoConfig.ID()
-	idStopRefused, idRouteRefused = entry.EventStopRefused.ID(), entry.EventRouteRefused.ID()
-	idStarted                     = entry.EventStarted.ID()
-	idApplied                     = site.EventApplied.ID()
-	idStoreLost, idStoreRegained  = site.EventStoreLost.ID(), site.EventStoreRegained.ID()
-	idListLost, idListRegained    = directory.EventListLost.ID(), directory.EventListRegained.ID()
+	idServed, idRefused, idFailed     = exchange.EventServed.ID(), exchange.EventRefused.ID(), exchange.EventFailed.ID()
+	idCallerLeft, idCallerLost, idCut = exchange.EventCallerLeft.ID(), exchange.EventCallerLost.ID(), exchange.EventCut.ID()
+	idQuarantined                     = exchange.EventQuarantined.ID()
+	idAgain, idResumed                = exchange.EventAgain.ID(), exchange.EventResumed.ID()
+	idCopied, idRunning               = exchange.EventCopied.ID(), exchange.EventRunning.ID()
+	idServerLost                      = exchange.EventServerLost.ID()
+	idTurnedAway, idNoConfig          = entry.EventTurnedAway.ID(), entry.EventNoConfig.ID()
+	idStopRefused, idRouteRefused     = entry.EventStopRefused.ID(), entry.EventRouteRefused.ID()
+	idStarted                         = entry.EventStarted.ID()
+	idApplied                         = site.EventApplied.ID()
+	idStoreLost, idStoreRegained      = site.EventStoreLost.ID(), site.EventStoreRegained.ID()
+	idListLost, idListRegained        = directory.EventListLost.ID(), directory.EventListRegained.ID()
 )
 
 func (p *Period) addEvent(rec *record) error {
 	process := p.names.indexOf(rec.fields[fieldProcess])
 	p.countDropped(rec)
 	switch string(rec.fields[fieldEvent]) {
-	case idServed, idRefused, idFailed, idLeft, idCallerLost, idCut:
+	case idServed, idRefused, idFailed, idCallerLeft, idCallerLost, idCut:
 		return p.recordEnd(rec)
 	case idQuarantined, idStopRefused, idRouteRefused, idNoConfig, idTurnedAway:
 		return p.recordRejection(rec, process)
@@ -278,9 +279,9 @@
 // the process.
 func (p *Period) recordStart(rec *record, process int32) {
 	*p.state(process) = processState{}
-	for id, t := range p.open {
-		if t.process == process {
-			p.recordLost(id, t)
+	for id, open := range p.open {
+		if open.process == process {
+			p.recordLost(id, open)
 		}
 	}
 }
@@ -292,33 +293,33 @@
 // recordLost counts a request whose process ended before the request did. Requests
 // that were not listed as running are left out: they may have ended, and the line
 // was dropped.
-func (p *Period) recordLost(id string, t *openRequest) {
+func (p *Period) recordLost(id string, open *openRequest) {
 	delete(p.open, id)
-	if !t.running {
+	if !open.running {
 		return
 	}
 	route := p.names.indexOf([]byte(unknownRoute))
 	p.kinds[route] = site.Stream.String()
-	key := bucket{t.lastSecond, route}
+	key := bucket{open.lastSecond, route}
 	p.countOutcome(key, Failed)
 	p.countCause(causeBucket{bucket: key, outcome: Failed, cause: CauseProcessLost}, Example{Request: id, Route: unknownRoute})
 }
 
-// recordRunning records the streams that a line lists as running; each stream is
-// listed once.
+// recordRunning records the streams that a line lists as running. A process lists each
+// stream once, when it has been running for a second.
 func (p *Period) recordRunning(rec *record, process int32) {
 	for _, item := range strings.Split(rec.text(fieldRequests), event.RequestSeparator) {
 		id, _, _ := strings.Cut(item, event.ServerSeparator)
-		t := p.openRequestOf(id, process)
-		t.running, t.lastSecond = true, rec.at.Unix()
+		open := p.openRequestOf(id, process)
+		open.running, open.lastSecond = true, rec.at.Unix()
 	}
 }
 
 func (p *Period) openRequestOf(id string, process int32) *openRequest {
-	t := p.open[id]
-	if t == nil {
-		t = &openRequest{process: process}
-		p.open[id] = t
+	open := p.open[id]
+	if open == nil {
+		open = &openRequest{process: process}
+		p.open[id] = open
 	}
-	return t
+	return open
 }
--- a/explain/period_bench_test.go
+++ b/explain/period_bench_test.go
@@ -12,9 +12,9 @@
 	"time"
 )
 
-// generated produces the lines of a day with many failures: nine in ten lines are
+// lineGenerator produces the lines of a day with many failures: nine in ten lines are
 // ends of requests, and a tenth of those requests had a failed attempt.
-type generated struct {
+type lineGenerator struct {
 	left  int
 	at    time.Time
 	rand  *rand.Rand
@@ -22,9 +22,9 @@
 }
 
 // Read implements io.Reader.
-func (g *generated) Read(p []byte) (int, error) {
+func (g *lineGenerator) Read(p []byte) (int, error) {
 	for g.lines.Len() < len(p) && g.left > 0 {
-		g.line()
+		g.writeLine()
 		g.left--
 	}
 	n, _ := g.lines.Read(p)
@@ -34,12 +34,12 @@
 	return n, nil
 }
 
-func (g *generated) line() {
+func (g *lineGenerator) writeLine() {
 	g.at = g.at.Add(40 * time.Microsecond) // 25,000 lines a second
 	process, id, server := g.rand.IntN(400), g.rand.Uint64(), g.rand.IntN(1600)
 	head := fmt.Sprintf("level=info ts=%s process=edge-%d", g.at.Format(time.RFC3339Nano), process)
-	trouble := g.rand.IntN(10) == 0
-	if trouble {
+	attemptFailed := g.rand.IntN(10) == 0
+	if attemptFailed {
 		fmt.Fprintf(&g.lines, "%s event=PY2724 name=exchange_again request=%016x route=r-%d after=i-%d err=\"exchange: broken: unexpected EOF\" since=100ms\n",
 			head, id, server%17, server)
 		g.left--
@@ -68,13 +68,13 @@
 	}
 	for b.Loop() {
 		b.StopTimer()
-		source := &generated{left: lines, at: time.Unix(1_790_000_000, 0).UTC(), rand: rand.New(rand.NewPCG(1, 2))}
+		source := &lineGenerator{left: lines, at: time.Unix(1_790_000_000, 0).UTC(), rand: rand.New(rand.NewPCG(1, 2))}
 		var text bytes.Buffer
-		piece := int64(64 << 20)
+		chunkBytes := int64(64 << 20)
 		p := NewPeriod(map[string]Objective{"stream": {4500 * time.Millisecond, 700 * time.Millisecond}, "idempotent": {Answer: 300 * time.Millisecond}})
 		for {
 			text.Reset()
-			_, err := io.CopyN(&text, source, piece)
+			_, err := io.CopyN(&text, source, chunkBytes)
 			b.StartTimer()
 			if readErr := p.Read(&text, "generated"); readErr != nil {
 				b.Fatal(readErr)
--- a/explain/period_test.go
+++ b/explain/period_test.go
@@ -94,18 +94,18 @@
 			again("exchange: broken: unexpected EOF") + lineOf("edge-1", "01:02.2", "PY2729", "request=a server=i-1 lost=i-4 to=i-5 took=9ms err=null") +
 				resumed("prompt_read_again", "3s") + lateStream, CauseServerLost,
 		},
-		"no word of a copy": {resumed("prompt_read_again", "3s") + lateStream, CauseNoCopy},
-		"pause":             {lateStream, CauseServerPause},
-		"queue":             {lineOf("edge-1", "01:08.0", "PY2720", "request=a route=r kind=stream took=8s first=5s pause=1ms server=i-9 ended_by=answer"), CauseQueue},
-		"full":              {again("exchange: not run: busy: 503") + lineOf("edge-1", "01:08.0", "PY2720", "request=a route=r kind=idempotent took=8s status=200 ended_by=answer"), CauseServerBusy},
-		"waited":            {lineOf("edge-1", "01:08.0", "PY2723", "request=a route=r kind=stream took=8s first=0s pause=0s ended_by=caller"), CauseQueue},
-		"500":               {lineOf("edge-1", "01:08.0", "PY2720", "request=a route=r kind=idempotent took=8ms status=500 ended_by=server"), CauseServerFailed},
-		"cut":               {lineOf("edge-1", "01:08.0", "PY2734", "request=a route=r kind=stream took=8s first=1s pause=1ms ended_by=stop"), CauseStop},
-		"link":              {lineOf("edge-1", "01:08.0", "PY2735", "request=a route=r kind=stream took=8s first=1s pause=1ms ended_by=caller_link"), CauseCaller},
-		"budget":            {lineOf("edge-1", "01:08.0", "PY2721", `request=a route=r kind=idempotent took=8ms ended_by=limit err="exchange: retry budget spent"`), CauseRetryBudget},
-		"stop":              {lineOf("edge-1", "01:08.0", "PY2756", "request=a route=r need=7s left=1s ended_by=stop"), CauseStop},
-		"crashes":           {lineOf("edge-1", "01:08.0", "PY2727", "request=a route=r fingerprint=1 ended_by=limit"), CauseQuarantined},
-		"start":             {lineOf("edge-1", "01:08.0", "PY2751", "request=a missing=list ended_by=start"), CauseStart},
+		"no copy event": {resumed("prompt_read_again", "3s") + lateStream, CauseNoCopy},
+		"pause":         {lateStream, CauseServerPause},
+		"queue":         {lineOf("edge-1", "01:08.0", "PY2720", "request=a route=r kind=stream took=8s first=5s pause=1ms server=i-9 ended_by=answer"), CauseQueue},
+		"full":          {again("exchange: not run: busy: 503") + lineOf("edge-1", "01:08.0", "PY2720", "request=a route=r kind=idempotent took=8s status=200 ended_by=answer"), CauseServerBusy},
+		"waited":        {lineOf("edge-1", "01:08.0", "PY2723", "request=a route=r kind=stream took=8s first=0s pause=0s ended_by=caller"), CauseQueue},
+		"500":           {lineOf("edge-1", "01:08.0", "PY2720", "request=a route=r kind=idempotent took=8ms status=500 ended_by=server"), CauseServerFailed},
+		"cut":           {lineOf("edge-1", "01:08.0", "PY2734", "request=a route=r kind=stream took=8s first=1s pause=1ms ended_by=stop"), CauseStop},
+		"link":          {lineOf("edge-1", "01:08.0", "PY2735", "request=a route=r kind=stream took=8s first=1s pause=1ms ended_by=caller_link"), CauseCaller},
+		"budget":        {lineOf("edge-1", "01:08.0", "PY2721", `request=a route=r kind=idempotent took=8ms ended_by=limit err="exchange: retry budget spent"`), CauseRetryBudget},
+		"stop":          {lineOf("edge-1", "01:08.0", "PY2756", "request=a route=r need=7s left=1s ended_by=stop"), CauseStop},
+		"crashes":       {lineOf("edge-1", "01:08.0", "PY2727", "request=a route=r fingerprint=1 ended_by=limit"), CauseQuarantined},
+		"start":         {lineOf("edge-1", "01:08.0", "PY2751", "request=a missing=list ended_by=start"), CauseStart},
 		"store": {
 			lineOf("edge-1", "01:00.0", "PY2702", "err=refused") + lineOf("edge-1", "01:08.0", "PY2751", "request=a missing=list ended_by=start"), CauseStoreUnavailable,
 		},
@@ -133,7 +133,7 @@
 
 // After an outage all callers retry at once, and streams queue at healthy servers.
 // The cause is the surge, also in the seconds just after it.
-func TestSummaryTellsWaves(t *testing.T) {
+func TestSummaryDetectsSurges(t *testing.T) {
 	g := gomega.NewWithT(t)
 	logs := testObjectives
 	for second := range 20 {
@@ -160,7 +160,7 @@
 
 // A VM stalls for three seconds, and all streams through it pause. The lines of the
 // process show a pause for each stream, with five healthy servers.
-func TestSummaryTellsAProcessThatStoodStill(t *testing.T) {
+func TestSummaryDetectsAStalledProcess(t *testing.T) {
 	g := gomega.NewWithT(t)
 	logs := testObjectives
 	for i := range 5 {
@@ -187,7 +187,7 @@
 		strings.ReplaceAll(good, "took=8ms", "took=8") +
 		strings.ReplaceAll(good, "took=8ms", "") +
 		strings.ReplaceAll(good, "2026-10-02T", "2026-") +
-		lineOf("edge-1", "01:08.0", "PY2720", "x="+strings.Repeat("y", maxLine)) +
+		lineOf("edge-1", "01:08.0", "PY2720", "x="+strings.Repeat("y", maxLineBytes)) +
 		"level=error ts=2026-10-02T12:01:09Z process=edge-1 event=PY2722 request=z err=\"exchange: br\\\n" +
 		strings.TrimSuffix(good, "ended_by=answer dropped_info=7\n")
 	s := read(t, logs).Summary(View{})
@@ -235,7 +235,7 @@
 }
 
 // Objectives set by the operator override those in the lines.
-func TestSummaryTakesGivenObjectives(t *testing.T) {
+func TestGivenObjectivesOverrideLoggedOnes(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := NewPeriod(map[string]Objective{"idempotent": {Answer: time.Millisecond}})
 	logs := testObjectives + lineOf("edge-1", "01:00.9", "PY2720", "request=p route=r kind=idempotent took=10ms status=200 ended_by=answer")
@@ -256,7 +256,7 @@
 }
 
 // The rules match error texts of package exchange.
-func TestWordsOfErrors(t *testing.T) {
+func TestErrorTextsThatRulesMatch(t *testing.T) {
 	g := gomega.NewWithT(t)
 	g.Expect(new(exchange.LateError).Error()).To(gomega.ContainSubstring(textLate))
 	g.Expect((&exchange.SilentError{Alive: true}).Error()).To(gomega.ContainSubstring(textSilent))
--- a/explain/rules.go
+++ b/explain/rules.go
@@ -14,7 +14,7 @@
 	// lossTolerance is the maximum time between a failed attempt and the line in
 	// which some process reports its server lost.
 	lossTolerance = 5 // seconds
-	// A second with surgeFactor times the usual number of requests of a kind begins
+	// A second with surgeFactor times the median number of requests of a kind begins
 	// a surge. It lasts surgeDuration, since servers then still have a backlog.
 	surgeFactor   = 2
 	surgeDuration = 3 // seconds
@@ -41,19 +41,19 @@
 }
 
 func (b *builder) serverLossCause(key causeBucket) Cause {
-	try := key.attempt
-	if zone, found := b.period.serverZones[try.server]; found && b.zoneLossSeconds[zone][try.second] {
+	attempt := key.attempt
+	if zone, found := b.period.serverZones[attempt.server]; found && b.zoneLossSeconds[zone][attempt.second] {
 		return CauseZoneLost
 	}
-	if try.silent && !b.period.reportedLost(try) {
+	if attempt.silent && !b.period.reportedLost(attempt) {
 		return CauseServerSilent
 	}
 	return CauseServerLost
 }
 
-func (p *Period) reportedLost(try failedAttempt) bool {
-	return slices.ContainsFunc(p.lossSeconds[try.server], func(second int64) bool {
-		return second-lossTolerance <= try.second && try.second <= second+lossTolerance
+func (p *Period) reportedLost(attempt failedAttempt) bool {
+	return slices.ContainsFunc(p.lossSeconds[attempt.server], func(second int64) bool {
+		return second-lossTolerance <= attempt.second && attempt.second <= second+lossTolerance
 	})
 }
 
@@ -114,20 +114,19 @@
 }
 
 // minSurgeRequests is the smallest number of requests in a second that can be a
-// surge. Streams arrive singly, so that a few already are a multiple of the usual
-// number.
+// surge. Streams arrive singly, so that a few already are a multiple of the median.
 const minSurgeRequests = 4
 
 func findSurges(perSecond map[int64]int) map[int64]bool {
-	usual := slices.Sorted(maps.Values(perSecond))[len(perSecond)/2]
-	waves := map[int64]bool{}
+	median := slices.Sorted(maps.Values(perSecond))[len(perSecond)/2]
+	surges := map[int64]bool{}
 	for second, n := range perSecond {
-		if n < minSurgeRequests || n < surgeFactor*usual {
+		if n < minSurgeRequests || n < surgeFactor*median {
 			continue
 		}
 		for i := range int64(surgeDuration) {
-			waves[second+i] = true
+			surges[second+i] = true
 		}
 	}
-	return waves
+	return surges
 }
--- a/explain/scan.go
+++ b/explain/scan.go
@@ -156,8 +156,8 @@
 }
 
 // missingValueError returns an error for a name without a value at the end of the
-// line. In the middle of the line, where the value of level leaves one, it is
-// skipped.
+// line. In the middle of the line it is skipped: since linePrefix was removed, the
+// value of level looks like such a name.
 func missingValueError(end int) error {
 	if end < 0 {
 		return errTruncated
--- a/explain/summary.go
+++ b/explain/summary.go
@@ -14,7 +14,7 @@
 	Lines      int                  `json:"lines"`
 	Dropped    int                  `json:"dropped"` // lines that processes dropped because their output wasn't read
 	Unusable   []UnusableLines      `json:"bad,omitempty"`
-	Unfinished int                  `json:"unfinished"` // requests still running at the last line
+	Unfinished int                  `json:"unfinished"` // streams listed as running that have no end yet
 	Objectives map[string]Objective `json:"objectives"`
 	Kinds      []KindCounts         `json:"kinds"`
 	Causes     []CauseCount         `json:"causes"`
@@ -40,11 +40,11 @@
 // Share returns the share in time of the requests whose caller did not leave; 1 if
 // there are none.
 func (c Counts) Share() float64 {
-	owed := c.Sent - c.Left
-	if owed <= 0 {
+	counted := c.Sent - c.Left
+	if counted <= 0 {
 		return 1
 	}
-	return float64(c.InTime) / float64(owed)
+	return float64(c.InTime) / float64(counted)
 }
 
 // KindCounts are the counts of one kind of request.
@@ -102,8 +102,8 @@
 	v.Span = max(time.Second, v.Span.Truncate(time.Second))
 	s := Summary{Lines: p.Lines, Dropped: p.Dropped, Unusable: p.unusableLines(), Objectives: maps.Clone(p.loggedObjectives)}
 	maps.Copy(s.Objectives, p.givenObjectives)
-	for _, t := range p.open {
-		if t.running {
+	for _, open := range p.open {
+		if open.running {
 			s.Unfinished++
 		}
 	}
@@ -120,8 +120,8 @@
 
 func (p *Period) unusableLines() []UnusableLines {
 	var out []UnusableLines
-	for _, b := range p.unusable {
-		out = append(out, *b)
+	for _, lines := range p.unusable {
+		out = append(out, *lines)
 	}
 	slices.SortFunc(out, func(a, b UnusableLines) int { return cmp.Compare(a.Reason, b.Reason) })
 	return out
@@ -197,16 +197,16 @@
 
 func (b *builder) addCounts(key bucket, t *tally) {
 	kind := b.period.kindOf(key.route)
-	for _, part := range b.aggregates(key.second) {
-		part.addCounts(kind, t)
+	for _, target := range b.aggregates(key.second) {
+		target.addCounts(kind, t)
 	}
 }
 
-func (p *aggregate) addCounts(kind string, t *tally) {
-	k := p.kinds[kind]
+func (a *aggregate) addCounts(kind string, t *tally) {
+	k := a.kinds[kind]
 	if k == nil {
 		k = &KindCounts{Kind: kind}
-		p.kinds[kind] = k
+		a.kinds[kind] = k
 	}
 	k.InTime += int(t.counts[InTime])
 	k.Late += int(t.counts[Late])
@@ -223,16 +223,16 @@
 func (b *builder) addCause(key causeBucket, t *causeTally) {
 	kind := b.period.kindOf(key.route)
 	cause := b.resolve(key, kind)
-	for _, part := range b.aggregates(key.second) {
-		part.addCause(causeKey{cause, kind}, key.outcome, t)
+	for _, target := range b.aggregates(key.second) {
+		target.addCause(causeKey{cause, kind}, key.outcome, t)
 	}
 }
 
-func (p *aggregate) addCause(key causeKey, outcome Outcome, t *causeTally) {
-	c := p.causes[key]
+func (a *aggregate) addCause(key causeKey, outcome Outcome, t *causeTally) {
+	c := a.causes[key]
 	if c == nil {
 		c = &CauseCount{Cause: key.cause, Kind: key.kind}
-		p.causes[key] = c
+		a.causes[key] = c
 	}
 	before := c.total()
 	switch outcome {
@@ -272,13 +272,13 @@
 	s.Worst = s.Worst[:min(len(s.Worst), b.view.Worst)]
 }
 
-func (p *aggregate) sorted() ([]KindCounts, []CauseCount) {
+func (a *aggregate) sorted() ([]KindCounts, []CauseCount) {
 	var kinds []KindCounts
-	for _, kind := range slices.Sorted(maps.Keys(p.kinds)) {
-		kinds = append(kinds, *p.kinds[kind])
+	for _, kind := range slices.Sorted(maps.Keys(a.kinds)) {
+		kinds = append(kinds, *a.kinds[kind])
 	}
 	var causes []CauseCount
-	for _, c := range p.causes {
+	for _, c := range a.causes {
 		causes = append(causes, *c)
 	}
 	slices.SortFunc(causes, func(a, b CauseCount) int {
--- a/explain/tally.go
+++ b/explain/tally.go
@@ -61,7 +61,7 @@
 
 type causeTally struct {
 	count    int32
-	waited   time.Duration // sum
+	waited   time.Duration // sum over the requests
 	examples []Example
 }
 
@@ -76,5 +76,6 @@
 	Server  string        `json:"server,omitempty"`
 }
 
-// maxExamples is how many examples of a cause are kept per bucket.
+// maxExamples is how many examples of a cause are kept per bucket, and how many of
+// them a CauseCount lists.
 const maxExamples = 2
