--- a/admin/explain.go
+++ b/admin/explain.go
@@ -68,6 +68,8 @@
 	return resp, nil
 }
 
+// recordUnanswered counts the processes that did not respond, or not to every query,
+// and emits an event if there are any.
 func (s *Server) recordUnanswered(what string, processes int) {
 	if processes == 0 {
 		return
--- a/cli/explain.go
+++ b/cli/explain.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"io"
 	"os"
 	"slices"
 	"strings"
@@ -41,6 +40,7 @@
 	return nil
 }
 
+// logsFlags is the flag with which explain reads log files instead of calling a router.
 func logsFlags() []urfave.Flag {
 	return []urfave.Flag{&urfave.StringSliceFlag{
 		Name: flagLogs, Usage: "read log files instead of querying processes; - is standard input; repeatable",
@@ -49,14 +49,16 @@
 
 func readLogs(c *urfave.Context, name string) ([]explain.Line, error) {
 	if name == logsStdin {
-		return explain.Read(c.App.Reader)
+		lines, err := explain.Read(c.App.Reader)
+		return lines, errors.Wrap(err, "standard input")
 	}
 	file, err := os.Open(name)
 	if err != nil {
 		return nil, errors.Wrap(err, "explain")
 	}
 	defer file.Close()
-	return explain.Read(io.Reader(file))
+	lines, err := explain.Read(file)
+	return lines, errors.Wrap(err, name)
 }
 
 func printLogExplanation(c *urfave.Context, explanation explain.Explanation) error {
--- a/cli/summary.go
+++ b/cli/summary.go
@@ -145,6 +145,7 @@
 	return err
 }
 
+// printPart prints the counts and causes of the period or of one of its spans.
 func printPart(c *urfave.Context, kinds []explain.KindCounts, causes []explain.CauseCount) error {
 	rows := table{{"kind", "sent", "in time", "late", "refused", "failed", "left", "turned away", "blind", "share"}}
 	for _, k := range kinds {
