--- a/admin/bundle.go
+++ b/admin/bundle.go
@@ -170,7 +170,7 @@
 func (b *bundle) writeConfig(ctx context.Context, config ConfigRevision) error {
 	loaded, err := b.server.opts.Store.Load(ctx, config.Revision)
 	if err != nil {
-		b.addProblem(fmt.Sprintf("configuration of revision %d", config.Revision), err)
+		b.addProblem(fmt.Sprintf("text of revision %d", config.Revision), err)
 		return nil
 	}
 	return b.writeFile(configFile("accepted", loaded), b.masker.maskJSON(loaded.Raw))
--- a/admin/peers.go
+++ b/admin/peers.go
@@ -40,21 +40,21 @@
 	target := url.URL{Scheme: "http", Host: member.Address, Path: path, RawQuery: query.Encode()}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, target.String(), nil)
 	if err != nil {
-		return response{}, errors.Wrap(err, "query")
+		return response{}, errors.Wrap(err, "ask")
 	}
 	resp, err := p.client.Do(req)
 	if err != nil {
-		return response{}, errors.Wrap(err, "query")
+		return response{}, errors.Wrap(err, "ask")
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return response{}, errors.Errorf("query %s: status %d", path, resp.StatusCode)
+		return response{}, errors.Errorf("ask: status %d", resp.StatusCode)
 	}
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, limit+1))
 	if int64(len(raw)) > limit {
 		return response{raw: raw[:limit], truncated: true}, nil
 	}
-	return response{raw: raw}, errors.Wrapf(err, "read response to %s", path)
+	return response{raw: raw}, errors.Wrap(err, "read")
 }
 
 // Limits of what is read from one process: the limits of package inspect, plus space
@@ -74,9 +74,9 @@
 		return err
 	}
 	if got.truncated {
-		return errors.Errorf("%s: response over %d bytes", path, limit)
+		return errors.Errorf("%s: answer over %d bytes", path, limit)
 	}
-	return errors.Wrapf(json.Unmarshal(got.raw, into), "decode response to %s", path)
+	return errors.Wrap(json.Unmarshal(got.raw, into), path)
 }
 
 // clockEstimate is an estimate of a process's clock from one exchange. The process
