--- a/scenario/caller.go
+++ b/scenario/caller.go
@@ -19,9 +19,11 @@
 
 const (
 	// callerIdleTimeout is how long a caller waits for the next token before it
-	// resumes through another router.
+	// resumes through another router. It is longer than the pause of an answer that
+	// the router itself resumes, so that the caller only resumes if the router fails.
 	callerIdleTimeout = 2500 * time.Millisecond
-	tokenLength       = len(" w00000000")
+	// tokenLength is the length in bytes of the text of each token of a stand-in engine.
+	tokenLength = len(" w00000000")
 )
 
 // caller is one request that a script sent, in progress or ended.
@@ -46,8 +48,8 @@
 type generationParams struct {
 	prompt      string
 	tokens      int
-	key         string
-	firstRouter int // number of the first router, from 1
+	key         string // idempotency key
+	firstRouter int    // number of the first router, from 1
 	stream      bool
 	// idleTimeout is how long the caller waits for the next token before it resumes.
 	idleTimeout time.Duration
@@ -164,7 +166,7 @@
 	return answer, nil
 }
 
-// call starts one call of a plain service.
+// call starts one call of a plain service, with the key as its body.
 func call(ctx context.Context, router, service, path, key string) *caller {
 	c := &caller{done: make(chan struct{})}
 	httpClient := &http.Client{Transport: c}
--- a/scenario/calls.go
+++ b/scenario/calls.go
@@ -31,7 +31,7 @@
 	url     string
 	key     string // idempotency key
 	apiKey  string
-	timeout string // the caller's own deadline in seconds
+	timeout string // value of router.HeaderTimeout, in seconds; "": none
 	body    []byte
 }
 
@@ -39,8 +39,9 @@
 //
 //	request NAME SERVICE [path=print] [key=K] [body=TEXT] [router=1] [timeout=SECONDS] [api-key=KEY]
 //
-// which starts one request. With the SERVICE `completions` it is a generation whose
-// prompt is the body.
+// which starts one request of a plain service; its body is the key by default. With the
+// SERVICE `completions` it is a non-streaming generation of 10 tokens whose prompt is the
+// body, by default NAME.
 func (h *harness) request(_ *testscript.TestScript, args []string) error {
 	if len(args) < 2 || h.callers[args[0]] != nil {
 		return errors.New("usage: request NAME SERVICE [OPTION=VALUE...], with an unused NAME")
@@ -49,11 +50,11 @@
 	if err != nil {
 		return err
 	}
-	number := 1
-	if err := o.setInt("router", &number); err != nil {
+	routerNumber := 1
+	if err := o.setInt("router", &routerNumber); err != nil {
 		return err
 	}
-	base := "http://" + h.site.address(fromCallers, routerName(number))
+	base := "http://" + h.site.address(fromCallers, routerName(routerNumber))
 	req := singleRequest{url: base + "/services/" + args[1] + "/" + o.valueOr("path", "print"), key: o["key"], timeout: o["timeout"]}
 	req.apiKey, req.body = o.valueOr("api-key", embedded.APIKey), []byte(o.valueOr("body", o["key"]))
 	if args[1] == "completions" {
@@ -108,7 +109,7 @@
 	if err != nil {
 		return err
 	}
-	if err := h.wait(ts, args[:1]); err != nil {
+	if err := h.waitEnded(ts, args[:1]); err != nil {
 		return err
 	}
 	for _, condition := range args[1:] {
@@ -124,7 +125,7 @@
 	return nil
 }
 
-// measurement returns the value that the conditions of the command answer compare.
+// measurement returns the value to which a condition of the command answer refers by name.
 func (c *caller) measurement(name string) (float64, bool) {
 	switch name {
 	case "within":
@@ -142,7 +143,7 @@
 	if err != nil {
 		return err
 	}
-	if err := h.wait(ts, []string{name}); err != nil {
+	if err := h.waitEnded(ts, []string{name}); err != nil {
 		return err
 	}
 	if c.err != nil || other.err != nil || !bytes.Equal(c.body, other.body) {
@@ -186,7 +187,7 @@
 		return err
 	}
 	return waitFor(readyTimeout, "all routers know all sidecars as alive", func() bool {
-		for i := range h.site.size.routers {
+		for i := range h.site.spec.routers {
 			if h.site.aliveSidecars(routerName(i+1)) != h.site.sidecarCount() {
 				return false
 			}
@@ -198,12 +199,12 @@
 // aliveSidecars returns how many sidecars the router knows as alive in their current
 // incarnation.
 func (s *site) aliveSidecars(router string) int {
-	var here membership.Dump
-	if s.readSection(router, "membership", &here) != nil {
+	var known membership.Dump
+	if s.readSection(router, "membership", &known) != nil {
 		return 0
 	}
 	n := 0
-	for _, m := range here.Members {
+	for _, m := range known.Members {
 		var own membership.Dump
 		if m.Role == types.RoleSidecar && m.State == membership.StateAlive &&
 			s.readSection(string(m.ID), "membership", &own) == nil && own.Self.Incarnation == m.Incarnation {
@@ -213,8 +214,8 @@
 	return n
 }
 
-// elapse implements `elapse DURATION`, which sleeps. It is for conditions that depend on
-// an age.
+// elapse implements `elapse DURATION`, which sleeps. It is for behaviour that depends on
+// time, such as the age of a configuration.
 func (h *harness) elapse(_ *testscript.TestScript, args []string) error {
 	if len(args) != 1 {
 		return errors.New("usage: elapse DURATION")
@@ -268,8 +269,9 @@
 	return state.Revision, err
 }
 
-// organisation implements `organisation FIELD=VALUE...`, which sets limits of the
-// callers' organisation, such as requestsPerSecond=1, and applies the configuration.
+// organisation implements `organisation FIELD=VALUE...`, which sets limits of
+// embedded.Organisation, such as requestsPerSecond=1, and applies the configuration. All
+// callers belong to it, except those of a crowd and requests with another API key.
 func (h *harness) organisation(ts *testscript.TestScript, args []string) error {
 	limits := &h.site.config.Organisations[0].Limits
 	for _, arg := range args {
--- a/scenario/commands.go
+++ b/scenario/commands.go
@@ -20,30 +20,30 @@
 //
 // which starts a site, applies its first configuration and waits until it is ready.
 func (h *harness) startSite(ts *testscript.TestScript, args []string) error {
-	dims := size{engines: 3, routers: 2, plains: 1, zones: 3, step: 4 * time.Millisecond}
-	var fields, sizes []string
+	spec := siteSpec{engines: 3, routers: 2, plains: 1, zones: 3, step: 4 * time.Millisecond}
+	var fields, specArgs []string
 	for _, arg := range args {
 		if name, _, _ := strings.Cut(arg, "="); strings.Contains(name, ".") {
 			fields = append(fields, arg)
 		} else {
-			sizes = append(sizes, arg)
+			specArgs = append(specArgs, arg)
 		}
 	}
-	o, err := parseOptions(sizes, "engines", "routers", "plains", "zones", "step", "poison-after")
+	o, err := parseOptions(specArgs, "engines", "routers", "plains", "zones", "step", "poison-after")
 	if err != nil {
 		return err
 	}
-	for name, into := range map[string]*int{"engines": &dims.engines, "routers": &dims.routers, "plains": &dims.plains, "zones": &dims.zones, "poison-after": &dims.poisonAfter} {
+	for name, into := range map[string]*int{"engines": &spec.engines, "routers": &spec.routers, "plains": &spec.plains, "zones": &spec.zones, "poison-after": &spec.poisonAfter} {
 		if err := o.setInt(name, into); err != nil {
 			return err
 		}
 	}
 	if step, ok := o["step"]; ok {
-		if dims.step, err = time.ParseDuration(step); err != nil {
+		if spec.step, err = time.ParseDuration(step); err != nil {
 			return err
 		}
 	}
-	h.site = newSite(ts.MkAbs("."), dims)
+	h.site = newSite(ts.MkAbs("."), spec)
 	if err := h.site.start(); err != nil {
 		return err
 	}
@@ -76,7 +76,9 @@
 //
 //	generate NAME [tokens=400] [key=K] [router=1] [prompt=TEXT] [stream=true] [patience=2.5s]
 //
-// which starts a generation.
+// which starts a generation. router is the number of the first router, and patience is the
+// caller's idle timeout. With stream=false the caller sends one non-streaming request to
+// that router and doesn't resume.
 func (h *harness) generate(_ *testscript.TestScript, args []string) error {
 	if len(args) == 0 || h.callers[args[0]] != nil {
 		return errors.New("usage: generate NAME [OPTION=VALUE...], with an unused NAME")
@@ -105,7 +107,7 @@
 // callerAddresses returns the addresses of all routers for callers.
 func (s *site) callerAddresses() []string {
 	var out []string
-	for i := range s.size.routers {
+	for i := range s.spec.routers {
 		out = append(out, s.address(fromCallers, routerName(i+1)))
 	}
 	return out
@@ -165,8 +167,8 @@
 	return nil
 }
 
-// name implements `name NEW PROCESS`, which sets an alias of a process, so that a script
-// can refer to it after it has stopped serving a caller.
+// name implements `name NEW PROCESS`, which sets an alias of a process or VM, so that a
+// script can refer to it after it has stopped serving a caller.
 func (h *harness) name(_ *testscript.TestScript, args []string) error {
 	names, err := h.resolve(args[min(1, len(args)):])
 	if err != nil {
@@ -179,8 +181,9 @@
 	return nil
 }
 
-// wait implements `ended NAME...`, which waits until the callers or processes have ended.
-func (h *harness) wait(_ *testscript.TestScript, args []string) error {
+// waitEnded implements `ended NAME...`, which waits until the callers or processes have
+// ended.
+func (h *harness) waitEnded(_ *testscript.TestScript, args []string) error {
 	args, err := h.resolve(args)
 	if err != nil {
 		return err
@@ -203,11 +206,11 @@
 	return nil
 }
 
-// eventually implements `eventually PATTERN COMMAND...`, which runs a program repeatedly
-// until its output matches.
+// eventually implements `eventually PATTERN PROGRAM ARGS...`, which runs a program
+// repeatedly until its output matches.
 func (h *harness) eventually(ts *testscript.TestScript, args []string) error {
 	if len(args) < 2 {
-		return errors.New("usage: eventually PATTERN COMMAND...")
+		return errors.New("usage: eventually PATTERN PROGRAM ARGS...")
 	}
 	pattern, err := regexp.Compile(args[0])
 	if err != nil {
@@ -223,7 +226,7 @@
 		out = string(raw)
 		return pattern.MatchString(out)
 	})
-	return errors.Wrap(err, out)
+	return errors.Wrapf(err, "last output: %s", out)
 }
 
 // operatorCommand returns an operator's command that can run concurrently with others,
--- a/scenario/config.go
+++ b/scenario/config.go
@@ -35,9 +35,12 @@
 		}
 	}
 	services := []text.Service{models}
-	if s.size.plains > 0 {
+	if s.spec.plains > 0 {
 		services = append(services, labels)
 	}
+	// Many scripts kill processes within the first second of a generation. By default
+	// journaling would not have started by then. The longest-gap conditions of the scripts
+	// assume this SilenceMillis.
 	recovery := text.DefaultRecovery()
 	recovery.JournalAfterMillis, recovery.JournalBatchMillis, recovery.SilenceMillis = 100, 20, 1000
 	return &text.Config{
@@ -54,14 +57,14 @@
 
 // setConfigFields sets fields of the configuration, each given as `recovery.FIELD=VALUE`
 // or `limits.FIELD=VALUE`.
-func setConfigFields(in *text.Config, fields []string) error {
+func setConfigFields(config *text.Config, fields []string) error {
 	for _, f := range fields {
 		path, value, ok := strings.Cut(f, "=")
 		section, field, dotted := strings.Cut(path, ".")
 		if !ok || !dotted {
 			return errors.Errorf("%q is not of the form SECTION.FIELD=VALUE", f)
 		}
-		sections := map[string]any{"recovery": &in.Recovery, "limits": &in.Limits}
+		sections := map[string]any{"recovery": &config.Recovery, "limits": &config.Limits}
 		into := sections[section]
 		if into == nil {
 			return errors.Errorf("%q: unknown section %q", f, section)
--- a/scenario/crowd.go
+++ b/scenario/crowd.go
@@ -17,9 +17,9 @@
 	"github.com/pearyard/pearyard/text"
 )
 
-// refusalPause is how long a caller of a crowd waits after a refusal. It is far shorter
-// than the Retry-After of the refusal, to simulate callers that ignore it.
-const refusalPause = 20 * time.Millisecond
+// failurePause is how long a caller of a crowd waits after a refusal or another failure.
+// It is far shorter than the Retry-After of a refusal, to simulate callers that ignore it.
+const failurePause = 20 * time.Millisecond
 
 // crowd is a set of concurrent callers of one organisation. Each sends its requests one
 // after the other.
@@ -74,7 +74,7 @@
 			caller := client.New(client.Options{Routers: h.site.callerAddresses(), Key: apiKeyOf(args[1]),
 				HTTP: &http.Client{Transport: transport}, IdleTimeout: callerIdleTimeout})
 			for round := range rounds {
-				c.send(h, caller, client.Request{Model: embedded.Model, MaxTokens: tokens, First: i % h.site.size.routers,
+				c.send(h, caller, client.Request{Model: embedded.Model, MaxTokens: tokens, First: i % h.site.spec.routers,
 					Prompt: fmt.Sprintf("request %d of caller %d of %s", round, i, args[1])})
 			}
 		})
@@ -101,11 +101,12 @@
 	if err != nil {
 		select {
 		case <-h.ctx.Done():
-		case <-time.After(refusalPause):
+		case <-time.After(failurePause):
 		}
 	}
 }
 
+// record counts a request as complete, refused before its first token, or failed.
 func (c *crowd) record(err error, took time.Duration, tokens int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -163,7 +164,7 @@
 		return errors.New("usage: logged WORD CONDITION")
 	}
 	n := 0
-	for i := range h.site.size.routers {
+	for i := range h.site.spec.routers {
 		n += h.site.processes[routerName(i+1)].log.count(args[0])
 	}
 	return compare("lines"+args[1], func(string) (float64, bool) { return float64(n), true })
--- a/scenario/edits.go
+++ b/scenario/edits.go
@@ -96,12 +96,13 @@
 		return err
 	}
 	for _, p := range processes {
-		// The sidecar must have noticed the end of the old process first; otherwise
-		// it could still report on that one.
+		// The sidecar must have noticed the end of the old process first; otherwise it
+		// could still report on that one. It logs engine_died and engine_back in turn,
+		// so it has noticed the end once it has logged one engine_died more.
 		sidecar := h.site.processes[strings.Replace(p.name, "engine-", "sidecar-", 1)]
-		before := sidecar.log.count("engine_back")
+		backBefore := sidecar.log.count("engine_back")
 		if err := waitFor(conditionTimeout, "sidecar reports "+p.name+" as ended", func() bool {
-			return sidecar.log.count("engine_died") > before
+			return sidecar.log.count("engine_died") > backBefore
 		}); err != nil {
 			return err
 		}
@@ -109,7 +110,7 @@
 			return err
 		}
 		if err := waitFor(conditionTimeout, "sidecar reports "+p.name+" as available again", func() bool {
-			return sidecar.log.count("engine_back") > before
+			return sidecar.log.count("engine_back") > backBefore
 		}); err != nil {
 			return err
 		}
@@ -148,7 +149,7 @@
 			members = append(members, name)
 		}
 	}
-	return waitFor(conditionTimeout, "all running processes know each other", func() bool {
+	return waitFor(conditionTimeout, "all running routers and sidecars know each other", func() bool {
 		for _, name := range members {
 			var known struct{ Members []json.RawMessage }
 			if h.site.readSection(name, "membership", &known) != nil || len(known.Members) < len(members) {
--- a/scenario/expect.go
+++ b/scenario/expect.go
@@ -14,7 +14,8 @@
 	"github.com/pearyard/pearyard/standin"
 )
 
-// crashStatus is the exit status of an engine that crashed because of a request.
+// crashStatus is the exit status of an engine that crashed because of a request. It must
+// equal command.CrashStatus of the stand-in.
 const crashStatus = 3
 
 // expect implements `expect`, which checks the results of callers and the state of
@@ -27,7 +28,7 @@
 		return h.expectProcess(process, args[1])
 	}
 	if c := h.callers[args[0]]; c != nil {
-		if err := h.wait(ts, args[:1]); err != nil {
+		if err := h.waitEnded(ts, args[:1]); err != nil {
 			return err
 		}
 		return errors.Wrap(h.expectCaller(c, args[1], args[2:]), args[0])
@@ -138,7 +139,7 @@
 // over the dumps of all running stand-ins of the kind meets the condition. The FIELD
 // `crashed` is the number of those that crashed because of a request.
 func (h *harness) expectSum(kind, condition string) error {
-	var last error
+	var lastErr error
 	err := waitFor(conditionTimeout, kind+" "+condition, func() bool {
 		sums := map[string]float64{"crashed": 0}
 		for _, name := range h.site.startOrder {
@@ -154,18 +155,18 @@
 			}
 			counters, err := h.site.counters(name)
 			if err != nil {
-				last = err
+				lastErr = err
 				return false
 			}
 			for field, n := range counters {
 				sums[field] += n
 			}
 		}
-		last = compare(condition, func(name string) (float64, bool) { n, ok := sums[name]; return n, ok })
-		return last == nil
+		lastErr = compare(condition, func(name string) (float64, bool) { n, ok := sums[name]; return n, ok })
+		return lastErr == nil
 	})
 	if err != nil {
-		return errors.Wrap(last, err.Error())
+		return errors.Wrap(lastErr, err.Error())
 	}
 	return nil
 }
@@ -177,7 +178,7 @@
 		return errors.New("usage: expect runs key=K CONDITION")
 	}
 	runs := 0
-	for i := range h.site.size.plains {
+	for i := range h.site.spec.plains {
 		var counts standin.PlainCounts
 		if err := getJSON("http://"+h.site.address(fromHarness, plainName(i+1))+"/counts", &counts); err != nil {
 			return err
@@ -204,7 +205,8 @@
 }
 
 // expectEvent implements `expect event NAME PY2101 [WORD...]`, which waits until the
-// process's log has a line with the event and all words.
+// process's log has a line with the event and all words. Lines of earlier incarnations
+// count too.
 func (h *harness) expectEvent(args []string) error {
 	args, err := h.resolve(args)
 	if err != nil {
@@ -230,7 +232,7 @@
 		}
 		return nil
 	}
-	if err := h.wait(nil, []string{name}); err != nil {
+	if err := h.waitEnded(nil, []string{name}); err != nil {
 		return err
 	}
 	return errors.Wrap(compare(condition, func(string) (float64, bool) { return float64(p.status), true }), name)
--- a/scenario/faults.go
+++ b/scenario/faults.go
@@ -50,10 +50,10 @@
 	return h.signal(args, syscall.SIGTERM)
 }
 
-// stop implements `drain NAME...`, which begins a planned stop with the operators' command
+// drain implements `drain NAME...`, which begins a planned stop with the operators' command
 // line. The command isn't named `stop` because testscript has a command of that name,
 // which ends a script as passed without running the rest.
-func (h *harness) stop(ts *testscript.TestScript, args []string) error {
+func (h *harness) drain(ts *testscript.TestScript, args []string) error {
 	names, err := h.resolve(args)
 	if err != nil {
 		return err
@@ -154,8 +154,11 @@
 // fault implements `fault NAME JSON`, which sets the faults that a stand-in simulates.
 func (h *harness) fault(_ *testscript.TestScript, args []string) error {
 	names, err := h.resolve(args)
-	if err != nil || len(names) != 2 {
-		return errors.Errorf("usage: fault NAME JSON (error %v)", err)
+	if err != nil {
+		return err
+	}
+	if len(names) != 2 {
+		return errors.New("usage: fault NAME JSON")
 	}
 	return h.site.setFault(names[0], names[1])
 }
--- a/scenario/generation_id.go
+++ b/scenario/generation_id.go
@@ -16,36 +16,36 @@
 // another request.
 type generationIDReader struct {
 	io.ReadCloser
-	caller *caller
-	prefix []byte // of the body, until its first line is complete
-	found  bool
+	caller   *caller
+	prefix   []byte // of the body, until its first line is complete
+	lineRead bool   // the first line is complete and has been parsed
 }
 
 // Read implements io.Reader.
-func (e *generationIDReader) Read(b []byte) (int, error) {
-	n, err := e.ReadCloser.Read(b)
-	if !e.found {
-		e.prefix = append(e.prefix, b[:n]...)
-		e.parseID()
+func (r *generationIDReader) Read(b []byte) (int, error) {
+	n, err := r.ReadCloser.Read(b)
+	if !r.lineRead {
+		r.prefix = append(r.prefix, b[:n]...)
+		r.parseID()
 	}
 	return n, err
 }
 
 // parseID parses the generation ID from the first line once it is complete.
-func (e *generationIDReader) parseID() {
-	line, _, whole := bytes.Cut(e.prefix, []byte("\n"))
-	if !whole {
+func (r *generationIDReader) parseID() {
+	line, _, complete := bytes.Cut(r.prefix, []byte("\n"))
+	if !complete {
 		return
 	}
-	e.found = true
+	r.lineRead = true
 	id, isID := bytes.CutPrefix(line, eventIDLine)
 	event, err := types.ParseEventID(string(id))
 	if !isID || err != nil {
 		return
 	}
-	e.caller.mu.Lock()
-	defer e.caller.mu.Unlock()
-	e.caller.generation = event.Generation.String()
+	r.caller.mu.Lock()
+	defer r.caller.mu.Unlock()
+	r.caller.generation = event.Generation.String()
 }
 
 // isServedBy reports whether a run listed by a sidecar is the one that serves the caller.
--- a/scenario/harness.go
+++ b/scenario/harness.go
@@ -25,9 +25,9 @@
 	site     *site
 	callers  map[string]*caller
 	crowds   map[string]*crowd
-	aliases  map[string]string // alias -> process, set by the commands name and holder
+	aliases  map[string]string // alias -> process or VM, set by the commands name and holder
 	ctx      context.Context
-	revision int // configuration revision in force
+	revision int // last revision accepted by the commands apply and raced; the base of the next one
 }
 
 // Setup prepares a script and releases its resources when it ends. It is meant for
@@ -55,10 +55,10 @@
 func Commands() map[string]func(ts *testscript.TestScript, neg bool, args []string) {
 	own := map[string]commandFunc{
 		"site": (*harness).startSite, "apply": (*harness).apply,
-		"sigkill": (*harness).kill, "freeze": (*harness).freeze, "thaw": (*harness).thaw, "term": (*harness).term, "drain": (*harness).stop,
+		"sigkill": (*harness).kill, "freeze": (*harness).freeze, "thaw": (*harness).thaw, "term": (*harness).term, "drain": (*harness).drain,
 		"restart": (*harness).restart, "cut": (*harness).cut, "mend": (*harness).mend,
 		"hold": (*harness).hold, "held": (*harness).held, "fault": (*harness).fault,
-		"generate": (*harness).generate, "call": (*harness).call, "when": (*harness).when, "ended": (*harness).wait,
+		"generate": (*harness).generate, "call": (*harness).call, "when": (*harness).when, "ended": (*harness).waitEnded,
 		"name": (*harness).name, "expect": (*harness).expect, "eventually": (*harness).eventually,
 		"request": (*harness).request, "answer": (*harness).checkAnswer, "rows": (*harness).rows, "ready": (*harness).ready, "elapse": (*harness).elapse,
 		"in-force": (*harness).inForce, "organisation": (*harness).organisation, "edited": (*harness).edited, "exits": (*harness).exits, "vms": (*harness).vms, "counter": (*harness).counter, "raced": (*harness).raced,
@@ -94,9 +94,9 @@
 	ts.Fatalf("%v", err)
 }
 
-// resolve replaces aliases by the processes that they stand for, and `engine-of NAME`,
-// `sidecar-of NAME`, `vm-of NAME` and `router-of NAME` by the process that currently
-// serves the caller NAME.
+// resolve replaces aliases by the processes or VMs that they stand for, and
+// `engine-of NAME`, `sidecar-of NAME`, `vm-of NAME` and `router-of NAME` by the process or
+// VM that currently serves the caller NAME.
 func (h *harness) resolve(args []string) ([]string, error) {
 	var out []string
 	for i := 0; i < len(args); i++ {
@@ -122,8 +122,9 @@
 	return out, nil
 }
 
-// resolveServing waits until a process of the kind serves the caller and returns its
-// name.
+// resolveServing waits until the caller is served and returns the name of the `engine`,
+// `sidecar`, `vm` or `router` (kind) that serves it. An engine has the number of its
+// sidecar and of their VM.
 func (h *harness) resolveServing(kind, name string) (string, error) {
 	c, err := h.caller(name)
 	if err != nil {
@@ -144,7 +145,7 @@
 
 // routerAt returns the router that callers reach at address, or "" if none is there.
 func (s *site) routerAt(address string) string {
-	for i := range s.size.routers {
+	for i := range s.spec.routers {
 		if s.address(fromCallers, routerName(i+1)) == address {
 			return routerName(i + 1)
 		}
@@ -192,6 +193,7 @@
 // options holds parsed `NAME=VALUE` arguments.
 type options map[string]string
 
+// parseOptions parses arguments, whose names must be among the known ones.
 func parseOptions(args []string, known ...string) (options, error) {
 	out := options{}
 	for _, arg := range args {
@@ -231,7 +233,7 @@
 // setEnvironment sets the variables that `pearyard` needs to reach the routers.
 func (h *harness) setEnvironment(ts *testscript.TestScript) {
 	var addresses []string
-	for i := range h.site.size.routers {
+	for i := range h.site.spec.routers {
 		addresses = append(addresses, h.site.address(fromHarness, routerName(i+1)))
 	}
 	ts.Setenv(cli.EnvAdmin, strings.Join(addresses, ","))
--- a/scenario/inspect.go
+++ b/scenario/inspect.go
@@ -10,7 +10,7 @@
 
 	"github.com/pkg/errors"
 
-	genlog "github.com/pearyard/pearyard/generation"
+	"github.com/pearyard/pearyard/generation"
 	"github.com/pearyard/pearyard/inspect"
 	"github.com/pearyard/pearyard/types"
 )
@@ -30,7 +30,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return errors.Errorf("%s: %s", url, resp.Status)
 	}
-	return json.NewDecoder(resp.Body).Decode(into)
+	return errors.Wrapf(json.NewDecoder(resp.Body).Decode(into), "decode %s", url)
 }
 
 // readSection decodes one section of a process's state into *into.
@@ -41,7 +41,7 @@
 	if err := getJSON("http://"+s.address(fromPeers, name)+inspect.PathState, &state); err != nil {
 		return err
 	}
-	return json.Unmarshal(state.Sections[section].Value, into)
+	return errors.Wrapf(json.Unmarshal(state.Sections[section].Value, into), "section %q of the state of %s", section, name)
 }
 
 // counters returns the numeric fields of a stand-in's dump.
@@ -77,7 +77,7 @@
 // currently runs, or 0 if there is none.
 func (s *site) servingSidecar(c *caller) int {
 	found, youngest := 0, math.Inf(1)
-	for i := range s.size.engines {
+	for i := range s.spec.engines {
 		if !s.processes[sidecarName(i+1)].running() || !s.processes[engineName(i+1)].running() {
 			continue
 		}
@@ -95,7 +95,7 @@
 		for _, run := range state.Runs {
 			// While a generation moves, it is listed by two sidecars until the old run
 			// has been ended; the younger run is the current one.
-			if run.AgeSeconds < youngest && run.Phase == genlog.Running.String() && c.isServedBy(run.Request, run.Generation) {
+			if run.AgeSeconds < youngest && run.Phase == generation.Running.String() && c.isServedBy(run.Request, run.Generation) {
 				found, youngest = i+1, run.AgeSeconds
 			}
 		}
--- a/scenario/orders.go
+++ b/scenario/orders.go
@@ -21,7 +21,7 @@
 	}
 	want := []string{args[1]}
 	return waitFor(conditionTimeout, "served "+args[0]+" "+args[1], func() bool {
-		for i := range h.site.size.engines {
+		for i := range h.site.spec.engines {
 			if !h.site.processes[engineName(i+1)].running() {
 				continue
 			}
@@ -44,16 +44,17 @@
 }
 
 // holder implements `holder NAME`, which waits until a router without an alias holds the
-// lease for sending orders, and sets NAME as its alias.
+// lease for sending orders, and sets NAME as its alias. A second use of the command
+// therefore finds the next holder.
 func (h *harness) holder(_ *testscript.TestScript, args []string) error {
 	if len(args) != 1 {
 		return errors.New("usage: holder NAME")
 	}
 	return waitFor(conditionTimeout, "a router that holds the lease", func() bool {
-		for i := range h.site.size.routers {
+		for i := range h.site.spec.routers {
 			name := routerName(i + 1)
-			var now lease.Dump
-			if h.hasAlias(name) || h.site.readSection(name, "lease", &now) != nil || !now.Held {
+			var dump lease.Dump
+			if h.hasAlias(name) || h.site.readSection(name, "lease", &dump) != nil || !dump.Held {
 				continue
 			}
 			h.aliases[args[0]] = name
@@ -92,5 +93,5 @@
 	if stale := errors.Is(err, engine.ErrStaleFence); stale == (args[0] == "stale") && (stale || err == nil) {
 		return nil
 	}
-	return errors.Errorf("order: want %s, got error %v", args[0], err)
+	return errors.Errorf("order to %s to load version %s, fence %s: want %s, got error %v", args[1], args[2], args[3], args[0], err)
 }
--- a/scenario/process.go
+++ b/scenario/process.go
@@ -26,13 +26,13 @@
 	name    string
 	program string
 	args    []string
-	log     logBuffer
+	log     logBuffer           // stdout and stderr of all incarnations
 	relays  map[string][]*relay // keyed by the label of the address that they forward to
 
 	cmd    *exec.Cmd
-	stdin  io.Closer     // the process exits when it is closed, as it is when the test ends
+	stdin  io.Closer     // closes when the test process ends, see exitWithParent
 	done   chan struct{} // closed when the process has ended
-	status int           // set before done is closed
+	status int           // exit status, set before done is closed
 }
 
 // start starts the process and waits until it listens.
@@ -86,7 +86,7 @@
 		}
 		for _, r := range p.relays[label] {
 			if err := r.setTarget(address); err != nil {
-				return err
+				return errors.Wrapf(err, "relay to address %q of %s", label, p.name)
 			}
 		}
 	}
@@ -103,10 +103,10 @@
 }
 
 func (p *process) signal(s syscall.Signal) error {
-	return errors.Wrapf(p.cmd.Process.Signal(s), "signal %s", p.name)
+	return errors.Wrapf(p.cmd.Process.Signal(s), "send signal %q to %s", s, p.name)
 }
 
-// stopped reports whether all threads of the process have stopped.
+// stopped reports whether SIGSTOP has stopped all threads of the process (state T).
 func (p *process) stopped() bool {
 	tasks, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", p.cmd.Process.Pid))
 	if err != nil || len(tasks) == 0 {
--- a/scenario/relay.go
+++ b/scenario/relay.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	relayBuffer      = 32 << 10
+	relayBuffer      = 32 << 10 // bytes
 	relistenInterval = 10 * time.Millisecond
 	relistenTimeout  = 5 * time.Second
 )
@@ -149,7 +149,8 @@
 	}
 }
 
-// forward copies data in both directions until one of them ends.
+// forward waits until the relay isn't cut, connects to the process and copies data in both
+// directions until one of them ends. Then it closes both connections.
 func (r *relay) forward(caller net.Conn) {
 	defer func() { _ = caller.Close() }()
 	r.waitUncut()
@@ -181,7 +182,7 @@
 }
 
 // forwardData copies data until either side has closed. During a cut the other side
-// doesn't learn of that.
+// doesn't learn of that. answers is true for data from the process, to which a hold applies.
 func (r *relay) forwardData(to, from net.Conn, answers bool) {
 	buf := make([]byte, relayBuffer)
 	for {
@@ -202,7 +203,8 @@
 
 // writeUntilHold checks buf for the text of a hold. If it is there, writeUntilHold writes
 // the part before it, waits until the hold ends, moves the rest to the front of buf and
-// returns its length. If the process ends first, the rest is lost.
+// returns its length. If the process ends first, the rest is lost. A text that isn't in
+// one read as a whole is not found.
 func (r *relay) writeUntilHold(to net.Conn, buf []byte) (left int, lost bool) {
 	r.mu.Lock()
 	hold := r.holdText
@@ -218,12 +220,12 @@
 	_, _ = to.Write(buf[:at])
 	for {
 		r.mu.Lock()
-		again, gone, changed := r.holdText != nil, r.target == "" && !r.cut, r.changed
+		held, gone, changed := r.holdText != nil, r.target == "" && !r.cut, r.changed
 		r.mu.Unlock()
 		if gone {
 			return 0, true
 		}
-		if !again {
+		if !held {
 			return copy(buf, buf[at:]), false
 		}
 		<-changed
--- a/scenario/reserve_test.go
+++ b/scenario/reserve_test.go
@@ -9,7 +9,8 @@
 )
 
 // A relay closes its listener when its process ends and listens again when it restarts.
-// Between the two, connections to the reserved port must be refused.
+// Between the two, connections to the reserved port must be refused, and listening again
+// must not fail because of the reservation.
 func TestReservedPortRefusesAndCanBeListenedOnAgain(t *testing.T) {
 	g := gomega.NewWithT(t)
 	reserved, err := reservePort()
--- a/scenario/scripts_test.go
+++ b/scenario/scripts_test.go
@@ -28,8 +28,8 @@
 }
 
 // testscript's own commands take precedence, so a command of the harness with the same
-// name would never run.
-func TestNoCommandHidesBehindTestscripts(t *testing.T) {
+// name would never run, and a script that uses it could pass without its effect.
+func TestCommandNamesDontCollideWithTestscript(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for _, theirs := range []string{
 		"cd", "chmod", "cmp", "cmpenv", "cp", "env", "exec", "exists", "grep", "kill", "mkdir", "mv", "rm", "skip",
--- a/scenario/site.go
+++ b/scenario/site.go
@@ -18,26 +18,31 @@
 	"github.com/pearyard/pearyard/types"
 )
 
-// Labels of the addresses of a process in its `listening` line.
+// Labels of the addresses of a process in its `listening` line. A stand-in has one address,
+// which it prints without a label; it is treated as labelBackend.
 const (
 	labelPeers   = "peers"
 	labelCallers = "callers"
 	labelAdmin   = "admin"
-	labelBackend = "backend" // of a stand-in
+	labelBackend = "backend"
+)
+
+// Sources of connections in the keys of site.relays, besides the names of processes.
+const (
+	fromPeers   = "peers"   // all sidecars and routers, and the harness when it reads a process's state
+	fromCallers = "callers" // all callers of a script
+	fromHarness = "harness" // the test itself; these connections are never cut
 )
 
 const (
 	platformName = "platform"
 	adminToken   = "token-of-a-scenario"
-	fromPeers    = "peers"
-	fromCallers  = "callers"
-	fromHarness  = "harness" // its connections are never cut
 	readyTimeout = 30 * time.Second
 	pollInterval = 10 * time.Millisecond
 )
 
-// size holds the number of processes of each kind in a site, and the engines' settings.
-type size struct {
+// siteSpec holds the number of processes of each kind in a site, and the engines' settings.
+type siteSpec struct {
 	engines, routers, plains, zones int
 	step                            time.Duration // step duration of the engines
 	poisonAfter                     int           // number of tokens after which a poisoned request crashes its engine
@@ -46,15 +51,15 @@
 // site is the running system of one script.
 type site struct {
 	dir        string
-	size       size
+	spec       siteSpec
 	processes  map[string]*process
 	startOrder []string          // names of the processes, in the order in which they are started
 	relays     map[string]*relay // keyed by "A B", for connections from A to B; A is a process, "peers", "callers" or "harness"
 	config     *text.Config
 }
 
-func newSite(dir string, dims size) *site {
-	return &site{dir: dir, size: dims, processes: map[string]*process{}, relays: map[string]*relay{}}
+func newSite(dir string, spec siteSpec) *site {
+	return &site{dir: dir, spec: spec, processes: map[string]*process{}, relays: map[string]*relay{}}
 }
 
 func engineName(i int) string { return fmt.Sprintf("engine-%d", i) }
@@ -65,19 +70,20 @@
 // those of plain services.
 func sidecarName(i int) string { return fmt.Sprintf("sidecar-%d", i) }
 
-func (s *site) zone(i int) string { return fmt.Sprintf("zone-%d", (i-1)%s.size.zones+1) }
+// zone returns the zone of sidecar i and of router i. The zones are assigned in turn.
+func (s *site) zone(i int) string { return fmt.Sprintf("zone-%d", (i-1)%s.spec.zones+1) }
 
 // backendOf returns the name and kind of the backend server beside sidecar i.
 func (s *site) backendOf(i int) (name string, kind text.Kind) {
-	if i <= s.size.engines {
+	if i <= s.spec.engines {
 		return engineName(i), text.KindModel
 	}
-	return plainName(i - s.size.engines), text.KindPlain
+	return plainName(i - s.spec.engines), text.KindPlain
 }
 
-func (s *site) sidecarCount() int { return s.size.engines + s.size.plains }
+func (s *site) sidecarCount() int { return s.spec.engines + s.spec.plains }
 
-// start starts all processes and waits until they listen.
+// start configures and starts all processes and waits until they listen.
 func (s *site) start() error {
 	if err := s.configure(); err != nil {
 		return err
@@ -101,13 +107,13 @@
 	if err := s.addStandin(platformName, "platform"); err != nil {
 		return err
 	}
-	for i := range s.size.engines {
-		if err := s.addStandin(engineName(i+1), "engine", "--step-base", s.size.step.String(), "--check-fence",
-			"--poison-after", strconv.Itoa(s.size.poisonAfter)); err != nil {
+	for i := range s.spec.engines {
+		if err := s.addStandin(engineName(i+1), "engine", "--step-base", s.spec.step.String(), "--check-fence",
+			"--poison-after", strconv.Itoa(s.spec.poisonAfter)); err != nil {
 			return err
 		}
 	}
-	for i := range s.size.plains {
+	for i := range s.spec.plains {
 		if err := s.addStandin(plainName(i+1), "plain"); err != nil {
 			return err
 		}
@@ -117,7 +123,7 @@
 			return err
 		}
 	}
-	for i := range s.size.routers {
+	for i := range s.spec.routers {
 		if err := s.addRouter(i + 1); err != nil {
 			return err
 		}
@@ -193,8 +199,10 @@
 	return s.writeJSON(s.settingsFile(name), own)
 }
 
-// commonSettings returns the settings that sidecars and routers share. The first two
-// sidecars are the seeds.
+// commonSettings returns the settings that sidecars and routers share, for the process
+// with this name and number. It also creates the relays from the peers to the process and
+// from the process to the platform. The seeds are the first two sidecars, as far as they
+// have been configured before this process.
 func (s *site) commonSettings(name string, i int) (settings.Common, error) {
 	if err := s.addRelay(fromPeers, name, labelPeers); err != nil {
 		return settings.Common{}, err
@@ -241,7 +249,7 @@
 // ready waits until each router accepts callers and knows all backend servers.
 func (s *site) ready() error {
 	return waitFor(readyTimeout, "all routers are ready and know all backend servers", func() bool {
-		for i := range s.size.routers {
+		for i := range s.spec.routers {
 			if !s.knowsBackends(routerName(i+1), s.sidecarCount()) {
 				return false
 			}
@@ -268,8 +276,8 @@
 	return n == backends
 }
 
-// waitFor polls until the condition holds. Conditions depend on other processes, so
-// there is nothing to be notified by.
+// waitFor polls until the condition holds. Conditions depend on the state of other
+// processes, which don't notify the harness of changes.
 func waitFor(limit time.Duration, what string, holds func() bool) error {
 	for deadline := time.Now().Add(limit); !holds(); time.Sleep(pollInterval) {
 		if time.Now().After(deadline) {
