--- a/entry/endedby_test.go
+++ b/entry/endedby_test.go
@@ -75,7 +75,7 @@
 // gets 502, and the server is named as the cause.
 func TestEndedByServer(t *testing.T) {
 	g, w := gomega.NewWithT(t), startServing(t, 1, nil)
-	w.servers[0].LostAnswers.Store(1000)
+	w.servers[0].LostAnswersPerMille.Store(1000)
 	c := w.send(testRequest{id: "r1", path: "/once/1"}).readHead()
 	g.Expect(c.Status).To(gomega.Equal(502))
 	w.expectServerEnds("r1", nursery.Interrupted)
@@ -111,7 +111,7 @@
 	g, w := gomega.NewWithT(t), startServing(t, 1, nil)
 	c := w.send(testRequest{id: "r1", path: "/large/1"}).readRest()
 	g.Expect(c.Err).NotTo(gomega.HaveOccurred())
-	g.Expect(c.Bytes).To(gomega.BeEquivalentTo(nursery.LargeAnswer))
+	g.Expect(c.Bytes).To(gomega.BeEquivalentTo(nursery.LargeAnswerBytes))
 	w.expectServerEnds("r1", nursery.Completed)
 	w.expectEnd("r1", requestEnd{"answer", "PY2720", "It was served after"})
 }
--- a/plain/httpapi/client.go
+++ b/plain/httpapi/client.go
@@ -26,9 +26,9 @@
 
 // Options of a Client. Zero values take their defaults.
 type Options struct {
-	Address     string        // IP:port of the service
-	DialTimeout time.Duration // default 500 ms
-	MaxAnswer   int64         // maximum size of a response body in bytes; default 8 MiB
+	Address          string        // IP:port of the service
+	DialTimeout      time.Duration // default 500 ms
+	MaxResponseBytes int64         // maximum size of a response body; default 8 MiB
 }
 
 // Client is a plain.Service over HTTP.
@@ -45,13 +45,13 @@
 	if opts.DialTimeout == 0 {
 		opts.DialTimeout = defaultDialTimeout
 	}
-	if opts.MaxAnswer == 0 {
-		opts.MaxAnswer = defaultMaxResponse
+	if opts.MaxResponseBytes == 0 {
+		opts.MaxResponseBytes = defaultMaxResponse
 	}
 	dialer := &net.Dialer{Timeout: opts.DialTimeout}
 	return &Client{
 		address:     opts.Address,
-		maxResponse: opts.MaxAnswer,
+		maxResponse: opts.MaxResponseBytes,
 		// Prevents a call from running twice. When a reused connection breaks,
 		// http.Transport retries a request by itself if its method is idempotent
 		// or if it has an Idempotency-Key, and the service could run the call a
--- a/soak/disruptions.go
+++ b/soak/disruptions.go
@@ -61,9 +61,9 @@
 	}},
 	{Name: "answers lost", run: func(s *Site, rng *rand.Rand, duration time.Duration) {
 		server := s.Servers[s.size.Models+rng.IntN(s.size.Apps)]
-		server.LostAnswers.Store(200)
+		server.LostAnswersPerMille.Store(200)
 		time.Sleep(duration)
-		server.LostAnswers.Store(0)
+		server.LostAnswersPerMille.Store(0)
 	}},
 	{Name: "store busy", run: func(s *Site, _ *rand.Rand, duration time.Duration) { s.disturbStore(nursery.StoreBusy, duration) }},
 	{Name: "store silent", run: func(s *Site, _ *rand.Rand, duration time.Duration) { s.disturbStore(nursery.StoreSilent, duration) }},
--- a/soak/site.go
+++ b/soak/site.go
@@ -135,7 +135,7 @@
 // limitEngines sets the limits of the engines of the model service.
 func (s *Site) limitEngines(engine nursery.EngineLimits) {
 	for _, server := range s.Servers[:s.size.Models] {
-		server.SetEngine(engine)
+		server.SetEngineLimits(engine)
 	}
 }
 
--- a/standin/nursery/engine_test.go
+++ b/standin/nursery/engine_test.go
@@ -18,7 +18,7 @@
 	server, err := cloud.NewServer("llm", "a", func(own string) string { return own })
 	gomega.NewWithT(t).Expect(err).NotTo(gomega.HaveOccurred())
 	t.Cleanup(server.Crash)
-	server.SetEngine(limits)
+	server.SetEngineLimits(limits)
 	return server
 }
 
--- a/standin/nursery/server.go
+++ b/standin/nursery/server.go
@@ -15,12 +15,12 @@
 
 // Sizes and speeds of a stand-in server, about ten times faster than a real one.
 const (
-	Events         = 40 // number of events of a stream
-	eventGap       = 8 * time.Millisecond
-	defaultPrefill = 60 * time.Millisecond
-	plainDuration  = 10 * time.Millisecond
-	queueLength    = 64
-	LargeAnswer    = 32 << 20 // bytes of the response to a target below /large/
+	Events           = 40 // number of events of a stream
+	eventGap         = 8 * time.Millisecond
+	defaultPrefill   = 60 * time.Millisecond
+	plainDuration    = 10 * time.Millisecond
+	queueLength      = 64
+	LargeAnswerBytes = 32 << 20 // bytes of the response to a target below /large/
 )
 
 // Run is one execution of a request on a server.
@@ -90,9 +90,10 @@
 	// listener is closed along with http, which doesn't know it before Serve runs.
 	listener net.Listener
 	active   atomic.Int64
-	// LostAnswers is how many of a thousand plain responses are dropped after the run.
-	LostAnswers atomic.Int64
-	answers     atomic.Int64
+	// LostAnswersPerMille is how many of a thousand plain responses are dropped after
+	// the run.
+	LostAnswersPerMille atomic.Int64
+	answers             atomic.Int64
 	// EventGap is the time between two events of a stream, in nanoseconds; 0 means
 	// the default.
 	EventGap   atomic.Int64
@@ -180,8 +181,8 @@
 	}
 }
 
-// SetEngine sets the limits of the engine; they also apply after a restart.
-func (s *Server) SetEngine(limits EngineLimits) {
+// SetEngineLimits sets the limits of the engine; they also apply after a restart.
+func (s *Server) SetEngineLimits(limits EngineLimits) {
 	s.mu.Lock()
 	s.limits = limits
 	s.mu.Unlock()
@@ -379,7 +380,7 @@
 func (s *Server) plain(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	time.Sleep(plainDuration)
-	if share := s.LostAnswers.Load(); share > 0 && s.answers.Add(1)*share%1000 < share {
+	if share := s.LostAnswersPerMille.Load(); share > 0 && s.answers.Add(1)*share%1000 < share {
 		s.cloud.Ledger.recordEnd(r.Header.Get("Attempt-Id"), Interrupted)
 		panic(http.ErrAbortHandler)
 	}
@@ -395,7 +396,7 @@
 // PlainAnswer returns the body of the response to a plain request.
 func PlainAnswer(target string, body []byte) string {
 	if strings.HasPrefix(target, "/large/") {
-		return strings.Repeat("x", LargeAnswer)
+		return strings.Repeat("x", LargeAnswerBytes)
 	}
 	return fmt.Sprintf("answer to %s of %d bytes", target, len(body))
 }
