--- a/engine/engine.go
+++ b/engine/engine.go
@@ -26,7 +26,7 @@
 	Prompt    string        `json:"prompt"`
 	Emitted   []types.Token `json:"emitted,omitempty"`
 	MaxTokens int           `json:"max_tokens"`
-	Priority  int           `json:"priority"`
+	Priority  int           `json:"priority"` // a request with a higher number runs first
 }
 
 // Result describes a generation that the engine finished.
@@ -50,12 +50,13 @@
 const (
 	OrderLoadModel   OrderKind = "load_model"
 	OrderLoadAdapter OrderKind = "load_adapter"
-	OrderUnload      OrderKind = "unload"
-	OrderRole        OrderKind = "role"
+	OrderUnload      OrderKind = "unload" // unloads a model or adapter
+	OrderRole        OrderKind = "role"   // sets the engine's role to the order's Name
 )
 
-// Order changes what an engine serves. Engines that check fencing numbers refuse a
-// Fence smaller than the largest one that they have seen; others ignore it.
+// Order changes what an engine serves. Fence is the order's fencing number. Engines
+// that check fencing numbers refuse one smaller than the largest one that they have
+// seen; others ignore it.
 type Order struct {
 	Kind    OrderKind `json:"kind"`
 	Name    string    `json:"name"`
@@ -63,7 +64,7 @@
 	Fence   uint64    `json:"fence"`
 }
 
-// Loaded is one model or adapter version that an engine serves.
+// Loaded is one model or adapter version that an engine serves, or its role.
 type Loaded struct {
 	Kind    OrderKind `json:"kind"`
 	Name    string    `json:"name"`
@@ -72,7 +73,8 @@
 }
 
 // Engine is a model engine. Generate calls emit for each new token, in order; an
-// error from emit ends the generation and is returned.
+// error from emit ends the generation and is returned. CacheEvents returns the events
+// after sequence number since.
 type Engine interface {
 	Generate(ctx context.Context, req Request, emit func(types.Token) error) (Result, error)
 	Load(ctx context.Context) (types.Load, error)
--- a/engine/httpapi/client.go
+++ b/engine/httpapi/client.go
@@ -20,8 +20,8 @@
 const (
 	defaultDialTimeout    = 500 * time.Millisecond
 	defaultControlTimeout = 2 * time.Second
-	maxControlBytes       = 8 << 20
-	maxErrorBytes         = 512
+	maxControlBytes       = 8 << 20 // size of the response to a control call
+	maxErrorBytes         = 512     // part of an error response that is quoted in the error
 )
 
 // Options of a Client. Zero durations take their defaults.
@@ -31,12 +31,12 @@
 	ControlTimeout time.Duration // of every call but Generate; default 2 s
 }
 
-// Client is an engine.Engine over HTTP.
+// Client is an engine.Engine over HTTP. A control call is any call but Generate.
 type Client struct {
-	base    string
-	timeout time.Duration
-	streams *http.Transport
-	control *http.Transport
+	base    string          // URL of the engine, without a path
+	timeout time.Duration   // of a control call
+	streams *http.Transport // for Generate
+	control *http.Transport // for control calls
 }
 
 var _ engine.Engine = (*Client)(nil)
@@ -55,7 +55,7 @@
 		timeout: opts.ControlTimeout,
 		// Every generation gets a new connection. If an engine restarts while a
 		// kept connection is idle, the next request on that connection fails as if
-		// it had crashed the engine, and would become a suspect.
+		// it had crashed the engine, and would be suspected of doing so.
 		streams: &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true, DisableCompression: true},
 		control: &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: 4, IdleConnTimeout: time.Minute},
 	}
@@ -123,6 +123,8 @@
 }
 
 // call makes one control call. in is sent and out is decoded as JSON; both may be nil.
+// Without a well-formed response it returns ErrConnectionLost, even if no connection
+// could be made.
 func (c *Client) call(ctx context.Context, method, path string, in, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -156,6 +158,8 @@
 	return nil
 }
 
+// transportError converts an error of Generate's round trip: to the context's error if
+// the context has ended, and to ErrRefused if no connection could be made.
 func transportError(ctx context.Context, err error, connected bool) error {
 	if ctx.Err() != nil {
 		return ctx.Err()
@@ -166,6 +170,7 @@
 	return errors.WithMessage(engine.ErrConnectionLost, err.Error())
 }
 
+// statusError converts a response whose status isn't 200.
 func statusError(resp *http.Response) error {
 	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBytes))
 	kind := engine.ErrConnectionLost
--- a/engine/httpapi/reader_test.go
+++ b/engine/httpapi/reader_test.go
@@ -22,18 +22,18 @@
 		tokens := 0
 		result, err := readGeneration(strings.NewReader(stream), func(types.Token) error { tokens++; return nil })
 		if err != nil && !errors.Is(err, engine.ErrConnectionLost) {
-			t.Fatalf("untyped error: %v", err)
+			t.Fatalf("error is not ErrConnectionLost: %v", err)
 		}
 		if (err == nil) != (result.Finish != "") {
-			t.Fatalf("finish %q with error %v", result.Finish, err)
+			t.Fatalf("finish reason %q with error %v", result.Finish, err)
 		}
 		if tokens > strings.Count(stream, "\n")+1 {
-			t.Fatalf("%d tokens from %d lines", tokens, strings.Count(stream, "\n")+1)
+			t.Fatalf("%d tokens emitted from %d lines", tokens, strings.Count(stream, "\n")+1)
 		}
 	})
 }
 
-func TestCleanEndWithoutFinishIsDeath(t *testing.T) {
+func TestCleanCloseWithoutFinishLineIsConnectionLost(t *testing.T) {
 	// An engine crashes in the middle of an answer and the kernel closes its socket
 	// cleanly. The caller must not get the truncated answer as a complete one.
 	g := NewWithT(t)
@@ -55,5 +55,5 @@
 		g.Expect(generate()).To(MatchError(want), "status %d", code)
 	}
 	server.Close()
-	g.Expect(generate()).To(MatchError(engine.ErrRefused), "nothing listens")
+	g.Expect(generate()).To(MatchError(engine.ErrRefused), "no connection could be made")
 }
--- a/engine/httpapi/wire.go
+++ b/engine/httpapi/wire.go
@@ -26,13 +26,13 @@
 	Text string `json:"text"`
 }
 
-// FinishLine is the last line of a generation that ended by itself.
+// FinishLine is the last line of a generation that the engine finished.
 type FinishLine struct {
 	Finish          types.FinishReason `json:"finish"`
 	PrefilledTokens int                `json:"prefilled_tokens"`
 }
 
-// LoadReport is the body of PathLoad.
+// LoadReport is the body of PathLoad. types.Load describes the fields.
 type LoadReport struct {
 	Running      int `json:"running"`
 	Queued       int `json:"queued"`
--- a/engine/prefix.go
+++ b/engine/prefix.go
@@ -12,9 +12,9 @@
 const (
 	// BlockTokens is the number of tokens in one block of a prefix cache.
 	BlockTokens = 16
-	// charsPerToken is the length in bytes of the longest piece of a word that
-	// counts as one token.
-	charsPerToken = 4
+	// maxTokenBytes is the length of the longest piece of a word that counts as one
+	// token.
+	maxTokenBytes = 4
 )
 
 // Prefix identifies a prompt and the tokens emitted so far in a prefix cache.
@@ -29,9 +29,9 @@
 func PrefixOf(prompt string, emitted []types.Token) Prefix {
 	var p prefixHash
 	for word := range strings.FieldsSeq(prompt) {
-		for len(word) > charsPerToken {
-			p.add(word[:charsPerToken])
-			word = word[charsPerToken:]
+		for len(word) > maxTokenBytes {
+			p.add(word[:maxTokenBytes])
+			word = word[maxTokenBytes:]
 		}
 		p.add(word)
 	}
