--- a/backing/backing.go
+++ b/backing/backing.go
@@ -11,10 +11,10 @@
 var (
 	// ErrUnavailable: the service did not accept the call; nothing took effect.
 	ErrUnavailable = errors.New("backing: service unavailable")
-	// ErrAmbiguous: the answer was lost; the write may have taken effect.
+	// ErrAmbiguous: the response was lost; the write may have taken effect.
 	// Resolve it by reading the rows back.
 	ErrAmbiguous = errors.New("backing: outcome of the write unknown")
-	// ErrNotFound: there is no such row, object or weight file.
+	// ErrNotFound: there is no such row, object or artefact.
 	ErrNotFound = errors.New("backing: not found")
 	// ErrThrottled: the call exceeded the service's rate limit; nothing took effect.
 	ErrThrottled = errors.New("backing: rate limit exceeded")
@@ -56,15 +56,17 @@
 }
 
 // Table is the transactional table service.
-// Get returns ErrNotFound for an absent row. Commit returns *ConflictError,
-// ErrThrottled, ErrUnavailable or ErrAmbiguous.
+// Get returns ErrNotFound for an absent row. List returns up to limit rows whose keys
+// have the prefix, ordered by key. Commit returns *ConflictError, ErrThrottled,
+// ErrUnavailable or ErrAmbiguous.
 type Table interface {
 	Get(ctx context.Context, key string) (Row, error)
 	List(ctx context.Context, prefix string, limit int) ([]Row, error)
 	Commit(ctx context.Context, txn Txn) error
 }
 
-// Objects is the object store. Objects are immutable.
+// Objects is the object store. Objects are immutable: Put of another value under an
+// existing key returns *ConflictError.
 type Objects interface {
 	Get(ctx context.Context, key string) ([]byte, error)
 	Put(ctx context.Context, key string, value []byte) error
--- a/backing/httpapi/caller.go
+++ b/backing/httpapi/caller.go
@@ -21,10 +21,10 @@
 	defaultTimeout     = 2 * time.Second
 	maxResponseBytes   = 64 << 20
 	maxErrorBytes      = 1 << 20 // large enough for the keys of a conflict
-	idleConnections    = 16
+	maxIdleConnections = 16
 )
 
-// Options of the clients. Zero durations take their defaults.
+// Options configures a client. Zero durations take their defaults.
 type Options struct {
 	Address     string        // IP:port of the platform
 	DialTimeout time.Duration // default 500 ms
@@ -33,7 +33,7 @@
 
 // caller makes calls and maps their failures to the errors of package backing.
 type caller struct {
-	base      string
+	base      string // URL of the platform, without a path
 	timeout   time.Duration
 	transport *http.Transport
 }
@@ -51,7 +51,7 @@
 		timeout: opts.Timeout,
 		transport: &http.Transport{
 			DialContext:         dialer.DialContext,
-			MaxIdleConnsPerHost: idleConnections,
+			MaxIdleConnsPerHost: maxIdleConnections,
 			IdleConnTimeout:     time.Minute,
 		},
 	}
@@ -101,6 +101,8 @@
 	return answer, nil
 }
 
+// statusError converts a response whose status isn't 200. lost is the error for a
+// status that doesn't exclude an effect, such as 500.
 func statusError(resp *http.Response, lost error) error {
 	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBytes))
 	switch resp.StatusCode {
--- a/backing/httpapi/clients_test.go
+++ b/backing/httpapi/clients_test.go
@@ -25,42 +25,43 @@
 
 func ptr[T any](v T) *T { return &v }
 
-func put(key, value string, version uint64) backing.Txn {
+func putTxn(key, value string, version uint64) backing.Txn {
 	return backing.Txn{
 		If:     []backing.Condition{{Key: key, Version: version}},
 		Writes: []backing.Write{{Key: key, Value: []byte(value)}},
 	}
 }
 
-func TestCommitIsWholeOrNothing(t *testing.T) {
+func TestCommitIsAtomic(t *testing.T) {
 	g := NewWithT(t)
 	_, opts, _ := start(t, standin.PlatformOptions{})
 	table := httpapi.NewTable(opts)
-	g.Expect(table.Commit(t.Context(), put("a/1", "x", 0))).To(Succeed())
-	both := backing.Txn{
+	g.Expect(table.Commit(t.Context(), putTxn("a/1", "x", 0))).To(Succeed())
+	oneConditionFails := backing.Txn{
 		If:     []backing.Condition{{Key: "a/1", Version: 0}, {Key: "a/2", Version: 0}},
 		Writes: []backing.Write{{Key: "a/2", Value: []byte("y")}},
 	}
 	var conflict *backing.ConflictError
-	err := table.Commit(t.Context(), both)
+	err := table.Commit(t.Context(), oneConditionFails)
 	g.Expect(err).To(BeAssignableToTypeOf(conflict))
 	g.Expect(err.(*backing.ConflictError).Keys).To(Equal([]string{"a/1"}))
 	_, err = table.Get(t.Context(), "a/2")
 	g.Expect(err).To(MatchError(backing.ErrNotFound))
 
+	// A row that is deleted and written again never repeats a version.
 	row, err := table.Get(t.Context(), "a/1")
 	g.Expect(err).NotTo(HaveOccurred())
 	remove := backing.Txn{Writes: []backing.Write{{Key: "a/1", Delete: true}}}
 	g.Expect(table.Commit(t.Context(), remove)).To(Succeed())
-	g.Expect(table.Commit(t.Context(), put("a/1", "z", 0))).To(Succeed())
-	again, err := table.List(t.Context(), "a/", 10)
+	g.Expect(table.Commit(t.Context(), putTxn("a/1", "z", 0))).To(Succeed())
+	rows, err := table.List(t.Context(), "a/", 10)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(again).To(HaveLen(1))
-	g.Expect(again[0].Value).To(BeEquivalentTo("z"))
-	g.Expect(again[0].Version).To(BeNumerically(">", row.Version))
+	g.Expect(rows).To(HaveLen(1))
+	g.Expect(rows[0].Value).To(BeEquivalentTo("z"))
+	g.Expect(rows[0].Version).To(BeNumerically(">", row.Version))
 }
 
-func TestRaceHasOneWinner(t *testing.T) {
+func TestOneOfConcurrentCommitsSucceeds(t *testing.T) {
 	g := NewWithT(t)
 	_, opts, _ := start(t, standin.PlatformOptions{})
 	table := httpapi.NewTable(opts)
@@ -68,7 +69,7 @@
 	var wg sync.WaitGroup
 	for range 16 {
 		wg.Go(func() {
-			if table.Commit(t.Context(), put("k", "v", 0)) == nil {
+			if table.Commit(t.Context(), putTxn("k", "v", 0)) == nil {
 				wins.Add(1)
 			}
 		})
@@ -77,7 +78,7 @@
 	g.Expect(wins.Load()).To(BeEquivalentTo(1))
 }
 
-func TestLostAnswerIsAmbiguous(t *testing.T) {
+func TestLostResponseIsAmbiguous(t *testing.T) {
 	// A claim is written and the response is lost. If this were reported as
 	// unavailable, the router would claim again, find its own claim and report a
 	// conflict to the caller.
@@ -85,25 +86,25 @@
 	p, opts, server := start(t, standin.PlatformOptions{})
 	table := httpapi.NewTable(opts)
 	p.Apply(standin.PlatformFaults{Table: standin.ServiceFaults{LoseAnswers: ptr(1)}})
-	g.Expect(table.Commit(t.Context(), put("k1", "v", 0))).To(MatchError(backing.ErrAmbiguous))
+	g.Expect(table.Commit(t.Context(), putTxn("k1", "v", 0))).To(MatchError(backing.ErrAmbiguous))
 	_, err := table.Get(t.Context(), "k1")
 	g.Expect(err).NotTo(HaveOccurred(), "the write took effect")
 
 	p.Apply(standin.PlatformFaults{Table: standin.ServiceFaults{SlowMS: ptr(100)}})
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
 	defer cancel()
-	g.Expect(table.Commit(ctx, put("k2", "v", 0))).To(MatchError(backing.ErrAmbiguous))
+	g.Expect(table.Commit(ctx, putTxn("k2", "v", 0))).To(MatchError(backing.ErrAmbiguous))
 	p.Apply(standin.PlatformFaults{Table: standin.ServiceFaults{SlowMS: ptr(0)}})
-	g.Eventually(func() error { _, err := table.Get(t.Context(), "k2"); return err }).Should(Succeed(), "it took effect late")
+	g.Eventually(func() error { _, err := table.Get(t.Context(), "k2"); return err }).Should(Succeed(), "the write takes effect after the caller's timeout")
 
 	p.Apply(standin.PlatformFaults{Table: standin.ServiceFaults{Down: ptr(true)}})
-	g.Expect(table.Commit(t.Context(), put("k3", "v", 0))).To(MatchError(backing.ErrUnavailable))
+	g.Expect(table.Commit(t.Context(), putTxn("k3", "v", 0))).To(MatchError(backing.ErrUnavailable))
 	// The old client may notice only during its call that its kept connection is
 	// closed, so that the outcome is ambiguous. A client that has to dial knows that
 	// no byte was sent.
 	server.Close()
-	g.Expect(table.Commit(t.Context(), put("k3", "v", 0))).To(Or(MatchError(backing.ErrAmbiguous), MatchError(backing.ErrUnavailable)))
-	g.Expect(httpapi.NewTable(opts).Commit(t.Context(), put("k3", "v", 0))).To(MatchError(backing.ErrUnavailable))
+	g.Expect(table.Commit(t.Context(), putTxn("k3", "v", 0))).To(Or(MatchError(backing.ErrAmbiguous), MatchError(backing.ErrUnavailable)))
+	g.Expect(httpapi.NewTable(opts).Commit(t.Context(), putTxn("k3", "v", 0))).To(MatchError(backing.ErrUnavailable))
 }
 
 func TestStaleReads(t *testing.T) {
@@ -112,29 +113,28 @@
 	g := NewWithT(t)
 	p, opts, _ := start(t, standin.PlatformOptions{})
 	table := httpapi.NewTable(opts)
-	g.Expect(table.Commit(t.Context(), put("k", "v", 0))).To(Succeed())
+	g.Expect(table.Commit(t.Context(), putTxn("k", "v", 0))).To(Succeed())
 	p.Apply(standin.PlatformFaults{Table: standin.ServiceFaults{StaleMS: ptr(10_000)}})
 	_, err := table.Get(t.Context(), "k")
 	g.Expect(err).To(MatchError(backing.ErrNotFound))
 	rows, err := table.List(t.Context(), "", 0)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(rows).To(BeEmpty())
-	g.Expect(table.Commit(t.Context(), put("k", "w", 0))).To(BeAssignableToTypeOf(&backing.ConflictError{}))
+	g.Expect(table.Commit(t.Context(), putTxn("k", "w", 0))).To(BeAssignableToTypeOf(&backing.ConflictError{}))
 }
 
 func TestRateLimits(t *testing.T) {
 	g := NewWithT(t)
 	_, opts, _ := start(t, standin.PlatformOptions{Writes: 1, WeightReads: 1, Weights: []standin.Artefact{{Name: "m", Version: "1"}}})
 	table, weights := httpapi.NewTable(opts), httpapi.NewWeights(opts)
-	throttled := func(call func() error) func() error {
-		return func() error {
-			for range 200 {
-				if err := call(); err != nil {
-					return err
-				}
+	// The burst of each limiter is 100 calls.
+	untilError := func(call func() error) error {
+		for range 200 {
+			if err := call(); err != nil {
+				return err
 			}
-			return nil
 		}
+		return nil
 	}
 	commit := func() error {
 		return table.Commit(t.Context(), backing.Txn{Writes: []backing.Write{{Key: "k"}}})
@@ -143,11 +143,11 @@
 	other, err := weights.Available(t.Context(), "m", "2")
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(other).To(BeFalse())
-	g.Expect(throttled(commit)()).To(MatchError(backing.ErrThrottled))
-	g.Expect(throttled(available)()).To(MatchError(backing.ErrThrottled))
+	g.Expect(untilError(commit)).To(MatchError(backing.ErrThrottled))
+	g.Expect(untilError(available)).To(MatchError(backing.ErrThrottled))
 }
 
-func TestVMListLags(t *testing.T) {
+func TestVMListIsStaleByLag(t *testing.T) {
 	g := NewWithT(t)
 	p, opts, _ := start(t, standin.PlatformOptions{VMLag: 50 * time.Millisecond})
 	list := httpapi.NewVMList(opts)
@@ -160,7 +160,7 @@
 		Should(ConsistOf(backing.VM{ID: "vm1", Address: "127.0.0.1:1", Zone: "errol-shed", Leaving: true}))
 }
 
-func TestObjectsNeverChange(t *testing.T) {
+func TestObjectsAreImmutable(t *testing.T) {
 	g := NewWithT(t)
 	_, opts, _ := start(t, standin.PlatformOptions{})
 	objects := httpapi.NewObjects(opts)
--- a/engine/httpapi/client.go
+++ b/engine/httpapi/client.go
@@ -24,7 +24,7 @@
 	maxErrorBytes         = 512     // part of an error response that is quoted in the error
 )
 
-// Options of a Client. Zero durations take their defaults.
+// Options configures a Client. Zero durations take their defaults.
 type Options struct {
 	Address        string        // IP:port of the engine
 	DialTimeout    time.Duration // of every connection; default 500 ms
