--- a/plain/httpapi/client.go
+++ b/plain/httpapi/client.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	defaultDialTimeout   = 500 * time.Millisecond
-	defaultMaxResponse   = 8 << 20
-	defaultHealthTimeout = time.Second
-	healthPath           = "/healthz"
+	defaultDialTimeout      = 500 * time.Millisecond
+	defaultMaxResponseBytes = 8 << 20
+	healthTimeout           = time.Second
+	healthPath              = "/healthz"
 )
 
 // hopByHopHeaders apply to a single connection and are not forwarded.
 var hopByHopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect"}
 
-// Options of a Client. Zero values take their defaults.
+// Options configures a Client. Zero values take their defaults.
 type Options struct {
 	Address          string        // IP:port of the service
 	DialTimeout      time.Duration // default 500 ms
@@ -33,9 +33,9 @@
 
 // Client is a plain.Service over HTTP.
 type Client struct {
-	address     string
-	maxResponse int64
-	transport   *http.Transport
+	address          string
+	maxResponseBytes int64
+	transport        *http.Transport
 }
 
 var _ plain.Service = (*Client)(nil)
@@ -46,12 +46,12 @@
 		opts.DialTimeout = defaultDialTimeout
 	}
 	if opts.MaxResponseBytes == 0 {
-		opts.MaxResponseBytes = defaultMaxResponse
+		opts.MaxResponseBytes = defaultMaxResponseBytes
 	}
 	dialer := &net.Dialer{Timeout: opts.DialTimeout}
 	return &Client{
-		address:     opts.Address,
-		maxResponse: opts.MaxResponseBytes,
+		address:          opts.Address,
+		maxResponseBytes: opts.MaxResponseBytes,
 		// Prevents a call from running twice. When a reused connection breaks,
 		// http.Transport retries a request by itself if its method is idempotent
 		// or if it has an Idempotency-Key, and the service could run the call a
@@ -86,27 +86,29 @@
 	return c.answer(resp)
 }
 
-// Healthy implements plain.Service.
+// Healthy implements plain.Service. Any 2xx status means healthy.
 func (c *Client) Healthy(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, defaultHealthTimeout)
+	ctx, cancel := context.WithTimeout(ctx, healthTimeout)
 	defer cancel()
 	answer, err := c.Do(ctx, plain.Call{Method: http.MethodGet, Path: healthPath})
 	if err != nil {
 		return err
 	}
 	if answer.Status/100 != 2 {
-		return errors.Errorf("plain: health check answered %d", answer.Status)
+		return errors.Errorf("plain: health check returned status %d", answer.Status)
 	}
 	return nil
 }
 
+// request builds the HTTP request of a call. It refuses a path that would change the
+// host, for example one that doesn't begin with "/".
 func (c *Client) request(ctx context.Context, call plain.Call) (*http.Request, error) {
 	req, err := http.NewRequestWithContext(ctx, call.Method, "http://"+c.address+call.Path, bytes.NewReader(call.Body))
 	if err != nil {
 		return nil, err
 	}
 	if req.URL.Host != c.address {
-		return nil, errors.Errorf("path %q leads to another host", call.Path)
+		return nil, errors.Errorf("path %q changes the host to %q", call.Path, req.URL.Host)
 	}
 	if call.Header != nil {
 		req.Header = call.Header.Clone()
@@ -117,18 +119,19 @@
 	return req, nil
 }
 
+// answer reads a response. The call may have run, so every failure is ErrResponseLost.
 func (c *Client) answer(resp *http.Response) (plain.Answer, error) {
 	if resp.StatusCode < http.StatusOK {
 		// A faulty service may send a status such as 099. net/http panics when asked
 		// to write it, which closed the caller's connection without a response.
-		return plain.Answer{}, errors.WithMessagef(plain.ErrResponseLost, "%03d is no final status", resp.StatusCode)
+		return plain.Answer{}, errors.WithMessagef(plain.ErrResponseLost, "%03d is not a final HTTP status", resp.StatusCode)
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, c.maxResponse+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, c.maxResponseBytes+1))
 	if err != nil {
 		return plain.Answer{}, errors.WithMessage(plain.ErrResponseLost, err.Error())
 	}
-	if int64(len(body)) > c.maxResponse {
-		return plain.Answer{}, errors.WithMessagef(plain.ErrResponseLost, "answer is larger than %d bytes", c.maxResponse)
+	if int64(len(body)) > c.maxResponseBytes {
+		return plain.Answer{}, errors.WithMessagef(plain.ErrResponseLost, "response body is larger than %d bytes", c.maxResponseBytes)
 	}
 	header := resp.Header.Clone()
 	for _, name := range hopByHopHeaders {
--- a/plain/httpapi/client_test.go
+++ b/plain/httpapi/client_test.go
@@ -25,7 +25,7 @@
 	return p, httpapi.New(httpapi.Options{Address: server.Listener.Addr().String()}), server
 }
 
-func label(key string) plain.Call {
+func labelCall(key string) plain.Call {
 	return plain.Call{
 		Method: http.MethodPost,
 		Path:   "/labels?depot=errol",
@@ -39,7 +39,7 @@
 func TestAnswerMirrorsCall(t *testing.T) {
 	g := NewWithT(t)
 	p, c, _ := start(t)
-	answer, err := c.Do(t.Context(), label("k1"))
+	answer, err := c.Do(t.Context(), labelCall("k1"))
 	g.Expect(err).NotTo(HaveOccurred())
 	var body standin.PlainAnswer
 	g.Expect(json.Unmarshal(answer.Body, &body)).To(Succeed())
@@ -47,33 +47,35 @@
 	g.Expect(p.Counts()).To(Equal(standin.PlainCounts{Total: 1, ByKey: map[string]int{"k1": 1}}))
 }
 
-func TestLostAndNotSent(t *testing.T) {
+func TestResponseLostAndNotSent(t *testing.T) {
 	// A service prints a label and the response is lost. The call must not be
 	// reported as not sent; only a failure to connect permits that.
 	g := NewWithT(t)
 	p, c, server := start(t)
 	p.Apply(standin.PlainFaults{LoseAnswers: ptr(1)})
-	_, err := c.Do(t.Context(), label("k1"))
+	_, err := c.Do(t.Context(), labelCall("k1"))
 	g.Expect(err).To(MatchError(plain.ErrResponseLost))
 	g.Expect(p.Counts().ByKey).To(HaveKeyWithValue("k1", 1))
 
-	// Long enough to connect and send the call on a busy machine.
+	// The timeout of 1 s is long enough to connect and send the call on a busy machine,
+	// and shorter than the latency.
 	p.Apply(standin.PlainFaults{LatencyMS: ptr(2000)})
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
-	_, err = c.Do(ctx, label("k2"))
+	_, err = c.Do(ctx, labelCall("k2"))
 	g.Expect(err).To(MatchError(plain.ErrResponseLost))
 	g.Eventually(func() int { return p.Counts().ByKey["k2"] }, "10s").Should(Equal(1))
 
 	server.Close()
-	_, err = c.Do(t.Context(), label("k3"))
+	_, err = c.Do(t.Context(), labelCall("k3"))
 	g.Expect(err).To(MatchError(plain.ErrNotSent))
 	g.Expect(c.Healthy(t.Context())).To(MatchError(plain.ErrNotSent))
 }
 
-// closeAfterSecond answers the first call on each connection. It reads a second
-// call and closes the connection without a response, as a crashing server does.
-func closeAfterSecond(t *testing.T, ran *atomic.Int32) string {
+// serveFirstCallOnly starts a server that responds to the first call on each connection.
+// It reads a second call and closes the connection without a response, as a crashing
+// server does. ran counts the calls; the server's address is returned.
+func serveFirstCallOnly(t *testing.T, ran *atomic.Int32) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	t.Cleanup(func() { _ = listener.Close() })
@@ -106,11 +108,11 @@
 	// key as permission to retry on a new connection, and the call runs twice.
 	g := NewWithT(t)
 	var ran atomic.Int32
-	address := closeAfterSecond(t, &ran)
+	address := serveFirstCallOnly(t, &ran)
 	c := httpapi.New(httpapi.Options{Address: address})
-	for call := range 6 {
-		_, _ = c.Do(t.Context(), label("k"))
-		g.Expect(ran.Load()).To(BeNumerically("<=", call+1))
+	for sent := range 6 {
+		_, _ = c.Do(t.Context(), labelCall("k"))
+		g.Expect(ran.Load()).To(BeNumerically("<=", sent+1))
 	}
 	g.Expect(ran.Load()).To(BeEquivalentTo(6))
 }
@@ -125,7 +127,7 @@
 	}))
 	t.Cleanup(server.Close)
 	c := httpapi.New(httpapi.Options{Address: server.Listener.Addr().String()})
-	answer, err := c.Do(t.Context(), label("k"))
+	answer, err := c.Do(t.Context(), labelCall("k"))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(answer.Status).To(Equal(http.StatusTemporaryRedirect))
 	g.Expect(ran.Load()).To(BeEquivalentTo(1))
@@ -139,7 +141,7 @@
 	p.Apply(standin.PlainFaults{Freeze: ptr(true)})
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
-	_, err := c.Do(ctx, label("k"))
+	_, err := c.Do(ctx, labelCall("k"))
 	g.Expect(err).To(MatchError(plain.ErrResponseLost))
 	g.Expect(p.Counts().Total).To(BeZero())
 	p.Apply(standin.PlainFaults{Freeze: ptr(false)})
@@ -166,7 +168,7 @@
 				_, _ = conn.Read(make([]byte, 4096))
 				_, _ = io.WriteString(conn, "HTTP/1.1 "+status+" Odd\r\nContent-Length: 2\r\n\r\nab")
 			}()
-			_, err = httpapi.New(httpapi.Options{Address: listener.Addr().String()}).Do(t.Context(), label("k1"))
+			_, err = httpapi.New(httpapi.Options{Address: listener.Addr().String()}).Do(t.Context(), labelCall("k1"))
 			g.Expect(err).To(MatchError(plain.ErrResponseLost))
 		})
 	}
--- a/plain/plain.go
+++ b/plain/plain.go
@@ -12,7 +12,7 @@
 	ErrNotSent = errors.New("plain: call not sent")
 	// ErrResponseLost: the response was lost after a byte may have been sent; the call may
 	// have run.
-	ErrResponseLost = errors.New("plain: answer lost")
+	ErrResponseLost = errors.New("plain: response lost")
 )
 
 // Call is one call to a plain service.
@@ -31,7 +31,7 @@
 }
 
 // Service is the plain service of a sidecar. Do returns ErrNotSent or ErrResponseLost if
-// there is no response.
+// there is no usable response; any status is a response.
 type Service interface {
 	Do(ctx context.Context, call Call) (Answer, error)
 	Healthy(ctx context.Context) error
