--- a/standin/chain.go
+++ b/standin/chain.go
@@ -15,9 +15,9 @@
 
 const (
 	tokenPrefix     = " w"
-	tokenTextLen    = len(tokenPrefix) + 8
-	maxGapSearch    = 4096               // how many tokens to search ahead to tell a gap from a mixture
-	chainMultiplier = 0x9e3779b97f4a7c15 // odd, so that the multiplication is invertible
+	tokenTextBytes  = len(tokenPrefix) + 8 // the ID as eight hexadecimal digits
+	maxGapTokens    = 4096                 // how many tokens to search ahead to tell a gap from a mixture
+	chainMultiplier = 0x9e3779b97f4a7c15   // odd, so that the multiplication is invertible
 )
 
 // chain is the running hash of a prompt and all token IDs after it. The next ID
@@ -43,7 +43,7 @@
 // TokenID is the inverse of TokenText.
 func TokenID(text string) (uint32, error) {
 	digits, ok := strings.CutPrefix(text, tokenPrefix)
-	if !ok || len(text) != tokenTextLen {
+	if !ok || len(text) != tokenTextBytes {
 		return 0, errors.Errorf("%q is not a token of a stand-in engine", text)
 	}
 	id, err := strconv.ParseUint(digits, 16, 32)
@@ -55,10 +55,10 @@
 
 // SplitText splits the text of an answer into the texts of its tokens.
 func SplitText(answer string) []string {
-	texts := make([]string, 0, len(answer)/tokenTextLen+1)
-	for len(answer) > tokenTextLen {
-		texts = append(texts, answer[:tokenTextLen])
-		answer = answer[tokenTextLen:]
+	texts := make([]string, 0, len(answer)/tokenTextBytes+1)
+	for len(answer) > tokenTextBytes {
+		texts = append(texts, answer[:tokenTextBytes])
+		answer = answer[tokenTextBytes:]
 	}
 	if answer != "" {
 		texts = append(texts, answer)
@@ -66,7 +66,7 @@
 	return texts
 }
 
-// Fault names what is wrong with an answer.
+// Fault is a kind of defect of an answer.
 type Fault string
 
 // Faults that CheckAnswer tells apart.
@@ -77,7 +77,7 @@
 	FaultForeign Fault = "foreign" // the text at Index is not a token
 )
 
-// AnswerError reports the first token at which an answer is not one complete
+// AnswerError reports the first token at which an answer is not one unbroken
 // generation.
 type AnswerError struct {
 	Fault Fault
@@ -91,7 +91,8 @@
 }
 
 // CheckAnswer returns nil if the texts are those of one unbroken generation of
-// prompt, with any first token, and *AnswerError otherwise.
+// prompt, with any first token, and *AnswerError otherwise. It can't detect tokens
+// that are missing at the end.
 func CheckAnswer(prompt string, texts []string) error {
 	seen := make(map[uint32]bool, len(texts))
 	state := newChain(prompt)
@@ -113,7 +114,7 @@
 	if seen[id] {
 		return FaultRepeat
 	}
-	for range maxGapSearch {
+	for range maxGapTokens {
 		state = state.add(state.next())
 		if state.next() == id {
 			return FaultGap
--- a/standin/chain_test.go
+++ b/standin/chain_test.go
@@ -26,12 +26,12 @@
 		fault standin.Fault
 		index int
 	}{
-		"gap":            {slices.Delete(slices.Clone(a), 20, 23), standin.FaultGap, 20},
-		"repeat":         {slices.Insert(slices.Clone(a), 20, a[17:20]...), standin.FaultRepeat, 20},
-		"mixture":        {slices.Concat(a[:20], b[20:]), standin.FaultMixture, 20},
-		"foreign":        {slices.Concat(a[:20], []string{"data:"}), standin.FaultForeign, 20},
-		"without a head": {a[1:], standin.FaultMixture, 1},
-		"other prompt":   {answer(t, "other", 5), standin.FaultMixture, 1},
+		"gap":                 {slices.Delete(slices.Clone(a), 20, 23), standin.FaultGap, 20},
+		"repeat":              {slices.Insert(slices.Clone(a), 20, a[17:20]...), standin.FaultRepeat, 20},
+		"mixture":             {slices.Concat(a[:20], b[20:]), standin.FaultMixture, 20},
+		"foreign":             {slices.Concat(a[:20], []string{"data:"}), standin.FaultForeign, 20},
+		"first token missing": {a[1:], standin.FaultMixture, 1},
+		"other prompt":        {answer(t, "other", 5), standin.FaultMixture, 1},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/standin/connections.go
+++ b/standin/connections.go
@@ -12,7 +12,7 @@
 type connections struct {
 	mu       sync.Mutex // guards the fields below
 	disabled bool
-	broken   chan struct{} // closed to drop the currently open connections
+	broken   chan struct{} // closed to drop the connections of the calls in progress
 	frozen   chan struct{} // nil unless frozen; closed by thaw
 }
 
@@ -85,7 +85,7 @@
 	}
 }
 
-// withFaults runs next while the stand-in is reachable. It drops a connection by
+// withFaults runs next unless the stand-in is disabled. It drops a connection by
 // panic(http.ErrAbortHandler), so that the caller sees a broken connection and no
 // response. A call that arrives while the stand-in is frozen runs after the thaw
 // even if its caller has disconnected, as in a paused process whose socket buffer
--- a/standin/control.go
+++ b/standin/control.go
@@ -31,6 +31,7 @@
 	return json.NewDecoder(io.LimitReader(r.Body, maxBodyBytes)).Decode(into)
 }
 
+// readJSON decodes the body of r; on failure it answers 400 and returns false.
 func readJSON(w http.ResponseWriter, r *http.Request, into any) bool {
 	if err := decodeBody(r, into); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	defaultCapacity    = 16
-	defaultMaxQueue    = 256
+	defaultCapacity    = 16  // requests
+	defaultMaxQueue    = 256 // requests
 	defaultCacheBlocks = 4096
 )
 
@@ -32,7 +32,7 @@
 	LoadLag         time.Duration // age of load reports
 	CheckFence      bool          // refuse orders with an old fencing number
 	StopAfter       int           // tokens after which a generation finishes with FinishStop; 0 means never
-	PoisonAfter     int           // tokens that a poisoned request gets before it crashes the engine
+	PoisonAfter     int           // tokens that a poisoned request (POISON in its prompt) gets before it crashes the engine
 	OnCrash         func()        // called after a poisoned request has killed the engine; may Revive it
 }
 
@@ -56,8 +56,8 @@
 	mux   *http.ServeMux
 	conns *connections
 
-	mu         sync.Mutex // guards the fields below
-	scheduling bool
+	mu         sync.Mutex    // guards the fields below
+	scheduling bool          // a goroutine runs schedule
 	held       chan struct{} // nil unless held; closed by Release
 	slowdown   float64       // factor on the duration of a step
 	queue      []*job
@@ -66,7 +66,7 @@
 	load       history[engineapi.LoadReport]
 	counters   Counters
 	loaded     []engine.Loaded
-	fence      uint64
+	fence      uint64 // largest fencing number of the orders so far
 }
 
 // NewEngine returns an idle engine.
@@ -91,7 +91,8 @@
 	return value
 }
 
-// reset clears the engine's in-memory state.
+// reset clears the prefix cache, the queue, the batch and the load history. Loaded
+// models and the largest fencing number are kept.
 func (e *Engine) reset() {
 	e.cache = newPrefixCache(e.opts.CacheBlocks, e.opts.CacheEventDelay, e.opts.CacheEventLoss)
 	e.queue, e.running = nil, nil
@@ -99,7 +100,8 @@
 	e.recordLoad()
 }
 
-// Kill drops every connection and refuses new ones until Revive.
+// Kill drops the connections of all calls in progress, and that of each new call until
+// Revive. A caller gets engine.ErrConnectionLost, since it could connect.
 func (e *Engine) Kill() {
 	e.conns.disable()
 	e.mu.Lock()
@@ -116,7 +118,8 @@
 	}
 }
 
-// Revive restarts a killed engine with an empty prefix cache.
+// Revive lets a killed engine accept calls again. Its prefix cache is empty; its loaded
+// models are kept.
 func (e *Engine) Revive() { e.conns.enable() }
 
 // Freeze stops everything, including health checks, and leaves connections open.
@@ -154,7 +157,7 @@
 	}
 }
 
-// Cut drops every open connection; the engine itself keeps running.
+// Cut drops the connections of all calls in progress; the engine itself keeps running.
 func (e *Engine) Cut() { e.conns.cut() }
 
 // SetSlowdown sets the factor by which the duration of every step is multiplied.
@@ -196,6 +199,7 @@
 	}
 	e.fence = max(e.fence, order.Fence)
 	e.counters.Orders++
+	// A new version replaces the old one, and a new role any other role.
 	e.loaded = slices.DeleteFunc(e.loaded, func(l engine.Loaded) bool {
 		return l.Name == order.Name || order.Kind == engine.OrderRole && l.Kind == engine.OrderRole
 	})
--- a/standin/engine_http.go
+++ b/standin/engine_http.go
@@ -14,13 +14,13 @@
 )
 
 // EngineFaults is the body of POST /faults on an engine. Absent fields change
-// nothing. Kill crashes the engine as a poisoned request does.
+// nothing.
 type EngineFaults struct {
-	Freeze *bool    `json:"freeze,omitempty"`
-	Hold   *bool    `json:"hold,omitempty"` // see Engine.Hold
-	Slow   *float64 `json:"slow,omitempty"`
-	Cut    bool     `json:"cut,omitempty"`
-	Kill   bool     `json:"kill,omitempty"`
+	Freeze *bool    `json:"freeze,omitempty"` // Engine.Freeze or Engine.Thaw
+	Hold   *bool    `json:"hold,omitempty"`   // Engine.Hold or Engine.Release
+	Slow   *float64 `json:"slow,omitempty"`   // Engine.SetSlowdown
+	Cut    bool     `json:"cut,omitempty"`    // Engine.Cut
+	Kill   bool     `json:"kill,omitempty"`   // Engine.Crash, as by a poisoned request
 }
 
 // Apply sets the faults.
@@ -29,7 +29,7 @@
 		e.SetSlowdown(*f.Slow)
 	}
 	if f.Hold != nil {
-		e.hold(*f.Hold)
+		e.setHold(*f.Hold)
 	}
 	e.conns.apply(f.Freeze, f.Cut)
 	if f.Kill {
@@ -37,7 +37,7 @@
 	}
 }
 
-func (e *Engine) hold(held bool) {
+func (e *Engine) setHold(held bool) {
 	if held {
 		e.Hold()
 		return
--- a/standin/engine_test.go
+++ b/standin/engine_test.go
@@ -52,15 +52,16 @@
 	return out
 }
 
-// endless is a generation length that no test waits for.
-const endless = 1 << 20
+// endlessTokens is a generation length that no test waits for.
+const endlessTokens = 1 << 20
 
-// begin starts a generation that runs until it is cancelled or interrupted.
-func begin(t *testing.T, c *engineapi.Client, got *collector, prompt string) (end context.CancelFunc, done chan error) {
-	return beginWith(t, c, got, engine.Request{Prompt: prompt, MaxTokens: endless})
+// startGeneration starts a generation that runs until it is cancelled or interrupted.
+// done receives the result of Generate.
+func startGeneration(t *testing.T, c *engineapi.Client, got *collector, prompt string) (cancel context.CancelFunc, done chan error) {
+	return startRequest(t, c, got, engine.Request{Prompt: prompt, MaxTokens: endlessTokens})
 }
 
-func beginWith(t *testing.T, c *engineapi.Client, got *collector, request engine.Request) (end context.CancelFunc, done chan error) {
+func startRequest(t *testing.T, c *engineapi.Client, got *collector, request engine.Request) (cancel context.CancelFunc, done chan error) {
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
 	done = make(chan error, 1)
@@ -71,7 +72,7 @@
 	return cancel, done
 }
 
-func TestAnswerIsWholeAcrossResume(t *testing.T) {
+func TestAnswerIsCompleteAcrossResume(t *testing.T) {
 	g := NewWithT(t)
 	e, c := startEngine(t, standin.EngineOptions{})
 	var got collector
@@ -99,16 +100,16 @@
 	g.Expect(got.tokens).To(HaveLen(5))
 }
 
-func TestPoisonKillsAllInBatch(t *testing.T) {
+func TestPoisonedRequestBreaksWholeBatch(t *testing.T) {
 	// A poisoned request crashes the engine while it also runs another request.
 	// Both streams break without a finish line, and the engine accepts nothing
 	// until Revive.
 	g := NewWithT(t)
 	e, c := startEngine(t, standin.EngineOptions{StepBase: time.Millisecond, PoisonAfter: 3})
 	var neighbour, poisoned collector
-	_, done := begin(t, c, &neighbour, prompt)
+	_, done := startGeneration(t, c, &neighbour, prompt)
 	g.Eventually(neighbour.count).Should(BeNumerically(">", 0))
-	_, crashed := begin(t, c, &poisoned, "POISON "+prompt)
+	_, crashed := startGeneration(t, c, &poisoned, "POISON "+prompt)
 	g.Eventually(crashed, "5s").Should(Receive(MatchError(engine.ErrConnectionLost)))
 	g.Eventually(done, "5s").Should(Receive(MatchError(engine.ErrConnectionLost)))
 	g.Expect(poisoned.count()).To(BeNumerically("<=", 3))
@@ -117,19 +118,19 @@
 	g.Expect(c.Healthy(t.Context())).To(Succeed())
 }
 
-func TestFreezeHoldsAndCutBreaks(t *testing.T) {
+func TestFreezePausesAndCutBreaks(t *testing.T) {
 	// A frozen engine keeps its connections open, sends nothing and continues
 	// where it stopped after the thaw. A cut connection ends the stream.
 	g := NewWithT(t)
 	e, c := startEngine(t, standin.EngineOptions{StepBase: time.Millisecond})
 	var got collector
-	_, done := begin(t, c, &got, prompt)
+	_, done := startGeneration(t, c, &got, prompt)
 	g.Eventually(got.count).Should(BeNumerically(">", 2))
 	e.Freeze()
-	held := got.count() + 3 // one step may be in progress, and its tokens in transit
-	g.Consistently(got.count, "50ms").Should(BeNumerically("<=", held))
+	limit := got.count() + 3 // one step may be in progress, and its tokens in transit
+	g.Consistently(got.count, "50ms").Should(BeNumerically("<=", limit))
 	e.Thaw()
-	g.Eventually(got.count).Should(BeNumerically(">", held))
+	g.Eventually(got.count).Should(BeNumerically(">", limit))
 	e.Cut()
 	g.Eventually(done, "5s").Should(Receive(MatchError(engine.ErrConnectionLost)))
 	g.Expect(c.Healthy(t.Context())).To(Succeed())
@@ -140,31 +141,33 @@
 	g := NewWithT(t)
 	e, c := startEngine(t, standin.EngineOptions{StepBase: time.Millisecond, Capacity: 1})
 	var got collector
-	end, done := begin(t, c, &got, prompt)
+	cancel, done := startGeneration(t, c, &got, prompt)
 	g.Eventually(got.count).Should(BeNumerically(">", 0))
-	end()
+	cancel()
 	g.Eventually(done).Should(Receive(MatchError(context.Canceled)))
 	g.Eventually(func() int { return e.Counters().Running }).Should(BeZero())
 	g.Expect(e.Counters().Cancelled).To(BeEquivalentTo(1))
 }
 
 func TestPriorityAndFullQueue(t *testing.T) {
+	// The batch holds one request and the queue two. A third waiting request is
+	// refused, and the one of higher priority runs before the one that came first.
 	g := NewWithT(t)
 	e, c := startEngine(t, standin.EngineOptions{StepBase: time.Millisecond, Capacity: 1, MaxQueue: 2})
 	var running collector
-	end, _ := begin(t, c, &running, prompt)
+	cancelRunning, _ := startGeneration(t, c, &running, prompt)
 	g.Eventually(running.count).Should(BeNumerically(">", 0))
 	var low, high collector
-	_, _ = beginWith(t, c, &low, engine.Request{Prompt: prompt, MaxTokens: endless})
+	_, _ = startRequest(t, c, &low, engine.Request{Prompt: prompt, MaxTokens: endlessTokens})
 	g.Eventually(func() int { return e.Counters().Queued }).Should(Equal(1))
-	endHigh, _ := beginWith(t, c, &high, engine.Request{Prompt: prompt, MaxTokens: endless, Priority: 7})
+	cancelHigh, _ := startRequest(t, c, &high, engine.Request{Prompt: prompt, MaxTokens: endlessTokens, Priority: 7})
 	g.Eventually(func() int { return e.Counters().Queued }).Should(Equal(2))
 	_, err := c.Generate(t.Context(), engine.Request{Prompt: prompt, MaxTokens: 1}, running.emit)
 	g.Expect(err).To(MatchError(engine.ErrRefused))
-	end()
+	cancelRunning()
 	g.Eventually(high.count).Should(BeNumerically(">", 0))
 	g.Expect(low.count()).To(BeZero())
-	endHigh()
+	cancelHigh()
 	g.Eventually(low.count).Should(BeNumerically(">", 0))
 }
 
@@ -192,7 +195,9 @@
 	g.Expect(load.CachedTokens).To(BeNumerically(">", 0))
 }
 
-func TestFence(t *testing.T) {
+func TestOrderWithOldFence(t *testing.T) {
+	// An order arrives after one with a higher fencing number. An engine that checks them
+	// refuses it; one that doesn't check applies it and counts it.
 	g := NewWithT(t)
 	for _, checks := range []bool{true, false} {
 		e, c := startEngine(t, standin.EngineOptions{CheckFence: checks, Models: []string{"a"}})
--- a/standin/history.go
+++ b/standin/history.go
@@ -9,6 +9,7 @@
 	entries   []sample[T]
 }
 
+// sample is a value and the time from which on it applies.
 type sample[T any] struct {
 	at    time.Time
 	value T
--- a/standin/plain.go
+++ b/standin/plain.go
@@ -18,18 +18,18 @@
 
 // PlainOptions configures a stand-in plain service.
 type PlainOptions struct {
-	Latency time.Duration // before a call takes effect
+	Latency time.Duration // delay before a call takes effect
 }
 
 // PlainFaults is the body of POST /faults on a plain service. Absent fields
 // change nothing.
 type PlainFaults struct {
 	Down        *bool `json:"down,omitempty"`         // answer 503 without effect
-	LatencyMS   *int  `json:"latency_ms,omitempty"`   // before a call takes effect
+	LatencyMS   *int  `json:"latency_ms,omitempty"`   // delay before a call takes effect
 	LoseCalls   *int  `json:"lose_calls,omitempty"`   // how many calls to drop before any effect
 	LoseAnswers *int  `json:"lose_answers,omitempty"` // how many answers to drop after the effect
 	Freeze      *bool `json:"freeze,omitempty"`
-	Cut         bool  `json:"cut,omitempty"` // drop every open connection
+	Cut         bool  `json:"cut,omitempty"` // drop the connections of all calls in progress
 }
 
 // PlainCounts is the body of GET /counts.
@@ -75,10 +75,11 @@
 // ServeHTTP implements http.Handler.
 func (p *Plain) ServeHTTP(w http.ResponseWriter, r *http.Request) { p.mux.ServeHTTP(w, r) }
 
-// Kill drops every connection and refuses new ones until Revive.
+// Kill drops the connections of all calls in progress, and that of each new call until
+// Revive.
 func (p *Plain) Kill() { p.conns.disable() }
 
-// Revive restarts a killed service; its counts are kept.
+// Revive lets a killed service accept calls again; its counts are kept.
 func (p *Plain) Revive() { p.conns.enable() }
 
 // Counts returns how many calls took effect so far.
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -13,11 +13,13 @@
 )
 
 const (
-	defaultWrites      = 500
-	defaultReads       = 2000
-	defaultWeightReads = 20
-	minBurst           = 100
-	burstsPerSecond    = 4 // a limiter's burst is its rate divided by this
+	defaultWritesPerSecond      = 500
+	defaultReadsPerSecond       = 2000
+	defaultWeightReadsPerSecond = 20
+	// A limiter's burst is its rate divided by burstDivisor, but at least minBurst. A
+	// transaction of more writes than the burst is always throttled.
+	burstDivisor = 4
+	minBurst     = 100
 )
 
 // PlatformOptions configures a stand-in platform.
@@ -41,7 +43,7 @@
 	SlowMS      *int  `json:"slow_ms,omitempty"`      // delay before a call takes effect, even if its caller has disconnected
 	LoseCalls   *int  `json:"lose_calls,omitempty"`   // how many calls to drop before any effect
 	LoseAnswers *int  `json:"lose_answers,omitempty"` // how many answers to drop after the effect; for table and objects only answers to writes
-	StaleMS     *int  `json:"stale_ms,omitempty"`     // reads return the state of that long ago, at most 30 s
+	StaleMS     *int  `json:"stale_ms,omitempty"`     // reads return the state of that long ago, at most 30 s; table and VM list only
 }
 
 // PlatformFaults is the body of POST /faults on a platform.
@@ -50,18 +52,18 @@
 	Objects ServiceFaults `json:"objects"`
 	VMs     ServiceFaults `json:"vms"`
 	Weights ServiceFaults `json:"weights"`
-	Lacking []Artefact    `json:"lacking,omitempty"` // removed from the weight store
+	Lacking []Artefact    `json:"lacking,omitempty"` // removed from the weight store for good
 	Freeze  *bool         `json:"freeze,omitempty"`  // all services
-	Cut     bool          `json:"cut,omitempty"`     // drop every open connection
+	Cut     bool          `json:"cut,omitempty"`     // drop the connections of all calls in progress
 }
 
 // PlatformCounters is the body of GET /dump.
 type PlatformCounters struct {
-	Reads     int `json:"reads"`
-	Writes    int `json:"writes"` // rows and objects
-	Conflicts int `json:"conflicts"`
-	Throttled int `json:"throttled"`
-	Lost      int `json:"lost"` // answers dropped after the effect
+	Reads     int `json:"reads"`     // of table and object store
+	Writes    int `json:"writes"`    // rows and objects
+	Conflicts int `json:"conflicts"` // commits with a failed condition
+	Throttled int `json:"throttled"` // calls over the rate limit
+	Lost      int `json:"lost"`      // answers dropped after the effect
 }
 
 // Platform is a stand-in for the platform's table service, object store, VM list
@@ -80,14 +82,14 @@
 	objects  map[string][]byte
 	vms      history[[]backing.VM]
 	counters PlatformCounters
-	missing  []Artefact
+	missing  []Artefact // removed from the weight store by a fault
 }
 
 // NewPlatform returns an empty platform.
 func NewPlatform(opts PlatformOptions) *Platform {
-	opts.Writes = orDefault(opts.Writes, defaultWrites)
-	opts.Reads = orDefault(opts.Reads, defaultReads)
-	opts.WeightReads = orDefault(opts.WeightReads, defaultWeightReads)
+	opts.Writes = orDefault(opts.Writes, defaultWritesPerSecond)
+	opts.Reads = orDefault(opts.Reads, defaultReadsPerSecond)
+	opts.WeightReads = orDefault(opts.WeightReads, defaultWeightReadsPerSecond)
 	p := &Platform{
 		opts:        opts,
 		conns:       newConnections(),
@@ -107,13 +109,14 @@
 }
 
 func newLimiter(perSecond int) *rate.Limiter {
-	return rate.NewLimiter(rate.Limit(perSecond), max(perSecond/burstsPerSecond, minBurst))
+	return rate.NewLimiter(rate.Limit(perSecond), max(perSecond/burstDivisor, minBurst))
 }
 
-// Kill drops every connection and refuses new ones until Revive.
+// Kill drops the connections of all calls in progress, and that of each new call until
+// Revive.
 func (p *Platform) Kill() { p.conns.disable() }
 
-// Revive restarts a killed platform; its data is kept.
+// Revive lets a killed platform accept calls again; its data is kept.
 func (p *Platform) Revive() { p.conns.enable() }
 
 // Apply sets the faults.
--- a/standin/platform_http.go
+++ b/standin/platform_http.go
@@ -13,7 +13,7 @@
 	platformapi "github.com/pearyard/pearyard/backing/httpapi"
 )
 
-const pathSetVMs = "/vms"
+const pathVMList = "/vms"
 
 // serviceID numbers the platform's services.
 type serviceID int
@@ -99,7 +99,7 @@
 	api.HandleFunc("GET "+platformapi.PathVMs, p.withServiceFaults(vmService, p.serveVMs))
 	api.HandleFunc("GET "+platformapi.PathWeights, p.withServiceFaults(weightService, p.serveWeights))
 	mux := withControl(p.conns.withFaults(api), p.Apply, func() any { return p.Counters() })
-	mux.HandleFunc("PUT "+pathSetVMs, p.serveSetVMs)
+	mux.HandleFunc("PUT "+pathVMList, p.serveSetVMs)
 	return mux
 }
 
@@ -129,7 +129,8 @@
 	}
 }
 
-// allowed takes n tokens from a rate limiter and counts a refusal.
+// allowed takes n tokens from a rate limiter. If the limiter has too few, it counts a
+// throttled call and returns false.
 func (p *Platform) allowed(limiter *rate.Limiter, n int) bool {
 	if limiter.AllowN(time.Now(), n) {
 		return true
--- a/standin/prefix_cache.go
+++ b/standin/prefix_cache.go
@@ -15,15 +15,15 @@
 
 // prefixCache is an LRU cache of prompt blocks. The engine's mutex guards it.
 type prefixCache struct {
-	blocks   *simplelru.LRU[uint64, struct{}]
-	delay    time.Duration
-	lossRate float64
-	sequence uint64
-	events   []sample[engine.CacheEvent]
+	blocks        *simplelru.LRU[uint64, struct{}]
+	eventDelay    time.Duration
+	eventLossRate float64
+	sequence      uint64
+	events        []sample[engine.CacheEvent]
 }
 
 func newPrefixCache(size int, delay time.Duration, loss float64) *prefixCache {
-	c := &prefixCache{delay: delay, lossRate: loss}
+	c := &prefixCache{eventDelay: delay, eventLossRate: loss}
 	c.blocks, _ = simplelru.NewLRU[uint64, struct{}](max(size, 1), func(block uint64, _ struct{}) {
 		c.publish(engine.CacheEvent{Block: block, Evicted: true})
 	})
@@ -49,26 +49,26 @@
 	return prefix.Tokens - cached*engine.BlockTokens
 }
 
-// publish numbers and retains an event. It drops a fraction lossRate of the
+// publish numbers and retains an event. It drops a fraction eventLossRate of the
 // events, which readers see as gaps in the numbers.
 func (c *prefixCache) publish(event engine.CacheEvent) {
 	c.sequence++
 	event.Sequence = c.sequence
-	if c.lossRate > 0 && rand.Float64() < c.lossRate {
+	if c.eventLossRate > 0 && rand.Float64() < c.eventLossRate {
 		return
 	}
-	if len(c.events) == maxCacheEvents {
+	if len(c.events) == maxCacheEvents { // drops the older half
 		c.events = append(c.events[:0], c.events[maxCacheEvents/2:]...)
 	}
 	c.events = append(c.events, sample[engine.CacheEvent]{time.Now(), event})
 }
 
-// since returns the events after a sequence number that are older than the delay.
+// since returns the events after a sequence number that are older than eventDelay.
 func (c *prefixCache) since(sequence uint64, now time.Time) []engine.CacheEvent {
 	out := []engine.CacheEvent{}
 	start := sort.Search(len(c.events), func(i int) bool { return c.events[i].value.Sequence > sequence })
 	for _, e := range c.events[start:] {
-		if e.at.Add(c.delay).After(now) {
+		if e.at.Add(c.eventDelay).After(now) {
 			break
 		}
 		out = append(out, e.value)
--- a/standin/scheduler.go
+++ b/standin/scheduler.go
@@ -21,7 +21,7 @@
 	state      chain
 	firstToken bool // the next token is the first of its generation
 	poisoned   bool
-	produced   int
+	produced   int           // tokens, without those of the request's Emitted
 	result     engine.Result // Finish is set once the job has ended
 	ready      chan struct{} // holds one signal: pending or result changed
 
@@ -51,6 +51,7 @@
 	return tokens, j.ended
 }
 
+// deliver passes tokens to the goroutine that writes the response.
 func (j *job) deliver(ended bool, tokens ...types.Token) {
 	j.mu.Lock()
 	j.pending = append(j.pending, tokens...)
--- a/standin/table.go
+++ b/standin/table.go
@@ -9,7 +9,8 @@
 	"github.com/pearyard/pearyard/backing"
 )
 
-// maxStale is the greatest staleness of a read.
+// maxStale is how far back a read can go; a read of an earlier time gets the oldest
+// retained revision.
 const maxStale = 30 * time.Second
 
 // table is a transactional table. All versions come from one counter, so that a
@@ -22,7 +23,7 @@
 
 func newTable() *table { return &table{rows: map[string]*history[*backing.Row]{}} }
 
-// get returns the row as it was at the given staleness ago, nil if it was absent.
+// get returns the row as it was the duration stale ago, nil if it was absent.
 func (t *table) get(key string, stale time.Duration) *backing.Row {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -37,7 +38,8 @@
 	return past.asOf(at)
 }
 
-// list returns up to limit rows under a prefix, ordered by key.
+// list returns the rows under a prefix as they were the duration stale ago, ordered by
+// key: up to limit, or all if limit is 0.
 func (t *table) list(prefix string, limit int, stale time.Duration) []backing.Row {
 	t.mu.Lock()
 	defer t.mu.Unlock()
