--- a/standin/nursery/cached_prompts.go
+++ b/standin/nursery/cached_prompts.go
@@ -6,9 +6,9 @@
 	"strings"
 )
 
-// cachePrompt records that the engine has prefilled a prompt, so that a request
-// with the same prompt needs no prefill. Prompts stay cached until the server
-// restarts.
+// cachePrompt records that the engine has prefilled a prompt, given by its parts, so
+// that a request with the same prompt needs no prefill. Prompts stay cached until the
+// server restarts.
 func (e *engine) cachePrompt(prompt string) {
 	if prompt == "" {
 		return
@@ -24,20 +24,21 @@
 	return e.cachedPrompts[prompt]
 }
 
-// promptBlocks returns the block list from a request's Prefix-Hash header, "" if
-// there is none.
-func promptBlocks(r *http.Request) string { return r.Header.Get("Prefix-Hash") }
+// promptParts returns the parts of a request's prompt as its Prefix-Hash header lists
+// them, "" if there is none: "id:tokens,id:tokens".
+func promptParts(r *http.Request) string { return r.Header.Get("Prefix-Hash") }
 
-// serveCachedPrompts lists the blocks of all cached prompts.
+// serveCachedPrompts lists the parts of all cached prompts. An entry is the array
+// ["", id, tokens, model].
 func (e *engine) serveCachedPrompts(w http.ResponseWriter, _ *http.Request) {
-	held := [][]any{}
+	entries := [][]any{}
 	e.mu.Lock()
 	for prompt := range e.cachedPrompts {
-		for piece := range strings.SplitSeq(prompt, ",") {
-			id, tokens, _ := strings.Cut(piece, ":")
-			held = append(held, []any{"", id, json.Number(tokens), "m"})
+		for part := range strings.SplitSeq(prompt, ",") {
+			id, tokens, _ := strings.Cut(part, ":")
+			entries = append(entries, []any{"", id, json.Number(tokens), "m"})
 		}
 	}
 	e.mu.Unlock()
-	_ = json.NewEncoder(w).Encode(map[string]any{"epoch": "1", "next": 1, "held": held})
+	_ = json.NewEncoder(w).Encode(map[string]any{"epoch": "1", "next": 1, "held": entries})
 }
--- a/standin/nursery/engine.go
+++ b/standin/nursery/engine.go
@@ -17,7 +17,7 @@
 	// meanwhile.
 	MinPrefill, MaxPrefill time.Duration
 	// Memory is the space for prompts, events and KV copies, in tokens; 0 means
-	// unlimited. A request that doesn't fit is refused. When running streams
+	// unlimited. A request that doesn't fit is refused. When running requests
 	// outgrow the memory, the newest is preempted.
 	Memory int
 }
@@ -35,14 +35,14 @@
 type engine struct {
 	prefillSlot chan struct{} // semaphore of size 1, held during a prefill
 
-	mu            sync.Mutex
-	cachedPrompts map[string]bool // by the prompt's block list
+	mu            sync.Mutex      // guards the fields below
+	cachedPrompts map[string]bool // by the parts of the prompt, see promptParts
 	limits        EngineLimits
-	used          int           // memory in use, in tokens
-	running       []*allocation // streams that hold memory, the newest last
-	waiting       int           // preempted streams
-	changed       chan struct{}
-	prefillEnd    time.Time // streams are paused until then
+	used          int           // memory in use by requests and KV copies, in tokens
+	running       []*allocation // of requests that hold memory, the newest last
+	waiting       int           // preempted requests
+	changed       chan struct{} // closed and replaced when memory is freed or the limits change
+	prefillEnd    time.Time     // streams are paused until then
 }
 
 // allocation is the engine memory that a request holds.
@@ -59,52 +59,52 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.limits = limits
-	e.changedLocked()
+	e.notifyChangedLocked()
 }
 
-func (e *engine) changedLocked() {
+func (e *engine) notifyChangedLocked() {
 	close(e.changed)
 	e.changed = make(chan struct{})
 }
 
-func (e *engine) fits(tokens int) bool {
+func (e *engine) fitsLocked(tokens int) bool {
 	return e.limits.Memory <= 0 || e.used+tokens <= e.limits.Memory
 }
 
 // admit allocates memory for a request; it returns false if the engine is full.
-// A request that resumes from a KV copy takes precedence over preempted streams;
-// any other request is refused while a preempted stream waits.
+// A request that resumes from a KV copy takes precedence over preempted requests;
+// any other request is refused while a preempted one waits.
 func (e *engine) admit(tokens int, fromCopy bool) (*allocation, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.fits(tokens) || (e.waiting > 0 && !fromCopy) {
+	if !e.fitsLocked(tokens) || (e.waiting > 0 && !fromCopy) {
 		return nil, false
 	}
-	r := &allocation{tokens: tokens}
-	e.addLocked(r)
-	return r, true
+	a := &allocation{tokens: tokens}
+	e.addLocked(a)
+	return a, true
 }
 
-func (e *engine) addLocked(r *allocation) {
-	e.used += r.tokens
-	e.running = append(e.running, r)
+func (e *engine) addLocked(a *allocation) {
+	e.used += a.tokens
+	e.running = append(e.running, a)
 }
 
 // release frees a request's memory.
-func (e *engine) release(r *allocation) {
+func (e *engine) release(a *allocation) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if r.preempted {
+	if a.preempted {
 		e.waiting--
 	} else {
-		e.removeLocked(r)
+		e.removeLocked(a)
 	}
-	e.changedLocked()
+	e.notifyChangedLocked()
 }
 
-func (e *engine) removeLocked(r *allocation) {
-	e.used -= r.tokens
-	e.running = slices.DeleteFunc(e.running, func(x *allocation) bool { return x == r })
+func (e *engine) removeLocked(a *allocation) {
+	e.used -= a.tokens
+	e.running = slices.DeleteFunc(e.running, func(x *allocation) bool { return x == a })
 }
 
 // reserveCopy allocates memory for a KV copy. free releases it; it is nil if the
@@ -115,7 +115,7 @@
 	if e.limits.Memory <= 0 {
 		return nil, true
 	}
-	if !e.fits(tokens) {
+	if !e.fitsLocked(tokens) {
 		return nil, false
 	}
 	e.used += tokens
@@ -123,24 +123,24 @@
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		e.used -= tokens
-		e.changedLocked()
+		e.notifyChangedLocked()
 	}), true
 }
 
 // step blocks until a stream may produce its next event: until a preempted
 // stream has memory again and no prefill is running. It returns false if the
 // caller disconnected.
-func (e *engine) step(ctx context.Context, r *allocation, request string) bool {
+func (e *engine) step(ctx context.Context, a *allocation, request string) bool {
 	for {
 		e.mu.Lock()
-		preempted, pause := r.preempted, time.Until(e.prefillEnd)
+		preempted, pause := a.preempted, time.Until(e.prefillEnd)
 		if !preempted && pause <= 0 {
-			e.growLocked(r)
+			e.growLocked(a)
 			e.mu.Unlock()
 			return true
 		}
 		e.mu.Unlock()
-		if preempted && !e.readmit(ctx, r, request) {
+		if preempted && !e.readmit(ctx, a, request) {
 			return false
 		}
 		if !preempted && !sleep(ctx, pause) {
@@ -151,10 +151,10 @@
 
 // growLocked adds the memory of one event. It preempts the newest streams until
 // the rest fits again; one stream always keeps running.
-func (e *engine) growLocked(r *allocation) {
-	r.tokens += eventTokens
+func (e *engine) growLocked(a *allocation) {
+	a.tokens += eventTokens
 	e.used += eventTokens
-	for !e.fits(0) && len(e.running) > 1 {
+	for !e.fitsLocked(0) && len(e.running) > 1 {
 		newest := e.running[len(e.running)-1]
 		e.removeLocked(newest)
 		newest.preempted = true
@@ -164,17 +164,17 @@
 
 // readmit waits until a preempted stream has memory again and then prefills it
 // again. It returns false if the caller disconnected.
-func (e *engine) readmit(ctx context.Context, r *allocation, request string) bool {
+func (e *engine) readmit(ctx context.Context, a *allocation, request string) bool {
 	for {
 		e.mu.Lock()
 		changed := e.changed
 		// Copies alone never block a stream. Otherwise two engines, each full of
 		// the other's copies, would wait for each other forever.
-		fits := e.fits(r.tokens) || len(e.running) == 0
+		fits := e.fitsLocked(a.tokens) || len(e.running) == 0
 		if fits {
 			e.waiting--
-			r.preempted = false
-			e.addLocked(r)
+			a.preempted = false
+			e.addLocked(a)
 		}
 		e.mu.Unlock()
 		if fits {
@@ -220,8 +220,8 @@
 	e.prefillEnd = end
 }
 
-// prefillTime derives the prefill time from the request, so that each prefill of
-// the same request takes the same time.
+// prefillTime derives the prefill time from the request's Attempt-Id, so that each
+// prefill of the same request takes the same time.
 func (limits EngineLimits) prefillTime(request string) time.Duration {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(request))
--- a/standin/nursery/engine_test.go
+++ b/standin/nursery/engine_test.go
@@ -30,15 +30,17 @@
 	return NewCloud(store)
 }
 
-// slowGap makes a stream last two seconds.
-const slowGap = 50 * time.Millisecond
+// slowEventGap makes a stream of 40 events last two seconds.
+const slowEventGap = 50 * time.Millisecond
 
 // outcome is what a stream's caller observed.
 type outcome struct {
 	status, events int
-	longest        time.Duration // longest gap between two events
+	longestGap     time.Duration // longest gap between two events
 }
 
+// stream sends a request for a stream and reads it to its end. headers are pairs of
+// name and value.
 func stream(t *testing.T, s *Server, id string, headers ...string) outcome {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+s.Address+"/stream/"+id, http.NoBody)
@@ -64,7 +66,7 @@
 			continue
 		}
 		if now := time.Now(); !last.IsZero() {
-			got.longest = max(got.longest, now.Sub(last))
+			got.longestGap = max(got.longestGap, now.Sub(last))
 		}
 		last = time.Now()
 		got.events++
@@ -80,31 +82,32 @@
 
 // Guards against a stand-in whose prefills don't delay other streams: the soak
 // test could then not detect wrong reactions to pauses of a healthy engine.
-func TestPromptHoldsUpTheStreamsBesideIt(t *testing.T) {
+func TestPrefillPausesOtherStreams(t *testing.T) {
 	t.Parallel()
 	g := gomega.NewWithT(t)
 	cloud := newCloud(t)
 	s := startLimited(t, cloud, EngineLimits{MinPrefill: 500 * time.Millisecond, MaxPrefill: 500 * time.Millisecond})
-	s.EventGap.Store(int64(slowGap))
+	s.EventGap.Store(int64(slowEventGap))
 	first := make(chan outcome, 1)
 	go func() { first <- stream(t, s, "first") }()
 	awaitRuns(t, cloud, 1)
-	time.Sleep(700 * time.Millisecond) // its own prefill is over; it produces events for two seconds
+	time.Sleep(700 * time.Millisecond) // its own prefill, 80 + 500 ms, is over; it produces events for two seconds
 	g.Expect(stream(t, s, "second").events).To(gomega.Equal(Events))
 	got := <-first
 	g.Expect(got.events).To(gomega.Equal(Events))
-	g.Expect(got.longest).To(gomega.BeNumerically(">=", 450*time.Millisecond))
+	g.Expect(got.longestGap).To(gomega.BeNumerically(">=", 450*time.Millisecond))
 }
 
 // A full engine refuses requests. It also refuses to hold a KV copy of a run on
-// another server, so that the run can't be resumed there.
+// another server, so that the run can't be resumed there. A request takes 1000 tokens
+// for its prompt and 200 for 40 events, so that the memory has room for one.
 func TestFullEngineRefuses(t *testing.T) {
 	t.Parallel()
 	g := gomega.NewWithT(t)
 	cloud := newCloud(t)
 	full, source := startLimited(t, cloud, EngineLimits{Memory: 1300}), startLimited(t, cloud, EngineLimits{})
-	full.EventGap.Store(int64(slowGap))
-	source.EventGap.Store(int64(slowGap))
+	full.EventGap.Store(int64(slowEventGap))
+	source.EventGap.Store(int64(slowEventGap))
 	running := make(chan outcome, 1)
 	go func() { running <- stream(t, full, "running") }()
 	awaitRuns(t, cloud, 1)
@@ -130,9 +133,10 @@
 	g.Expect(stream(t, full, "last").events).To(gomega.Equal(Events))
 }
 
-// Two streams outgrow an engine's memory. The newest is preempted, is prefilled
-// again when the other has ended, and still delivers every event.
-func TestNewestStreamIsPreemptedAndGoesOn(t *testing.T) {
+// Two streams outgrow an engine's memory, since they take 2000 tokens at their start
+// and 2400 at their end. The newest is preempted, is prefilled again when the other has
+// ended, and still delivers every event.
+func TestNewestStreamIsPreemptedAndCompletes(t *testing.T) {
 	t.Parallel()
 	g := gomega.NewWithT(t)
 	cloud := newCloud(t)
@@ -143,16 +147,16 @@
 	}
 	a, b := <-ends, <-ends
 	g.Expect([]int{a.events, b.events}).To(gomega.Equal([]int{Events, Events}))
-	g.Expect(a.longest).To(gomega.BeNumerically("<", b.longest))
-	g.Expect(b.longest).To(gomega.BeNumerically(">", defaultPrefill+100*time.Millisecond))
+	g.Expect(a.longestGap).To(gomega.BeNumerically("<", b.longestGap))
+	g.Expect(b.longestGap).To(gomega.BeNumerically(">", defaultPrefill+100*time.Millisecond))
 }
 
 // A request's memory is freed when its caller disconnects, also while the request
 // is preempted and waits for memory.
-func TestLeavingGivesMemoryBack(t *testing.T) {
+func TestDisconnectFreesMemory(t *testing.T) {
 	t.Parallel()
 	g := gomega.NewWithT(t)
-	e := newEngine(EngineLimits{Memory: 2010})
+	e := newEngine(EngineLimits{Memory: 2010}) // two prompts and two events; the third event preempts b
 	a, _ := e.admit(1000, false)
 	b, _ := e.admit(1000, false)
 	for range 3 {
--- a/standin/nursery/restart_test.go
+++ b/standin/nursery/restart_test.go
@@ -9,13 +9,13 @@
 	"github.com/pkg/errors"
 )
 
-// maxStarts bounds how many servers are started until one has a port that is free on
+// maxServers bounds how many servers are started until one has a port that is free on
 // the callers' address.
-const maxStarts = 20
+const maxServers = 20
 
 // Guards against a server that can't restart because a call made while it was down uses
 // its port as the call's local port.
-func TestServerStartsAgainThoughACallHasItsPort(t *testing.T) {
+func TestServerRestartsWhileACallUsesItsPort(t *testing.T) {
 	g := gomega.NewWithT(t)
 	store, err := NewStore()
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -28,7 +28,7 @@
 
 func crashedServerWithCallFromItsPort(g *gomega.WithT, store *Store) (*Server, net.Conn) {
 	cloud := NewCloud(store)
-	for range maxStarts {
+	for range maxServers {
 		server, err := cloud.NewServer("s", "a", func(own string) string { return own })
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		server.Crash()
--- a/standin/nursery/server.go
+++ b/standin/nursery/server.go
@@ -15,19 +15,20 @@
 
 // Sizes and speeds of a stand-in server, about ten times faster than a real one.
 const (
-	Events           = 40 // number of events of a stream
-	eventGap         = 8 * time.Millisecond
-	defaultPrefill   = 60 * time.Millisecond
-	plainDuration    = 10 * time.Millisecond
-	queueLength      = 64
-	LargeAnswerBytes = 32 << 20 // bytes of the response to a target below /large/
+	Events           = 40                    // number of events of a stream
+	eventGap         = 8 * time.Millisecond  // between two events of a stream
+	defaultPrefill   = 60 * time.Millisecond // of a prompt, if the engine's limits don't set it
+	plainDuration    = 10 * time.Millisecond // of a request that isn't a stream
+	slots            = 64                    // requests that a server runs at once; more are refused
+	LargeAnswerBytes = 32 << 20              // of the response to a target below /large/
 )
 
-// Run is one execution of a request on a server.
+// Run is one execution of a request on a server. In Ledger.Arrivals it is a request that
+// reached a server, whether it ran or not.
 type Run struct {
-	Request, Server, Target, Organisation string
-	At                                    time.Time
-	ResumedAfter                          int // event after which it resumed; 0 for a fresh run
+	Request, Server, Target, Organisation string    // Attempt-Id, id of the incarnation, request URI, Tenant
+	At                                    time.Time // when the request arrived
+	ResumedAfter                          int       // event after which it resumed; 0 for a fresh run
 }
 
 // Ledger records what the servers ran, for the checks of the tests.
@@ -83,26 +84,26 @@
 	Address string
 
 	cloud       *Cloud
-	mu          sync.Mutex
+	mu          sync.Mutex // guards the fields below but the atomic ones
 	id          string
 	startMillis int64 // start of this incarnation, in Unix milliseconds
 	http        *http.Server
 	// listener is closed along with http, which doesn't know it before Serve runs.
 	listener net.Listener
-	active   atomic.Int64
+	active   atomic.Int64 // requests being served
 	// LostAnswersPerMille is how many of a thousand plain responses are dropped after
 	// the run.
 	LostAnswersPerMille atomic.Int64
-	answers             atomic.Int64
+	plainAnswers        atomic.Int64 // plain responses while LostAnswersPerMille was set
 	// EventGap is the time between two events of a stream, in nanoseconds; 0 means
 	// the default.
 	EventGap   atomic.Int64
-	ownAddress string
+	ownAddress string // that the server listens on
 	crashed    atomic.Bool
 	limits     EngineLimits
 	engine     *engine // of this incarnation
 	draining   bool
-	drainAt    time.Time
+	drainStart time.Time
 }
 
 // Cloud consists of all servers, the store that lists them and the KV copies that
@@ -113,8 +114,8 @@
 	Store  *Store
 	Ledger *Ledger
 
-	mu             sync.Mutex
-	copies         map[string]int            // events in each KV copy, by address/request or address|source/handle
+	mu             sync.Mutex                // guards the fields below
+	copies         map[string]int            // events in each KV copy when it was made, by address/request or address|source/handle
 	reservedCopies map[string][]reservedCopy // by request
 	servers        map[string]*Server        // by address
 	lastID         atomic.Int64
@@ -221,7 +222,7 @@
 	id, born := s.id, s.startMillis
 	s.mu.Unlock()
 	entry, _ := json.Marshal(map[string]any{
-		"service": s.Service, "address": s.Address, "zone": s.Zone, "version": "v1", "slots": queueLength,
+		"service": s.Service, "address": s.Address, "zone": s.Zone, "version": "v1", "slots": slots,
 		"state": state, "coldRemainingMs": 0, "seq": 1, "born": born,
 	})
 	s.cloud.Store.Put("servers", id, entry)
@@ -241,7 +242,7 @@
 // Restart starts a new incarnation at the same address under a new id.
 func (s *Server) Restart() error {
 	old := s.ID()
-	if err := s.startAgain(s.cloud.newID()); err != nil {
+	if err := s.startAtSameAddress(s.cloud.newID()); err != nil {
 		return err
 	}
 	s.cloud.Store.Remove("servers", old)
@@ -251,14 +252,14 @@
 
 // RestartWithSameID starts a new incarnation at the same address under the same id.
 func (s *Server) RestartWithSameID() error {
-	if err := s.startAgain(s.ID()); err != nil {
+	if err := s.startAtSameAddress(s.ID()); err != nil {
 		return err
 	}
 	s.register()
 	return nil
 }
 
-func (s *Server) startAgain(id string) error {
+func (s *Server) startAtSameAddress(id string) error {
 	s.mu.Lock()
 	address := s.ownAddress
 	s.mu.Unlock()
@@ -268,7 +269,7 @@
 // Drain lists the server as draining; it still serves every request.
 func (s *Server) Drain() {
 	s.mu.Lock()
-	s.draining, s.drainAt = true, time.Now()
+	s.draining, s.drainStart = true, time.Now()
 	s.mu.Unlock()
 	s.register()
 }
@@ -288,7 +289,7 @@
 	if !s.draining {
 		return 0
 	}
-	return time.Since(s.drainAt)
+	return time.Since(s.drainStart)
 }
 
 func (s *Server) handler(e *engine, id string, born int64) http.Handler {
@@ -313,6 +314,7 @@
 	moveTokens = 1200
 )
 
+// move copies the KV cache of a running request to another server.
 func (s *Server) move(w http.ResponseWriter, r *http.Request) {
 	var body struct{ ID, To string }
 	_ = json.NewDecoder(r.Body).Decode(&body)
@@ -341,7 +343,7 @@
 		refuse(w)
 		return
 	}
-	if s.active.Add(1) > queueLength {
+	if s.active.Add(1) > slots {
 		s.active.Add(-1)
 		refuse(w)
 		return
@@ -377,10 +379,12 @@
 	*list = append(*list, run)
 }
 
+// plain answers a request that isn't a stream. It drops LostAnswersPerMille of each
+// thousand responses, evenly spread.
 func (s *Server) plain(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	time.Sleep(plainDuration)
-	if share := s.LostAnswersPerMille.Load(); share > 0 && s.answers.Add(1)*share%1000 < share {
+	if lost := s.LostAnswersPerMille.Load(); lost > 0 && s.plainAnswers.Add(1)*lost%1000 < lost {
 		s.cloud.Ledger.recordEnd(r.Header.Get("Attempt-Id"), Interrupted)
 		panic(http.ErrAbortHandler)
 	}
--- a/standin/nursery/store.go
+++ b/standin/nursery/store.go
@@ -1,6 +1,8 @@
 // Package nursery simulates the users' platform as its documentation describes
 // it: the store and the backend servers, in one process, for end-to-end tests and
 // the soak test. It records what callers can't see: what ran, how often and when.
+// It serves the HTTP API below /pearyard/, which package platform calls; package
+// standin simulates the services behind package backing instead.
 package nursery
 
 import (
@@ -25,9 +27,10 @@
 
 const (
 	slowAnswer = 300 * time.Millisecond
-	maxWait    = 30 * time.Second
+	maxWait    = 30 * time.Second // of a feed call without changes
 )
 
+// row is a row on the wire; Deleted marks the tombstone of a deleted row.
 type row struct {
 	Table   string `json:"table"`
 	Part    string `json:"part"`
@@ -42,11 +45,11 @@
 	Address string
 	server  *http.Server
 
-	mu      sync.Mutex
+	mu      sync.Mutex     // guards the fields below
 	rows    map[string]row // by table/key; deleted rows stay as tombstones
-	version uint64
-	dropped uint64 // changes up to this version can't be read any more
-	changed chan struct{}
+	version uint64         // of the newest change in any table
+	dropped uint64         // changes up to this version can't be read any more
+	changed chan struct{}  // closed and replaced at each change
 	fault   StoreFault
 }
 
@@ -110,7 +113,8 @@
 	s.changed = make(chan struct{})
 }
 
-// Put writes a row as the operator or a backend server does, regardless of the fault.
+// Put writes a row as the operator or a backend server does, regardless of the fault,
+// and returns its version.
 func (s *Store) Put(table, key string, value []byte) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -129,6 +133,8 @@
 	s.notifyWatchers()
 }
 
+// tx writes rows for a caller, which may write neither the operator's table nor that of
+// the backend servers.
 func (s *Store) tx(w http.ResponseWriter, r *http.Request) {
 	var body struct {
 		Write []row `json:"write"`
@@ -147,6 +153,7 @@
 	s.answer(w, nil)
 }
 
+// get answers with the rows of a table whose keys are in a range.
 func (s *Store) get(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	s.answer(w, s.selectRows(func(x row) bool {
@@ -166,6 +173,8 @@
 	return found
 }
 
+// feed answers with the rows of a table that changed after a revision, as soon as there
+// are any, or with none after the caller's waiting time.
 func (s *Store) feed(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	since, _ := strconv.ParseUint(q.Get("sinceRevision"), 10, 64)
--- a/standin/nursery/stream.go
+++ b/standin/nursery/stream.go
@@ -11,31 +11,35 @@
 // EventText returns the data of event n of a stream.
 func EventText(target string, n int) string { return fmt.Sprintf("part %d of %s", n, target) }
 
-// abortedCopyRetention is how long the KV copies of an interrupted run are kept.
-const abortedCopyRetention = 3 * time.Second
+// incompleteCopyRetention is how long the KV copies of a run that didn't complete are
+// kept.
+const incompleteCopyRetention = 3 * time.Second
 
+// stream answers a request for a stream with the events after the given one.
 func (s *Server) stream(w http.ResponseWriter, r *http.Request, e *engine, memory *allocation, after int) {
 	request := r.Header.Get("Attempt-Id")
 	if backup := r.Header.Get("Kv-Backup"); backup != "" {
 		s.cloud.keepCopy(request, backup, backup+"/"+request, requestTokens(r, s.cloud.length()), after)
 	}
-	whole := s.makeEvents(w, r, e, memory, after)
-	if !whole {
+	completed := s.writeEvents(w, r, e, memory, after)
+	if !completed {
 		s.recordDisconnect(r)
-		time.AfterFunc(abortedCopyRetention, func() { s.cloud.freeCopies(request) })
+		time.AfterFunc(incompleteCopyRetention, func() { s.cloud.freeCopies(request) })
 		return
 	}
 	s.cloud.Ledger.recordEnd(request, Completed)
 	s.cloud.freeCopies(request)
 }
 
-// makeEvents writes a stream to its end; it returns false if the connection closed first.
-func (s *Server) makeEvents(w http.ResponseWriter, r *http.Request, e *engine, memory *allocation, after int) bool {
+// writeEvents writes a stream to its end; it returns false if the connection closed
+// first. The prompt is prefilled unless the engine has cached it or the run resumes from
+// a KV copy.
+func (s *Server) writeEvents(w http.ResponseWriter, r *http.Request, e *engine, memory *allocation, after int) bool {
 	request := r.Header.Get("Attempt-Id")
-	if r.Header.Get("Kv-From") == "" && !e.hasCached(promptBlocks(r)) && !e.prefill(r.Context(), request) {
+	if r.Header.Get("Kv-From") == "" && !e.hasCached(promptParts(r)) && !e.prefill(r.Context(), request) {
 		return false
 	}
-	e.cachePrompt(promptBlocks(r))
+	e.cachePrompt(promptParts(r))
 	w.Header().Set("Content-Type", "text/event-stream")
 	flush := http.NewResponseController(w)
 	gap := eventGap
@@ -69,9 +73,9 @@
 	free func()
 }
 
-// keepCopy records a KV copy of a request under key; it returns false if the engine
-// at the given address has no memory for it.
-func (c *Cloud) keepCopy(request, at, key string, tokens, made int) bool {
+// keepCopy records a KV copy of a request under key, with the number of events that it
+// contains; it returns false if the engine at the given address has no memory for it.
+func (c *Cloud) keepCopy(request, at, key string, tokens, events int) bool {
 	var free func()
 	if holder := c.serverAt(at); holder != nil {
 		var ok bool
@@ -81,7 +85,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.copies[key] = made
+	c.copies[key] = events
 	if free != nil {
 		c.reservedCopies[request] = append(c.reservedCopies[request], reservedCopy{key, free})
 	}
@@ -89,22 +93,23 @@
 }
 
 // freeCopies drops the copies of a request that occupy memory of engines with limited
-// memory; other copies are kept.
+// memory; other copies are kept until their server restarts.
 func (c *Cloud) freeCopies(request string) {
 	c.mu.Lock()
-	held := c.reservedCopies[request]
+	reserved := c.reservedCopies[request]
 	delete(c.reservedCopies, request)
-	for _, x := range held {
-		delete(c.copies, x.key)
+	for _, kvCopy := range reserved {
+		delete(c.copies, kvCopy.key)
 	}
 	c.mu.Unlock()
-	for _, x := range held {
-		x.free()
+	for _, kvCopy := range reserved {
+		kvCopy.free()
 	}
 }
 
-// hasCopy reports whether the server at an address holds the copy named by a Kv-From
-// header.
+// hasCopy reports whether the server at an address can resume from the copy named by a
+// Kv-From header: a continuous copy, named by its holder's address and the request, or
+// one that was moved there, named by its source's address and the handle.
 func (c *Cloud) hasCopy(at, from string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/standin/nursery/stream_options.go
+++ b/standin/nursery/stream_options.go
@@ -1,7 +1,6 @@
 package nursery
 
-// StreamOptions holds the options of all streams. A measurement sets them before servers
-// start.
+// StreamOptions holds the options of all streams. They must be set before servers start.
 type StreamOptions struct {
 	// Length is the number of events of a stream; 0 means Events.
 	Length int
@@ -9,15 +8,15 @@
 	OnEvent func(request string, event int)
 }
 
-func (w *StreamOptions) length() int {
-	if w.Length > 0 {
-		return w.Length
+func (o *StreamOptions) length() int {
+	if o.Length > 0 {
+		return o.Length
 	}
 	return Events
 }
 
-func (w *StreamOptions) notifyEvent(request string, event int) {
-	if w.OnEvent != nil {
-		w.OnEvent(request, event)
+func (o *StreamOptions) notifyEvent(request string, event int) {
+	if o.OnEvent != nil {
+		o.OnEvent(request, event)
 	}
 }
