--- a/soak/planned_disruptions.go
+++ b/soak/planned_disruptions.go
@@ -134,10 +134,10 @@
 	}
 	time.Sleep(minDrainTime)
 	for _, server := range servers {
-		for server.Busy() > 0 && time.Since(left) < maxDrainTime {
+		for server.ActiveRequests() > 0 && time.Since(left) < maxDrainTime {
 			time.Sleep(drainPollInterval)
 		}
-		if server.Busy() > 0 {
+		if server.ActiveRequests() > 0 {
 			server.CancelDrain()
 			continue
 		}
--- a/standin/nursery/server.go
+++ b/standin/nursery/server.go
@@ -196,8 +196,8 @@
 	return s.engine
 }
 
-// Busy returns how many requests the server is serving.
-func (s *Server) Busy() int64 { return s.active.Load() }
+// ActiveRequests returns how many requests the server is serving.
+func (s *Server) ActiveRequests() int64 { return s.active.Load() }
 
 // StartMillis returns when this incarnation started, in Unix milliseconds.
 func (s *Server) StartMillis() int64 {
