--- a/engine/engine.go
+++ b/engine/engine.go
@@ -9,7 +9,8 @@
 )
 
 var (
-	// ErrRefused: the engine did not start the request (full, or no such model).
+	// ErrRefused: the engine did not start the request (full, no such model, or not
+	// reachable).
 	ErrRefused = errors.New("engine: request refused")
 	// ErrConnectionLost: the connection broke after the request was handed over.
 	ErrConnectionLost = errors.New("engine: connection lost")
--- a/standin/nursery/server.go
+++ b/standin/nursery/server.go
@@ -56,10 +56,10 @@
 	return append([]RunEnd(nil), l.ends[request]...)
 }
 
-func (l *Ledger) recordEnd(request string, how RunEnd) {
+func (l *Ledger) recordEnd(request string, end RunEnd) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.ends[request] = append(l.ends[request], how)
+	l.ends[request] = append(l.ends[request], end)
 }
 
 // Runs returns all runs so far.
@@ -219,11 +219,11 @@
 	if s.draining {
 		state = "draining"
 	}
-	id, born := s.id, s.startMillis
+	id, startMillis := s.id, s.startMillis
 	s.mu.Unlock()
 	entry, _ := json.Marshal(map[string]any{
 		"service": s.Service, "address": s.Address, "zone": s.Zone, "version": "v1", "slots": slots,
-		"state": state, "coldRemainingMs": 0, "seq": 1, "born": born,
+		"state": state, "coldRemainingMs": 0, "seq": 1, "born": startMillis,
 	})
 	s.cloud.Store.Put("servers", id, entry)
 }
@@ -292,10 +292,10 @@
 	return time.Since(s.drainStart)
 }
 
-func (s *Server) handler(e *engine, id string, born int64) http.Handler {
+func (s *Server) handler(e *engine, id string, startMillis int64) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /pearyard/report", func(w http.ResponseWriter, _ *http.Request) {
-		_, _ = fmt.Fprintf(w, `{"phase":"unified","born":%d}`, born)
+		_, _ = fmt.Fprintf(w, `{"phase":"unified","born":%d}`, startMillis)
 	})
 	mux.HandleFunc("GET /pearyard/kv-list", e.serveCachedPrompts)
 	mux.HandleFunc("POST /pearyard/kv-move", s.move)
@@ -407,9 +407,9 @@
 
 // recordDisconnect records that a run ended because its connection closed.
 func (s *Server) recordDisconnect(r *http.Request) {
-	how := Abandoned
+	end := Abandoned
 	if s.crashed.Load() {
-		how = Interrupted
+		end = Interrupted
 	}
-	s.cloud.Ledger.recordEnd(r.Header.Get("Attempt-Id"), how)
+	s.cloud.Ledger.recordEnd(r.Header.Get("Attempt-Id"), end)
 }
