--- a/soak/disruptions.go
+++ b/soak/disruptions.go
@@ -64,9 +64,9 @@
 	}},
 	{Name: "answers lost", run: func(s *Site, rng *rand.Rand, duration time.Duration) {
 		server := s.Servers[s.size.ModelServers+rng.IntN(s.size.PlainServers)]
-		server.LostAnswers.Store(200) // of a thousand
+		server.LostAnswersPerMille.Store(200)
 		time.Sleep(duration)
-		server.LostAnswers.Store(0)
+		server.LostAnswersPerMille.Store(0)
 	}},
 	{Name: "store busy", run: func(s *Site, _ *rand.Rand, duration time.Duration) { s.disturbStore(nursery.StoreBusy, duration) }},
 	{Name: "store silent", run: func(s *Site, _ *rand.Rand, duration time.Duration) { s.disturbStore(nursery.StoreSilent, duration) }},
--- a/soak/planned_disruptions.go
+++ b/soak/planned_disruptions.go
@@ -140,10 +140,10 @@
 	}
 	time.Sleep(minDrainTime)
 	for _, server := range servers {
-		for server.Busy() > 0 && time.Since(drainStart) < maxDrainTime {
+		for server.ActiveRequests() > 0 && time.Since(drainStart) < maxDrainTime {
 			time.Sleep(drainPollInterval)
 		}
-		if server.Busy() > 0 {
+		if server.ActiveRequests() > 0 {
 			server.CancelDrain()
 			continue
 		}
--- a/soak/site.go
+++ b/soak/site.go
@@ -138,7 +138,7 @@
 // limitEngines sets the limits of the engines of the model service.
 func (s *Site) limitEngines(engine nursery.EngineLimits) {
 	for _, server := range s.Servers[:s.size.ModelServers] {
-		server.SetEngine(engine)
+		server.SetEngineLimits(engine)
 	}
 }
 
